--- a/src/core/acknowledge.c
+++ b/src/core/acknowledge.c
@@ -19,7 +19,8 @@
         evidence->fenced_mask |= bit;
         return;
     }
-    /* A log that ends in another term may have lost the entry: only the write's own term counts. */
+    /* A log that ends in another term may have lost the entry, so only the write's own term
+     * counts. */
     bool same_term = status->held.term == evidence->position.term;
     if (same_term && status->held.offset >= evidence->position.offset) {
         evidence->held_mask |= bit;
--- a/src/core/group_control.c
+++ b/src/core/group_control.c
@@ -1,5 +1,5 @@
-/* The step of a group's control: takes an event, advances each part, says what the shell must do.
- */
+/* The step of a group's control: handles an event, advances each part and lists the caller's
+ * actions. */
 #include "core/group_control.h"
 #include "core/group_control_internal.h"
 #include "core/position_samples.h"
@@ -8,7 +8,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* A shell is never asked to come back at once: whatever is due now was done in this step. */
+/* Minimum delay until the next step: everything that is due now has been done in this one. */
 #define WAKE_DELAY_MIN NANOSECONDS_PER_MILLISECOND
 
 void group_control_options_init(struct group_control_options *options)
@@ -64,7 +64,7 @@
     control->view.primary = NO_DATABASE;
     control->view.database_count = options->database_count;
     for (uint32_t i = 0; i < options->database_count; i++) {
-        control->members[i].good_at = now;
+        control->members[i].last_success_at = now;
         control->view.databases[i].zone = options->database_zone[i];
     }
     return control;
@@ -191,10 +191,10 @@
         database->reachable = observe_is_reachable(control, i);
         database->observed_at = member->observed_at;
         database->round_trip_us = member->round_trip_us;
-        if (member->wish == MEMBER_WISH_DRAIN) {
+        if (member->requested == REQUESTED_STATE_DRAIN) {
             database->status.leaving = true;
         }
-        /* A leaving primary serves until another leads: see change_advance(). */
+        /* A leaving primary takes work until another leads: see change_advance(). */
         if ((int32_t)i == primary || control->options.ignore_leaving) {
             database->status.leaving = false;
         }
@@ -245,33 +245,34 @@
     }
 }
 
-/* The operator's last word wins, at whichever watcher it was said: its order is above all that this
- * watcher knows of, and by the time of the request above those that it does not. */
-static void take_wish(struct group_control *control, const struct group_event *event,
-                      enum member_wish wish)
+/* The last request of an operator wins, whichever watcher received it. Its order is above every
+ * order that this watcher knows, and since it is the time of the request also above earlier
+ * requests that it does not know. */
+static void handle_operator_request(struct group_control *control, const struct group_event *event,
+                                    enum requested_state requested)
 {
     struct member *member = &control->members[event->database];
-    uint64_t known = MAX(member->status.leaving_order, member->wish_order);
+    uint64_t known = MAX(member->status.leaving_order, member->requested_order);
 
-    member->wish = wish;
-    member->wish_order = MAX(event->order, known + 1);
-    member->heal_after = 0;
+    member->requested = requested;
+    member->requested_order = MAX(event->order, known + 1);
+    member->resync_after = 0;
     control->change.not_before = 0;
     control->change.blocked_recorded = false;
     control->publish_due = true;
 }
 
-/* A command's answer belongs to the attempt under way, to healing, or to something older that no
- * longer matters. */
-static void take_command(struct group_control *control, const struct group_event *event)
+/* The result belongs to the attempt in progress, to a resynchronisation, or to a superseded
+ * command, which is ignored. */
+static void handle_command(struct group_control *control, const struct group_event *event)
 {
-    if (failover_take_command(control, event)) {
+    if (failover_handle_command(control, event)) {
         return;
     }
-    heal_take_command(control, event);
+    resync_handle_command(control, event);
 }
 
-static void take_event(struct group_control *control, const struct group_event *event)
+static void handle_event(struct group_control *control, const struct group_event *event)
 {
     if ((event->kind == GROUP_EVENT_PROBE || event->kind == GROUP_EVENT_DRAIN ||
          event->kind == GROUP_EVENT_UNDRAIN) &&
@@ -288,19 +289,19 @@
         observe_opinion(control, &event->opinion);
         break;
     case GROUP_EVENT_COMMAND:
-        take_command(control, event);
+        handle_command(control, event);
         break;
     case GROUP_EVENT_WATCHERS:
         observe_watchers(control, event);
         break;
     case GROUP_EVENT_DRAIN:
-        take_wish(control, event, MEMBER_WISH_DRAIN);
+        handle_operator_request(control, event, REQUESTED_STATE_DRAIN);
         break;
     case GROUP_EVENT_UNDRAIN:
-        take_wish(control, event, MEMBER_WISH_SERVE);
+        handle_operator_request(control, event, REQUESTED_STATE_SERVE);
         break;
     case GROUP_EVENT_WRITES_DRAINED:
-        change_take_drained(control, event->change);
+        change_handle_drained(control, event->change);
         break;
     }
 }
@@ -315,33 +316,33 @@
         control->now = event->now;
     }
     observe_own_stall(control);
-    take_event(control, event);
+    handle_event(control, event);
     replication_advance(control);
     observe_suspicion(control);
     failover_advance(control);
     change_advance(control);
-    heal_advance(control);
+    resync_advance(control);
     advance_view(control);
     advance_opinion(control);
     control->last_event_at = control->now;
     control->actions = NULL;
 }
 
-/* Probes made at a longer interval have not shown what the shorter times ask for: those count from
- * now on. What was found lost stays so. */
-static void allow_fewer_probes(struct group_control *control, time_ns suspect_after,
-                               time_ns unreachable_after)
+/* Probes at a longer interval can't show a failure within the shorter times, so those start now. A
+ * suspicion and an unreachable state stay as they are. */
+static void restart_detection_timers(struct group_control *control, time_ns suspect_after,
+                                     time_ns unreachable_after)
 {
     if (suspect_after < control->options.suspect_after && !control->suspects) {
         control->led_at = control->now;
-        replication_watch_anew(control);
+        replication_restart_timers(control);
     }
     if (unreachable_after >= control->options.unreachable_after) {
         return;
     }
     for (uint32_t i = 0; i < control->options.database_count; i++) {
         if (observe_is_reachable(control, i)) {
-            control->members[i].good_at = control->now;
+            control->members[i].last_success_at = control->now;
         }
     }
 }
@@ -349,7 +350,7 @@
 void group_control_set_detection(struct group_control *control, time_ns suspect_after,
                                  time_ns unreachable_after)
 {
-    allow_fewer_probes(control, suspect_after, unreachable_after);
+    restart_detection_timers(control, suspect_after, unreachable_after);
     control->options.suspect_after = suspect_after;
     control->options.unreachable_after = unreachable_after;
 }
--- a/src/core/group_control_change.c
+++ b/src/core/group_control_change.c
@@ -1,6 +1,6 @@
-/* Planned change of primary: pause new writes at every owner, let those under way end and the
- * target catch up, then fence and promote as in a failover. Used to drain a primary, and to give
- * the group a term above a stray promise. */
+/* Planned change of primary: pause new writes at every owner, wait until those in progress have
+ * ended and the target has caught up, then fence and promote as in a failover. Used to drain a
+ * primary, and to establish a term above a stray promise. */
 #include "core/group_control_internal.h"
 
 #include <glib.h>
@@ -29,8 +29,8 @@
     control->pause.drained = 0;
 }
 
-/* A peer's opinion starts, prolongs or ends the pause it asks for. */
-void change_take_pause(struct group_control *control, const struct group_opinion *opinion)
+/* A peer's opinion starts, extends or ends the pause that the peer coordinates. */
+void change_handle_opinion(struct group_control *control, const struct group_opinion *opinion)
 {
     struct pause *pause = &control->pause;
 
@@ -43,7 +43,8 @@
     if (control->change.state != CHANGE_STATE_IDLE) {
         return;
     }
-    /* One coordinator at a time: the others take over only once it is silent. */
+    /* One coordinator at a time: another one starts a change only after its opinions have
+     * stopped. */
     control->change.not_before = control->now + control->options.backoff_max * 2 +
                                  observe_rank(control, false) * control->options.rank_step;
     if (pause->id != 0 && pause->id != opinion->change) {
@@ -55,7 +56,7 @@
     }
 }
 
-void change_take_drained(struct group_control *control, uint64_t change)
+void change_handle_drained(struct group_control *control, uint64_t change)
 {
     if (change == 0 || control->pause.id != change || control->pause.drained == change) {
         return;
@@ -77,8 +78,8 @@
     control->opinion_due = true;
 }
 
-/* A database that was not meant may lead: the old primary, if it committed once more before its
- * promise. No transaction is open there now, so the next change comes soon, and waits for none. */
+/* Another database than the target may lead: the old primary, if it committed once more before its
+ * promise. No transaction is open there now, so the next change starts soon and waits for none. */
 static void note_outcome(struct change *change, const struct group_control *control, bool promoted)
 {
     bool meant = control->attempt.target == change->target;
@@ -104,8 +105,9 @@
     clear_pause(control);
 }
 
-/* Every owner has told that its writes ended. After several aborted changes only those that are
- * alive are waited for: a write of a silent one is then fenced and resolved by its key. */
+/* True if every owner has reported that its writes ended. After several aborted changes only owners
+ * that are alive count: a write of an unresponsive one is then fenced and resolved by its
+ * idempotency key. */
 static bool owners_drained(const struct group_control *control)
 {
     const struct change *change = &control->change;
@@ -159,14 +161,14 @@
     control_wake_at(control, change->poll_at);
 }
 
-static void move(struct group_control *control)
+static void start_moving(struct group_control *control)
 {
     control->change.state = CHANGE_STATE_MOVING;
     control->opinion_due = true;
     failover_start(control, control->change.reason, (int32_t)control->change.target);
 }
 
-/* Long pauses are tried only after short ones were not enough for the writes under way. */
+/* The pause grows only after shorter pauses were not enough for the writes in progress. */
 static time_ns pause_bound(const struct group_control *control)
 {
     time_ns bound = control->options.pause_first;
@@ -177,9 +179,9 @@
     return MIN(bound, control->options.pause_max);
 }
 
-/* A drain must end, also where transactions are always open: after several pauses that were not
- * enough, and half of another, those still open are rolled back by the fence. Not while the target
- * is behind: the old primary would be chosen again. */
+/* A drain must complete even where transactions are always open: after several pauses that were not
+ * enough, and half of another, the fence rolls back the open ones. Not while the target is behind,
+ * since the old primary would then be chosen again. */
 static bool may_force(const struct group_control *control)
 {
     const struct change *change = &control->change;
@@ -206,7 +208,7 @@
         return;
     }
     if (may_force(control)) {
-        move(control);
+        start_moving(control);
         return;
     }
     if (control->now >= change->deadline) {
@@ -218,7 +220,7 @@
         change->poll_at = control->now;
     }
     if (change->drained_at != 0 && (control->options.no_pause || target_caught_up(control))) {
-        move(control);
+        start_moving(control);
         return;
     }
     poll_members(control);
@@ -252,8 +254,9 @@
 {
     const struct member *member = &control->members[database];
 
-    return (int32_t)database != control->known_primary && member->wish != MEMBER_WISH_DRAIN &&
-           !member->status.leaving && !member->forgot && observe_is_reachable(control, database) &&
+    return (int32_t)database != control->known_primary &&
+           member->requested != REQUESTED_STATE_DRAIN && !member->status.leaving &&
+           !member->lost_state && observe_is_reachable(control, database) &&
            member->status.role == DATABASE_ROLE_REPLICA &&
            member->status.term == control->known_term;
 }
@@ -287,10 +290,10 @@
 {
     const struct member *member = &control->members[primary];
 
-    if (member->wish == MEMBER_WISH_SERVE) {
+    if (member->requested == REQUESTED_STATE_SERVE) {
         return false;
     }
-    return member->wish == MEMBER_WISH_DRAIN || member->status.leaving;
+    return member->requested == REQUESTED_STATE_DRAIN || member->status.leaving;
 }
 
 static void drain_primary(struct group_control *control, int32_t primary)
@@ -359,8 +362,8 @@
     }
 }
 
-/* The others' pause lasts only while they hear of it. */
-static void keep_pause(struct group_control *control)
+/* The other watchers' pause expires without further opinions. */
+static void renew_pause(struct group_control *control)
 {
     struct change *change = &control->change;
 
@@ -380,7 +383,7 @@
         return;
     }
     if (control->change.state == CHANGE_STATE_MOVING) {
-        keep_pause(control);
+        renew_pause(control);
         return;
     }
     if (pause->id != 0) {
--- a/src/core/group_control_failover.c
+++ b/src/core/group_control_failover.c
@@ -1,6 +1,6 @@
-/* Failover: fence every member at a new term, wait for a majority, promote the member that holds
- * most, and let the others follow. Any number of coordinators may try at once: a member promises a
- * term to one coordinator only, so at most one of them gets a majority in a term. */
+/* Failover: fence every member at a new term, wait for a majority, promote the member with the
+ * longest log, and let the others follow it. Several coordinators may try at once: a member
+ * promises a term to one coordinator only, so at most one of them gets a majority in a term. */
 #include "core/group_control_internal.h"
 
 #include <glib.h>
@@ -8,8 +8,8 @@
 
 static const struct log_position NO_POSITION = {0, 0};
 
-/* After so many failed attempts in a row a primary that replicates to no majority may be chosen
- * again: better that one than none. */
+/* After this many consecutive failed attempts a primary that replicates to no majority may be
+ * chosen again: the group may have no other candidate. */
 #define EXCLUSIONS_MAX 3
 
 static void send_fence(struct group_control *control, uint32_t database)
@@ -33,8 +33,8 @@
     attempt->command[attempt->target] = action->command;
 }
 
-/* A higher position wins; among equals the preferred database, then one that stays, then one in the
- * preferred zone, then the lowest index. */
+/* A higher position wins; among equals the preferred database, then one that is not leaving, then
+ * one in the preferred zone, then the lowest index. */
 static bool is_better(const struct group_control *control, const struct database_status *statuses,
                       uint32_t candidate, uint32_t best)
 {
@@ -51,9 +51,10 @@
         (candidate == (uint32_t)preferred) != (best == (uint32_t)preferred)) {
         return candidate == (uint32_t)preferred;
     }
-    candidate_leaves =
-        statuses[candidate].leaving || control->members[candidate].wish == MEMBER_WISH_DRAIN;
-    best_leaves = statuses[best].leaving || control->members[best].wish == MEMBER_WISH_DRAIN;
+    candidate_leaves = statuses[candidate].leaving ||
+                       control->members[candidate].requested == REQUESTED_STATE_DRAIN;
+    best_leaves =
+        statuses[best].leaving || control->members[best].requested == REQUESTED_STATE_DRAIN;
     if (candidate_leaves != best_leaves) {
         return best_leaves;
     }
@@ -84,7 +85,7 @@
     return best;
 }
 
-/* TEST ONLY (no_fence): asks only the member it would promote, and not the old primary. */
+/* TEST ONLY (no_fence): fences only the member to promote, and not the old primary. */
 static void fence_target_only(struct group_control *control)
 {
     struct database_status statuses[GROUP_DATABASES_MAX];
@@ -164,7 +165,7 @@
     control_record(control, GROUP_RECORD_PROMOTED, attempt->reason, attempt->term,
                    (int32_t)attempt->target, leader->status.held);
     control->attempt_failures = 0;
-    heal_follow_all(control);
+    resync_follow_all(control);
     end_attempt(control, true);
 }
 
@@ -176,28 +177,28 @@
     return majority_of(control->options.database_count);
 }
 
-/* Members whose grants make the majority, and one of which will lead. */
+/* Members whose grants make the majority, and from which the primary is chosen. */
 static uint32_t counted_grants(const struct attempt *attempt)
 {
     return attempt->granted & ~attempt->excluded;
 }
 
-/* A member that lost its memory may have held what was acknowledged, and promised what it no longer
- * knows. So the others must make a majority without it; if too few of them are left for that, then
- * all of them must grant. */
-static bool remembered_by_enough(const struct group_control *control)
+/* A member that lost its state may have held acknowledged writes and given promises that it no
+ * longer knows. So the others must make a majority without it. If too few of them are left for
+ * that, all of them must grant. */
+static bool grants_cover_lost_state(const struct group_control *control)
 {
-    uint32_t remembering = 0;
+    uint32_t intact = 0;
     uint32_t granted = 0;
 
     for (uint32_t i = 0; i < control->options.database_count; i++) {
-        if (control->members[i].forgot || control->members[i].older_since != 0) {
+        if (control->members[i].lost_state || control->members[i].regressed_since != 0) {
             continue;
         }
-        remembering += 1;
+        intact += 1;
         granted += counted_grants(&control->attempt) >> i & 1;
     }
-    return control->options.trust_forgetful || granted >= MIN(grants_needed(control), remembering);
+    return control->options.trust_forgetful || granted >= MIN(grants_needed(control), intact);
 }
 
 static void decide_target(struct group_control *control)
@@ -221,7 +222,7 @@
     uint32_t unanswered = control->options.database_count - answered;
     uint32_t awaited = observe_reachable_mask(control) & ~(attempt->answered | attempt->excluded);
 
-    if (granted >= needed && remembered_by_enough(control)) {
+    if (granted >= needed && grants_cover_lost_state(control)) {
         if (attempt->majority_at == 0) {
             attempt->majority_at = control->now;
         }
@@ -251,8 +252,8 @@
     }
 }
 
-/* The answer to promote was lost. Its status tells what became of it; only a status asked for after
- * the loss counts. */
+/* The promote command had no reply. The target's status shows whether it took effect; only a status
+ * queried after the time-out counts. */
 static void advance_checking(struct group_control *control)
 {
     struct attempt *attempt = &control->attempt;
@@ -303,8 +304,8 @@
     }
 }
 
-/* Rank order keeps coordinators apart; who only sees that the primary was deposed first leaves time
- * to whoever did that. */
+/* The rank separates the coordinators' start times. A watcher that only sees that the primary was
+ * deposed first waits for the coordinator that did so. */
 static time_ns first_start(struct group_control *control)
 {
     uint32_t rank = observe_rank(control, control->confirmed);
@@ -316,8 +317,8 @@
     return control->now + wait + control_jitter(control, control->options.jitter);
 }
 
-/* A promise that this watcher did not ask for shows another coordinator at work. */
-static void give_way(struct group_control *control)
+/* A promise that this watcher did not request shows that another coordinator is active. */
+static void defer_to_other_coordinator(struct group_control *control)
 {
     time_ns wait = control->options.attempt_patience;
 
@@ -347,7 +348,7 @@
     if (control->start_at == 0) {
         control->start_at = first_start(control);
     }
-    give_way(control);
+    defer_to_other_coordinator(control);
     if (control->now < control->start_at) {
         control_wake_at(control, control->start_at);
         return;
@@ -363,8 +364,8 @@
     failover_start(control, reason, NO_DATABASE);
 }
 
-static void take_fence(struct group_control *control, const struct group_event *event,
-                       uint32_t database)
+static void handle_fence_result(struct group_control *control, const struct group_event *event,
+                                uint32_t database)
 {
     struct attempt *attempt = &control->attempt;
 
@@ -381,7 +382,7 @@
     observe_status(control, database, &event->status, 0);
 }
 
-static void take_promote(struct group_control *control, const struct group_event *event)
+static void handle_promote_result(struct group_control *control, const struct group_event *event)
 {
     struct attempt *attempt = &control->attempt;
 
@@ -398,7 +399,7 @@
     }
 }
 
-bool failover_take_command(struct group_control *control, const struct group_event *event)
+bool failover_handle_command(struct group_control *control, const struct group_event *event)
 {
     struct attempt *attempt = &control->attempt;
 
@@ -410,9 +411,9 @@
             continue;
         }
         if (attempt->state == ATTEMPT_STATE_FENCING) {
-            take_fence(control, event, i);
+            handle_fence_result(control, event, i);
         } else if (attempt->state == ATTEMPT_STATE_PROMOTING && i == attempt->target) {
-            take_promote(control, event);
+            handle_promote_result(control, event);
         }
         return true;
     }
--- a/src/core/group_control_names.c
+++ b/src/core/group_control_names.c
@@ -1,4 +1,4 @@
-/* Names of the closed enumerations of a group's control, as in logs and traces. */
+/* Names of the enumerations of a group's control, as in logs and traces. */
 #include "core/group_control.h"
 
 #include <glib.h>
@@ -17,7 +17,7 @@
     [GROUP_RECORD_FOLLOW] = "follow",
     [GROUP_RECORD_LEAVING] = "leaving",
     [GROUP_RECORD_RETURNED] = "returned",
-    [GROUP_RECORD_FORGOT] = "forgot",
+    [GROUP_RECORD_STATE_LOST] = "forgot",
     [GROUP_RECORD_DRAIN_BLOCKED] = "drain_blocked",
 };
 
--- a/src/core/group_control_observe.c
+++ b/src/core/group_control_observe.c
@@ -1,11 +1,11 @@
-/* What a watcher knows of its group: probes, other watchers' opinions, and the suspicion that
- * follows from them. */
+/* What a watcher knows of its group: probe results, other watchers' opinions, and the suspicion
+ * derived from them. */
 #include "core/group_control_internal.h"
 
 #include <string.h>
 
-/* A daemon that stood still (paused, starved) has not watched: its time without good probes must
- * not count against the databases. */
+/* While this daemon was stalled (paused, starved) it did not probe: the gap must not count as time
+ * without successful probes. */
 void observe_own_stall(struct group_control *control)
 {
     time_ns gap = control->now - control->last_event_at;
@@ -15,7 +15,7 @@
     }
     control->led_at += gap;
     for (uint32_t i = 0; i < control->options.database_count; i++) {
-        control->members[i].good_at += gap;
+        control->members[i].last_success_at += gap;
         if (control->members[i].behind_since != 0) {
             control->members[i].behind_since += gap;
         }
@@ -29,7 +29,7 @@
     if (!member->seen || member->failures >= 2) {
         return false;
     }
-    return control->now < member->good_at + control->options.unreachable_after;
+    return control->now < member->last_success_at + control->options.unreachable_after;
 }
 
 uint32_t observe_reachable_mask(const struct group_control *control)
@@ -44,7 +44,7 @@
     return mask;
 }
 
-/* Members known to have promised a higher term. */
+/* Counts members known to have promised a higher term. */
 static uint32_t count_promised_beyond(const struct group_control *control, uint64_t term)
 {
     uint32_t count = 0;
@@ -57,8 +57,8 @@
     return count;
 }
 
-/* Who has not heard of any primary can't tell the promise that made it from one that deposed it:
- * the others are asked first, as when a primary is lost. */
+/* A watcher that knows no primary can't tell the promise that elected one from a promise that
+ * deposed one. It waits for the other watchers' votes, as for a failed primary. */
 bool observe_deposed(const struct group_control *control)
 {
     if (control->known_primary == NO_DATABASE) {
@@ -105,8 +105,9 @@
                    (int32_t)database, position);
 }
 
-/* Promises and terms never go back, so an answer that says otherwise is an old one. */
-static bool status_is_older(const struct member *member, const struct database_status *status)
+/* Promises and terms never decrease, so a status with a lower one was sent earlier or its database
+ * lost its state. */
+static bool status_has_regressed(const struct member *member, const struct database_status *status)
 {
     if (!member->seen) {
         return false;
@@ -117,20 +118,22 @@
     return status->term < member->status.term;
 }
 
-/* An answer that goes back is a late one, or its database lost its memory: then it goes on. */
-static bool has_forgotten(struct group_control *control, struct member *member, time_ns observed_at)
+/* A late status is followed by current ones; a database that lost its state keeps reporting the
+ * lower one. */
+static bool has_lost_promise(struct group_control *control, struct member *member,
+                             time_ns observed_at)
 {
     if (observed_at == 0) {
         return false;
     }
-    if (member->older_since == 0) {
-        member->older_since = control->now;
+    if (member->regressed_since == 0) {
+        member->regressed_since = control->now;
     }
-    return control->now >= member->older_since + control->options.forget_after;
+    return control->now >= member->regressed_since + control->options.forget_after;
 }
 
-/* With a new promise, an answer is not a late one: a lower term, or a shorter log in the same term,
- * shows that what was there before is lost. */
+/* A status with a new promise can't be a late one. A lower term, or a shorter log in the same term,
+ * then shows that the database lost its log. */
 static bool has_lost_log(const struct member *member, const struct database_status *status)
 {
     if (!member->seen || status->promised_term <= member->status.promised_term) {
@@ -142,25 +145,25 @@
     return log_position_compare(status->held, member->status.held) < 0;
 }
 
-/* A member that lost its memory counts again once it holds the log of the current primary. */
+/* A member that lost its state counts again once it holds the log of the current primary. */
 static bool has_caught_up(const struct group_control *control, const struct database_status *status)
 {
     return status->term == control->known_term && status->promised_term == status->term &&
            status->held.term == status->term;
 }
 
-static void note_memory(struct group_control *control, uint32_t database,
-                        const struct database_status *status, bool lost)
+static void update_state_lost(struct group_control *control, uint32_t database,
+                              const struct database_status *status, bool lost)
 {
     struct member *member = &control->members[database];
 
-    member->older_since = 0;
+    member->regressed_since = 0;
     if (lost) {
-        member->forgot = true;
-        control_record(control, GROUP_RECORD_FORGOT, GROUP_REASON_NONE, status->term,
+        member->lost_state = true;
+        control_record(control, GROUP_RECORD_STATE_LOST, GROUP_REASON_NONE, status->term,
                        (int32_t)database, status->held);
-    } else if (member->forgot && has_caught_up(control, status)) {
-        member->forgot = false;
+    } else if (member->lost_state && has_caught_up(control, status)) {
+        member->lost_state = false;
     }
 }
 
@@ -174,10 +177,10 @@
                     const struct database_status *status, time_ns observed_at)
 {
     struct member *member = &control->members[database];
-    bool older = status_is_older(member, status);
+    bool older = status_has_regressed(member, status);
     bool lost = older || has_lost_log(member, status);
 
-    if (older && !has_forgotten(control, member, observed_at)) {
+    if (older && !has_lost_promise(control, member, observed_at)) {
         return false;
     }
     if (changes_routing(member, status)) {
@@ -195,7 +198,7 @@
         status->term > control->known_term) {
         learn_primary(control, status->term, database, status->held);
     }
-    note_memory(control, database, status, lost);
+    update_state_lost(control, database, status, lost);
     control->positions_due = true;
     return true;
 }
@@ -220,7 +223,7 @@
         return;
     }
     member->failures = 0;
-    member->good_at = control->now;
+    member->last_success_at = control->now;
     smooth_round_trip(member, event->round_trip);
     bool taken =
         observe_status(control, event->database, &event->status, control->now - event->round_trip);
@@ -244,11 +247,11 @@
 {
     struct peer *peer = find_peer(control, opinion->watcher);
 
-    if (peer == NULL || (peer->heard && opinion->sequence <= peer->opinion.sequence)) {
+    if (peer == NULL || (peer->has_opinion && opinion->sequence <= peer->opinion.sequence)) {
         return;
     }
-    peer->heard = true;
-    peer->heard_at = control->now;
+    peer->has_opinion = true;
+    peer->last_opinion_at = control->now;
     peer->opinion = *opinion;
     if (opinion->promised > control->promised_max) {
         control->promised_max = opinion->promised;
@@ -260,7 +263,7 @@
         learn_primary(control, opinion->term, (uint32_t)opinion->primary, unknown);
         control_add_action(control, GROUP_ACTION_PROBE)->database = (uint32_t)opinion->primary;
     }
-    change_take_pause(control, opinion);
+    change_handle_opinion(control, opinion);
 }
 
 void observe_watchers(struct group_control *control, const struct group_event *event)
@@ -290,8 +293,8 @@
                 *peer = old[j];
             }
         }
-        if (peer->heard_at == 0) {
-            peer->heard_at = control->now;
+        if (peer->last_opinion_at == 0) {
+            peer->last_opinion_at = control->now;
         }
         peer->watcher = event->watchers[i];
         control->peer_count += 1;
@@ -301,12 +304,13 @@
 
 bool observe_peer_alive(const struct group_control *control, const struct peer *peer)
 {
-    return peer->heard && control->now < peer->heard_at + control->options.peer_alive;
+    return peer->has_opinion && control->now < peer->last_opinion_at + control->options.peer_alive;
 }
 
 static bool peer_suspects(const struct group_control *control, const struct peer *peer)
 {
-    return peer->heard && control->now < peer->heard_at + control->options.suspicion_expiry &&
+    return peer->has_opinion &&
+           control->now < peer->last_opinion_at + control->options.suspicion_expiry &&
            peer->opinion.suspects && peer->opinion.term == control->known_term;
 }
 
@@ -351,11 +355,11 @@
     return control->led_at + control->options.suspect_after;
 }
 
-/* A watcher that died or stands still must not hold up the others. One that only this watcher can't
- * hear keeps its vote unless a majority of the databases is on this side. */
+/* A watcher that failed or stalled must not block the others. One that is unreachable only from
+ * here keeps its vote unless this side of a partition has a majority of the databases. */
 static bool abstains(const struct group_control *control, const struct peer *peer)
 {
-    return control->now >= peer->heard_at + control->options.abstain_after &&
+    return control->now >= peer->last_opinion_at + control->options.abstain_after &&
            observe_reaches_majority(control);
 }
 
--- a/src/core/group_control_repair.c
+++ b/src/core/group_control_repair.c
@@ -1,7 +1,8 @@
-/* Repair of stray promises. A member that promised a term above the current one, after an attempt
- * that went no further, can neither follow nor confirm writes until a primary leads a still higher
- * term. While a majority can confirm writes without it, a planned change to the same primary mends
- * that at leisure; else no write lands, and the new term is fenced without a pause. */
+/* Repair of stray promises. A member that promised a term above the current one, in an attempt that
+ * then failed, can neither follow nor confirm writes until a primary leads a still higher term.
+ * While a majority can confirm writes without it, a planned change to the same primary repairs this
+ * after `repair_after`. Otherwise no write can be confirmed, and a new term is fenced soon and
+ * without a pause. */
 #include "core/group_control_internal.h"
 
 static bool is_stray(const struct group_control *control, uint32_t database)
--- a/src/core/group_control_heal.c
+++ b/src/core/group_control_resync.c
@@ -1,9 +1,9 @@
-/* Healing: members that came back, were cut off or led an older term are told to follow the current
- * primary; leaving marks are set as operators wish. Every command is safe to repeat, and refused by
- * a database that promised a higher term. */
+/* Resynchronisation: members that restarted, were partitioned or led an older term get the command
+ * to follow the current primary, and leaving marks are set as operators request. Every command is
+ * safe to repeat, and refused by a database that promised a higher term. */
 #include "core/group_control_internal.h"
 
-static bool needs_to_follow(const struct group_control *control, uint32_t database)
+static bool must_follow(const struct group_control *control, uint32_t database)
 {
     const struct member *member = &control->members[database];
 
@@ -13,7 +13,8 @@
     if (member->status.promised_term > control->known_term) {
         return false;
     }
-    /* Who promoted the primary told the others to follow it: look at them before telling again. */
+    /* The coordinator that promoted the primary has sent follow commands to the others. Query their
+     * status before sending another. */
     if (member->observed_at < control->learned_at) {
         return false;
     }
@@ -28,13 +29,13 @@
 
     action->term = control->known_term;
     action->primary = (uint32_t)control->known_primary;
-    member->heal_command = action->command;
-    member->heal_after = control->now + control->options.heal_interval;
+    member->resync_command = action->command;
+    member->resync_after = control->now + control->options.heal_interval;
     control_record(control, GROUP_RECORD_FOLLOW, GROUP_REASON_NONE, control->known_term,
                    (int32_t)database, member->status.held);
 }
 
-void heal_follow_all(struct group_control *control)
+void resync_follow_all(struct group_control *control)
 {
     for (uint32_t i = 0; i < control->options.database_count; i++) {
         if ((int32_t)i != control->known_primary) {
@@ -49,31 +50,32 @@
     struct group_action *action = control_add_command(control, GROUP_ACTION_SET_LEAVING, database);
 
     action->leaving = leaving;
-    action->order = member->wish_order;
-    member->heal_command = action->command;
-    member->heal_after = control->now + control->options.heal_interval;
+    action->order = member->requested_order;
+    member->resync_command = action->command;
+    member->resync_after = control->now + control->options.heal_interval;
     control_record(control, leaving ? GROUP_RECORD_LEAVING : GROUP_RECORD_RETURNED,
                    GROUP_REASON_DRAIN, control->known_term, (int32_t)database, member->status.held);
 }
 
-/* A wish ends once the database has taken it, or a newer one of another watcher. */
-static bool wish_has_ended(const struct member *member)
+/* A request is complete once the database has its mark, or that of a newer request to another
+ * watcher. */
+static bool request_is_complete(const struct member *member)
 {
-    return member->heal_command == 0 && member->status.leaving_order >= member->wish_order;
+    return member->resync_command == 0 && member->status.leaving_order >= member->requested_order;
 }
 
-/* The primary is marked only once another leads. */
-static void heal_leaving(struct group_control *control, uint32_t database)
+/* The primary is marked only once another database leads. */
+static void resync_leaving(struct group_control *control, uint32_t database)
 {
     struct member *member = &control->members[database];
-    bool leaves = member->wish == MEMBER_WISH_DRAIN;
+    bool leaves = member->requested == REQUESTED_STATE_DRAIN;
 
-    if (member->wish != MEMBER_WISH_NONE && wish_has_ended(member)) {
-        member->wish = MEMBER_WISH_NONE;
+    if (member->requested != REQUESTED_STATE_NONE && request_is_complete(member)) {
+        member->requested = REQUESTED_STATE_NONE;
         control->publish_due = true;
     }
-    if (member->wish == MEMBER_WISH_NONE || !observe_is_reachable(control, database) ||
-        control->options.ignore_leaving || control->now < member->heal_after) {
+    if (member->requested == REQUESTED_STATE_NONE || !observe_is_reachable(control, database) ||
+        control->options.ignore_leaving || control->now < member->resync_after) {
         return;
     }
     if (!leaves || (int32_t)database != control->known_primary) {
@@ -81,12 +83,12 @@
     }
 }
 
-static void heal_follow(struct group_control *control, uint32_t database)
+static void resync_follow(struct group_control *control, uint32_t database)
 {
     struct member *member = &control->members[database];
     time_ns due;
 
-    if (!needs_to_follow(control, database)) {
+    if (!must_follow(control, database)) {
         member->stale_since = 0;
         return;
     }
@@ -94,8 +96,8 @@
         member->stale_since = control->now;
     }
     due = member->stale_since + observe_rank(control, false) * control->options.rank_step;
-    if (due < member->heal_after) {
-        due = member->heal_after;
+    if (due < member->resync_after) {
+        due = member->resync_after;
     }
     if (control->now < due) {
         control_wake_at(control, due);
@@ -104,7 +106,7 @@
     send_follow(control, database);
 }
 
-void heal_advance(struct group_control *control)
+void resync_advance(struct group_control *control)
 {
     if (!control->in_membership || control->attempt.state != ATTEMPT_STATE_IDLE) {
         return;
@@ -113,20 +115,20 @@
         return;
     }
     for (uint32_t i = 0; i < control->options.database_count; i++) {
-        heal_follow(control, i);
-        heal_leaving(control, i);
+        resync_follow(control, i);
+        resync_leaving(control, i);
     }
 }
 
-bool heal_take_command(struct group_control *control, const struct group_event *event)
+bool resync_handle_command(struct group_control *control, const struct group_event *event)
 {
     for (uint32_t i = 0; i < control->options.database_count; i++) {
         struct member *member = &control->members[i];
 
-        if (member->heal_command == 0 || member->heal_command != event->command) {
+        if (member->resync_command == 0 || member->resync_command != event->command) {
             continue;
         }
-        member->heal_command = 0;
+        member->resync_command = 0;
         if (event->result != GROUP_COMMAND_LOST) {
             observe_status(control, i, &event->status, 0);
         }
--- a/src/core/group_control_state.c
+++ b/src/core/group_control_state.c
@@ -1,4 +1,4 @@
-/* Digests of decisions, and saved states. */
+/* Digests of a group control's decisions, and saved states. */
 #include "core/group_control_state.h"
 
 #include <string.h>
@@ -7,7 +7,7 @@
 #include "core/group_control_internal.h"
 #include "group_control_layout.h"
 
-/* Words of one action in the digest. */
+/* Number of 64-bit words of one action in the digest. */
 #define ACTION_WORDS 22
 
 static uint64_t digest_words(uint64_t digest, const uint64_t *words, size_t count)
@@ -93,7 +93,7 @@
     memcpy(to, control, sizeof(*control));
 }
 
-/* A state comes from a file: its counts bound what is read of it. */
+/* A state is read from a file: validate the counts that bound its arrays. */
 static bool counts_are_valid(const struct group_control *control)
 {
     uint32_t databases = control->options.database_count;
@@ -114,7 +114,7 @@
         group_control_free(control);
         return NULL;
     }
-    /* The one pointer: it points nowhere between two steps. */
+    /* The only pointer in the state; it is NULL between two steps. */
     control->actions = NULL;
     return control;
 }
--- a/src/core/group_opinion_message.c
+++ b/src/core/group_opinion_message.c
@@ -1,4 +1,4 @@
-/* A watcher's opinion as it travels between daemons; see the header. */
+/* Conversion of a watcher's opinion to and from its message; see the header. */
 #include "core/group_opinion_message.h"
 
 struct watcher_opinion group_opinion_to_message(const struct group_opinion *opinion, uint32_t group)
--- a/src/core/suspicion.c
+++ b/src/core/suspicion.c
@@ -3,7 +3,7 @@
 
 #include <xxhash.h>
 
-/* True if an earlier vote comes from the same zone, which was then counted already. */
+/* True if an earlier vote comes from the same zone, which has been counted with it. */
 static bool zone_seen_before(const struct suspicion_vote *votes, size_t index)
 {
     for (size_t i = 0; i < index; i++) {
--- a/tools/layout_header.py
+++ b/tools/layout_header.py
@@ -14,7 +14,7 @@
 import sys
 
 NAMES = {
-    "97c1232e37a140ff55426992076f0c5a": "cc7353718bd270eae00635aa706710cb",
+    "5e80c5672e7b25e79999a681eb13a888": "cc7353718bd270eae00635aa706710cb",
 }
 
 
