--- a/src/core/config_currency.h
+++ b/src/core/config_currency.h
@@ -61,7 +61,8 @@
                    time_ns now, GArray *actions);
 
 /* The store's answer to READ_HEAD: its newest version (0: none yet), or no answer. The shell tells
- * membership of the answer as well, by membership_hear_store and membership_hear_configuration. */
+ * membership of the answer as well, by membership_record_store_reply and
+ * membership_announce_configuration. */
 void currency_head_read(struct currency *currency, struct configuration_mark head, time_ns now,
                         GArray *actions);
 void currency_head_failed(struct currency *currency, time_ns now);
--- a/src/core/membership.c
+++ b/src/core/membership.c
@@ -203,7 +203,7 @@
         if (expired && member_record_live(record)) {
             struct member_record forgotten = *record;
             forgotten.state = MEMBER_STATE_LEFT;
-            membership_report(actions, MEMBERSHIP_ACTION_MEMBER_GONE, &forgotten);
+            membership_report(actions, MEMBERSHIP_ACTION_MEMBER_REMOVED, &forgotten);
         }
         if (expired) {
             membership_remove_at(membership, i - 1);
@@ -289,18 +289,19 @@
         return;
     }
     self->configuration = in_force;
-    membership_hear_configuration(membership, in_force);
+    membership_announce_configuration(membership, in_force);
     membership_push(membership, now, actions);
 }
 
-void membership_hear_configuration(struct membership *membership, struct configuration_mark heard)
+void membership_announce_configuration(struct membership *membership,
+                                       struct configuration_mark heard)
 {
     if (heard.version > membership->heard.version) {
         membership->heard = heard;
     }
 }
 
-struct configuration_mark membership_heard_configuration(const struct membership *membership)
+struct configuration_mark membership_newest_configuration(const struct membership *membership)
 {
     return membership->heard;
 }
@@ -330,8 +331,8 @@
     return true;
 }
 
-void membership_reach(const struct membership *membership, time_ns now, time_ns within,
-                      size_t *reachable, size_t *known)
+void membership_count_reachable(const struct membership *membership, time_ns now, time_ns within,
+                                size_t *reachable, size_t *known)
 {
     *reachable = 0;
     *known = membership->dead;
@@ -351,7 +352,7 @@
 {
     size_t reachable = 0;
     size_t known = 0;
-    membership_reach(membership, now, within, &reachable, &known);
+    membership_count_reachable(membership, now, within, &reachable, &known);
     return 2 * reachable > known;
 }
 
--- a/src/core/membership.h
+++ b/src/core/membership.h
@@ -79,14 +79,14 @@
 };
 
 enum membership_action_kind {
-    MEMBERSHIP_ACTION_SEND,                /* send message to the address, best effort */
-    MEMBERSHIP_ACTION_MEMBER_JOINED,       /* first heard of, or back from dead or left */
-    MEMBERSHIP_ACTION_MEMBER_RESTARTED,    /* a new process under the same id */
-    MEMBERSHIP_ACTION_MEMBER_CHANGED,      /* state or leaving mark changed otherwise */
-    MEMBERSHIP_ACTION_MEMBER_GONE,         /* dead, left or forgotten */
-    MEMBERSHIP_ACTION_ZONE_CHANGED,        /* zone became reachable or unreachable from here */
-    MEMBERSHIP_ACTION_CONFIGURATION_HEARD, /* one newer than in force here exists */
-    MEMBERSHIP_ACTION_SUPERSEDED           /* a later process runs under this daemon's id */
+    MEMBERSHIP_ACTION_SEND,                    /* send message to the address, best effort */
+    MEMBERSHIP_ACTION_MEMBER_JOINED,           /* first heard of, or back from dead or left */
+    MEMBERSHIP_ACTION_MEMBER_RESTARTED,        /* a new process under the same id */
+    MEMBERSHIP_ACTION_MEMBER_CHANGED,          /* state or leaving mark changed otherwise */
+    MEMBERSHIP_ACTION_MEMBER_REMOVED,          /* dead, left or forgotten */
+    MEMBERSHIP_ACTION_ZONE_CHANGED,            /* zone became reachable or unreachable from here */
+    MEMBERSHIP_ACTION_CONFIGURATION_ANNOUNCED, /* one newer than in force here exists */
+    MEMBERSHIP_ACTION_SUPERSEDED               /* a later process runs under this daemon's id */
 };
 
 /* What the shell must do or may want to know. */
@@ -159,14 +159,15 @@
 
 /* Makes a configuration heard of elsewhere (the store, a publisher) known to the members, with the
  * next datagrams. */
-void membership_hear_configuration(struct membership *membership, struct configuration_mark heard);
+void membership_announce_configuration(struct membership *membership,
+                                       struct configuration_mark heard);
 
 /* The platform's store, asked at `asked_at`, has answered and named no configuration that is newer
  * than the newest heard of here. Members of the zone learn of it, so that few need to ask. */
-void membership_hear_store(struct membership *membership, time_ns asked_at);
+void membership_record_store_reply(struct membership *membership, time_ns asked_at);
 
 /* True if this daemon is one of the few of its zone that ask the store for all. */
-bool membership_asks_store(const struct membership *membership);
+bool membership_queries_store(const struct membership *membership);
 
 /* When the newest configuration heard of was last known to be the newest: by the store as told in
  * this zone; and by more than half of the known members, counted by zones; a lone daemon has no
@@ -175,7 +176,7 @@
 time_ns membership_peers_confirmed_at(const struct membership *membership, time_ns now);
 
 /* The newest configuration heard of. */
-struct configuration_mark membership_heard_configuration(const struct membership *membership);
+struct configuration_mark membership_newest_configuration(const struct membership *membership);
 
 /* This daemon as others see it. */
 struct member membership_self(const struct membership *membership);
@@ -194,10 +195,10 @@
 
 /* Counts the members that live in reach: alive or suspect, in a zone heard of within `within`; and
  * those known at all: the same without regard to zones, and the dead that are remembered. */
-void membership_reach(const struct membership *membership, time_ns now, time_ns within,
-                      size_t *reachable, size_t *known);
+void membership_count_reachable(const struct membership *membership, time_ns now, time_ns within,
+                                size_t *reachable, size_t *known);
 
-/* True if more than half of the known members are in reach, see membership_reach. */
+/* True if more than half of the known members are in reach, see membership_count_reachable. */
 bool membership_majority_reachable(const struct membership *membership, time_ns now,
                                    time_ns within);
 
--- a/src/core/membership_merge.c
+++ b/src/core/membership_merge.c
@@ -109,7 +109,7 @@
                                                const struct member_record *after)
 {
     if (!member_record_live(after)) {
-        return MEMBERSHIP_ACTION_MEMBER_GONE;
+        return MEMBERSHIP_ACTION_MEMBER_REMOVED;
     }
     if (!member_record_live(before)) {
         return MEMBERSHIP_ACTION_MEMBER_JOINED;
@@ -226,7 +226,7 @@
         return;
     }
     struct membership_action *action =
-        membership_actions_add(actions, MEMBERSHIP_ACTION_CONFIGURATION_HEARD);
+        membership_actions_add(actions, MEMBERSHIP_ACTION_CONFIGURATION_ANNOUNCED);
     action->configuration = mark;
     action->holder = holder;
     const struct member_record *record = membership_record(membership, teller->member);
--- a/src/core/membership_zones.c
+++ b/src/core/membership_zones.c
@@ -206,12 +206,12 @@
     }
 }
 
-bool membership_asks_store(const struct membership *membership)
+bool membership_queries_store(const struct membership *membership)
 {
     return membership->asks_store;
 }
 
-void membership_hear_store(struct membership *membership, time_ns asked_at)
+void membership_record_store_reply(struct membership *membership, time_ns asked_at)
 {
     hear_zone(membership, MEMBERSHIP_STORE, asked_at);
 }
@@ -241,7 +241,7 @@
         size_t reachable = 0;
         size_t known = 0;
         at = latest_heard_before(membership, at);
-        membership_reach(membership, now, now - at, &reachable, &known);
+        membership_count_reachable(membership, now, now - at, &reachable, &known);
         if (2 * reachable > known && known > 1) {
             return at;
         }
--- a/src/daemon/control_configuration.c
+++ b/src/daemon/control_configuration.c
@@ -251,8 +251,8 @@
     note_heard(self, result->head, "the store");
     /* An answer that was overtaken by news confirms nothing. */
     if (result->head.version >= currency_newest(self->currency).version) {
-        membership_hear_configuration(self->control->membership, result->head);
-        membership_hear_store(self->control->membership, result->asked_at);
+        membership_announce_configuration(self->control->membership, result->head);
+        membership_record_store_reply(self->control->membership, result->asked_at);
     }
     currency_head_read(self->currency, result->head, now, actions);
 }
@@ -312,7 +312,7 @@
     if (!newest) {
         return 0;
     }
-    membership_reach(self->control->membership, now, UINT64_MAX, &reachable, &known);
+    membership_count_reachable(self->control->membership, now, UINT64_MAX, &reachable, &known);
     return known <= 1 ? now : peers_confirmed_at;
 }
 
@@ -321,7 +321,7 @@
     struct membership *membership = self->control->membership;
     struct currency_evidence evidence = {
         .synced = membership_synced(membership),
-        .asks_store = membership_asks_store(membership),
+        .asks_store = membership_queries_store(membership),
         .store_confirmed_at = membership_store_confirmed_at(membership),
         .peers_confirmed_at = membership_peers_confirmed_at(membership, now),
     };
--- a/src/daemon/control_members.c
+++ b/src/daemon/control_members.c
@@ -147,14 +147,14 @@
     case MEMBERSHIP_ACTION_MEMBER_CHANGED:
         note_change(control, &action->member, "member_changed");
         break;
-    case MEMBERSHIP_ACTION_MEMBER_GONE:
+    case MEMBERSHIP_ACTION_MEMBER_REMOVED:
         note_change(control, &action->member, "member_gone");
         control_ownership_forget(control, action->member.id);
         break;
     case MEMBERSHIP_ACTION_SUPERSEDED:
         g_critical("Another daemon runs under this name: this one is silent.");
         break;
-    case MEMBERSHIP_ACTION_CONFIGURATION_HEARD:
+    case MEMBERSHIP_ACTION_CONFIGURATION_ANNOUNCED:
         control_configuration_hear(control, action->configuration,
                                    action->holder ? action->member.id : 0);
         break;
--- a/src/sim/scale_daemon.c
+++ b/src/sim/scale_daemon.c
@@ -137,8 +137,8 @@
     }
     g_autoptr(GArray) actions = g_array_new(FALSE, FALSE, sizeof(struct currency_action));
     struct configuration_mark head = mark_of_version(version);
-    membership_hear_configuration(daemon->membership, head);
-    membership_hear_store(daemon->membership, daemon->head_asked_at);
+    membership_announce_configuration(daemon->membership, head);
+    membership_record_store_reply(daemon->membership, daemon->head_asked_at);
     currency_head_read(daemon->currency, head, fleet_now(fleet), actions);
     perform_currency(fleet, daemon, actions);
 }
@@ -177,7 +177,7 @@
 {
     struct currency_evidence evidence = {
         .synced = membership_synced(daemon->membership),
-        .asks_store = membership_asks_store(daemon->membership),
+        .asks_store = membership_queries_store(daemon->membership),
         .store_confirmed_at = membership_store_confirmed_at(daemon->membership),
         .peers_confirmed_at = membership_peers_confirmed_at(daemon->membership, fleet_now(fleet)),
     };
@@ -317,13 +317,13 @@
         case MEMBERSHIP_ACTION_SEND:
             send_gossip(fleet, daemon, &action);
             break;
-        case MEMBERSHIP_ACTION_CONFIGURATION_HEARD:
+        case MEMBERSHIP_ACTION_CONFIGURATION_ANNOUNCED:
             hear_configuration(fleet, daemon, &action);
             break;
         case MEMBERSHIP_ACTION_MEMBER_JOINED:
         case MEMBERSHIP_ACTION_MEMBER_RESTARTED:
         case MEMBERSHIP_ACTION_MEMBER_CHANGED:
-        case MEMBERSHIP_ACTION_MEMBER_GONE:
+        case MEMBERSHIP_ACTION_MEMBER_REMOVED:
             scale_observe_member(fleet, daemon, &action);
             follow_member(fleet, daemon, &action.member);
             break;
--- a/src/sim/scale_observe.c
+++ b/src/sim/scale_observe.c
@@ -152,7 +152,7 @@
     if (about == NULL) {
         return;
     }
-    if (action->kind == MEMBERSHIP_ACTION_MEMBER_GONE) {
+    if (action->kind == MEMBERSHIP_ACTION_MEMBER_REMOVED) {
         observe_gone(fleet, daemon, about, &action->member);
         return;
     }
