--- a/src/core/membership.c
+++ b/src/core/membership.c
@@ -1,4 +1,4 @@
-/* Membership's life cycle, its entry points and what it tells about the members. */
+/* Life cycle of membership, its entry points and its queries. */
 #include "core/membership_internal.h"
 
 #include "core/deployment.h"
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Time between two looks for tombstones and members to forget. */
+/* Time between two searches for tombstones and members to remove. */
 #define SWEEP_INTERVAL (5 * NANOSECONDS_PER_SECOND)
 
 void membership_options_default(struct membership_options *options)
@@ -102,22 +102,23 @@
     membership->seeds_count = count;
 }
 
-/* True once this daemon takes no further part. */
-static bool is_silent(const struct membership *membership)
+/* True once this daemon has left or was superseded. */
+static bool has_stopped(const struct membership *membership)
 {
     return membership->left || membership->superseded;
 }
 
-/* True for the records of a peer's list while this daemon's own is not yet whole. Passing each of
- * them on would cost more than all other gossip. */
-static bool is_learning(const struct membership *membership, const struct gossip_message *message)
+/* True for records of a peer's list while this daemon's own list is incomplete. Sending each of
+ * them on as an update would exceed all other gossip traffic. */
+static bool is_initial_list(const struct membership *membership,
+                            const struct gossip_message *message)
 {
     bool list =
         message->kind == GOSSIP_KIND_SYNC_REPLY || message->kind == GOSSIP_KIND_SYNC_RECORDS;
     return list && !membership->synced;
 }
 
-/* Takes in what stands in every datagram: the sender, its configuration and updates. */
+/* Merges the parts that every datagram has: the sender, its configuration and updates. */
 static void merge_message(struct membership *membership, const struct gossip_message *message,
                           time_ns now, struct membership_actions *actions)
 {
@@ -125,21 +126,21 @@
     membership_merge(membership, sender, now, actions);
     struct configuration_mark in_force = {sender->configuration_version,
                                           message->configuration_hash};
-    struct configuration_mark heard = {message->heard_version, message->heard_hash};
+    struct configuration_mark newest = {message->heard_version, message->heard_hash};
     membership_merge_configuration(membership, in_force, sender, true, actions);
-    membership_merge_configuration(membership, heard, sender, false, actions);
+    membership_merge_configuration(membership, newest, sender, false, actions);
     struct member_record *record = membership_record(membership, sender->member);
     if (record != NULL && record->configuration.version == in_force.version) {
         record->configuration.hash = in_force.hash;
     }
-    membership->learning = is_learning(membership, message);
+    membership->importing_list = is_initial_list(membership, message);
     for (size_t i = 0; i < message->updates_count; i++) {
         membership_merge(membership, &message->updates[i], now, actions);
     }
-    membership->learning = false;
+    membership->importing_list = false;
 }
 
-/* Gives the answer that the kind of datagram asks for. */
+/* Sends the reply for this kind of datagram. */
 static void answer_message(struct membership *membership, const struct gossip_message *message,
                            struct member_address from, time_ns now,
                            struct membership_actions *actions)
@@ -174,15 +175,15 @@
                    deployment_differs(membership->options.deployment, message->deployment_hash) ||
                    message->sender.member == membership->self_id ||
                    message->sender.zone >= MEMBERSHIP_ZONES_MAX;
-    if (foreign || is_silent(membership)) {
+    if (foreign || has_stopped(membership)) {
         return;
     }
     answer_message(membership, message, from, now, actions);
     merge_message(membership, message, now, actions);
 }
 
-/* Drops what has been remembered for long enough. Not while cut off: a shrinking list would make a
- * majority of the few that are left. */
+/* Removes records that were kept for their full time. Not while no majority is reachable: in a
+ * shrinking list the few members left would look like a majority. */
 static void sweep(struct membership *membership, time_ns now, struct membership_actions *actions)
 {
     if (!membership_majority_reachable(membership, now, membership->options.zone_timeout)) {
@@ -195,8 +196,9 @@
         }
         bool expired;
         if (member_record_live(record)) {
-            time_ns heard = MAX(membership->zone_heard[record->zone], record->changed_at);
-            expired = now > heard + membership->options.forget_time;
+            time_ns last_contact =
+                MAX(membership->zone_last_contact[record->zone], record->changed_at);
+            expired = now > last_contact + membership->options.forget_time;
         } else {
             expired = now > record->changed_at + membership->options.tombstone_time;
         }
@@ -213,14 +215,14 @@
 
 void membership_tick(struct membership *membership, time_ns now, struct membership_actions *actions)
 {
-    if (is_silent(membership)) {
+    if (has_stopped(membership)) {
         return;
     }
     if (now > membership->next_probe + membership->options.probe_period) {
-        membership_forgive_pause(membership, now - membership->next_probe);
+        membership_skip_pause(membership, now - membership->next_probe);
     }
     if (membership->relays_stale) {
-        membership_work_out_relays(membership);
+        membership_update_relays(membership);
     }
     membership_probe_tick(membership, now, actions);
     membership_sync_tick(membership, now, actions);
@@ -228,7 +230,7 @@
     membership_absence_tick(membership, now, actions);
     if (now >= membership->next_sweep) {
         membership->next_sweep = now + SWEEP_INTERVAL;
-        membership_work_out_relays(membership);
+        membership_update_relays(membership);
         sweep(membership, now, actions);
     }
     if (now >= membership_push_due(membership)) {
@@ -238,7 +240,7 @@
 
 time_ns membership_next_wakeup(const struct membership *membership)
 {
-    if (is_silent(membership)) {
+    if (has_stopped(membership)) {
         return UINT64_MAX;
     }
     time_ns wakeup = membership_probe_wakeup(membership);
@@ -256,10 +258,10 @@
                             struct membership_actions *actions)
 {
     struct member_record *self = membership_self_record(membership);
-    if (self->leaving == leaving || is_silent(membership)) {
+    if (self->leaving == leaving || has_stopped(membership)) {
         return;
     }
-    membership_discount(membership, self);
+    membership_count_out(membership, self);
     self->leaving = leaving;
     membership_count_in(membership, self);
     membership_announce_self(membership);
@@ -269,11 +271,11 @@
 void membership_leave(struct membership *membership, time_ns now,
                       struct membership_actions *actions)
 {
-    if (is_silent(membership)) {
+    if (has_stopped(membership)) {
         return;
     }
     struct member_record *self = membership_self_record(membership);
-    membership_discount(membership, self);
+    membership_count_out(membership, self);
     self->state = MEMBER_STATE_LEFT;
     self->changed_at = now;
     membership_enqueue(membership, self);
@@ -285,7 +287,7 @@
                                   time_ns now, struct membership_actions *actions)
 {
     struct member_record *self = membership_self_record(membership);
-    if (in_force.version <= self->configuration.version || is_silent(membership)) {
+    if (in_force.version <= self->configuration.version || has_stopped(membership)) {
         return;
     }
     self->configuration = in_force;
@@ -294,16 +296,16 @@
 }
 
 void membership_announce_configuration(struct membership *membership,
-                                       struct configuration_mark heard)
+                                       struct configuration_mark mark)
 {
-    if (heard.version > membership->heard.version) {
-        membership->heard = heard;
+    if (mark.version > membership->newest.version) {
+        membership->newest = mark;
     }
 }
 
 struct configuration_mark membership_newest_configuration(const struct membership *membership)
 {
-    return membership->heard;
+    return membership->newest;
 }
 
 struct member membership_self(const struct membership *membership)
@@ -338,9 +340,9 @@
     *known = membership->dead;
     for (uint32_t zone = 0; zone < MEMBERSHIP_ZONES_MAX; zone++) {
         uint32_t live = membership->live_in_zone[zone];
-        time_ns heard = membership->zone_heard[zone];
+        time_ns last_contact = membership->zone_last_contact[zone];
         *known += live;
-        if (heard != 0 && now <= heard + within) {
+        if (last_contact != 0 && now <= last_contact + within) {
             *reachable += live;
         } else if (zone == membership->self_zone) {
             *reachable += 1;
--- a/src/core/membership_gossip.c
+++ b/src/core/membership_gossip.c
@@ -1,12 +1,13 @@
-/* Making of gossip datagrams: the sender's part, updates passed on within the size limit, and the
- * push of fresh news. */
+/* Construction of gossip datagrams: the sender's part, queued updates up to the size limit, and the
+ * push of new updates. */
 #include "core/membership_internal.h"
 
-/* Octets kept free for the envelope of a datagram: its array, kind and the header of `updates`. */
-#define ENVELOPE_OCTETS 8
+/* Bytes reserved for the envelope of a datagram: its array, its kind and the header of
+ * `updates`. */
+#define ENVELOPE_BYTES 8
 
-/* Octets of one header, field id included, where the content is counted apart. */
-#define FIELD_OCTETS 1
+/* Bytes of a field's header and id; the content is counted separately. */
+#define FIELD_BYTES 1
 
 struct membership_actions {
     GArray *items; /* struct membership_action */
@@ -102,10 +103,10 @@
     return value <= UINT32_MAX ? 5 : 9;
 }
 
-/* Encoded size of an integer field: fields of zero value do not travel. */
+/* Encoded size of an integer field. Fields with value zero are omitted. */
 static size_t field_size(uint64_t value)
 {
-    return value == 0 ? 0 : FIELD_OCTETS + integer_size(value);
+    return value == 0 ? 0 : FIELD_BYTES + integer_size(value);
 }
 
 size_t membership_update_size(const struct gossip_member *update)
@@ -127,7 +128,7 @@
 /* Encoded size of an array's own header and field id. */
 static size_t array_header_size(size_t count)
 {
-    return count == 0 ? 0 : FIELD_OCTETS + integer_size(count);
+    return count == 0 ? 0 : FIELD_BYTES + integer_size(count);
 }
 
 static size_t zones_size(const struct gossip_message *message)
@@ -152,10 +153,10 @@
 
 size_t membership_message_size(const struct gossip_message *message)
 {
-    size_t size = ENVELOPE_OCTETS;
+    size_t size = ENVELOPE_BYTES;
     size += field_size(message->kind);
     size += field_size(message->deployment);
-    size += FIELD_OCTETS + membership_update_size(&message->sender);
+    size += FIELD_BYTES + membership_update_size(&message->sender);
     size += field_size(message->sequence);
     size += field_size(message->target);
     size += field_size(message->target_address);
@@ -175,11 +176,11 @@
 
 void membership_enqueue(struct membership *membership, struct member_record *record)
 {
-    if (membership->learning && record->id != membership->self_id) {
+    if (membership->importing_list && record->id != membership->self_id) {
         return;
     }
     record->transmissions = 0;
-    membership->news = true;
+    membership->push_pending = true;
     if (record->queued) {
         return;
     }
@@ -198,9 +199,9 @@
     out->sender = membership_update_of(self);
     out->sender.configuration_version = self->configuration.version;
     out->configuration_hash = self->configuration.hash;
-    if (membership->heard.version > self->configuration.version) {
-        out->heard_version = membership->heard.version;
-        out->heard_hash = membership->heard.hash;
+    if (membership->newest.version > self->configuration.version) {
+        out->heard_version = membership->newest.version;
+        out->heard_hash = membership->newest.hash;
     }
 }
 
@@ -213,7 +214,7 @@
     gossip_message_init(message);
 }
 
-/* How often one update is sent: grows with the logarithm of the zone's size. */
+/* Number of times that an update is sent. Grows with the logarithm of the zone's size. */
 static uint32_t transmit_limit(const struct membership *membership)
 {
     uint32_t members = membership->live_in_zone[membership->self_zone];
@@ -235,11 +236,11 @@
     return true;
 }
 
-/* Updates that one message may carry, as the schema bounds them. */
+/* Maximum number of updates in a message, as bounded by the schema. */
 #define UPDATES_MAX 64
 
-/* Takes updates from the front of the queue as they fit; those to be sent again go to its end. What
- * the message carries already (as sender, or as `skipped`) is counted as sent. */
+/* Takes updates from the front of the queue while they fit; those to be sent again go to its end.
+ * What the message contains already (as sender, or as `skipped`) counts as sent. */
 static void fill_updates(struct membership *membership, struct gossip_message *message,
                          uint64_t skipped, size_t size)
 {
@@ -285,7 +286,7 @@
 
 time_ns membership_push_due(const struct membership *membership)
 {
-    if (!membership->news) {
+    if (!membership->push_pending) {
         return UINT64_MAX;
     }
     return membership->last_push + membership->options.push_interval;
@@ -301,7 +302,7 @@
 
 void membership_push(struct membership *membership, time_ns now, struct membership_actions *actions)
 {
-    membership->news = false;
+    membership->push_pending = false;
     membership->last_push = now;
     for (uint32_t i = 0; i < membership->options.push_fanout; i++) {
         const struct member_record *record =
--- a/src/core/membership_internal.h
+++ b/src/core/membership_internal.h
@@ -1,4 +1,4 @@
-/* Shared by the files of membership only: its state, and the steps that they call in each other. */
+/* State of membership and the functions that its files call in each other. Private to them. */
 #ifndef SW_CORE_MEMBERSHIP_INTERNAL_H
 #define SW_CORE_MEMBERSHIP_INTERNAL_H
 
@@ -7,11 +7,12 @@
 /* Buckets of the anti-entropy digest; a member's bucket is its id modulo this. */
 #define MEMBERSHIP_BUCKETS 32
 
-/* Ages of zones travel with one more entry: the platform's store, as if it were a zone. */
+/* Messages carry the age of the last contact with each zone. One more entry stands for the
+ * platform's store. */
 #define MEMBERSHIP_STORE     MEMBERSHIP_ZONES_MAX
 #define MEMBERSHIP_AGE_COUNT (MEMBERSHIP_ZONES_MAX + 1)
 
-/* What is kept of one member. State per member: sizeof(struct member_record). */
+/* Record of one member. */
 struct member_record {
     uint64_t id;
     uint64_t start;
@@ -24,29 +25,29 @@
     uint16_t region;
     uint8_t state; /* enum member_state */
     bool leaving;
-    bool absent;           /* see struct member; not told to others */
-    bool queued;           /* stands in the queue of updates */
-    uint8_t transmissions; /* times its newest update was sent */
+    bool absent;           /* see struct member; not sent to others */
+    bool queued;           /* is in the queue of updates */
+    uint8_t transmissions; /* number of times that its newest update was sent */
 };
 
-/* A member of the own zone that is held suspect until the deadline. */
+/* A member of this zone that is suspect until the deadline. */
 struct suspicion {
     uint64_t id;
     time_ns deadline;
-    bool held; /* past its first deadline, while a majority was out of reach */
+    bool deferred; /* past its first deadline, while no majority was reachable */
 };
 
-/* A probe of this daemon that awaits its answer. */
+/* A probe of this daemon that waits for its reply. */
 struct probe {
     uint64_t target;
     uint32_t sequence;
-    bool far; /* of a member of another zone: no answer raises no suspicion */
+    bool other_zone; /* of a member of another zone: no reply raises no suspicion */
     time_ns sent_at;
-    time_ns due; /* of the next step: ask others; then, at give_up, suspect */
+    time_ns due; /* next step: request other members to probe; at give_up: suspect the target */
     time_ns give_up;
 };
 
-/* A probe made for another member. */
+/* A probe made on request of another member. */
 struct helped_probe {
     struct member_address origin;
     uint32_t origin_sequence;
@@ -65,28 +66,31 @@
     bool left;
     bool superseded;
     bool synced;
-    bool learning; /* a fresh daemon takes in a peer's list: that is no news to anyone else */
-    uint32_t complete_with; /* live members when a reply last found the list whole; 0: it did not */
+    bool importing_list; /* importing the member list of a peer; its records are not queued as
+                            updates */
+    uint32_t complete_live_members; /* live members when a reply last showed the list to be
+                                       complete; 0: it did not */
     uint32_t next_sequence;
 
     GArray *records; /* struct member_record, by id */
     uint16_t live_in_zone[MEMBERSHIP_ZONES_MAX];
-    uint32_t dead; /* that are remembered */
+    uint32_t dead; /* dead members that are kept */
     uint32_t digests[MEMBERSHIP_BUCKETS];
 
-    time_ns zone_heard[MEMBERSHIP_AGE_COUNT];   /* when what it last answered was asked; 0: never */
-    time_ns zone_lone_at[MEMBERSHIP_ZONES_MAX]; /* when it last had one live member */
-    uint64_t zones_reachable;                   /* bit per zone, as last told to the shell */
-    uint64_t zones_absent;                      /* bit per zone that has an absent member */
-    uint64_t relay_zones;                       /* bit per zone that this daemon speaks to */
+    time_ns zone_last_contact[MEMBERSHIP_AGE_COUNT]; /* when the last request with a reply was sent;
+                                                        0: never */
+    time_ns zone_lone_at[MEMBERSHIP_ZONES_MAX];      /* when it last had one live member */
+    uint64_t zones_reachable; /* bit per zone, as last reported to the caller */
+    uint64_t zones_absent;    /* bit per zone that has an absent member */
+    uint64_t relay_zones;     /* bit per zone for which this daemon is a relay */
     bool asks_store;
-    bool relays_stale; /* relay_zones must be worked out anew */
+    bool relays_stale; /* relay_zones must be computed again */
 
     GArray *ring; /* uint64_t ids of the own zone's live members, shuffled */
     guint ring_next;
 
-    GQueue queue; /* updates to pass on: uint64_t * ids, fewest transmissions first */
-    bool news;    /* something awaits the next push */
+    GQueue queue;      /* updates to send: uint64_t * ids, fewest transmissions first */
+    bool push_pending; /* updates wait for the next push */
     time_ns last_push;
 
     GArray *probes;        /* struct probe */
@@ -94,31 +98,31 @@
     GArray *suspicions;    /* struct suspicion */
     uint64_t suspicions_raised;
 
-    struct configuration_mark heard;
+    struct configuration_mark newest;
 
     struct member_address *seeds;
     size_t seeds_count;
 
     time_ns next_probe;
     time_ns next_sync;
-    time_ns next_sweep; /* of tombstones and zones */
+    time_ns next_sweep; /* removal of tombstones and of members in unreachable zones */
 };
 
-/* -- membership_table.c: records, counts and digests -- */
+/* membership_table.c: records, counts and digests */
 
 /* The record of an id, or NULL. Valid until the next insertion or removal. */
 struct member_record *membership_record(const struct membership *membership, uint64_t id);
 struct member_record *membership_record_at(const struct membership *membership, size_t index);
 struct member_record *membership_self_record(const struct membership *membership);
 
-/* Inserts a record and counts it. */
+/* Inserts a record and adds it to the counts. */
 struct member_record *membership_insert(struct membership *membership,
                                         const struct member_record *record);
 void membership_remove_at(struct membership *membership, size_t index);
 
-/* To be called around every change of a record: takes it out of counts and digests, and in again.
- */
-void membership_discount(struct membership *membership, const struct member_record *record);
+/* To be called before and after every change of a record: removes it from counts and digests, and
+ * adds it again. */
+void membership_count_out(struct membership *membership, const struct member_record *record);
 void membership_count_in(struct membership *membership, const struct member_record *record);
 
 bool member_record_live(const struct member_record *record);
@@ -127,55 +131,56 @@
 /* A random number below `bound`, which is not 0. */
 uint32_t membership_random(struct membership *membership, uint32_t bound);
 
-/* A random live member of a zone, each as likely as the others; NULL if there is none but this. */
+/* A random live member of a zone except this daemon, all equally likely. NULL if there is none. */
 struct member_record *membership_random_in_zone(struct membership *membership, uint16_t zone);
 
-/* -- membership_merge.c: what others say -- */
+/* membership_merge.c: updates received from others */
 
-/* Takes in what another daemon says of a member. Returns true if it was news. */
+/* Merges an update about a member. True if it was newer than the record. */
 bool membership_merge(struct membership *membership, const struct gossip_member *update,
                       time_ns now, struct membership_actions *actions);
 
-/* Sets a member's state and passes that on. */
+/* Sets a member's state and queues the update. */
 void membership_set_state(struct membership *membership, struct member_record *record,
                           enum member_state state, time_ns now, struct membership_actions *actions);
 
-/* Raises this daemon's incarnation and passes its record on. */
+/* Increments this daemon's incarnation and queues its record as an update. */
 void membership_announce_self(struct membership *membership);
 
-/* Takes in a configuration that another told of; `holder`: it has it in force. */
+/* Merges a configuration announced by `sender`. `holder`: it is in force there. */
 void membership_merge_configuration(struct membership *membership, struct configuration_mark mark,
-                                    const struct gossip_member *teller, bool holder,
+                                    const struct gossip_member *sender, bool holder,
                                     struct membership_actions *actions);
 
-/* -- membership_gossip.c: making of datagrams -- */
+/* membership_gossip.c: construction of datagrams */
 
-/* Appends a record to the updates to be passed on, as fresh news. */
+/* Queues the record as a new update, to be sent first. */
 void membership_enqueue(struct membership *membership, struct member_record *record);
 
 /* A message of a kind with this daemon as sender and no updates. */
 void membership_begin(struct membership *membership, enum gossip_kind kind,
                       struct gossip_message *out);
 
-/* Fills the message with updates as they fit, `first` (if any) before others, and sends it. */
+/* Fills the message with as many updates as fit, beginning with `first` if not NULL, and sends
+ * it. */
 void membership_send(struct membership *membership, struct gossip_message *message,
                      const struct member_record *first, struct member_address to,
                      struct membership_actions *actions);
 
-/* Sends the message without updates of the queue. */
+/* Sends the message without queued updates. */
 void membership_send_plain(struct gossip_message *message, struct member_address to,
                            struct membership_actions *actions);
 
-/* Encoded size of a message or an update, in octets. */
+/* Encoded size of a message or an update in bytes. */
 size_t membership_message_size(const struct gossip_message *message);
 size_t membership_update_size(const struct gossip_member *update);
 
-/* The record in the form that travels. */
+/* Converts a record to an update. */
 struct gossip_member membership_update_of(const struct member_record *record);
 
 struct member_address member_record_address(const struct member_record *record);
 
-/* Tells news at once to some members; keeps to push_interval. */
+/* Sends queued updates to some members without delay, at most once per push_interval. */
 void membership_push(struct membership *membership, time_ns now,
                      struct membership_actions *actions);
 time_ns membership_push_due(const struct membership *membership);
@@ -186,7 +191,7 @@
 struct membership_action *membership_actions_add(struct membership_actions *actions,
                                                  enum membership_action_kind kind);
 
-/* -- membership_probe.c: probes, suspicions and relays -- */
+/* membership_probe.c: probes and suspicions */
 
 void membership_probe_tick(struct membership *membership, time_ns now,
                            struct membership_actions *actions);
@@ -205,28 +210,29 @@
                             struct member_address from, time_ns now,
                             struct membership_actions *actions);
 
-/* Forgives a time in which this process did not run. */
-void membership_forgive_pause(struct membership *membership, time_ns pause);
+/* Adjusts deadlines after a time in which this process did not run. */
+void membership_skip_pause(struct membership *membership, time_ns pause);
 
-/* -- membership_zones.c: which zones are heard of, and by whom -- */
+/* membership_zones.c: contact with other zones, and relays */
 
-/* Adds the ages of the zones heard of. */
+/* Adds the ages of the last contact with each zone. */
 void membership_add_zones(const struct membership *membership, time_ns now,
                           struct gossip_message *out);
 
-/* Takes what the answer to a probe says of zones. The probe was sent at `asked_at`, so that neither
- * a late answer nor a pause of this process makes old news look fresh. */
-void membership_hear_zones(struct membership *membership, const struct gossip_message *message,
-                           time_ns asked_at);
+/* Applies the zone ages in the reply to a probe. They count from `sent_at`, the time at which the
+ * probe was sent, so that neither a late reply nor a pause of this process makes an old contact
+ * look recent. */
+void membership_update_zones(struct membership *membership, const struct gossip_message *message,
+                             time_ns sent_at);
 void membership_zones_tick(struct membership *membership, time_ns now,
                            struct membership_actions *actions);
 
-/* Finds which members are alone in their zones and out of reach. */
+/* Determines which members are the only ones of their zones and without contact. */
 void membership_absence_tick(struct membership *membership, time_ns now,
                              struct membership_actions *actions);
-void membership_work_out_relays(struct membership *membership);
+void membership_update_relays(struct membership *membership);
 
-/* -- membership_sync.c: anti-entropy -- */
+/* membership_sync.c: anti-entropy */
 
 void membership_sync_tick(struct membership *membership, time_ns now,
                           struct membership_actions *actions);
--- a/src/core/membership_merge.c
+++ b/src/core/membership_merge.c
@@ -1,8 +1,8 @@
-/* Merging of what others say: which of two statements about a member is newer, how this daemon
- * refutes one about itself, and what the shell is told. */
+/* Merging of received updates: which of two updates about a member is newer, how this daemon
+ * refutes one about itself, and what is reported to the caller. */
 #include "core/membership_internal.h"
 
-/* Orders statements about one member: start, then incarnation, then state. */
+/* Orders updates about one member: by start, then incarnation, then state. */
 static bool update_is_newer(const struct gossip_member *update, const struct member_record *record)
 {
     if (update->start != record->start) {
@@ -17,15 +17,15 @@
 void membership_announce_self(struct membership *membership)
 {
     struct member_record *self = membership_self_record(membership);
-    membership_discount(membership, self);
+    membership_count_out(membership, self);
     self->incarnation++;
     membership_count_in(membership, self);
     membership_enqueue(membership, self);
 }
 
-/* Someone holds a later start under this id. Until the first sync that can only be the record of an
- * earlier process with a higher number, which is outbid; later it is a process that replaced this
- * one. */
+/* Another daemon has a later start for this id. Before the first sync that can only be the record
+ * of an earlier process with a higher number, which this daemon exceeds; after it, a process that
+ * replaced this one. */
 static void merge_later_start(struct membership *membership, const struct gossip_member *update,
                               struct membership_actions *actions)
 {
@@ -35,13 +35,13 @@
         membership_report(actions, MEMBERSHIP_ACTION_SUPERSEDED, self);
         return;
     }
-    membership_discount(membership, self);
+    membership_count_out(membership, self);
     self->start = update->start + 1;
     membership_count_in(membership, self);
     membership_announce_self(membership);
 }
 
-/* Someone says something of this daemon. */
+/* Merges an update about this daemon. */
 static bool merge_self(struct membership *membership, const struct gossip_member *update,
                        struct membership_actions *actions)
 {
@@ -58,15 +58,15 @@
     return true;
 }
 
-/* Overwrites a record with an update that is newer. */
-static void take_update(struct member_record *record, const struct gossip_member *update,
-                        time_ns now)
+/* Overwrites a record with a newer update. */
+static void apply_update(struct member_record *record, const struct gossip_member *update,
+                         time_ns now)
 {
     if (update->start != record->start) {
         record->configuration = (struct configuration_mark){0};
     }
     if (update->start != record->start || update->incarnation != record->incarnation) {
-        record->absent = false; /* it spoke; its state alone others may tell */
+        record->absent = false; /* the member itself sent this; others can only change its state */
     }
     record->start = update->start;
     record->incarnation = update->incarnation;
@@ -81,9 +81,9 @@
     }
 }
 
-/* Keeps the ring of probes, the relays and the suspicions in step with a changed record. */
-static void follow_change(struct membership *membership, const struct member_record *record,
-                          bool was_live, time_ns now)
+/* Updates the probe ring, the relays and the suspicions after a change of a record. */
+static void update_derived_state(struct membership *membership, const struct member_record *record,
+                                 bool was_live, time_ns now)
 {
     if (!was_live && membership->live_in_zone[record->zone] == 1) {
         membership->relays_stale = true;
@@ -104,7 +104,7 @@
     }
 }
 
-/* The action that tells the shell of a change, by what the record was before. */
+/* The kind of action that reports a change. */
 static enum membership_action_kind change_kind(const struct member_record *before,
                                                const struct member_record *after)
 {
@@ -120,8 +120,8 @@
     return MEMBERSHIP_ACTION_MEMBER_CHANGED;
 }
 
-/* True if the shell has something to learn: a mere refutation is no change. */
-static bool change_matters(const struct member_record *before, const struct member_record *after)
+/* True if the caller needs to know the change. An increment of the incarnation alone is none. */
+static bool is_reportable(const struct member_record *before, const struct member_record *after)
 {
     if (member_record_live(before) != member_record_live(after)) {
         return true;
@@ -135,29 +135,30 @@
 static void report_change(const struct member_record *before, const struct member_record *after,
                           struct membership_actions *actions)
 {
-    if (change_matters(before, after)) {
+    if (is_reportable(before, after)) {
         membership_report(actions, change_kind(before, after), after);
     }
 }
 
-/* First word of a member. The dead and left are not taken in: their tombstones would go round. */
+/* Merges an update about an unknown member. Dead and left members are ignored, otherwise their
+ * tombstones would circulate without end. */
 static bool merge_unknown(struct membership *membership, const struct gossip_member *update,
                           time_ns now, struct membership_actions *actions)
 {
     struct member_record record = {.id = update->member};
-    take_update(&record, update, now);
+    apply_update(&record, update, now);
     if (!member_record_live(&record)) {
         return false;
     }
     record.configuration.version = update->configuration_version;
     struct member_record *inserted = membership_insert(membership, &record);
     membership_enqueue(membership, inserted);
-    follow_change(membership, inserted, false, now);
+    update_derived_state(membership, inserted, false, now);
     membership_report(actions, MEMBERSHIP_ACTION_MEMBER_JOINED, inserted);
     return true;
 }
 
-/* Notes which configuration is in force at a member. */
+/* Updates the configuration known to be in force at a member. */
 static void merge_member_configuration(struct member_record *record,
                                        const struct gossip_member *update)
 {
@@ -175,11 +176,11 @@
     bool newer = update_is_newer(update, record);
     if (newer) {
         struct member_record before = *record;
-        membership_discount(membership, record);
-        take_update(record, update, now);
+        membership_count_out(membership, record);
+        apply_update(record, update, now);
         membership_count_in(membership, record);
         membership_enqueue(membership, record);
-        follow_change(membership, record, member_record_live(&before), now);
+        update_derived_state(membership, record, member_record_live(&before), now);
         report_change(&before, record, actions);
     }
     merge_member_configuration(record, update);
@@ -212,15 +213,15 @@
 }
 
 void membership_merge_configuration(struct membership *membership, struct configuration_mark mark,
-                                    const struct gossip_member *teller, bool holder,
+                                    const struct gossip_member *sender, bool holder,
                                     struct membership_actions *actions)
 {
     uint64_t in_force = membership_self_record(membership)->configuration.version;
-    bool newer = mark.version > membership->heard.version;
+    bool newer = mark.version > membership->newest.version;
     bool obtainable =
-        holder && mark.version > in_force && mark.version >= membership->heard.version;
+        holder && mark.version > in_force && mark.version >= membership->newest.version;
     if (newer) {
-        membership->heard = mark;
+        membership->newest = mark;
     }
     if (!newer && !obtainable) {
         return;
@@ -229,7 +230,7 @@
         membership_actions_add(actions, MEMBERSHIP_ACTION_CONFIGURATION_ANNOUNCED);
     action->configuration = mark;
     action->holder = holder;
-    const struct member_record *record = membership_record(membership, teller->member);
+    const struct member_record *record = membership_record(membership, sender->member);
     if (record != NULL) {
         action->member = member_of_record(record);
     }
--- a/src/core/membership_probe.c
+++ b/src/core/membership_probe.c
@@ -1,15 +1,16 @@
-/* Probing of the own zone, with help from others, and suspicion; pings of relays to other zones. */
+/* Probes within the zone, indirect probes and suspicions; pings of relays to other zones. */
 #include "core/membership_internal.h"
 
 #include <math.h>
 
-/* Probes made for others at one time, at most. */
+/* Maximum number of simultaneous probes made on request of others. */
 #define HELPED_PROBES_MAX 64
 
-/* Added to a zone's size before the logarithm, so that small zones wait one factor. */
+/* Added to a zone's size before the logarithm, so that the time-out of small zones is one
+ * factor. */
 #define SUSPICION_MEMBERS_OFFSET 10
 
-/* -- The ring of members to probe -- */
+/* The ring of members to probe. */
 
 void membership_ring_add(struct membership *membership, uint64_t id)
 {
@@ -28,7 +29,7 @@
            record->id != membership->self_id;
 }
 
-/* Collects the zone's live members anew and shuffles them. */
+/* Fills the ring with the zone's live members in random order. */
 static void ring_rebuild(struct membership *membership)
 {
     g_array_set_size(membership->ring, 0);
@@ -42,7 +43,7 @@
 }
 
 /* The next member to probe: each once per round, in random order. NULL if there is none. */
-static struct member_record *ring_take(struct membership *membership)
+static struct member_record *next_ring_member(struct membership *membership)
 {
     for (int rounds = 0; rounds < 2; rounds++) {
         while (membership->ring_next < membership->ring->len) {
@@ -58,7 +59,7 @@
     return NULL;
 }
 
-/* -- Suspicion -- */
+/* Suspicions. */
 
 static time_ns suspicion_timeout(const struct membership *membership)
 {
@@ -85,20 +86,21 @@
     g_array_append_val(membership->suspicions, suspicion);
 }
 
-/* True if a due suspicion may not end in death yet. Who hears nothing of most members is likely to
- * be cut off itself, as behind a lost switch, and would tell of deaths that were none once it is
- * back. So it waits; and when most are in reach again, the suspect has its time to refute anew. */
-static bool hold_suspicion(const struct membership *membership, struct suspicion *suspicion,
-                           time_ns now)
+/* Defers the end of a due suspicion; true if the member may not be declared dead yet. A daemon
+ * without contact to most members is probably partitioned itself, for example behind a failed
+ * switch, and after the partition it would announce deaths of members that are alive. So it waits.
+ * Once most members are reachable again, the suspect gets a complete time-out to refute. */
+static bool defer_suspicion(const struct membership *membership, struct suspicion *suspicion,
+                            time_ns now)
 {
     time_ns timeout = suspicion_timeout(membership);
     if (!membership_majority_reachable(membership, now, timeout)) {
-        suspicion->held = true;
+        suspicion->deferred = true;
         suspicion->deadline = now + membership->options.probe_period;
         return true;
     }
-    if (suspicion->held) {
-        suspicion->held = false;
+    if (suspicion->deferred) {
+        suspicion->deferred = false;
         suspicion->deadline = now + timeout;
         return true;
     }
@@ -111,7 +113,7 @@
     guint i = 0;
     while (i < membership->suspicions->len) {
         struct suspicion *suspicion = &g_array_index(membership->suspicions, struct suspicion, i);
-        if (suspicion->deadline > now || hold_suspicion(membership, suspicion, now)) {
+        if (suspicion->deadline > now || defer_suspicion(membership, suspicion, now)) {
             i++;
             continue;
         }
@@ -124,7 +126,7 @@
     }
 }
 
-/* -- Sending of probes -- */
+/* Sending of probes. */
 
 static void send_ping(struct membership *membership, const struct member_record *target,
                       uint32_t sequence, struct membership_actions *actions)
@@ -136,14 +138,14 @@
     membership_send(membership, &message, first, member_record_address(target), actions);
 }
 
-/* Pings a member and awaits its answer. */
+/* Pings a member and records the probe. */
 static void start_probe(struct membership *membership, const struct member_record *target,
                         time_ns now, struct membership_actions *actions)
 {
     struct probe probe = {
         .target = target->id,
         .sequence = ++membership->next_sequence,
-        .far = target->zone != membership->self_zone,
+        .other_zone = target->zone != membership->self_zone,
         .sent_at = now,
         .due = now + membership->options.probe_wait,
         .give_up = now + membership->options.probe_period,
@@ -152,8 +154,8 @@
     send_ping(membership, target, probe.sequence, actions);
 }
 
-/* A relay pings one member of each zone that it speaks to. No answer raises no suspicion: that is
- * for the member's own zone to say. */
+/* A relay pings one member of each of its zones. No reply raises no suspicion, since only the
+ * member's own zone may decide that. */
 static void probe_zones(struct membership *membership, time_ns now,
                         struct membership_actions *actions)
 {
@@ -182,7 +184,8 @@
     membership_send(membership, &message, NULL, member_record_address(helper), actions);
 }
 
-/* A member to help with a probe: the first from any zone, since the own may be split. */
+/* Chooses a member for an indirect probe. The first is from any zone, since this zone may be
+ * partitioned. */
 static const struct member_record *choose_helper(struct membership *membership, uint32_t number)
 {
     guint count = membership->records->len;
@@ -194,11 +197,11 @@
     return member_record_live(record) ? record : NULL;
 }
 
-static void ask_helpers(struct membership *membership, const struct probe *probe,
-                        struct membership_actions *actions)
+static void request_helper_probes(struct membership *membership, const struct probe *probe,
+                                  struct membership_actions *actions)
 {
     const struct member_record *target = membership_record(membership, probe->target);
-    if (target == NULL || probe->far) {
+    if (target == NULL || probe->other_zone) {
         return;
     }
     for (uint32_t i = 0; i < membership->options.probe_helpers; i++) {
@@ -211,12 +214,13 @@
     }
 }
 
-/* Nobody had an answer: the member is suspected, and told so at once. */
+/* Neither the probe nor the indirect ones had a reply: the member becomes suspect, and gets a
+ * message with this update so that it can refute. */
 static void give_up_probe(struct membership *membership, const struct probe *probe, time_ns now,
                           struct membership_actions *actions)
 {
     struct member_record *target = membership_record(membership, probe->target);
-    if (target == NULL || target->state != MEMBER_STATE_ALIVE || probe->far) {
+    if (target == NULL || target->state != MEMBER_STATE_ALIVE || probe->other_zone) {
         return;
     }
     membership->suspicions_raised++;
@@ -236,7 +240,7 @@
         }
         if (probe->due < probe->give_up) {
             probe->due = probe->give_up;
-            ask_helpers(membership, probe, actions);
+            request_helper_probes(membership, probe, actions);
             i++;
             continue;
         }
@@ -268,7 +272,7 @@
     }
     membership->next_probe = now + membership->options.probe_period;
     expire_helped_probes(membership, now);
-    const struct member_record *target = ring_take(membership);
+    const struct member_record *target = next_ring_member(membership);
     if (target != NULL) {
         start_probe(membership, target, now, actions);
     }
@@ -287,7 +291,7 @@
     return wakeup;
 }
 
-void membership_forgive_pause(struct membership *membership, time_ns pause)
+void membership_skip_pause(struct membership *membership, time_ns pause)
 {
     g_array_set_size(membership->probes, 0);
     for (guint i = 0; i < membership->suspicions->len; i++) {
@@ -295,9 +299,9 @@
     }
 }
 
-/* -- Answers -- */
+/* Replies. */
 
-/* The sender's own record if others hold it suspect or worse, so that it can refute. */
+/* The sender's record if it is known here as suspect, dead or left, so that it can refute. */
 static const struct member_record *record_to_refute(const struct membership *membership,
                                                     const struct gossip_message *message)
 {
@@ -341,8 +345,8 @@
     membership_send(membership, &ping, NULL, to, actions);
 }
 
-/* Passes the answer on to the member that asked for help. */
-static void pass_ack_on(struct membership *membership, const struct helped_probe *helped,
+/* Forwards the reply to the member that requested the probe. */
+static void forward_ack(struct membership *membership, const struct helped_probe *helped,
                         struct membership_actions *actions)
 {
     struct gossip_message answer;
@@ -352,7 +356,7 @@
     membership_send(membership, &answer, NULL, helped->origin, actions);
 }
 
-/* An answer to a probe of this daemon. What a helper passes on says nothing of zones. */
+/* Handles the reply to a probe of this daemon. A forwarded reply contains no ages of zones. */
 static void end_probe(struct membership *membership, guint index,
                       const struct gossip_message *message, struct member_address from, time_ns now,
                       struct membership_actions *actions)
@@ -364,7 +368,7 @@
     }
     uint64_t zone_bit = UINT64_C(1) << message->sender.zone;
     bool back = (membership->zones_reachable & zone_bit) == 0;
-    membership_hear_zones(membership, message, probe.sent_at);
+    membership_update_zones(membership, message, probe.sent_at);
     membership_zones_tick(membership, now, actions);
     if (back && membership->synced) {
         membership_sync_with(membership, from, actions);
@@ -388,7 +392,7 @@
             g_array_index(membership->helped_probes, struct helped_probe, i);
         if (helped.sequence == message->sequence && helped.target == answered) {
             g_array_remove_index_fast(membership->helped_probes, i);
-            pass_ack_on(membership, &helped, actions);
+            forward_ack(membership, &helped, actions);
             return;
         }
     }
--- a/src/core/membership_sync.c
+++ b/src/core/membership_sync.c
@@ -1,13 +1,13 @@
 /* Anti-entropy: two members compare digests of their lists and send each other the records of the
- * buckets that differ. This heals what datagrams lost, tells a fresh daemon of all others, and
- * brings zones together after a cut. */
+ * buckets that differ. This repairs lost datagrams, gives a new daemon the member list, and
+ * synchronises zones after a partition. */
 #include "core/membership_internal.h"
 
-/* Of a peer's live members, this share (in sixteenths) must be known for the list to be whole. */
+/* The list is complete if it has at least this share, in sixteenths, of a peer's live members. */
 #define COMPLETE_SIXTEENTHS 15
 
 /* One in this many rounds goes to a member of any zone. */
-#define FAR_SYNC_INTERVAL 4
+#define ANY_ZONE_SYNC_INTERVAL 4
 
 static void add_digests(const struct membership *membership, struct gossip_message *message)
 {
@@ -37,7 +37,7 @@
     return differing;
 }
 
-/* Records on their way to a peer. */
+/* Records being sent to a peer. */
 struct record_stream {
     struct membership *membership;
     struct member_address to;
@@ -47,7 +47,7 @@
     uint32_t datagrams; /* sent so far */
 };
 
-/* The most updates that fit: no live record is shorter than this many octets. */
+/* Maximum number of records in a datagram; no live record is so short that more would fit. */
 #define RECORDS_PER_DATAGRAM_MAX 64
 
 static void stream_send(struct record_stream *stream)
@@ -76,7 +76,7 @@
     stream->size += added;
 }
 
-/* Sends the records of the buckets, from a random bucket on, up to the limit of datagrams. */
+/* Sends the records of the given buckets, starting at a random bucket, up to sync_datagrams. */
 static void stream_records(struct record_stream *stream, uint32_t buckets)
 {
     struct membership *membership = stream->membership;
@@ -98,7 +98,7 @@
     }
 }
 
-/* Sends a first message with the records of differing buckets behind it. */
+/* Sends a first message followed by the records of the given buckets. */
 static void answer_with_records(struct membership *membership, struct gossip_message *first,
                                 uint32_t buckets, struct member_address to,
                                 struct membership_actions *actions)
@@ -118,7 +118,7 @@
     gossip_message_clear(&stream.message);
 }
 
-/* Live members known. */
+/* Counts the known live members. */
 static uint32_t live_members(const struct membership *membership)
 {
     uint32_t live = 0;
@@ -140,13 +140,14 @@
     answer_with_records(membership, &answer, buckets, from, actions);
 }
 
-/* The list is whole once two replies in a row found it so, and it did not grow between them: when
- * many daemons start at once, a single reply means little, as all may lack the same members. */
-static void note_completeness(struct membership *membership, bool complete)
+/* The list is complete once two consecutive replies found it so and it did not grow between them. A
+ * single reply proves little when many daemons start at once, since all may be missing the same
+ * members. */
+static void update_synced(struct membership *membership, bool complete)
 {
     uint32_t live = live_members(membership);
-    bool again = complete && live == membership->complete_with;
-    membership->complete_with = complete ? live : 0;
+    bool again = complete && live == membership->complete_live_members;
+    membership->complete_live_members = complete ? live : 0;
     membership->synced |= again;
 }
 
@@ -155,7 +156,7 @@
                                    time_ns now, struct membership_actions *actions)
 {
     uint64_t needed = (uint64_t)message->live_members * COMPLETE_SIXTEENTHS / 16;
-    note_completeness(membership, live_members(membership) >= needed);
+    update_synced(membership, live_members(membership) >= needed);
     uint32_t buckets = differing_buckets(membership, message);
     if (buckets == 0) {
         return;
@@ -178,7 +179,7 @@
     return false;
 }
 
-/* A random seed at which no live member is known, or NULL. */
+/* A random seed address that belongs to no live member, or NULL. */
 static const struct member_address *unknown_seed(struct membership *membership)
 {
     if (membership->seeds_count == 0) {
@@ -209,8 +210,9 @@
     return NULL;
 }
 
-/* A dead member may be alive behind a cut that has healed: it is told so that it can refute. */
-static void try_dead_member(struct membership *membership, struct membership_actions *actions)
+/* A dead member may be alive beyond a partition that has ended: the ping contains its record so
+ * that it can refute. */
+static void ping_dead_member(struct membership *membership, struct membership_actions *actions)
 {
     guint count = membership->records->len;
     guint first = membership_random(membership, count);
@@ -226,7 +228,8 @@
     }
 }
 
-/* A wait with jitter, so that daemons started together spread out. */
+/* A random time from 3/4 to 5/4 of the interval, so that daemons started together don't act at
+ * once. */
 static time_ns jittered(struct membership *membership, time_ns interval)
 {
     uint32_t half_ms = (uint32_t)(interval / 2 / NANOSECONDS_PER_MILLISECOND) + 1;
@@ -234,18 +237,18 @@
     return interval * 3 / 4 + jitter;
 }
 
-/* The member to compare lists with: mostly of the own zone. */
+/* The member to compare lists with, mostly one of this zone. */
 static const struct member_record *choose_sync_peer(struct membership *membership)
 {
     const struct member_record *peer = NULL;
-    if (membership_random(membership, FAR_SYNC_INTERVAL) > 0) {
+    if (membership_random(membership, ANY_ZONE_SYNC_INTERVAL) > 0) {
         peer = membership_random_in_zone(membership, membership->self_zone);
     }
     return peer != NULL ? peer : random_live(membership);
 }
 
-/* Time to the next round. Daemons that start together may first find only each other, so that each
- * goes on trying its seeds for a while though its list equals its peer's. */
+/* Time to the next round. Daemons that start together may first find only each other and have equal
+ * lists, so each contacts its seeds for settle_time. */
 static time_ns sync_wait(struct membership *membership, bool seed_unknown, time_ns now)
 {
     bool settling = seed_unknown && now < membership->started + membership->options.settle_time;
@@ -270,5 +273,5 @@
         membership_sync_with(membership, *seed, actions);
     }
     membership->next_sync = now + sync_wait(membership, seed != NULL, now);
-    try_dead_member(membership, actions);
+    ping_dead_member(membership, actions);
 }
--- a/src/core/membership_table.c
+++ b/src/core/membership_table.c
@@ -1,4 +1,4 @@
-/* The table of member records, ordered by id, with the counts and digests that follow from it. */
+/* The table of member records, ordered by id, with its counts and digests. */
 #include "core/membership_internal.h"
 
 #include <xxhash.h>
@@ -8,7 +8,7 @@
     return record->state == MEMBER_STATE_ALIVE || record->state == MEMBER_STATE_SUSPECT;
 }
 
-/* Index of the id, or of the place where it belongs. */
+/* Index of the first record whose id is not lower. */
 static guint lower_bound(const struct membership *membership, uint64_t id)
 {
     guint low = 0;
@@ -44,7 +44,7 @@
     return membership_record(membership, membership->self_id);
 }
 
-/* What anti-entropy compares of a live member. */
+/* Digest of those fields of a live member that anti-entropy compares. */
 static uint32_t record_digest(const struct member_record *record)
 {
     struct {
@@ -66,7 +66,7 @@
     }
 }
 
-void membership_discount(struct membership *membership, const struct member_record *record)
+void membership_count_out(struct membership *membership, const struct member_record *record)
 {
     if (record->state == MEMBER_STATE_DEAD) {
         membership->dead--;
@@ -90,7 +90,7 @@
 void membership_remove_at(struct membership *membership, size_t index)
 {
     struct member_record *record = membership_record_at(membership, index);
-    membership_discount(membership, record);
+    membership_count_out(membership, record);
     g_array_remove_index(membership->records, (guint)index);
 }
 
--- a/src/core/membership_zones.c
+++ b/src/core/membership_zones.c
@@ -1,11 +1,12 @@
-/* Which zones can be reached. Relays speak to other zones directly; every answer to a probe within
- * a zone carries the time since each other zone was last heard of, so that all its members know. */
+/* Reachability of zones. Relays exchange messages with other zones directly. Every reply to a probe
+ * within a zone carries the age of the last contact with each other zone, so that all its members
+ * know. */
 #include "core/membership_internal.h"
 
 #include <xxhash.h>
 
-/* Members of each zone that ask the store. */
-#define STORE_ASKERS 2
+/* Members of each zone that query the store. */
+#define STORE_QUERIERS 2
 
 bool membership_zone_reachable(const struct membership *membership, uint16_t zone, time_ns now)
 {
@@ -15,14 +16,14 @@
     if (zone == membership->self_zone && membership->live_in_zone[zone] <= 1) {
         return true;
     }
-    time_ns heard = membership->zone_heard[zone];
-    return heard != 0 && now <= heard + membership->options.zone_timeout;
+    time_ns last_contact = membership->zone_last_contact[zone];
+    return last_contact != 0 && now <= last_contact + membership->options.zone_timeout;
 }
 
-/* Notes that something was heard of a zone that was true at this time or later. */
-static void hear_zone(struct membership *membership, uint16_t zone, time_ns at)
+/* Records contact with a zone at this time or later. */
+static void update_zone_contact(struct membership *membership, uint16_t zone, time_ns at)
 {
-    membership->zone_heard[zone] = MAX(membership->zone_heard[zone], at);
+    membership->zone_last_contact[zone] = MAX(membership->zone_last_contact[zone], at);
 }
 
 void membership_add_zones(const struct membership *membership, time_ns now,
@@ -31,11 +32,11 @@
     struct gossip_zone_age ages[MEMBERSHIP_AGE_COUNT];
     size_t count = 0;
     for (uint32_t zone = 0; zone < MEMBERSHIP_AGE_COUNT; zone++) {
-        time_ns heard = membership->zone_heard[zone];
-        if (heard == 0 || zone == membership->self_zone) {
+        time_ns last_contact = membership->zone_last_contact[zone];
+        if (last_contact == 0 || zone == membership->self_zone) {
             continue;
         }
-        uint64_t age_ms = (now - MIN(heard, now)) / NANOSECONDS_PER_MILLISECOND;
+        uint64_t age_ms = (now - MIN(last_contact, now)) / NANOSECONDS_PER_MILLISECOND;
         ages[count].zone = zone;
         ages[count].age_ms = (uint32_t)MIN(age_ms, UINT32_MAX);
         count++;
@@ -44,26 +45,27 @@
     out->zones_count = count;
 }
 
-/* Takes the ages that a member of the own zone gives, as of the time it was asked. */
-static void hear_ages(struct membership *membership, const struct gossip_message *message,
-                      time_ns asked_at)
+/* Applies the ages reported by a member of this zone, as of the time at which the probe was
+ * sent. */
+static void apply_zone_ages(struct membership *membership, const struct gossip_message *message,
+                            time_ns sent_at)
 {
     for (size_t i = 0; i < message->zones_count; i++) {
         const struct gossip_zone_age *age = &message->zones[i];
         uint64_t nanoseconds = (uint64_t)age->age_ms * NANOSECONDS_PER_MILLISECOND;
-        if (age->zone < MEMBERSHIP_AGE_COUNT && nanoseconds < asked_at) {
-            hear_zone(membership, (uint16_t)age->zone, asked_at - nanoseconds);
+        if (age->zone < MEMBERSHIP_AGE_COUNT && nanoseconds < sent_at) {
+            update_zone_contact(membership, (uint16_t)age->zone, sent_at - nanoseconds);
         }
     }
 }
 
-void membership_hear_zones(struct membership *membership, const struct gossip_message *message,
-                           time_ns asked_at)
+void membership_update_zones(struct membership *membership, const struct gossip_message *message,
+                             time_ns sent_at)
 {
     uint16_t zone = (uint16_t)message->sender.zone;
-    hear_zone(membership, zone, asked_at);
+    update_zone_contact(membership, zone, sent_at);
     if (zone == membership->self_zone) {
-        hear_ages(membership, message, asked_at);
+        apply_zone_ages(membership, message, sent_at);
     }
 }
 
@@ -71,7 +73,7 @@
                            struct membership_actions *actions)
 {
     for (uint16_t zone = 0; zone < MEMBERSHIP_ZONES_MAX; zone++) {
-        if (membership->zone_heard[zone] == 0) {
+        if (membership->zone_last_contact[zone] == 0) {
             continue;
         }
         bool reachable = membership_zone_reachable(membership, zone, now);
@@ -87,7 +89,7 @@
     }
 }
 
-/* -- Members that are alone in their zones -- */
+/* Members that are the only ones of their zones. */
 
 /* The only live member of a zone. */
 static struct member_record *lone_member(const struct membership *membership, uint16_t zone)
@@ -114,28 +116,28 @@
     }
 }
 
-/* Nobody in its zone can say that the only member of it is dead. Where the zone is not heard of, it
- * is absent: but only to those who reach a majority, as the one that is cut off may be this daemon,
- * and so that no list shrinks to less than a majority. */
+/* Sets whether the only member of a zone is absent. No member of its zone can declare it dead.
+ * Without contact to its zone it is absent, but only for daemons that reach a majority, since this
+ * daemon may be the partitioned one, and so that no list shrinks to less than a majority. */
 static void check_lone_member(struct membership *membership, uint16_t zone, time_ns now,
                               struct membership_actions *actions)
 {
     time_ns timeout = membership->options.zone_timeout;
     bool was_absent = (membership->zones_absent >> zone & 1) != 0;
-    bool heard = now <= membership->zone_heard[zone] + timeout;
+    bool in_contact = now <= membership->zone_last_contact[zone] + timeout;
     membership->zone_lone_at[zone] = now;
-    if (heard && !was_absent) {
+    if (in_contact && !was_absent) {
         return;
     }
     struct member_record *record = lone_member(membership, zone);
-    if (heard || now <= record->changed_at + timeout) {
+    if (in_contact || now <= record->changed_at + timeout) {
         set_absent(membership, record, false, actions);
     } else if (membership_majority_reachable(membership, now, timeout)) {
         set_absent(membership, record, true, actions);
     }
 }
 
-/* Where the zone has other members now, they will find an absent one dead within this time. */
+/* Once the zone has other members, they detect within this time whether the absent one is dead. */
 static void end_absence(struct membership *membership, uint16_t zone, time_ns now,
                         struct membership_actions *actions)
 {
@@ -166,15 +168,16 @@
     }
 }
 
-/* -- Relays -- */
+/* Relays. */
 
-/* Rank of a member as relay to a zone: the highest speak to it. */
+/* Rank of a member as relay to a zone. The members with the highest ranks are its relays. */
 static uint64_t relay_rank(uint64_t id, uint16_t zone)
 {
     return XXH64(&id, sizeof(id), zone);
 }
 
-/* True if fewer than `places` other live members of the own zone rank above this daemon. */
+/* True if fewer than `places` other live members of this zone have a higher rank than this
+ * daemon. */
 static bool ranks_within(const struct membership *membership, uint16_t zone, uint32_t places)
 {
     uint64_t own = relay_rank(membership->self_id, zone);
@@ -191,11 +194,11 @@
     return above < places;
 }
 
-void membership_work_out_relays(struct membership *membership)
+void membership_update_relays(struct membership *membership)
 {
     membership->relays_stale = false;
     membership->relay_zones = 0;
-    membership->asks_store = ranks_within(membership, MEMBERSHIP_STORE, STORE_ASKERS);
+    membership->asks_store = ranks_within(membership, MEMBERSHIP_STORE, STORE_QUERIERS);
     for (uint16_t zone = 0; zone < MEMBERSHIP_ZONES_MAX; zone++) {
         if (zone == membership->self_zone || membership->live_in_zone[zone] == 0) {
             continue;
@@ -211,24 +214,24 @@
     return membership->asks_store;
 }
 
-void membership_record_store_reply(struct membership *membership, time_ns asked_at)
+void membership_record_store_reply(struct membership *membership, time_ns sent_at)
 {
-    hear_zone(membership, MEMBERSHIP_STORE, asked_at);
+    update_zone_contact(membership, MEMBERSHIP_STORE, sent_at);
 }
 
 time_ns membership_store_confirmed_at(const struct membership *membership)
 {
-    return membership->zone_heard[MEMBERSHIP_STORE];
+    return membership->zone_last_contact[MEMBERSHIP_STORE];
 }
 
-/* The latest time not after `before` at which a zone was heard of; 0 if there is none. */
-static time_ns latest_heard_before(const struct membership *membership, time_ns before)
+/* The latest time before `before` at which there was contact with a zone; 0 if there is none. */
+static time_ns latest_contact_before(const struct membership *membership, time_ns before)
 {
     time_ns latest = 0;
     for (uint32_t zone = 0; zone < MEMBERSHIP_ZONES_MAX; zone++) {
-        time_ns heard = membership->zone_heard[zone];
-        if (heard < before) {
-            latest = MAX(latest, heard);
+        time_ns last_contact = membership->zone_last_contact[zone];
+        if (last_contact < before) {
+            latest = MAX(latest, last_contact);
         }
     }
     return latest;
@@ -240,7 +243,7 @@
     do {
         size_t reachable = 0;
         size_t known = 0;
-        at = latest_heard_before(membership, at);
+        at = latest_contact_before(membership, at);
         membership_count_reachable(membership, now, now - at, &reachable, &known);
         if (2 * reachable > known && known > 1) {
             return at;
