--- a/src/core/read_flow.c
+++ b/src/core/read_flow.c
@@ -64,7 +64,7 @@
 static struct read_step freshen(int32_t database, time_ns now, uint32_t wait_ms)
 {
     struct read_step step = {
-        .kind = READ_STEP_FRESHEN,
+        .kind = READ_STEP_PROBE,
         .database = database,
         .until = now + wait_ms * NANOSECONDS_PER_MILLISECOND,
     };
--- a/src/core/read_flow.h
+++ b/src/core/read_flow.h
@@ -11,10 +11,10 @@
 #include "generated/messages.h"
 
 enum read_step_kind {
-    READ_STEP_READ,    /* read at step.database with step.guard and step.guard_wait_ms */
-    READ_STEP_FRESHEN, /* have step.database probed now; then as WAIT */
-    READ_STEP_WAIT,    /* wait for a new view or until step.until, then feed TIMER */
-    READ_STEP_ANSWER,  /* final */
+    READ_STEP_READ,   /* read at step.database with step.guard and step.guard_wait_ms */
+    READ_STEP_PROBE,  /* have step.database probed now; then as WAIT */
+    READ_STEP_WAIT,   /* wait for a new view or until step.until, then feed TIMER */
+    READ_STEP_ANSWER, /* final */
 };
 
 struct read_step {
--- a/src/core/slot_share.c
+++ b/src/core/slot_share.c
@@ -27,10 +27,10 @@
     memset(share, 0, sizeof(*share));
     share->incarnation = incarnation;
     share->slots = slots;
-    slot_share_set_pace(share, 1);
+    slot_share_set_database_count(share, 1);
 }
 
-void slot_share_set_pace(struct slot_share *share, uint32_t databases)
+void slot_share_set_database_count(struct slot_share *share, uint32_t databases)
 {
     share->gap = MAX(MESSAGE_GAP, databases * DATABASE_GAP);
     share->ask_interval = MIN(ASK_GAPS * share->gap, ASK_INTERVAL_MAX);
--- a/src/core/slot_share.h
+++ b/src/core/slot_share.h
@@ -92,7 +92,7 @@
 
 /* Spaces messages by the databases whose slots this daemon shares in all, so that their rate stays
  * bounded however many these are. */
-void slot_share_set_pace(struct slot_share *share, uint32_t databases);
+void slot_share_set_database_count(struct slot_share *share, uint32_t databases);
 
 /* Tells the owners, in the order of their places, and this daemon's place, or -1. `turn` is a
  * number of the database: it moves the remainder of the division on, so that it falls to each place
--- a/src/daemon/task_read.c
+++ b/src/daemon/task_read.c
@@ -210,7 +210,7 @@
             return;
         }
     }
-    if (task->read_step.kind == READ_STEP_FRESHEN) {
+    if (task->read_step.kind == READ_STEP_PROBE) {
         control_probe_now(task->daemon->control, task->group, (uint32_t)task->read_step.database);
     }
     if (task->read_step.kind != READ_STEP_ANSWER) {
--- a/src/sim/sim_read.c
+++ b/src/sim/sim_read.c
@@ -79,7 +79,7 @@
         sim_flow_set_running(flow, true);
         read_statement(flow);
         break;
-    case READ_STEP_FRESHEN:
+    case READ_STEP_PROBE:
         sim_flow_set_running(flow, false);
         sim_daemon_probe_now(daemon, (uint32_t)flow->read_step.database);
         sim_flow_wait_for_view(flow, flow->read_step.until);
--- a/src/sim/sim_slots.c
+++ b/src/sim/sim_slots.c
@@ -90,7 +90,7 @@
 {
     for (uint32_t i = 0; i < daemon->run->database_count; i++) {
         slot_share_init(&daemon->shares[i], daemon->run->scenario->database.slots, daemon->watcher);
-        slot_share_set_pace(&daemon->shares[i], daemon->run->scenario->database.shared);
+        slot_share_set_database_count(&daemon->shares[i], daemon->run->scenario->database.shared);
     }
     on_tick(daemon, NULL);
 }
--- a/tests/core/read_flow_test.c
+++ b/tests/core/read_flow_test.c
@@ -123,7 +123,7 @@
     read_flow_init(&flow, &options);
     struct read_event event = {.kind = READ_EVENT_START, .now = 2};
     struct read_step step = read_flow_next(&flow, &event, &view);
-    while (step.kind == READ_STEP_FRESHEN) {
+    while (step.kind == READ_STEP_PROBE) {
         g_assert_cmpint(step.database, !=, 0);
         event = (struct read_event){.kind = READ_EVENT_TIMER, .now = step.until};
         step = read_flow_next(&flow, &event, &view);
@@ -151,7 +151,7 @@
     read_flow_init(&flow, &options);
     struct read_event event = {.kind = READ_EVENT_START, .now = 2};
     struct read_step step = read_flow_next(&flow, &event, &view);
-    g_assert_cmpint(step.kind, ==, READ_STEP_FRESHEN);
+    g_assert_cmpint(step.kind, ==, READ_STEP_PROBE);
     view.databases[2].status.applied.offset = 10;
     event = (struct read_event){.kind = READ_EVENT_TIMER, .now = step.until};
     step = read_flow_next(&flow, &event, &view);
