--- a/src/core/admission.c
+++ b/src/core/admission.c
@@ -3,18 +3,18 @@
 
 #include <string.h>
 
-/* First guess of the time a request holds a slot. */
+/* Initial estimate of the time for which a request holds a slot. */
 #define SERVICE_TIME_INITIAL (5 * NANOSECONDS_PER_MILLISECOND)
 
 /* Smoothing: each sample moves the average by 1/16. */
 #define SERVICE_TIME_SHIFT 4
 
-/* A request is begun only while so many service times are left before its deadline: one that ends
- * after it has taken a slot from another in vain. */
+/* A request starts only while this many service times are left before its deadline. One that ends
+ * later has used a slot without benefit. */
 #define SERVICE_TIMES_LEFT 2
 
-/* A request may be queued if its wait is estimated at no more than this part of the time to its
- * deadline, in percent. A longer queue serves no more requests, and serves each later. */
+/* A request is queued only if its estimated wait is at most this percentage of the time to its
+ * deadline. A longer queue serves no more requests, and each of them later. */
 #define QUEUE_TIME_PERCENT 50
 
 /* Virtual cost of one request at weight 1. */
@@ -39,7 +39,7 @@
     }
 }
 
-/* Requests queued that would be served before one of this class. */
+/* Number of queued requests that are served before a new one of this class. */
 static uint32_t queued_ahead(const struct admission *admission, enum admission_class rank)
 {
     uint32_t ahead = 0;
@@ -60,20 +60,20 @@
     return (uint32_t)(drain / NANOSECONDS_PER_MILLISECOND) + 1;
 }
 
-/* True if the request, begun now, would probably end too late. */
-static bool is_hopeless(const struct admission *admission, const struct admission_ticket *ticket,
-                        time_ns now)
+/* True if the request would probably end after its deadline if it started now. */
+static bool would_miss_deadline(const struct admission *admission,
+                                const struct admission_ticket *ticket, time_ns now)
 {
     return now + SERVICE_TIMES_LEFT * admission->service_time > ticket->deadline;
 }
 
-/* True if the request, queued now, would wait for too large a part of its time. */
+/* True if the request, if queued now, would wait for more than QUEUE_TIME_PERCENT of its time. */
 static bool waits_too_long(const struct admission *admission, const struct admission_ticket *ticket,
                            time_ns now)
 {
     time_ns left = ticket->deadline > now ? ticket->deadline - now : 0;
     uint32_t ahead = queued_ahead(admission, ticket->rank);
-    /* Its own service counts too: an answer after the deadline is of no use. */
+    /* The wait includes the request's own service, since a reply after the deadline is useless. */
     time_ns wait = time_to_serve(admission, ahead + 1) + admission->service_time;
     return wait > left / 100 * QUEUE_TIME_PERCENT;
 }
@@ -88,7 +88,7 @@
     return 0;
 }
 
-static void note_demand(struct admission *admission)
+static void update_demand_peak(struct admission *admission)
 {
     uint32_t demand = admission->in_flight + admission->queued;
     admission->demand_peak = MAX(admission->demand_peak, demand);
@@ -106,7 +106,7 @@
     return peak;
 }
 
-/* Gives the ticket its place among the tenants of its class. */
+/* Assigns the ticket's order among the tenants of its class. */
 static void tag_ticket(struct admission *admission, struct admission_ticket *ticket)
 {
     uint64_t *finish = &admission->tenant_finish[ticket->tenant % ADMISSION_TENANT_BUCKETS];
@@ -121,7 +121,7 @@
     ticket->entered_at = now;
     if (admission->in_flight < admission->slots && admission->queued == 0) {
         admission->in_flight++;
-        note_demand(admission);
+        update_demand_peak(admission);
         return ADMISSION_ADMITTED;
     }
     if (admission->queued >= admission->queue_limit || waits_too_long(admission, ticket, now)) {
@@ -132,7 +132,7 @@
     tag_ticket(admission, ticket);
     g_sequence_insert_sorted(admission->queues[ticket->rank], ticket, compare_tickets, NULL);
     admission->queued++;
-    note_demand(admission);
+    update_demand_peak(admission);
     return ADMISSION_QUEUED;
 }
 
@@ -156,13 +156,13 @@
     return NULL;
 }
 
-static struct admission_ticket *take_expired_of(struct admission *admission, GSequence *queue,
-                                                time_ns now)
+static struct admission_ticket *take_expired_from(struct admission *admission, GSequence *queue,
+                                                  time_ns now)
 {
     GSequenceIter *place = g_sequence_get_begin_iter(queue);
     while (!g_sequence_iter_is_end(place)) {
         struct admission_ticket *ticket = g_sequence_get(place);
-        if (is_hopeless(admission, ticket, now)) {
+        if (would_miss_deadline(admission, ticket, now)) {
             g_sequence_remove(place);
             admission->queued--;
             admission->refused_total++;
@@ -177,7 +177,7 @@
 {
     struct admission_ticket *ticket = NULL;
     for (int rank = 0; rank < ADMISSION_CLASS_COUNT && ticket == NULL; rank++) {
-        ticket = take_expired_of(admission, admission->queues[rank], now);
+        ticket = take_expired_from(admission, admission->queues[rank], now);
     }
     return ticket;
 }
@@ -189,7 +189,7 @@
     if (ticket == NULL) {
         return NULL;
     }
-    bool expired = is_hopeless(admission, ticket, now);
+    bool expired = would_miss_deadline(admission, ticket, now);
     if (!expired && admission->in_flight >= admission->slots) {
         return NULL;
     }
--- a/src/core/budget.c
+++ b/src/core/budget.c
@@ -1,17 +1,20 @@
-/* The state machine of one database's connection budget: which numbers to try, keep and give up. */
+/* The state machine of one database's connection budget: which numbers to try, keep and release. */
 #include "core/budget.h"
 
-/* One owner may be replaced by another in each of two views: so many may open at one time. */
+/* In each of two views an owner may be replaced by another, so this many daemons per owner may open
+ * a connection at the same time. */
 #define OPENERS_PER_OWNER 2
 
-/* Of the limit, one part in this many is kept for new owners that warm up. */
+/* One part in this many of the limit is reserved for new owners that warm up. */
 #define HANDOVER_PART 8
 
-/* A number that another holds is tried again after this many times the wait of the others. */
+/* A number held by another daemon is tried again after this many times the wait of other
+ * numbers. */
 #define TAKEN_RETRY_FACTOR 4
 
-/* A move that is not over after this part of the time for hand-over, or after one wait before a
- * number is tried again, may wait for another move: less is kept, and half of that each time. */
+/* A handover that is not complete after this part of handover_time, or after retry_wait if that is
+ * shorter, may be waiting for another handover. Then fewer numbers of others are kept: first as
+ * many as make an owner warm, and at each further interval 1/YIELD_FACTOR of that. */
 #define YIELD_PART   8
 #define YIELD_FACTOR 2
 
@@ -22,24 +25,26 @@
 
 struct budget_slot {
     enum budget_slot_state state;
-    uint32_t refusal; /* which refusal its last one was; 0: none yet */
-    time_ns retry_at; /* not to be tried before */
+    uint32_t refusal; /* value of budget.refusals at its last refusal; 0: none yet */
+    time_ns retry_at; /* not tried before this time */
 };
 
 struct budget {
     struct budget_options options;
     int32_t position;
-    bool handing_over; /* the last change of place leaves the old owner alive */
-    bool warm_told;
-    bool released_told;
-    time_ns yield_at; /* when `keep` is lowered next */
-    uint32_t keep;    /* connections that a daemon keeps while others may wait for its numbers */
-    time_ns close_by; /* end of the time for hand-over after the last change of place */
+    bool handing_over; /* the former owner was alive at the last change of position */
+    bool warm_reported;
+    bool released_reported;
+    time_ns yield_at;  /* when `keep_max` is lowered next */
+    uint32_t keep_max; /* maximum number of connections kept while other daemons may wait for their
+                          numbers */
+    time_ns close_by;  /* end of the handover time after the last change of position */
     time_ns wakeup;
-    uint32_t refusals; /* so far: numbers that another was found to hold */
-    uint32_t numbers;  /* worked out from the options */
+    uint32_t
+        refusals; /* number of refusals so far: attempts at numbers held by another connection */
+    uint32_t numbers; /* computed from the options */
     uint32_t share;
-    uint32_t count[BUDGET_SLOT_STATES]; /* slots in each state */
+    uint32_t count[BUDGET_SLOT_STATES]; /* number of slots in each state */
     struct budget_slot slots[BUDGET_CONNECTIONS_MAX];
 };
 
@@ -72,7 +77,7 @@
     budget->share = budget_share(options);
     budget->count[BUDGET_SLOT_FREE] = budget->numbers;
     budget->position = -1;
-    budget->released_told = true;
+    budget->released_reported = true;
     budget->wakeup = UINT64_MAX;
     return budget;
 }
@@ -116,7 +121,7 @@
     return wanted && budget_held(budget) > 0;
 }
 
-/* First number of this daemon's share, and the one behind its last. */
+/* First number of this daemon's share, and the one after its last. */
 static uint32_t share_start(const struct budget *budget)
 {
     return (uint32_t)budget->position * budget->share;
@@ -146,14 +151,14 @@
     return count;
 }
 
-/* Connections with which a new owner can serve. */
+/* Number of connections with which a new owner can serve. */
 static uint32_t warm_count(const struct budget *budget)
 {
     return MAX(1, MIN(budget->share, budget->options.handover));
 }
 
-/* The free number of a span that may be tried now and was not refused for longest, or -1. In this
- * order each of them has its turn, however many others are held elsewhere. */
+/* The free number in a range that may be tried now and whose last refusal is the oldest, or -1. In
+ * this order each of them is tried in turn, however many are held by others. */
 static int32_t free_number(const struct budget *budget, uint32_t start, uint32_t end, time_ns now)
 {
     int32_t best = -1;
@@ -167,8 +172,8 @@
     return best;
 }
 
-/* The number to try next, or -1. The share comes first, save where the old owner still holds it;
- * numbers for hand-over only until this daemon is warm. */
+/* The number to try next, or -1. The share comes first, except while the old owner still holds it.
+ * Numbers for handover are used only until this daemon is warm. */
 static int32_t next_number(const struct budget *budget, time_ns now)
 {
     bool cold = budget_held(budget) < warm_count(budget);
@@ -183,8 +188,8 @@
     return own >= 0 ? own : spare;
 }
 
-/* Opens the next connection. One at a time: only one of this daemon's connections to the database
- * has no number yet, which is what the opening reserve counts on. */
+/* Opens the next connection. Only one at a time: the opening reserve assumes that at most one of
+ * this daemon's connections to the database has no number yet. */
 static void open_next(struct budget *budget, time_ns now, GArray *actions)
 {
     if (budget->position < 0 || budget->count[BUDGET_SLOT_OPENING] > 0) {
@@ -219,7 +224,7 @@
     return number >= handover_start(budget);
 }
 
-/* Connections held on numbers that belong to another owner's share. */
+/* Counts connections held on numbers of other owners' shares. */
 static uint32_t held_of_others(const struct budget *budget)
 {
     uint32_t count = 0;
@@ -229,9 +234,9 @@
     return count;
 }
 
-/* Closes numbers of other owners' shares until no more than `keep` are held. Without a place all
- * shares are others'. */
-static void keep_of_others(struct budget *budget, uint32_t keep, GArray *actions)
+/* Closes connections on numbers of other owners' shares until at most `keep` are held. Without a
+ * position all shares are other owners'. */
+static void limit_others_numbers(struct budget *budget, uint32_t keep, GArray *actions)
 {
     uint32_t held = held_of_others(budget);
     for (uint32_t i = 0; i < handover_start(budget) && held > keep; i++) {
@@ -242,7 +247,7 @@
     }
 }
 
-static void keep_of_handover(struct budget *budget, uint32_t keep, GArray *actions)
+static void limit_handover_numbers(struct budget *budget, uint32_t keep, GArray *actions)
 {
     uint32_t held = budget_held(budget) - held_of_others(budget);
     for (uint32_t i = handover_start(budget); i < budget->numbers && held > keep; i++) {
@@ -253,16 +258,16 @@
     }
 }
 
-/* After a change of place, gives back the numbers of other owners' shares: once this daemon is warm
- * without them, and at the latest when the time for hand-over ends. As two owners may each wait for
- * the other's, fewer and fewer are kept meanwhile. */
+/* After a change of position, releases the numbers of other owners' shares: all of them once this
+ * daemon is warm without them or the handover time ends. Before that, fewer and fewer are kept,
+ * since two owners may each wait for the other's numbers. */
 static void close_others_numbers(struct budget *budget, time_ns now, GArray *actions)
 {
     uint32_t own = budget_held(budget) - held_of_others(budget);
     if (own >= warm_count(budget) || now >= budget->close_by) {
-        keep_of_others(budget, 0, actions);
+        limit_others_numbers(budget, 0, actions);
     } else {
-        keep_of_others(budget, budget->keep - MIN(own, budget->keep), actions);
+        limit_others_numbers(budget, budget->keep_max - MIN(own, budget->keep_max), actions);
     }
 }
 
@@ -273,35 +278,35 @@
     }
 }
 
-/* A daemon that serves without a place gives back what the new owners wait for: the numbers for
- * hand-over, if it holds any others, and of those more and more as time goes on. New owners that
- * compete for the numbers for hand-over then become warm by those of their shares. */
+/* A daemon that serves without a position releases what the new owners wait for: the numbers for
+ * handover if it holds any others, and an increasing part of the others. New owners that compete
+ * for the numbers for handover then become warm through the numbers of their shares. */
 static void yield_to_owners(struct budget *budget, GArray *actions)
 {
     if (held_of_others(budget) > 0) {
         close_handover_numbers(budget, actions);
     }
-    keep_of_others(budget, budget->keep, actions);
-    keep_of_handover(budget, budget->keep, actions);
+    limit_others_numbers(budget, budget->keep_max, actions);
+    limit_handover_numbers(budget, budget->keep_max, actions);
 }
 
-/* Without a place: serves on until another is warm or the time is over, then closes. */
-static void advance_without_place(struct budget *budget, time_ns now, GArray *actions)
+/* Without a position: serves until the new owner is warm or the handover time ends, then closes. */
+static void advance_without_position(struct budget *budget, time_ns now, GArray *actions)
 {
     if (!budget->handing_over || now >= budget->close_by) {
         budget->handing_over = false;
         close_all(budget, actions);
     }
     yield_to_owners(budget, actions);
-    if (budget_counted(budget) == 0 && !budget->released_told) {
-        budget->released_told = true;
+    if (budget_counted(budget) == 0 && !budget->released_reported) {
+        budget->released_reported = true;
         add_action(actions, BUDGET_ACTION_RELEASED, 0);
     }
 }
 
-/* Leaves the numbers of a span alone for a while: each try costs the database a connection, and
- * where one number is taken, the others mostly are. */
-static void hold_back(struct budget *budget, uint32_t start, uint32_t end, time_ns now)
+/* Delays the next attempt at the numbers of a range: each attempt opens a connection at the
+ * database, and where one number is held by another daemon, most of the range is. */
+static void delay_numbers(struct budget *budget, uint32_t start, uint32_t end, time_ns now)
 {
     time_ns retry_at = now + budget->options.retry_wait;
     for (uint32_t i = start; i < end; i++) {
@@ -309,20 +314,21 @@
     }
 }
 
-/* Tells that this daemon can serve. An old owner that is still there needs a moment to release. */
-static void tell_warm(struct budget *budget, time_ns now, GArray *actions)
+/* Reports that this daemon can serve. A former owner that is still there needs some time to release
+ * its numbers, so those of the share are not tried at once. */
+static void report_warm(struct budget *budget, time_ns now, GArray *actions)
 {
-    budget->warm_told = true;
+    budget->warm_reported = true;
     add_action(actions, BUDGET_ACTION_WARM, 0);
     if (budget->handing_over) {
-        hold_back(budget, share_start(budget), share_end(budget), now);
+        delay_numbers(budget, share_start(budget), share_end(budget), now);
     }
 }
 
-static void advance_with_place(struct budget *budget, time_ns now, GArray *actions)
+static void advance_with_position(struct budget *budget, time_ns now, GArray *actions)
 {
-    if (!budget->warm_told && budget_held(budget) >= warm_count(budget)) {
-        tell_warm(budget, now, actions);
+    if (!budget->warm_reported && budget_held(budget) >= warm_count(budget)) {
+        report_warm(budget, now, actions);
     }
     close_others_numbers(budget, now, actions);
     if (held_in_share(budget) >= warm_count(budget)) {
@@ -331,8 +337,8 @@
     open_next(budget, now, actions);
 }
 
-/* When something may be due without an event. */
-static time_ns work_out_wakeup(const struct budget *budget)
+/* When the next action without an event is due. */
+static time_ns compute_wakeup(const struct budget *budget)
 {
     if (budget->position < 0) {
         bool waiting = budget->handing_over && budget_counted(budget) > 0;
@@ -356,30 +362,31 @@
     return MIN(options->retry_wait, options->handover_time / YIELD_PART);
 }
 
-/* Lowers what is kept as time goes on, from what makes an owner warm to one connection. */
-static void lower_keep(struct budget *budget, time_ns now)
+/* Lowers keep_max over time: first to the number that makes an owner warm, at last to one
+ * connection. */
+static void lower_keep_max(struct budget *budget, time_ns now)
 {
     if (now < budget->yield_at) {
         return;
     }
-    bool first = budget->keep > warm_count(budget);
-    budget->keep = first ? warm_count(budget) : MAX(1, budget->keep / YIELD_FACTOR);
-    budget->yield_at = budget->keep > 1 ? now + yield_wait(&budget->options) : UINT64_MAX;
+    bool first = budget->keep_max > warm_count(budget);
+    budget->keep_max = first ? warm_count(budget) : MAX(1, budget->keep_max / YIELD_FACTOR);
+    budget->yield_at = budget->keep_max > 1 ? now + yield_wait(&budget->options) : UINT64_MAX;
 }
 
 static void advance(struct budget *budget, time_ns now, GArray *actions)
 {
-    lower_keep(budget, now);
+    lower_keep_max(budget, now);
     if (budget->position < 0) {
-        advance_without_place(budget, now, actions);
+        advance_without_position(budget, now, actions);
     } else {
-        advance_with_place(budget, now, actions);
+        advance_with_position(budget, now, actions);
     }
-    budget->wakeup = work_out_wakeup(budget);
+    budget->wakeup = compute_wakeup(budget);
 }
 
-/* Makes all numbers worth another try. */
-static void forget_refusals(struct budget *budget)
+/* Allows all numbers to be tried at once. */
+static void clear_retry_delays(struct budget *budget)
 {
     for (uint32_t i = 0; i < BUDGET_CONNECTIONS_MAX; i++) {
         budget->slots[i].retry_at = 0;
@@ -395,10 +402,10 @@
         budget->handing_over = handing_over;
         budget->close_by = now + budget->options.handover_time;
         budget->yield_at = now + yield_wait(&budget->options);
-        budget->keep = budget->numbers;
-        budget->warm_told = position < 0;
-        budget->released_told = position < 0 && budget_counted(budget) == 0;
-        forget_refusals(budget);
+        budget->keep_max = budget->numbers;
+        budget->warm_reported = position < 0;
+        budget->released_reported = position < 0 && budget_counted(budget) == 0;
+        clear_retry_delays(budget);
     }
     advance(budget, now, actions);
 }
@@ -416,7 +423,7 @@
     if (budget->position >= 0) {
         budget->handing_over = false;
     }
-    forget_refusals(budget);
+    clear_retry_delays(budget);
     advance(budget, now, actions);
 }
 
@@ -426,7 +433,7 @@
     advance(budget, now, actions);
 }
 
-/* A number that could not be had is left alone for a while. */
+/* Sets a number free that may be tried again at `retry_at`. */
 static void set_free(struct budget *budget, uint32_t number, time_ns retry_at)
 {
     set_state(budget, number, BUDGET_SLOT_FREE);
@@ -439,9 +446,9 @@
     budget->refusals++;
     budget->slots[number].refusal = budget->refusals;
     if (in_handover(budget, number)) {
-        hold_back(budget, handover_start(budget), budget->numbers, now);
+        delay_numbers(budget, handover_start(budget), budget->numbers, now);
     } else if (in_share(budget, number)) {
-        hold_back(budget, share_start(budget), share_end(budget), now);
+        delay_numbers(budget, share_start(budget), share_end(budget), now);
     }
     advance(budget, now, actions);
 }
@@ -449,7 +456,7 @@
 void budget_failed(struct budget *budget, uint32_t number, time_ns now, GArray *actions)
 {
     set_free(budget, number, now);
-    hold_back(budget, 0, budget->numbers, now);
+    delay_numbers(budget, 0, budget->numbers, now);
     advance(budget, now, actions);
 }
 
--- a/src/core/ownership.c
+++ b/src/core/ownership.c
@@ -1,5 +1,6 @@
-/* Rendezvous hashing of groups over members and zones, with a bound on what one member owns. Each
- * zone is worked out by itself, so that a member's coming or going costs its own zone only. */
+/* Rendezvous hashing of groups over members and zones, with a bound on the groups of one member.
+ * Each zone is computed separately, so that a member's arrival or departure affects only its own
+ * zone. */
 #include "core/ownership.h"
 
 #include <string.h>
@@ -9,13 +10,13 @@
  * busiest of 84 members more than three times the mean; a tighter bound moves more groups. */
 #define LOAD_BOUND 2
 
-/* Owners of one group as kept. */
+/* Owners of one group. */
 struct group_owners {
     struct ownership_group group;
     uint32_t owner_count;
-    int32_t position; /* of this daemon if it may take it, or -1 */
-    uint64_t
-        first[OWNERSHIP_OWNERS_MAX]; /* owner of each of its first zones; 0: none lives there */
+    int32_t position;                           /* of this daemon if it may be owner, or -1 */
+    uint64_t zone_owners[OWNERSHIP_OWNERS_MAX]; /* owner in each of the group's first zones; 0: the
+                                                   zone has no member */
     uint64_t owners[OWNERSHIP_OWNERS_MAX];
 };
 
@@ -23,14 +24,15 @@
     struct ownership_options options;
     uint64_t self_id;
     bool settled;
-    size_t wanted;   /* owners that each group should have */
-    GArray *groups;  /* struct group_owners, by group number */
-    GArray *members; /* struct ownership_member, by zone, then id: who may own */
-    GArray *absent;  /* struct ownership_member; also in `members` where there are too few others */
+    size_t owners_per_group; /* owners that each group should have */
+    GArray *groups;          /* struct group_owners, by group number */
+    GArray *members;         /* struct ownership_member that may own groups, by zone, then id */
+    GArray *absent; /* struct ownership_member; also in `members` while too few others could replace
+                       them */
     uint64_t ranks_computed;
 };
 
-/* Rank of a member for a group: the highest own it. */
+/* Rank of a member for a group; members with the highest ranks own it. */
 static uint64_t owner_rank(uint64_t id, uint32_t group)
 {
     return XXH64(&id, sizeof(id), group);
@@ -39,10 +41,10 @@
 int ownership_compare_for(const struct ownership_member *self, const struct ownership_member *left,
                           const struct ownership_member *right)
 {
-    bool left_near = left->zone == self->zone;
-    bool right_near = right->zone == self->zone;
-    if (left_near != right_near) {
-        return left_near ? -1 : 1;
+    bool left_in_zone = left->zone == self->zone;
+    bool right_in_zone = right->zone == self->zone;
+    if (left_in_zone != right_in_zone) {
+        return left_in_zone ? -1 : 1;
     }
     uint64_t left_rank = XXH64(&left->id, sizeof(left->id), self->id);
     uint64_t right_rank = XXH64(&right->id, sizeof(right->id), self->id);
@@ -68,8 +70,8 @@
     return false;
 }
 
-/* How many owners a group has when so many members live. */
-static size_t owners_wanted(const struct ownership *ownership)
+/* Number of owners per group for the current number of members. */
+static size_t compute_owners_per_group(const struct ownership *ownership)
 {
     size_t members = ownership->members->len;
     bool few = members <= ownership->options.all_own_up_to;
@@ -118,7 +120,7 @@
     return -1;
 }
 
-/* First member of a zone or of a later one: where the zone's span starts. */
+/* Index of the first member of the zone, or of the next later zone with members. */
 static guint zone_start(const struct ownership *ownership, uint32_t zone)
 {
     guint low = 0;
@@ -134,22 +136,22 @@
     return low;
 }
 
-/* -- The first owner in each zone -- */
+/* The owner in each zone. */
 
-/* The members of one zone, and how many groups each was given so far. */
+/* The members of one zone, and the number of groups assigned to each so far. */
 struct zone_members {
     uint16_t zone;
-    guint start; /* of the zone's members */
+    guint start; /* index of the zone's first member */
     guint count;
-    uint32_t bound; /* groups that one of them may own */
+    uint32_t bound; /* maximum number of groups of one member */
     uint32_t *loads;
 };
 
-/* Place of a zone among those that the group has an owner of its own in, or -1. */
+/* Index of a zone among the group's zones that have an owner of their own, or -1. */
 static int32_t slot_of_zone(const struct ownership *ownership, const struct ownership_group *group,
                             uint16_t zone)
 {
-    uint32_t slots = (uint32_t)MIN(group->zone_count, ownership->wanted);
+    uint32_t slots = (uint32_t)MIN(group->zone_count, ownership->owners_per_group);
     for (uint32_t i = 0; i < slots; i++) {
         if (group->zones[i] == zone) {
             return (int32_t)i;
@@ -158,7 +160,7 @@
     return -1;
 }
 
-/* Groups that have an owner of their own in the zone. */
+/* Counts the groups that have an owner of their own in the zone. */
 static uint32_t count_slots(const struct ownership *ownership, uint16_t zone)
 {
     uint32_t count = 0;
@@ -168,7 +170,7 @@
     return count;
 }
 
-/* The highest ranked member of the zone that may own one more group. */
+/* The highest ranked member of the zone below its bound; 0 if there is none. */
 static uint64_t choose_in_zone(struct ownership *ownership, struct zone_members *zone,
                                uint32_t group)
 {
@@ -192,13 +194,13 @@
     return member_at(ownership, zone->start + best)->id;
 }
 
-/* So many times the mean of slots per member, rounded up. */
-static uint32_t mean_times(uint32_t factor, uint32_t slots, uint32_t members)
+/* `factor` times the mean number of slots per member, rounded up. */
+static uint32_t scaled_mean(uint32_t factor, uint32_t slots, uint32_t members)
 {
     return members == 0 ? 0 : (factor * slots + members - 1) / members;
 }
 
-/* Works out the first owners of all groups in one zone, in the order of the groups. */
+/* Computes the owners of all groups in one zone, in the order of the groups. */
 static void assign_zone(struct ownership *ownership, uint16_t zone)
 {
     uint32_t slots = count_slots(ownership, zone);
@@ -207,21 +209,22 @@
     }
     struct zone_members members = {.zone = zone, .start = zone_start(ownership, zone)};
     members.count = zone_start(ownership, (uint32_t)zone + 1) - members.start;
-    members.bound = mean_times(LOAD_BOUND, slots, members.count);
+    members.bound = scaled_mean(LOAD_BOUND, slots, members.count);
     members.loads = g_new0(uint32_t, members.count + 1);
     for (guint i = 0; i < ownership->groups->len; i++) {
         struct group_owners *entry = group_at(ownership, i);
         int32_t slot = slot_of_zone(ownership, &entry->group, zone);
         if (slot >= 0) {
-            entry->first[slot] = choose_in_zone(ownership, &members, entry->group.group);
+            entry->zone_owners[slot] = choose_in_zone(ownership, &members, entry->group.group);
         }
     }
     g_free(members.loads);
 }
 
-/* -- Owners beyond the first of each zone -- */
+/* Owners beyond the one in each zone. */
 
-/* Appends the highest ranked member that is no owner yet, of one zone or of all. */
+/* Appends the highest ranked member that is not an owner yet, of one zone or of all. False if there
+ * is none. */
 static bool append_best(struct ownership *ownership, struct group_owners *entry, bool any_zone,
                         uint16_t zone)
 {
@@ -248,12 +251,13 @@
     return true;
 }
 
-/* One more owner from each zone of the group, as far as wanted. False if none was found. */
+/* Appends one more owner from each zone of the group, up to the number needed. False if none was
+ * found. */
 static bool append_round(struct ownership *ownership, struct group_owners *entry)
 {
     bool found = false;
     for (uint32_t i = 0; i < entry->group.zone_count; i++) {
-        if (entry->owner_count == ownership->wanted) {
+        if (entry->owner_count == ownership->owners_per_group) {
             return found;
         }
         found |= append_best(ownership, entry, false, entry->group.zones[i]);
@@ -261,33 +265,34 @@
     return found;
 }
 
-/* Makes the group's owners of the first ones in its zones, and of others if these are too few. */
+/* Builds the group's owners from those in its zones, and from others if these are too few. */
 static void complete_owners(struct ownership *ownership, struct group_owners *entry)
 {
     memset(entry->owners, 0, sizeof(entry->owners));
     entry->owner_count = 0;
-    for (size_t i = 0; i < MIN(entry->group.zone_count, ownership->wanted); i++) {
-        if (entry->first[i] != 0) {
-            entry->owners[entry->owner_count] = entry->first[i];
+    for (size_t i = 0; i < MIN(entry->group.zone_count, ownership->owners_per_group); i++) {
+        if (entry->zone_owners[i] != 0) {
+            entry->owners[entry->owner_count] = entry->zone_owners[i];
             entry->owner_count++;
         }
     }
-    while (entry->owner_count < ownership->wanted && append_round(ownership, entry)) {
+    while (entry->owner_count < ownership->owners_per_group && append_round(ownership, entry)) {
     }
-    while (entry->owner_count < ownership->wanted && append_best(ownership, entry, true, 0)) {
+    while (entry->owner_count < ownership->owners_per_group &&
+           append_best(ownership, entry, true, 0)) {
     }
 }
 
-/* -- Changes -- */
+/* Changes. */
 
-/* This daemon's place among the owners, as far as it may take it now. */
+/* This daemon's index among the owners; -1 if it may not become owner now. */
 static int32_t allowed_position(const struct ownership *ownership, const struct group_owners *entry)
 {
     bool may_take = ownership->settled || entry->position >= 0;
     return may_take ? position_of(entry->owners, entry->owner_count, ownership->self_id) : -1;
 }
 
-/* An owner before that is none now, or 0. */
+/* A former owner that is none now, or 0. */
 static uint64_t removed_owner(const struct group_owners *before, const struct group_owners *after)
 {
     for (uint32_t i = 0; i < before->owner_count; i++) {
@@ -310,8 +315,8 @@
     g_array_append_val(changes, change);
 }
 
-/* Works out one group's owners and appends the change, if there is one. */
-static void work_out_group(struct ownership *ownership, struct group_owners *entry, GArray *changes)
+/* Computes one group's owners and appends the change if there is one. */
+static void update_group(struct ownership *ownership, struct group_owners *entry, GArray *changes)
 {
     struct group_owners before = *entry;
     complete_owners(ownership, entry);
@@ -322,48 +327,48 @@
     }
 }
 
-static void work_out_all(struct ownership *ownership, GArray *changes)
+static void update_all_groups(struct ownership *ownership, GArray *changes)
 {
-    ownership->wanted = owners_wanted(ownership);
+    ownership->owners_per_group = compute_owners_per_group(ownership);
     for (guint i = 0; i < ownership->groups->len; i++) {
-        memset(group_at(ownership, i)->first, 0, sizeof(group_at(ownership, i)->first));
+        memset(group_at(ownership, i)->zone_owners, 0, sizeof(group_at(ownership, i)->zone_owners));
     }
     for (uint16_t zone = 0; zone < MEMBERSHIP_ZONES_MAX; zone++) {
         assign_zone(ownership, zone);
     }
     for (guint i = 0; i < ownership->groups->len; i++) {
-        work_out_group(ownership, group_at(ownership, i), changes);
+        update_group(ownership, group_at(ownership, i), changes);
     }
 }
 
-/* True if the group has all its owners by its zones, one of each. */
-static bool has_first_owners(const struct ownership *ownership, const struct group_owners *entry)
+/* True if all owners of the group come from its zones, one from each. */
+static bool has_all_zone_owners(const struct ownership *ownership, const struct group_owners *entry)
 {
-    if (entry->group.zone_count < ownership->wanted) {
+    if (entry->group.zone_count < ownership->owners_per_group) {
         return false;
     }
-    for (size_t i = 0; i < ownership->wanted; i++) {
-        if (entry->first[i] == 0) {
+    for (size_t i = 0; i < ownership->owners_per_group; i++) {
+        if (entry->zone_owners[i] == 0) {
             return false;
         }
     }
     return true;
 }
 
-/* A zone gained or lost a member: the groups with an owner there may change, and those that have to
- * take owners from elsewhere. */
-static void work_out_zone(struct ownership *ownership, uint16_t zone, GArray *changes)
+/* Updates groups after a zone gained or lost a member: those with an owner in this zone, and those
+ * that need owners from other zones. */
+static void update_zone_groups(struct ownership *ownership, uint16_t zone, GArray *changes)
 {
-    if (owners_wanted(ownership) != ownership->wanted) {
-        work_out_all(ownership, changes);
+    if (compute_owners_per_group(ownership) != ownership->owners_per_group) {
+        update_all_groups(ownership, changes);
         return;
     }
     assign_zone(ownership, zone);
     for (guint i = 0; i < ownership->groups->len; i++) {
         struct group_owners *entry = group_at(ownership, i);
         bool in_zone = slot_of_zone(ownership, &entry->group, zone) >= 0;
-        if (in_zone || !has_first_owners(ownership, entry)) {
-            work_out_group(ownership, entry, changes);
+        if (in_zone || !has_all_zone_owners(ownership, entry)) {
+            update_group(ownership, entry, changes);
         }
     }
 }
@@ -389,7 +394,7 @@
     return group_at(ownership, index);
 }
 
-/* Reports this daemon's end as owner of the groups that are no longer there. */
+/* Reports for each removed group that this daemon is no longer its owner. */
 static void report_lost_groups(struct ownership *ownership, const GArray *before, GArray *changes)
 {
     for (guint i = 0; i < before->len; i++) {
@@ -423,7 +428,7 @@
     }
     g_array_sort(ownership->groups, compare_groups);
     report_lost_groups(ownership, before, changes);
-    work_out_all(ownership, changes);
+    update_all_groups(ownership, changes);
 }
 
 /* Index of a member in one of the lists, or -1. */
@@ -446,7 +451,7 @@
         place++;
     }
     g_array_insert_val(ownership->members, place, *member);
-    work_out_zone(ownership, member->zone, changes);
+    update_zone_groups(ownership, member->zone, changes);
 }
 
 static void remove_member(struct ownership *ownership, uint64_t id, GArray *changes)
@@ -457,12 +462,12 @@
     }
     uint16_t zone = member_at(ownership, (guint)index)->zone;
     g_array_remove_index(ownership->members, (guint)index);
-    work_out_zone(ownership, zone, changes);
+    update_zone_groups(ownership, zone, changes);
 }
 
-/* Makes the member one of those who may own, in its zone. */
-static void keep_member(struct ownership *ownership, const struct ownership_member *member,
-                        GArray *changes)
+/* Lets the member own groups, in its current zone. */
+static void ensure_member(struct ownership *ownership, const struct ownership_member *member,
+                          GArray *changes)
 {
     int32_t index = index_in(ownership->members, member->id);
     if (index >= 0 && member_at(ownership, (guint)index)->zone == member->zone) {
@@ -484,7 +489,7 @@
     }
 }
 
-/* Members that may own and are not absent. */
+/* Counts the members that may own groups and are not absent. */
 static guint count_present(const struct ownership *ownership)
 {
     guint count = ownership->members->len;
@@ -495,8 +500,8 @@
     return count;
 }
 
-/* Absent members keep their groups where nobody could take their place. */
-static void place_absent(struct ownership *ownership, GArray *changes)
+/* Absent members keep their groups while too few others could replace them. */
+static void update_absent_members(struct ownership *ownership, GArray *changes)
 {
     bool replaceable = count_present(ownership) >= ownership->options.owners;
     for (guint i = 0; i < ownership->absent->len; i++) {
@@ -505,7 +510,7 @@
         if (replaceable) {
             remove_member(ownership, member.id, changes);
         } else {
-            keep_member(ownership, &member, changes);
+            ensure_member(ownership, &member, changes);
         }
     }
 }
@@ -515,7 +520,7 @@
     struct ownership_member member = {.id = id};
     set_absent(ownership, &member, false);
     remove_member(ownership, id, changes);
-    place_absent(ownership, changes);
+    update_absent_members(ownership, changes);
 }
 
 void ownership_set_member(struct ownership *ownership, const struct member *member, GArray *changes)
@@ -528,9 +533,9 @@
     struct ownership_member placed = {member->id, member->zone};
     set_absent(ownership, &placed, member->absent);
     if (!member->absent) {
-        keep_member(ownership, &placed, changes);
+        ensure_member(ownership, &placed, changes);
     }
-    place_absent(ownership, changes);
+    update_absent_members(ownership, changes);
 }
 
 size_t ownership_owners(const struct ownership *ownership, uint32_t group, uint64_t *owners)
--- a/src/core/read_flow.c
+++ b/src/core/read_flow.c
@@ -1,18 +1,18 @@
-/* The life of one read; see the header. */
+/* The execution of one read; see the header. */
 #include "core/read_flow.h"
 
 #include <string.h>
 
-/* Pause before looking at the view again when no database can serve. */
+/* Pause before the view is checked again when no database can serve. */
 #define UNAVAILABLE_POLL_MS 20
 
-/* Pause between two looks at whether a replica has caught up. */
+/* Interval of the probes of a replica that is catching up. */
 #define CATCH_UP_WAIT_MS 5
 
-/* Longest wait for the primary's position. */
-#define FRESHEN_WAIT_MS 30
+/* Maximum wait for the primary's position. */
+#define PROBE_WAIT_MS 30
 
-/* When a caller should come back after no database could serve. */
+/* Retry-after time sent to the client when no database could serve. */
 #define UNAVAILABLE_RETRY_AFTER_MS 200
 
 void read_flow_init(struct read_flow *flow, const struct read_options *options)
@@ -37,7 +37,7 @@
     return step;
 }
 
-/* Nothing can serve now: waits for a better view, within bounds, then refuses. */
+/* Waits for a new view while no database can serve; refuses after unavailable_wait_ms. */
 static struct read_step wait_or_refuse(struct read_flow *flow, time_ns now)
 {
     if (now >= flow->options.deadline) {
@@ -50,7 +50,7 @@
     if (now >= flow->unavailable_since + wait) {
         return answer_refused(flow, ERROR_KIND_NO_FRESH_REPLICA, UNAVAILABLE_RETRY_AFTER_MS);
     }
-    /* Every database gets another chance under the next view. */
+    /* With the next view every database may be tried again. */
     flow->excluded = 0;
     struct read_step step = {
         .kind = READ_STEP_WAIT,
@@ -60,8 +60,8 @@
     return step;
 }
 
-/* Has a database probed and waits for what that shows. */
-static struct read_step freshen(int32_t database, time_ns now, uint32_t wait_ms)
+/* A step that probes a database and waits for its status. */
+static struct read_step probe_step(int32_t database, time_ns now, uint32_t wait_ms)
 {
     struct read_step step = {
         .kind = READ_STEP_PROBE,
@@ -71,7 +71,7 @@
     return step;
 }
 
-/* Part of the guard wait that is left. */
+/* Remaining part of the guard wait. */
 static uint32_t guard_wait_left_ms(const struct read_flow *flow, time_ns now)
 {
     uint32_t wait_max_ms = flow->options.guard_wait_max_ms;
@@ -97,16 +97,16 @@
     route->guard_wait_max_ms = guard_wait_left_ms(flow, now);
     struct route_decision decision = route_read(view, route);
     memcpy(flow->refused, decision.refused, sizeof(flow->refused));
-    if (decision.bound_unknown && view->primary >= 0 && !flow->freshened) {
-        flow->freshened = true;
-        return freshen(view->primary, now, FRESHEN_WAIT_MS);
+    if (decision.bound_unknown && view->primary >= 0 && !flow->primary_probed) {
+        flow->primary_probed = true;
+        return probe_step(view->primary, now, PROBE_WAIT_MS);
     }
     if (decision.reason == ROUTE_REASON_REPLICA_GUARDED) {
         if (flow->waiting_since == 0) {
             flow->waiting_since = now;
         }
         flow->waited = true;
-        return freshen(decision.database, now, CATCH_UP_WAIT_MS);
+        return probe_step(decision.database, now, CATCH_UP_WAIT_MS);
     }
     if (decision.database < 0) {
         return wait_or_refuse(flow, now);
--- a/src/core/route.c
+++ b/src/core/route.c
@@ -6,10 +6,11 @@
 #include "core/position_samples.h"
 #include "core/types.h"
 
-/* What a running statement adds to a database's distance when all its slots would be taken. */
+/* Added to a database's distance when requests take all its slots, in proportion when fewer. */
 #define LOAD_PENALTY_US 10000
 
-/* Added to a replica without a free slot: it is taken only if nothing else can serve. */
+/* Added to the distance of a database without a free slot, so that it is chosen only if no other
+ * can serve. */
 #define BUSY_PENALTY_US 1000000
 
 static const char *const reason_names[ROUTE_REASON_COUNT] = {
@@ -62,9 +63,8 @@
     return true;
 }
 
-/* How far the replica was behind the primary when it was observed: the time since the primary held
- * an entry that the replica had not applied. False if that is farther back than the samples reach.
- */
+/* Replication lag of the replica when it was observed: the time since the primary held an entry
+ * that the replica had not applied. False if the samples don't reach back that far. */
 static bool replica_lag(const struct group_view *view, const struct database_view *replica,
                         time_ns now, time_ns *lag)
 {
@@ -75,7 +75,7 @@
     return missing_since != 0;
 }
 
-/* How long after now the replica is expected to have applied `needed`; UINT64_MAX if unknown. */
+/* Expected time until the replica has applied `needed`; UINT64_MAX if unknown. */
 static time_ns expected_wait(const struct group_view *view, const struct database_view *replica,
                              struct log_position needed, time_ns now)
 {
@@ -91,11 +91,11 @@
     }
     time_ns written_at = position_samples_time_of(view, needed, now);
     time_ns due = written_at + lag;
-    /* It is not there yet, whatever the estimate: never free where no wait is allowed. */
+    /* The replica has not applied it yet, so the wait is never 0, whatever the estimate. */
     return MAX(due, now + NANOSECONDS_PER_MILLISECOND) - now;
 }
 
-/* Reason that rules a database out whatever its position; NONE if usable. */
+/* Reason that excludes a database regardless of its position; NONE if there is none. */
 static enum route_reason rule_out(const struct database_view *database, uint32_t index,
                                   uint32_t excluded)
 {
@@ -111,7 +111,7 @@
     return ROUTE_REASON_NONE;
 }
 
-/* Distance of a database in microseconds: round trip, and load as a share of its slots. */
+/* Distance of a database in microseconds: round-trip time, expected wait and load. */
 static uint64_t distance_of(const struct database_view *database, uint32_t in_flight,
                             uint32_t slots, time_ns wait)
 {
@@ -126,8 +126,8 @@
     return distance;
 }
 
-/* Judges one replica; on NONE its distance and wait are set. */
-static enum route_reason judge_replica(const struct group_view *view,
+/* Checks whether one replica can serve; if NONE is returned, its distance and wait are set. */
+static enum route_reason check_replica(const struct group_view *view,
                                        const struct route_read_request *request, uint32_t index,
                                        struct log_position needed, uint64_t *distance,
                                        time_ns *wait)
@@ -148,20 +148,20 @@
     return ROUTE_REASON_NONE;
 }
 
-/* Finds the nearest replica that is or will be fresh enough. */
+/* Chooses the nearest replica that is fresh enough or will be within the guard wait. */
 static void choose_replica(const struct group_view *view, const struct route_read_request *request,
                            struct log_position needed, struct route_decision *decision)
 {
     uint64_t best = UINT64_MAX;
     for (uint32_t step = 0; step < view->database_count; step++) {
-        /* Starting anywhere spreads equals. */
+        /* A random start index spreads reads over equal replicas. */
         uint32_t index = (uint32_t)((request->random + step) % view->database_count);
         if ((int32_t)index == view->primary) {
             continue;
         }
         uint64_t distance = 0;
         time_ns wait = 0;
-        enum route_reason reason = judge_replica(view, request, index, needed, &distance, &wait);
+        enum route_reason reason = check_replica(view, request, index, needed, &distance, &wait);
         decision->refused[index] = reason == ROUTE_REASON_NONE ? ROUTE_REASON_FARTHER : reason;
         if (reason == ROUTE_REASON_NONE && distance < best) {
             best = distance;
@@ -172,14 +172,14 @@
     }
 }
 
-/* Falls back to the primary, within its read allowance. */
+/* Chooses the primary, within its read allowance. */
 static void choose_primary(const struct group_view *view, const struct route_read_request *request,
                            struct route_decision *decision)
 {
     uint32_t index = (uint32_t)view->primary;
     enum route_reason reason = rule_out(&view->databases[index], index, request->excluded);
     if (reason == ROUTE_REASON_LEAVING) {
-        /* A leaving primary still leads until the planned change: it may end what is under way. */
+        /* A leaving primary leads until the planned change and takes work until then. */
         reason = ROUTE_REASON_NONE;
     }
     if (reason == ROUTE_REASON_NONE && request->replicas_allowed && !request->primary_allowed) {
--- a/src/core/slot_share.c
+++ b/src/core/slot_share.c
@@ -3,23 +3,23 @@
 
 #include <string.h>
 
-/* A borrower may use a loan for so long after it sent the ask that was granted last. */
+/* A borrower may use a loan for this time after it sent the request that was granted last. */
 #define LEASE_TIME (1 * NANOSECONDS_PER_SECOND)
 
-/* The lender counts a loan for so much longer: statements that were begun under it end. */
+/* The lender counts a loan for this much longer, so that statements started under it can end. */
 #define LEASE_MARGIN (500 * NANOSECONDS_PER_MILLISECOND)
 
-/* Asks, and grants that nobody asked for, to one owner are at least so far apart; with many
- * databases so much for each. */
+/* Minimum time between requests, or grants without a request, to one owner; for many databases this
+ * much for each. */
 #define MESSAGE_GAP  (50 * NANOSECONDS_PER_MILLISECOND)
 #define DATABASE_GAP (16 * NANOSECONDS_PER_MILLISECOND)
 
-/* An ask is repeated after so many gaps, which renews the loan: at the latest when half of it is
- * over. */
-#define ASK_GAPS         5
-#define ASK_INTERVAL_MAX (LEASE_TIME / 2)
+/* A request is repeated after this many gaps, which renews the loan: at the latest when half of the
+ * lease is over. */
+#define REQUEST_GAPS         5
+#define REQUEST_INTERVAL_MAX (LEASE_TIME / 2)
 
-/* What was needed within the last one to two of these counts as needed. */
+/* The demand is the maximum over the last one to two of these intervals. */
 #define DEMAND_SPAN (20 * NANOSECONDS_PER_MILLISECOND)
 
 void slot_share_init(struct slot_share *share, uint32_t slots, uint64_t incarnation)
@@ -33,7 +33,7 @@
 void slot_share_set_database_count(struct slot_share *share, uint32_t databases)
 {
     share->gap = MAX(MESSAGE_GAP, databases * DATABASE_GAP);
-    share->ask_interval = MIN(ASK_GAPS * share->gap, ASK_INTERVAL_MAX);
+    share->request_interval = MIN(REQUEST_GAPS * share->gap, REQUEST_INTERVAL_MAX);
 }
 
 static struct slot_share_peer *find_peer(struct slot_share *share, uint64_t id)
@@ -46,11 +46,11 @@
     return NULL;
 }
 
-/* Home slots that may be used now: a larger part only once the others know that theirs is smaller,
- * a lost one until its next owner begins to use it in full. */
+/* Home slots that may be used now. A part that grew is used in full only once the other owners know
+ * that theirs is smaller; a lost one until its next owner starts to use it in full. */
 static uint32_t usable_home(const struct slot_share *share, time_ns now)
 {
-    if (!share->placed) {
+    if (!share->is_owner) {
         return now < share->home_until ? share->home : 0;
     }
     return now >= share->home_from ? share->home : MIN(share->home, share->home_before);
@@ -92,15 +92,15 @@
 uint32_t slot_share_limit(const struct slot_share *share, time_ns now)
 {
     uint32_t own = subtract(usable_home(share, now), lent_in_all(share, now));
-    if (share->placed) {
+    if (share->is_owner) {
         return own + borrowed_in_all(share, now);
     }
-    /* Who has lost its place ends what it has, at last one at a time. */
+    /* An owner that lost its position may finish its statements, at last one at a time. */
     return MAX(own, 1);
 }
 
-/* Removes the peers that own the group no more and have nothing lent any more. */
-static void forget_past_peers(struct slot_share *share, time_ns now)
+/* Removes peers that are no longer owners and have no loan left. */
+static void remove_past_peers(struct slot_share *share, time_ns now)
 {
     uint32_t kept = 0;
     for (uint32_t i = 0; i < share->peer_count; i++) {
@@ -125,57 +125,58 @@
     }
 }
 
-static uint32_t home_of(uint32_t slots, uint32_t count, uint32_t place, uint32_t turn)
+static uint32_t home_of(uint32_t slots, uint32_t count, uint32_t position, uint32_t rotation)
 {
-    bool has_more = (place + turn) % count < slots % count;
+    bool has_more = (position + rotation) % count < slots % count;
     return slots / count + (has_more ? 1 : 0);
 }
 
-static void lose_place(struct slot_share *share, uint32_t before, time_ns now)
+static void lose_position(struct slot_share *share, uint32_t before, time_ns now)
 {
-    if (share->placed) {
+    if (share->is_owner) {
         share->home = before;
         share->home_until = now + LEASE_TIME;
     }
-    share->placed = false;
+    share->is_owner = false;
 }
 
-static void take_place(struct slot_share *share, uint32_t home, uint32_t before, time_ns now)
+static void take_position(struct slot_share *share, uint32_t home, uint32_t before, time_ns now)
 {
-    bool grows = home > before && (!share->placed || home > share->home);
+    bool grows = home > before && (!share->is_owner || home > share->home);
     if (share->peer_count == 0) {
-        /* Nobody else has any. */
+        /* No other owner has any slots. */
         share->home_from = now;
     } else if (grows) {
-        /* One slot at once, that nothing stands still meanwhile. */
+        /* One slot may be used at once, so that work continues meanwhile. */
         share->home_before = MAX(before, 1);
         share->home_from = now + LEASE_TIME + LEASE_MARGIN;
     }
     share->home = home;
-    share->placed = true;
+    share->is_owner = true;
 }
 
 void slot_share_set_place(struct slot_share *share, const uint64_t *owners, uint32_t count,
-                          int32_t place, uint32_t turn, time_ns now)
+                          int32_t position, uint32_t rotation, time_ns now)
 {
     uint32_t before = usable_home(share, now);
     for (uint32_t i = 0; i < share->peer_count; i++) {
         share->peers[i].present = false;
     }
     for (uint32_t i = 0; i < count; i++) {
-        if ((int32_t)i != place) {
+        if ((int32_t)i != position) {
             add_owner(share, owners[i]);
         }
     }
-    forget_past_peers(share, now);
-    if (place < 0 || count == 0) {
-        lose_place(share, before, now);
+    remove_past_peers(share, now);
+    if (position < 0 || count == 0) {
+        lose_position(share, before, now);
     } else {
-        take_place(share, home_of(share->slots, count, (uint32_t)place, turn), before, now);
+        take_position(share, home_of(share->slots, count, (uint32_t)position, rotation), before,
+                      now);
     }
 }
 
-static void note_demand(struct slot_share *share, const struct slot_share_load *load, time_ns now)
+static void update_demand(struct slot_share *share, const struct slot_share_load *load, time_ns now)
 {
     if (now >= share->demand_since + DEMAND_SPAN) {
         bool recent = now < share->demand_since + 2 * DEMAND_SPAN;
@@ -191,9 +192,9 @@
     return MAX(share->demand, share->demand_before);
 }
 
-/* Counts how many statements may still hold slots of a loan that has become smaller. */
-static void settle_borrowed(struct slot_share *share, const struct slot_share_load *load,
-                            time_ns now)
+/* Computes how many statements may still hold slots of a loan that was reduced. */
+static void update_borrowed_in_use(struct slot_share *share, const struct slot_share_load *load,
+                                   time_ns now)
 {
     uint32_t excess = subtract(load->in_flight, slot_share_limit(share, now));
     for (uint32_t i = 0; i < share->peer_count; i++) {
@@ -212,43 +213,43 @@
     g_array_append_val(actions, action);
 }
 
-static time_ns *asked_at(struct slot_share_peer *peer, uint64_t number)
+static time_ns *request_sent_at(struct slot_share_peer *peer, uint64_t number)
 {
-    return &peer->asked_at[number % SLOT_SHARE_REMEMBERED];
+    return &peer->request_sent_at[number % SLOT_SHARE_REMEMBERED];
 }
 
-static void send_ask(const struct slot_share *share, struct slot_share_peer *peer, uint32_t wanted,
-                     time_ns now, GArray *actions)
+static void send_loan_request(const struct slot_share *share, struct slot_share_peer *peer,
+                              uint32_t wanted, time_ns now, GArray *actions)
 {
-    peer->ask_number++;
-    *asked_at(peer, peer->ask_number) = now;
-    peer->told_wanted = wanted;
-    peer->told_in_use = peer->borrowed_in_use;
+    peer->request_number++;
+    *request_sent_at(peer, peer->request_number) = now;
+    peer->reported_wanted = wanted;
+    peer->reported_in_use = peer->borrowed_in_use;
     struct slot_share_message message = {
         .asks = true,
-        .number = peer->ask_number,
-        .answers = peer->grant_taken,
+        .number = peer->request_number,
+        .answers = peer->last_grant_received,
         .slots = wanted,
         .in_use = peer->borrowed_in_use,
     };
     add_action(actions, share, peer, &message);
 }
 
-static bool ask_is_due(const struct slot_share *share, struct slot_share_peer *peer,
-                       uint32_t wanted, time_ns now)
+static bool request_is_due(const struct slot_share *share, struct slot_share_peer *peer,
+                           uint32_t wanted, time_ns now)
 {
-    time_ns last = *asked_at(peer, peer->ask_number);
-    bool concerned =
-        wanted > 0 || peer->told_wanted > 0 || peer->borrowed_in_use > 0 || peer->told_in_use > 0;
+    time_ns last = *request_sent_at(peer, peer->request_number);
+    bool concerned = wanted > 0 || peer->reported_wanted > 0 || peer->borrowed_in_use > 0 ||
+                     peer->reported_in_use > 0;
     if (!concerned || now < last + share->gap) {
         return false;
     }
-    bool needs_more = wanted > peer->told_wanted;
-    bool gives_back = peer->borrowed_in_use < peer->told_in_use;
-    return needs_more || gives_back || now >= last + share->ask_interval;
+    bool needs_more = wanted > peer->reported_wanted;
+    bool gives_back = peer->borrowed_in_use < peer->reported_in_use;
+    return needs_more || gives_back || now >= last + share->request_interval;
 }
 
-/* Keeps as many of the loans as are needed, and asks each owner for what is missing. */
+/* Keeps as much of the loans as is needed, and requests what is missing from each owner. */
 static void borrow(struct slot_share *share, time_ns now, GArray *actions)
 {
     uint32_t own = subtract(usable_home(share, now), lent_in_all(share, now));
@@ -260,25 +261,25 @@
     }
     for (uint32_t i = 0; i < share->peer_count; i++) {
         struct slot_share_peer *peer = &share->peers[i];
-        if (!peer->present || !share->placed) {
+        if (!peer->present || !share->is_owner) {
             continue;
         }
         peer->borrowed = MIN(peer->borrowed, wanted[i]);
-        if (ask_is_due(share, peer, wanted[i] + missing, now)) {
-            send_ask(share, peer, wanted[i] + missing, now, actions);
+        if (request_is_due(share, peer, wanted[i] + missing, now)) {
+            send_loan_request(share, peer, wanted[i] + missing, now, actions);
         }
     }
 }
 
-/* Slots that an owner wants to borrow here, as far as it is known. */
+/* Slots that an owner wants to borrow here, by its last request; 0 if that is too old. */
 static uint32_t wanted_now(const struct slot_share_peer *peer, time_ns now)
 {
-    bool recent = peer->ask_taken > 0 && now < peer->ask_taken_at + LEASE_TIME;
+    bool recent = peer->last_request_received > 0 && now < peer->request_received_at + LEASE_TIME;
     return peer->present && recent ? peer->wanted : 0;
 }
 
-/* What a borrower should have: its fair part of what is not needed here, and more if the others
- * want less. */
+/* Loan that a borrower should have: an equal part of the slots not needed here, and more if the
+ * others want less. */
 static uint32_t fair_loan(const struct slot_share *share, const struct slot_share_peer *peer,
                           time_ns now)
 {
@@ -295,7 +296,7 @@
     return MIN(wanted_now(peer, now), part);
 }
 
-/* The loan that may be granted now: more only from slots that are free. */
+/* Loan that may be granted now: it grows only by free slots. */
 static uint32_t possible_loan(const struct slot_share *share, const struct slot_share_peer *peer,
                               const struct slot_share_load *load, time_ns now)
 {
@@ -312,11 +313,13 @@
     return peer->granted[peer->grant_number % SLOT_SHARE_REMEMBERED];
 }
 
-/* The borrower, when it sent this ask, held so many, and may have taken any later grant since. */
-static uint32_t may_hold(const struct slot_share_peer *peer, const struct slot_share_message *ask)
+/* The borrower held `in_use` slots when it sent this request, and may have received any later grant
+ * since. */
+static uint32_t max_in_use(const struct slot_share_peer *peer,
+                           const struct slot_share_message *request)
 {
-    uint32_t slots = ask->in_use;
-    for (uint64_t number = ask->answers + 1; number <= peer->grant_number; number++) {
+    uint32_t slots = request->in_use;
+    for (uint64_t number = request->answers + 1; number <= peer->grant_number; number++) {
         slots = MAX(slots, peer->granted[number % SLOT_SHARE_REMEMBERED]);
     }
     return slots;
@@ -329,22 +332,23 @@
     peer->granted_at = now;
     peer->granted[peer->grant_number % SLOT_SHARE_REMEMBERED] = loan;
     peer->lent = MAX(lent_now(peer, now), loan);
-    peer->lent_until = peer->ask_taken_at + LEASE_TIME + LEASE_MARGIN;
+    peer->lent_until = peer->request_received_at + LEASE_TIME + LEASE_MARGIN;
     struct slot_share_message message = {
         .number = peer->grant_number,
-        .answers = peer->ask_taken,
+        .answers = peer->last_request_received,
         .slots = loan,
     };
     add_action(actions, share, peer, &message);
 }
 
-/* Calls back what is needed here, and lends what has become free. */
+/* Reduces loans that are needed here, and lends slots that have become free. */
 static void lend(struct slot_share *share, const struct slot_share_load *load, time_ns now,
                  GArray *actions)
 {
     for (uint32_t i = 0; i < share->peer_count; i++) {
         struct slot_share_peer *peer = &share->peers[i];
-        bool known = peer->present && peer->ask_taken > 0 && now < peer->ask_taken_at + LEASE_TIME;
+        bool known = peer->present && peer->last_request_received > 0 &&
+                     now < peer->request_received_at + LEASE_TIME;
         if (!known || now < peer->granted_at + share->gap) {
             continue;
         }
@@ -355,48 +359,48 @@
     }
 }
 
-static void take_ask(struct slot_share *share, struct slot_share_peer *peer,
-                     const struct slot_share_message *ask, const struct slot_share_load *load,
-                     time_ns now, GArray *actions)
+static void handle_loan_request(struct slot_share *share, struct slot_share_peer *peer,
+                                const struct slot_share_message *request,
+                                const struct slot_share_load *load, time_ns now, GArray *actions)
 {
-    if (ask->number <= peer->ask_taken) {
+    if (request->number <= peer->last_request_received) {
         return;
     }
-    peer->ask_taken = ask->number;
-    peer->ask_taken_at = now;
-    peer->wanted = ask->slots;
-    bool remembered = ask->to_incarnation == share->incarnation &&
-                      ask->answers + SLOT_SHARE_REMEMBERED > peer->grant_number;
+    peer->last_request_received = request->number;
+    peer->request_received_at = now;
+    peer->wanted = request->slots;
+    bool remembered = request->to_incarnation == share->incarnation &&
+                      request->answers + SLOT_SHARE_REMEMBERED > peer->grant_number;
     if (remembered) {
-        peer->lent = MIN(lent_now(peer, now), may_hold(peer, ask));
+        peer->lent = MIN(lent_now(peer, now), max_in_use(peer, request));
     }
     send_grant(share, peer, possible_loan(share, peer, load, now), now, actions);
 }
 
-static void take_grant(struct slot_share_peer *peer, const struct slot_share_message *grant,
-                       time_ns now)
+static void handle_loan_grant(struct slot_share_peer *peer, const struct slot_share_message *grant,
+                              time_ns now)
 {
-    bool known = grant->answers + SLOT_SHARE_REMEMBERED > peer->ask_number &&
-                 grant->answers <= peer->ask_number;
-    if (grant->number <= peer->grant_taken || !known) {
+    bool known = grant->answers + SLOT_SHARE_REMEMBERED > peer->request_number &&
+                 grant->answers <= peer->request_number;
+    if (grant->number <= peer->last_grant_received || !known) {
         return;
     }
-    peer->grant_taken = grant->number;
+    peer->last_grant_received = grant->number;
     peer->borrowed = grant->slots;
     peer->borrowed_in_use = MAX(peer->borrowed_in_use, grant->slots);
-    /* The lender counts these from its grant on: when they are given back, it has to be told. */
-    peer->told_in_use = MAX(peer->told_in_use, grant->slots);
-    peer->borrowed_until = *asked_at(peer, grant->answers) + LEASE_TIME;
+    /* The lender counts these from its grant on, so their return must be reported to it. */
+    peer->reported_in_use = MAX(peer->reported_in_use, grant->slots);
+    peer->borrowed_until = *request_sent_at(peer, grant->answers) + LEASE_TIME;
 }
 
-/* The other owner was replaced under its name: what it lent is gone. What it was lent ends by
- * itself, since its statements may still run. */
-static void begin_again(struct slot_share_peer *peer, uint64_t incarnation)
+/* The other owner was restarted under the same id: its loans to this daemon are void. Loans to it
+ * end by expiry, since its statements may still run. */
+static void reset_peer(struct slot_share_peer *peer, uint64_t incarnation)
 {
     peer->incarnation = incarnation;
-    peer->grant_taken = 0;
+    peer->last_grant_received = 0;
     peer->borrowed = 0;
-    peer->ask_taken = 0;
+    peer->last_request_received = 0;
     peer->wanted = 0;
 }
 
@@ -405,17 +409,17 @@
                         const struct slot_share_load *load, time_ns now, GArray *actions)
 {
     struct slot_share_peer *peer = find_peer(share, from);
-    if (peer == NULL || !peer->present || !share->placed) {
+    if (peer == NULL || !peer->present || !share->is_owner) {
         return;
     }
     if (message->incarnation != peer->incarnation) {
-        begin_again(peer, message->incarnation);
+        reset_peer(peer, message->incarnation);
     }
-    note_demand(share, load, now);
+    update_demand(share, load, now);
     if (message->asks) {
-        take_ask(share, peer, message, load, now, actions);
+        handle_loan_request(share, peer, message, load, now, actions);
     } else if (message->to_incarnation == share->incarnation) {
-        take_grant(peer, message, now);
+        handle_loan_grant(peer, message, now);
     }
     slot_share_tick(share, load, now, actions);
 }
@@ -423,19 +427,19 @@
 void slot_share_tick(struct slot_share *share, const struct slot_share_load *load, time_ns now,
                      GArray *actions)
 {
-    note_demand(share, load, now);
-    settle_borrowed(share, load, now);
+    update_demand(share, load, now);
+    update_borrowed_in_use(share, load, now);
     borrow(share, now, actions);
-    settle_borrowed(share, load, now);
+    update_borrowed_in_use(share, load, now);
     lend(share, load, now, actions);
-    forget_past_peers(share, now);
+    remove_past_peers(share, now);
 }
 
 bool slot_share_is_active(const struct slot_share *share, time_ns now)
 {
     bool alone = share->peer_count == 0;
     bool needs_more = recent_demand(share) > slot_share_limit(share, now);
-    bool changes = now < share->home_from || (!share->placed && now < share->home_until);
+    bool changes = now < share->home_from || (!share->is_owner && now < share->home_until);
     bool active = changes || (needs_more && !alone);
     for (uint32_t i = 0; i < share->peer_count; i++) {
         const struct slot_share_peer *peer = &share->peers[i];
--- a/src/core/write_flow.c
+++ b/src/core/write_flow.c
@@ -1,12 +1,12 @@
-/* The life of one write; see the header. */
+/* The execution of one write; see the header. */
 #include "core/write_flow.h"
 
 #include <string.h>
 
-/* Pause before looking at the view again, or running again. */
+/* Pause before the view is checked again or the write is run again. */
 #define RETRY_PAUSE_MS 20
 
-/* When a caller should come back after no primary was found. */
+/* Retry-after time sent to the client when no primary was found. */
 #define UNAVAILABLE_RETRY_AFTER_MS 200
 
 void write_flow_init(struct write_flow *flow, const struct write_options *options)
@@ -14,8 +14,8 @@
     memset(flow, 0, sizeof(*flow));
     flow->options = *options;
     flow->state = WRITE_STATE_IDLE;
-    flow->closing = options->resolve_only;
-    flow->maybe_run = options->resolve_only;
+    flow->close_key = options->resolve_only;
+    flow->may_have_run = options->resolve_only;
 }
 
 static struct write_step answer(struct write_flow *flow, enum outcome outcome,
@@ -34,11 +34,12 @@
     return step;
 }
 
-/* Final answer with nothing more to try: `error` may be told only if nothing can have run. */
+/* Final answer without further attempts. `error` is returned only if the write certainly did not
+ * run. */
 static struct write_step give_up(struct write_flow *flow, enum error_kind error,
                                  uint32_t retry_after_ms)
 {
-    if (flow->maybe_run) {
+    if (flow->may_have_run) {
         return answer(flow, OUTCOME_UNKNOWN, ERROR_KIND_OUTCOME_UNKNOWN,
                       UNAVAILABLE_RETRY_AFTER_MS);
     }
@@ -59,7 +60,7 @@
     return step;
 }
 
-/* No primary takes the write now: waits for one, within bounds; `error` is told after them. */
+/* Waits while no primary takes the write; returns `error` after unavailable_wait_ms. */
 static struct write_step wait_for_primary(struct write_flow *flow, time_ns now,
                                           enum error_kind error)
 {
@@ -73,7 +74,7 @@
     return wait_step(flow, now);
 }
 
-/* Runs, or closes the key, at the current primary. */
+/* Runs the write, or closes the key, at the current primary. */
 static struct write_step proceed(struct write_flow *flow, time_ns now,
                                  const struct group_view *view)
 {
@@ -81,8 +82,9 @@
         return give_up(flow, ERROR_KIND_DEADLINE, UNAVAILABLE_RETRY_AFTER_MS);
     }
     struct route_decision decision = route_write(view);
-    /* An open transaction commits where it is: neither a pause nor a new primary moves it. */
-    bool commit_in_place = flow->options.commit_only && !flow->closing;
+    /* The commit of an open transaction goes to its own database, whatever the pause or new
+     * primary. */
+    bool commit_in_place = flow->options.commit_only && !flow->close_key;
     if (decision.database < 0 && !commit_in_place) {
         return wait_for_primary(flow, now, ERROR_KIND_NO_PRIMARY);
     }
@@ -92,7 +94,7 @@
         .until = flow->options.deadline,
         .reason = decision.reason,
     };
-    if (flow->closing) {
+    if (flow->close_key) {
         flow->state = WRITE_STATE_CLOSING;
         step.kind = WRITE_STEP_CLOSE_KEY;
         return step;
@@ -102,9 +104,9 @@
     return step;
 }
 
-/* The attempt certainly left nothing behind: it does not count, and another is made while the wait
- * for a primary lasts, since the view may be older than the failure. */
-static struct write_step try_again(struct write_flow *flow, time_ns now, enum error_kind error)
+/* Retries after an attempt that certainly had no effect. The attempt does not count, and retries
+ * continue for unavailable_wait_ms, since the view may be older than the failure. */
+static struct write_step retry_attempt(struct write_flow *flow, time_ns now, enum error_kind error)
 {
     if (flow->options.commit_only) {
         return give_up(flow, error, 0);
@@ -113,31 +115,32 @@
     return wait_for_primary(flow, now, error);
 }
 
-/* An attempt's outcome is not known: the ledger tells, if there is a key; nothing else may. */
-static struct write_step after_lost(struct write_flow *flow, time_ns now)
+/* Handles an attempt with unknown outcome. With a key the ledger resolves it; without one nothing
+ * can. */
+static struct write_step handle_lost(struct write_flow *flow, time_ns now)
 {
-    flow->maybe_run = true;
+    flow->may_have_run = true;
     if (!flow->options.keyed && !flow->options.resend_unkeyed) {
         return give_up(flow, ERROR_KIND_OUTCOME_UNKNOWN, 0);
     }
     bool may_run_again = !flow->options.commit_only && flow->attempts < flow->options.attempts_max;
     if (!may_run_again) {
-        flow->closing = true;
+        flow->close_key = true;
     }
     return wait_step(flow, now);
 }
 
-/* The database reported an error and rolled back. An earlier attempt whose answer was lost could
- * still arrive there: its key is closed before the error is told. */
-static struct write_step after_failure(struct write_flow *flow, time_ns now, enum error_kind error,
-                                       const struct group_view *view)
+/* Handles an error reported by the database, which rolled back. An earlier attempt without a reply
+ * could still reach the database, so its key is closed before the error is returned. */
+static struct write_step handle_failure(struct write_flow *flow, time_ns now, enum error_kind error,
+                                        const struct group_view *view)
 {
     flow->failed = true;
     flow->failure = error;
-    if (!flow->maybe_run) {
+    if (!flow->may_have_run) {
         return answer(flow, OUTCOME_FAILED, error, 0);
     }
-    flow->closing = true;
+    flow->close_key = true;
     return proceed(flow, now, view);
 }
 
@@ -146,7 +149,7 @@
 {
     acknowledge_start(&flow->evidence, event->position, view->database_count);
     flow->state = state;
-    flow->maybe_run = true;
+    flow->may_have_run = true;
     if (flow->options.trust_commit && state == WRITE_STATE_CONFIRMING) {
         return answer(flow, OUTCOME_DONE, ERROR_KIND_INTERNAL, 0);
     }
@@ -170,7 +173,7 @@
     return answer(flow, OUTCOME_REFUSED, ERROR_KIND_KEY_CLOSED, UNAVAILABLE_RETRY_AFTER_MS);
 }
 
-/* Gathers evidence for what stands in the log: the write's own commit, or the closed key. */
+/* Gathers evidence for an entry of the log: the commit of the write, or the closed key. */
 static struct write_step on_evidence(struct write_flow *flow, const struct write_event *event)
 {
     if (event->kind == WRITE_EVENT_EVIDENCE) {
@@ -195,11 +198,11 @@
         };
         return step;
     }
-    /* Fenced, or nobody else answers: the newer history, if there is one, decides. */
+    /* Fenced, or no other member responds: the log of the newer term, if there is one, decides. */
     if (flow->state == WRITE_STATE_CONFIRMING_CLOSED) {
-        flow->closing = true;
+        flow->close_key = true;
     }
-    return after_lost(flow, event->now);
+    return handle_lost(flow, event->now);
 }
 
 static struct write_step on_execute_event(struct write_flow *flow, const struct write_event *event,
@@ -207,16 +210,16 @@
 {
     switch (event->kind) {
     case WRITE_EVENT_NOT_SENT:
-        return try_again(flow, event->now, ERROR_KIND_OVERLOADED);
+        return retry_attempt(flow, event->now, ERROR_KIND_OVERLOADED);
     case WRITE_EVENT_NOT_PRIMARY:
-        return try_again(flow, event->now, ERROR_KIND_NO_PRIMARY);
+        return retry_attempt(flow, event->now, ERROR_KIND_NO_PRIMARY);
     case WRITE_EVENT_CONFLICT:
         if (!flow->options.commit_only && flow->attempts < flow->options.attempts_max) {
             return wait_step(flow, event->now);
         }
-        return after_failure(flow, event->now, ERROR_KIND_CONFLICT, view);
+        return handle_failure(flow, event->now, ERROR_KIND_CONFLICT, view);
     case WRITE_EVENT_FAILED:
-        return after_failure(flow, event->now, ERROR_KIND_DATABASE_ERROR, view);
+        return handle_failure(flow, event->now, ERROR_KIND_DATABASE_ERROR, view);
     case WRITE_EVENT_COMMITTED:
         flow->replayed = false;
         return confirm(flow, event, view, WRITE_STATE_CONFIRMING);
@@ -228,11 +231,11 @@
     case WRITE_EVENT_KEY_REUSED:
         return confirm(flow, event, view, WRITE_STATE_CONFIRMING_REUSED);
     default:
-        return after_lost(flow, event->now);
+        return handle_lost(flow, event->now);
     }
 }
 
-/* Closing the key goes on until it is known or the time is over. */
+/* Closing the key is repeated until it succeeds or the deadline has passed. */
 static struct write_step on_close_event(struct write_flow *flow, const struct write_event *event,
                                         const struct group_view *view)
 {
--- a/tests/core/handover_test.c
+++ b/tests/core/handover_test.c
@@ -19,7 +19,7 @@
     handover_set_owners(handover, owners, G_N_ELEMENTS(owners));
 }
 
-static void tell_warm(struct handover *handover, uint64_t owner, time_ns now)
+static void report_warm(struct handover *handover, uint64_t owner, time_ns now)
 {
     for (uint32_t i = 0; i < DATABASES; i++) {
         handover_told_warm(handover, owner, i, now);
@@ -37,7 +37,7 @@
     begin(&handover);
     assert_state(&handover, START, HANDOVER_STATE_WAITS);
     g_assert_cmpuint(handover_to_ask(&handover, FIRST, START), ==, ALL);
-    tell_warm(&handover, FIRST, START + STEP);
+    report_warm(&handover, FIRST, START + STEP);
     g_assert_cmpuint(handover_to_ask(&handover, FIRST, START + STEP), ==, 0);
     assert_state(&handover, START + STEP, HANDOVER_STATE_WAITS);
     handover_told_warm(&handover, SECOND, 0, START + STEP);
@@ -52,9 +52,9 @@
 {
     struct handover handover;
     begin(&handover);
-    tell_warm(&handover, FIRST, START);
-    tell_warm(&handover, FIRST, START);
-    tell_warm(&handover, THIRD, START);
+    report_warm(&handover, FIRST, START);
+    report_warm(&handover, FIRST, START);
+    report_warm(&handover, THIRD, START);
     handover_told_warm(&handover, SECOND, DATABASES, START);
     assert_state(&handover, START, HANDOVER_STATE_WAITS);
 }
@@ -73,7 +73,7 @@
     struct handover handover;
     begin(&handover);
     for (time_ns now = START; now < START + MOST; now += STEP) {
-        tell_warm(&handover, FIRST, now);
+        report_warm(&handover, FIRST, now);
         handover_set_reachable(&handover, ALL, now);
         g_assert_cmpuint(handover_to_ask(&handover, SECOND, now), ==, ALL);
         assert_state(&handover, now, HANDOVER_STATE_WAITS);
@@ -86,12 +86,12 @@
     const uint64_t after[] = {SECOND, THIRD};
     struct handover handover;
     begin(&handover);
-    tell_warm(&handover, SECOND, START);
+    report_warm(&handover, SECOND, START);
     handover_set_owners(&handover, after, G_N_ELEMENTS(after));
     assert_state(&handover, START + STEP, HANDOVER_STATE_WAITS);
     g_assert_cmpuint(handover_to_ask(&handover, FIRST, START + STEP), ==, 0);
     g_assert_cmpuint(handover_to_ask(&handover, THIRD, START + STEP), ==, ALL);
-    tell_warm(&handover, THIRD, START + STEP);
+    report_warm(&handover, THIRD, START + STEP);
     assert_state(&handover, START + STEP, HANDOVER_STATE_WARM);
 }
 
@@ -101,10 +101,10 @@
     const uint64_t both[] = {FIRST, SECOND};
     struct handover handover;
     begin(&handover);
-    tell_warm(&handover, FIRST, START);
+    report_warm(&handover, FIRST, START);
     handover_set_owners(&handover, &both[1], 1);
     handover_set_owners(&handover, both, G_N_ELEMENTS(both));
-    tell_warm(&handover, SECOND, START);
+    report_warm(&handover, SECOND, START);
     assert_state(&handover, START, HANDOVER_STATE_WAITS);
     g_assert_cmpuint(handover_to_ask(&handover, FIRST, START), ==, ALL);
 }
@@ -114,10 +114,10 @@
 {
     struct handover handover;
     begin(&handover);
-    tell_warm(&handover, FIRST, START);
+    report_warm(&handover, FIRST, START);
     time_ns later = START + NANOSECONDS_PER_SECOND;
     handover_set_reachable(&handover, ALL, later);
-    tell_warm(&handover, SECOND, later);
+    report_warm(&handover, SECOND, later);
     g_assert_cmpuint(handover_to_ask(&handover, FIRST, later), ==, ALL);
     assert_state(&handover, later, HANDOVER_STATE_WAITS);
 }
