--- a/src/core/config_currency.c
+++ b/src/core/config_currency.c
@@ -120,8 +120,8 @@
     }
 }
 
-void currency_hear(struct currency *currency, struct configuration_mark mark, uint64_t holder,
-                   time_ns now, GArray *actions)
+void currency_announced(struct currency *currency, struct configuration_mark mark, uint64_t holder,
+                        time_ns now, GArray *actions)
 {
     if (mark.version > currency->newest.version) {
         currency->newest = mark;
@@ -145,7 +145,7 @@
 {
     currency->next_head = now + currency->options.head_interval;
     if (head.version > currency->newest.version) {
-        currency_hear(currency, head, 0, now, actions);
+        currency_announced(currency, head, 0, now, actions);
         currency->try_store_at = now;
         fetch_next(currency, now, actions);
     }
@@ -241,7 +241,7 @@
     }
     bool unconfirmed =
         currency->confirmed_at == 0 || now > currency->confirmed_at + currency->options.bound / 2;
-    return evidence->asks_store || unconfirmed;
+    return evidence->queries_store || unconfirmed;
 }
 
 void currency_tick(struct currency *currency, const struct currency_evidence *evidence, time_ns now,
--- a/src/core/config_currency.h
+++ b/src/core/config_currency.h
@@ -42,8 +42,8 @@
 /* What membership knows of confirmations; see membership_store_confirmed_at and
  * membership_peers_confirmed_at. */
 struct currency_evidence {
-    bool synced;     /* the member list is whole */
-    bool asks_store; /* this daemon asks the store for its zone */
+    bool synced;        /* the member list is whole */
+    bool queries_store; /* this daemon asks the store for its zone */
     time_ns store_confirmed_at;
     time_ns peers_confirmed_at;
 };
@@ -57,8 +57,8 @@
 void currency_free(struct currency *currency);
 
 /* A configuration exists; `holder` is the member that has it in force, or 0. */
-void currency_hear(struct currency *currency, struct configuration_mark mark, uint64_t holder,
-                   time_ns now, GArray *actions);
+void currency_announced(struct currency *currency, struct configuration_mark mark, uint64_t holder,
+                        time_ns now, GArray *actions);
 
 /* The store's answer to READ_HEAD: its newest version (0: none yet), or no answer. The shell tells
  * membership of the answer as well, by membership_record_store_reply and
--- a/src/core/handover.c
+++ b/src/core/handover.c
@@ -51,7 +51,7 @@
     }
 }
 
-void handover_told_warm(struct handover *handover, uint64_t id, uint32_t database, time_ns now)
+void handover_owner_warm(struct handover *handover, uint64_t id, uint32_t database, time_ns now)
 {
     struct handover_owner *owner = find_owner(handover, id);
     if (owner != NULL && database < handover->database_count) {
@@ -82,7 +82,7 @@
     return databases;
 }
 
-uint32_t handover_to_ask(const struct handover *handover, uint64_t id, time_ns now)
+uint32_t handover_databases_to_query(const struct handover *handover, uint64_t id, time_ns now)
 {
     const struct handover_owner *owner = find_owner(handover, id);
     if (owner == NULL) {
@@ -101,5 +101,5 @@
     if (missing == 0) {
         return HANDOVER_STATE_WARM;
     }
-    return now < handover->until ? HANDOVER_STATE_WAITS : HANDOVER_STATE_TIMED_OUT;
+    return now < handover->until ? HANDOVER_STATE_WAITING : HANDOVER_STATE_TIMED_OUT;
 }
--- a/src/core/handover.h
+++ b/src/core/handover.h
@@ -10,7 +10,7 @@
 #include "core/types.h"
 
 enum handover_state {
-    HANDOVER_STATE_WAITS,    /* the old owner goes on serving */
+    HANDOVER_STATE_WAITING,  /* the old owner goes on serving */
     HANDOVER_STATE_WARM,     /* all new owners can serve, or there are none */
     HANDOVER_STATE_TIMED_OUT /* the time for hand-over is over */
 };
@@ -40,10 +40,10 @@
 void handover_set_reachable(struct handover *handover, uint32_t databases, time_ns now);
 
 /* An owner told that it can serve from a database. Others than the owners are ignored. */
-void handover_told_warm(struct handover *handover, uint64_t id, uint32_t database, time_ns now);
+void handover_owner_warm(struct handover *handover, uint64_t id, uint32_t database, time_ns now);
 
 /* Databases that an owner is to be asked about, one bit each. */
-uint32_t handover_to_ask(const struct handover *handover, uint64_t id, time_ns now);
+uint32_t handover_databases_to_query(const struct handover *handover, uint64_t id, time_ns now);
 
 enum handover_state handover_state(const struct handover *handover, time_ns now);
 
--- a/src/core/membership_internal.h
+++ b/src/core/membership_internal.h
@@ -83,7 +83,7 @@
     uint64_t zones_reachable; /* bit per zone, as last reported to the caller */
     uint64_t zones_absent;    /* bit per zone that has an absent member */
     uint64_t relay_zones;     /* bit per zone for which this daemon is a relay */
-    bool asks_store;
+    bool queries_store;
     bool relays_stale; /* relay_zones must be computed again */
 
     GArray *ring; /* uint64_t ids of the own zone's live members, shuffled */
--- a/src/core/membership_zones.c
+++ b/src/core/membership_zones.c
@@ -198,7 +198,7 @@
 {
     membership->relays_stale = false;
     membership->relay_zones = 0;
-    membership->asks_store = ranks_within(membership, MEMBERSHIP_STORE, STORE_QUERIERS);
+    membership->queries_store = ranks_within(membership, MEMBERSHIP_STORE, STORE_QUERIERS);
     for (uint16_t zone = 0; zone < MEMBERSHIP_ZONES_MAX; zone++) {
         if (zone == membership->self_zone || membership->live_in_zone[zone] == 0) {
             continue;
@@ -211,7 +211,7 @@
 
 bool membership_queries_store(const struct membership *membership)
 {
-    return membership->asks_store;
+    return membership->queries_store;
 }
 
 void membership_record_store_reply(struct membership *membership, time_ns sent_at)
--- a/src/daemon/control_budget.c
+++ b/src/daemon/control_budget.c
@@ -116,7 +116,7 @@
 static void ask_owner(struct control_budget *budget, const struct release *release,
                       const struct member_entry *owner, time_ns now)
 {
-    uint32_t databases = handover_to_ask(&release->handover, owner->id, now);
+    uint32_t databases = handover_databases_to_query(&release->handover, owner->id, now);
     for (uint32_t i = 0; i < release->runtime->database_count; i++) {
         struct budget_notice notice = {.group = release->group, .database = i, .asks = true};
         if ((databases & (UINT32_C(1) << i)) != 0) {
@@ -199,7 +199,7 @@
 {
     if (release->state == RELEASE_STATE_HANDING_OVER) {
         enum handover_state state = step_handover(budget, release, now);
-        if (state == HANDOVER_STATE_WAITS) {
+        if (state == HANDOVER_STATE_WAITING) {
             return false;
         }
         if (state == HANDOVER_STATE_TIMED_OUT) {
@@ -304,7 +304,7 @@
 {
     struct release *release = find_handing_over(budget, notice->group);
     if (release != NULL) {
-        handover_told_warm(&release->handover, notice->sender, notice->database, backend_now());
+        handover_owner_warm(&release->handover, notice->sender, notice->database, backend_now());
         budget->next_step_at = 0;
     }
 }
--- a/src/daemon/control_configuration.c
+++ b/src/daemon/control_configuration.c
@@ -213,7 +213,7 @@
     }
     g_autoptr(GArray) actions = g_array_new(FALSE, FALSE, sizeof(struct currency_action));
     note_heard(self, mark, "gossip");
-    currency_hear(self->currency, mark, holder, backend_now(), actions);
+    currency_announced(self->currency, mark, holder, backend_now(), actions);
     perform(self, actions);
 }
 
@@ -321,7 +321,7 @@
     struct membership *membership = self->control->membership;
     struct currency_evidence evidence = {
         .synced = membership_synced(membership),
-        .asks_store = membership_queries_store(membership),
+        .queries_store = membership_queries_store(membership),
         .store_confirmed_at = membership_store_confirmed_at(membership),
         .peers_confirmed_at = membership_peers_confirmed_at(membership, now),
     };
--- a/src/sim/scale_daemon.c
+++ b/src/sim/scale_daemon.c
@@ -125,7 +125,7 @@
 {
     g_autoptr(GArray) actions = g_array_new(FALSE, FALSE, sizeof(struct currency_action));
     uint64_t holder = action->holder ? action->member.id : 0;
-    currency_hear(daemon->currency, action->configuration, holder, fleet_now(fleet), actions);
+    currency_announced(daemon->currency, action->configuration, holder, fleet_now(fleet), actions);
     perform_currency(fleet, daemon, actions);
 }
 
@@ -177,7 +177,7 @@
 {
     struct currency_evidence evidence = {
         .synced = membership_synced(daemon->membership),
-        .asks_store = membership_queries_store(daemon->membership),
+        .queries_store = membership_queries_store(daemon->membership),
         .store_confirmed_at = membership_store_confirmed_at(daemon->membership),
         .peers_confirmed_at = membership_peers_confirmed_at(daemon->membership, fleet_now(fleet)),
     };
--- a/tests/core/config_currency_test.c
+++ b/tests/core/config_currency_test.c
@@ -48,7 +48,7 @@
 static void hear(struct fixture *fixture, uint64_t version, uint64_t holder, time_ns now)
 {
     g_array_set_size(fixture->actions, 0);
-    currency_hear(fixture->currency, mark(version), holder, now, fixture->actions);
+    currency_announced(fixture->currency, mark(version), holder, now, fixture->actions);
 }
 
 static void fetched(struct fixture *fixture, uint64_t version, time_ns now)
--- a/tests/core/handover_test.c
+++ b/tests/core/handover_test.c
@@ -22,7 +22,7 @@
 static void report_warm(struct handover *handover, uint64_t owner, time_ns now)
 {
     for (uint32_t i = 0; i < DATABASES; i++) {
-        handover_told_warm(handover, owner, i, now);
+        handover_owner_warm(handover, owner, i, now);
     }
 }
 
@@ -35,16 +35,16 @@
 {
     struct handover handover;
     begin(&handover);
-    assert_state(&handover, START, HANDOVER_STATE_WAITS);
-    g_assert_cmpuint(handover_to_ask(&handover, FIRST, START), ==, ALL);
+    assert_state(&handover, START, HANDOVER_STATE_WAITING);
+    g_assert_cmpuint(handover_databases_to_query(&handover, FIRST, START), ==, ALL);
     report_warm(&handover, FIRST, START + STEP);
-    g_assert_cmpuint(handover_to_ask(&handover, FIRST, START + STEP), ==, 0);
-    assert_state(&handover, START + STEP, HANDOVER_STATE_WAITS);
-    handover_told_warm(&handover, SECOND, 0, START + STEP);
-    handover_told_warm(&handover, SECOND, 2, START + STEP);
-    g_assert_cmpuint(handover_to_ask(&handover, SECOND, START + STEP), ==, 2);
-    assert_state(&handover, START + STEP, HANDOVER_STATE_WAITS);
-    handover_told_warm(&handover, SECOND, 1, START + 2 * STEP);
+    g_assert_cmpuint(handover_databases_to_query(&handover, FIRST, START + STEP), ==, 0);
+    assert_state(&handover, START + STEP, HANDOVER_STATE_WAITING);
+    handover_owner_warm(&handover, SECOND, 0, START + STEP);
+    handover_owner_warm(&handover, SECOND, 2, START + STEP);
+    g_assert_cmpuint(handover_databases_to_query(&handover, SECOND, START + STEP), ==, 2);
+    assert_state(&handover, START + STEP, HANDOVER_STATE_WAITING);
+    handover_owner_warm(&handover, SECOND, 1, START + 2 * STEP);
     assert_state(&handover, START + 2 * STEP, HANDOVER_STATE_WARM);
 }
 
@@ -55,8 +55,8 @@
     report_warm(&handover, FIRST, START);
     report_warm(&handover, FIRST, START);
     report_warm(&handover, THIRD, START);
-    handover_told_warm(&handover, SECOND, DATABASES, START);
-    assert_state(&handover, START, HANDOVER_STATE_WAITS);
+    handover_owner_warm(&handover, SECOND, DATABASES, START);
+    assert_state(&handover, START, HANDOVER_STATE_WAITING);
 }
 
 static void test_no_owner_left(void)
@@ -75,8 +75,8 @@
     for (time_ns now = START; now < START + MOST; now += STEP) {
         report_warm(&handover, FIRST, now);
         handover_set_reachable(&handover, ALL, now);
-        g_assert_cmpuint(handover_to_ask(&handover, SECOND, now), ==, ALL);
-        assert_state(&handover, now, HANDOVER_STATE_WAITS);
+        g_assert_cmpuint(handover_databases_to_query(&handover, SECOND, now), ==, ALL);
+        assert_state(&handover, now, HANDOVER_STATE_WAITING);
     }
     assert_state(&handover, START + MOST, HANDOVER_STATE_TIMED_OUT);
 }
@@ -88,9 +88,9 @@
     begin(&handover);
     report_warm(&handover, SECOND, START);
     handover_set_owners(&handover, after, G_N_ELEMENTS(after));
-    assert_state(&handover, START + STEP, HANDOVER_STATE_WAITS);
-    g_assert_cmpuint(handover_to_ask(&handover, FIRST, START + STEP), ==, 0);
-    g_assert_cmpuint(handover_to_ask(&handover, THIRD, START + STEP), ==, ALL);
+    assert_state(&handover, START + STEP, HANDOVER_STATE_WAITING);
+    g_assert_cmpuint(handover_databases_to_query(&handover, FIRST, START + STEP), ==, 0);
+    g_assert_cmpuint(handover_databases_to_query(&handover, THIRD, START + STEP), ==, ALL);
     report_warm(&handover, THIRD, START + STEP);
     assert_state(&handover, START + STEP, HANDOVER_STATE_WARM);
 }
@@ -105,8 +105,8 @@
     handover_set_owners(&handover, &both[1], 1);
     handover_set_owners(&handover, both, G_N_ELEMENTS(both));
     report_warm(&handover, SECOND, START);
-    assert_state(&handover, START, HANDOVER_STATE_WAITS);
-    g_assert_cmpuint(handover_to_ask(&handover, FIRST, START), ==, ALL);
+    assert_state(&handover, START, HANDOVER_STATE_WAITING);
+    g_assert_cmpuint(handover_databases_to_query(&handover, FIRST, START), ==, ALL);
 }
 
 /* The same when its restart was too short to be seen: it is asked again, and does not answer. */
@@ -118,8 +118,8 @@
     time_ns later = START + NANOSECONDS_PER_SECOND;
     handover_set_reachable(&handover, ALL, later);
     report_warm(&handover, SECOND, later);
-    g_assert_cmpuint(handover_to_ask(&handover, FIRST, later), ==, ALL);
-    assert_state(&handover, later, HANDOVER_STATE_WAITS);
+    g_assert_cmpuint(handover_databases_to_query(&handover, FIRST, later), ==, ALL);
+    assert_state(&handover, later, HANDOVER_STATE_WAITING);
 }
 
 /* The old owner itself does not reach the databases for a moment: that makes nobody warm. */
@@ -129,7 +129,7 @@
     begin(&handover);
     for (time_ns now = START; now < START + NANOSECONDS_PER_SECOND; now += STEP) {
         handover_set_reachable(&handover, 0, now);
-        assert_state(&handover, now, HANDOVER_STATE_WAITS);
+        assert_state(&handover, now, HANDOVER_STATE_WAITING);
     }
 }
 
@@ -141,8 +141,8 @@
     time_ns later = START + NANOSECONDS_PER_SECOND;
     handover_set_reachable(&handover, ALL & ~2U, later);
     for (uint32_t i = 0; i < DATABASES; i += 2) {
-        handover_told_warm(&handover, FIRST, i, later);
-        handover_told_warm(&handover, SECOND, i, later);
+        handover_owner_warm(&handover, FIRST, i, later);
+        handover_owner_warm(&handover, SECOND, i, later);
     }
     assert_state(&handover, later, HANDOVER_STATE_WARM);
 }
