--- a/src/core/config_currency.c
+++ b/src/core/config_currency.c
@@ -1,26 +1,27 @@
-/* The state machine behind config_currency.h: what is newest, where to get it, when to serve. */
+/* The state machine behind config_currency.h: which configuration is the newest, where to fetch it,
+ * and whether to serve. */
 #include "core/config_currency.h"
 
-/* How often confirmation is looked at while serving. */
+/* Interval of the checks for confirmation. */
 #define CHECK_INTERVAL (500 * NANOSECONDS_PER_MILLISECOND)
 
-/* Members tried for one configuration before the store is asked. */
+/* Number of members tried for one configuration before the store is queried. */
 #define PEER_ATTEMPTS 3
 
 struct currency {
     struct currency_options options;
     struct configuration_mark applied;
-    struct configuration_mark newest; /* heard of, at least as new as applied */
-    time_ns behind_since;             /* when a newer one than applied was first heard of; 0: not */
+    struct configuration_mark newest; /* newest known, at least as new as applied */
+    time_ns behind_since; /* when a version newer than applied first became known; 0: none is */
     time_ns started_at;
     time_ns confirmed_at;
     bool serving;
 
     bool fetching;
-    bool from_store; /* the fetch under way asks the store */
+    bool from_store; /* the fetch in progress is from the store */
     time_ns fetch_until;
-    uint32_t peer_attempts;                 /* for the newest */
-    uint64_t holders[CURRENCY_HOLDERS_MAX]; /* of the newest, the latest told first */
+    uint32_t peer_attempts;                 /* attempts for the newest */
+    uint64_t holders[CURRENCY_HOLDERS_MAX]; /* of the newest, the most recent first */
     time_ns try_store_at;
 
     time_ns next_head;
@@ -34,7 +35,7 @@
         .fetch_wait = 2 * NANOSECONDS_PER_SECOND,
         .holder_wait = 1 * NANOSECONDS_PER_SECOND,
         .head_interval = 2 * NANOSECONDS_PER_SECOND,
-        .head_urgent = 1 * NANOSECONDS_PER_SECOND,
+        .head_interval_unconfirmed = 1 * NANOSECONDS_PER_SECOND,
     };
 }
 
@@ -68,8 +69,8 @@
     return currency->newest.version > currency->applied.version;
 }
 
-/* Remembers a holder, the latest first, each once. */
-static void remember_holder(struct currency *currency, uint64_t holder)
+/* Adds a holder as the first of the list, which contains each holder once. */
+static void add_holder(struct currency *currency, uint64_t holder)
 {
     uint32_t place = 0;
     while (place < CURRENCY_HOLDERS_MAX - 1 && currency->holders[place] != holder) {
@@ -81,7 +82,7 @@
     currency->holders[0] = holder;
 }
 
-/* Takes the latest holder out of the list; 0 if there is none. */
+/* Removes and returns the most recent holder; 0 if there is none. */
 static uint64_t take_holder(struct currency *currency)
 {
     uint64_t holder = currency->holders[0];
@@ -135,7 +136,7 @@
         currency->behind_since = now;
     }
     if (holder != 0 && mark.version == currency->newest.version) {
-        remember_holder(currency, holder);
+        add_holder(currency, holder);
     }
     fetch_next(currency, now, actions);
 }
@@ -156,7 +157,8 @@
     currency->next_head = now + currency->options.head_interval;
 }
 
-/* Puts a configuration in force unless an equal or newer one is, or a newer one was heard of. */
+/* Puts a configuration in force unless an equal or newer one is in force or a newer one is
+ * known. */
 static void apply(struct currency *currency, struct configuration_mark mark, time_ns now,
                   GArray *actions)
 {
@@ -187,10 +189,10 @@
     fetch_next(currency, now, actions);
 }
 
-/* Time up to which the configuration in force is covered by confirmation. A confirmation counts
- * only while nothing newer is known, as what was confirmed is then what is in force; and not what
- * others had confirmed before this daemon started. */
-static void take_evidence(struct currency *currency, const struct currency_evidence *evidence)
+/* Updates the time up to which the configuration in force is confirmed. A confirmation counts only
+ * while no newer version is known, since only then does it concern the configuration in force.
+ * Confirmations from before this daemon's start, by others, do not count. */
+static void apply_evidence(struct currency *currency, const struct currency_evidence *evidence)
 {
     if (is_behind(currency)) {
         return;
@@ -231,8 +233,8 @@
     add_action(actions, serving ? CURRENCY_ACTION_SERVE : CURRENCY_ACTION_STOP, currency->applied);
 }
 
-/* True if this daemon should ask the store itself: for its zone, or because nothing else confirms
- * it. */
+/* True if this daemon should read the store's head itself: for its zone, or because it has no other
+ * recent confirmation. */
 static bool should_read_head(const struct currency *currency,
                              const struct currency_evidence *evidence, time_ns now)
 {
@@ -251,10 +253,10 @@
     if (currency->fetching && now >= currency->fetch_until) {
         currency->fetching = false;
     }
-    take_evidence(currency, evidence);
+    apply_evidence(currency, evidence);
     fetch_next(currency, now, actions);
     if (should_read_head(currency, evidence, now)) {
-        currency->next_head = now + currency->options.head_urgent;
+        currency->next_head = now + currency->options.head_interval_unconfirmed;
         add_action(actions, CURRENCY_ACTION_READ_HEAD, currency->newest);
     }
     set_serving(currency, may_serve(currency, now), actions);
--- a/src/core/deployment.h
+++ b/src/core/deployment.h
@@ -1,20 +1,20 @@
-/* Identity of a deployment. Addresses are given out again, so that a daemon may be sent what was
- * meant for one of another deployment: between daemons, what says that it is of another deployment
- * is dropped. Who says nothing, an older daemon or one without a name, is taken for one of the own.
- * See docs/design/membership.md. */
+/* Identity of a deployment. Addresses are reused, so a daemon may receive messages meant for a
+ * daemon of another deployment. Messages between daemons that name another deployment are dropped.
+ * A message without a name, from an older daemon or one without a deployment name, is accepted. See
+ * docs/design/membership.md. */
 #ifndef SW_CORE_DEPLOYMENT_H
 #define SW_CORE_DEPLOYMENT_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Identity that stands for no name. */
+/* Identity of a deployment without a name. */
 #define DEPLOYMENT_UNNAMED 0u
 
-/* Identity of a deployment of this name; DEPLOYMENT_UNNAMED if it is empty. */
+/* Identity of the deployment with this name; DEPLOYMENT_UNNAMED if the name is empty. */
 uint32_t deployment_hash(const char *name);
 
-/* True if both have a name, and not the same. */
+/* True if both deployments have names and the names differ. */
 static inline bool deployment_differs(uint32_t own, uint32_t other)
 {
     return own != DEPLOYMENT_UNNAMED && other != DEPLOYMENT_UNNAMED && own != other;
--- a/src/core/dissemination.c
+++ b/src/core/dissemination.c
@@ -1,4 +1,5 @@
-/* The tables behind dissemination.h: statuses, forwarders of owned groups, and unanswered sends. */
+/* The tables behind dissemination.h: statuses, forwarders of owned groups, and unacknowledged
+ * sends. */
 #include "core/dissemination.h"
 
 #include <string.h>
@@ -9,15 +10,15 @@
     time_ns seen_at;
 };
 
-/* One group, as known here. */
+/* State of one group. */
 struct group_entry {
     struct group_status status; /* term 0: none known */
     bool owned;
-    GArray *owners;     /* uint64_t, others than this daemon; NULL unless owned */
+    GArray *owners;     /* uint64_t, without this daemon; NULL unless owned */
     GArray *forwarders; /* struct forwarder by daemon; NULL unless owned */
 };
 
-/* A status that was sent and not yet answered. */
+/* A status that was sent and not yet acknowledged. */
 struct unanswered {
     uint64_t to;
     uint32_t group;
@@ -35,7 +36,7 @@
 void dissemination_options_default(struct dissemination_options *options)
 {
     *options = (struct dissemination_options){
-        .lapse = 60 * NANOSECONDS_PER_SECOND,
+        .forwarder_expiry = 60 * NANOSECONDS_PER_SECOND,
         .resend = 300 * NANOSECONDS_PER_MILLISECOND,
         .sends_max = 8,
     };
@@ -108,8 +109,8 @@
     }
 }
 
-/* Index of a daemon among the forwarders, or of the place where it belongs. */
-static guint forwarder_place(const GArray *forwarders, uint64_t daemon)
+/* Index of a daemon among the forwarders, or the index at which to insert it. */
+static guint forwarder_index(const GArray *forwarders, uint64_t daemon)
 {
     guint low = 0;
     guint high = forwarders->len;
@@ -131,16 +132,16 @@
     if (entry == NULL || entry->forwarders == NULL) {
         return;
     }
-    guint place = forwarder_place(entry->forwarders, daemon);
-    if (place < entry->forwarders->len) {
-        struct forwarder *present = &g_array_index(entry->forwarders, struct forwarder, place);
+    guint index = forwarder_index(entry->forwarders, daemon);
+    if (index < entry->forwarders->len) {
+        struct forwarder *present = &g_array_index(entry->forwarders, struct forwarder, index);
         if (present->daemon == daemon) {
             present->seen_at = now;
             return;
         }
     }
     struct forwarder added = {daemon, now};
-    g_array_insert_val(entry->forwarders, place, added);
+    g_array_insert_val(entry->forwarders, index, added);
 }
 
 static bool status_is_newer(const struct group_status *a, const struct group_status *b)
@@ -160,9 +161,9 @@
     g_array_append_val(sends, send);
 }
 
-/* Sends the group's status and waits for the answer. */
-static void tell(struct dissemination *dissemination, const struct group_entry *entry, uint64_t to,
-                 time_ns now, GArray *sends)
+/* Sends the group's status and tracks it until it is acknowledged. */
+static void send_tracked(struct dissemination *dissemination, const struct group_entry *entry,
+                         uint64_t to, time_ns now, GArray *sends)
 {
     send_status(dissemination, &entry->status, to, false, sends);
     for (guint i = 0; i < dissemination->unanswered->len; i++) {
@@ -178,12 +179,13 @@
     g_array_append_val(dissemination->unanswered, waiting);
 }
 
-static void drop_lapsed(struct dissemination *dissemination, GArray *forwarders, time_ns now)
+static void remove_expired_forwarders(struct dissemination *dissemination, GArray *forwarders,
+                                      time_ns now)
 {
     guint i = 0;
     while (i < forwarders->len) {
         time_ns seen_at = g_array_index(forwarders, struct forwarder, i).seen_at;
-        if (now > seen_at + dissemination->options.lapse) {
+        if (now > seen_at + dissemination->options.forwarder_expiry) {
             g_array_remove_index(forwarders, i);
         } else {
             i++;
@@ -201,31 +203,31 @@
     return false;
 }
 
-/* Tells the users of an owned group, except the one from whom the news came. */
-static void tell_users(struct dissemination *dissemination, struct group_entry *entry,
-                       uint64_t teller, bool owners_too, time_ns now, GArray *sends)
+/* Sends the status to the users of an owned group, except to the daemon it came from. */
+static void notify_users(struct dissemination *dissemination, struct group_entry *entry,
+                         uint64_t sender, bool owners_too, time_ns now, GArray *sends)
 {
     if (!entry->owned) {
         return;
     }
     for (guint i = 0; owners_too && i < entry->owners->len; i++) {
         uint64_t owner = g_array_index(entry->owners, uint64_t, i);
-        if (owner != teller) {
-            tell(dissemination, entry, owner, now, sends);
+        if (owner != sender) {
+            send_tracked(dissemination, entry, owner, now, sends);
         }
     }
-    drop_lapsed(dissemination, entry->forwarders, now);
+    remove_expired_forwarders(dissemination, entry->forwarders, now);
     for (guint i = 0; i < entry->forwarders->len; i++) {
         uint64_t daemon = g_array_index(entry->forwarders, struct forwarder, i).daemon;
-        if (daemon != teller && !is_owner(entry, daemon)) {
-            tell(dissemination, entry, daemon, now, sends);
+        if (daemon != sender && !is_owner(entry, daemon)) {
+            send_tracked(dissemination, entry, daemon, now, sends);
         }
     }
 }
 
-/* Stores a status. True if it is newer than what was known. */
-static bool take_status(struct dissemination *dissemination, struct group_entry *entry,
-                        const struct group_status *status)
+/* Stores a status. True if it is newer than the known one. */
+static bool store_status(struct dissemination *dissemination, struct group_entry *entry,
+                         const struct group_status *status)
 {
     bool newer = status_is_newer(status, &entry->status);
     if (!newer && !dissemination->options.take_older) {
@@ -239,14 +241,14 @@
                            time_ns now, GArray *sends)
 {
     struct group_entry *entry = obtain_entry(dissemination, status->group);
-    if (!take_status(dissemination, entry, status)) {
+    if (!store_status(dissemination, entry, status)) {
         return false;
     }
-    tell_users(dissemination, entry, 0, true, now, sends);
+    notify_users(dissemination, entry, 0, true, now, sends);
     return true;
 }
 
-static void forget_unanswered(struct dissemination *dissemination, uint64_t from, uint32_t group)
+static void remove_unanswered(struct dissemination *dissemination, uint64_t from, uint32_t group)
 {
     for (guint i = 0; i < dissemination->unanswered->len; i++) {
         const struct unanswered *waiting =
@@ -262,18 +264,18 @@
                            time_ns now, GArray *sends)
 {
     struct group_entry *entry = obtain_entry(dissemination, status->group);
-    bool news = take_status(dissemination, entry, status);
+    bool newer = store_status(dissemination, entry, status);
     bool settled = !status_is_newer(&entry->status, status);
     if (settled) {
-        forget_unanswered(dissemination, status->sender, status->group);
+        remove_unanswered(dissemination, status->sender, status->group);
     }
     if (!status->acknowledge) {
         send_status(dissemination, &entry->status, status->sender, true, sends);
     }
-    if (news) {
-        tell_users(dissemination, entry, status->sender, true, now, sends);
+    if (newer) {
+        notify_users(dissemination, entry, status->sender, true, now, sends);
     }
-    return news;
+    return newer;
 }
 
 void dissemination_tick(struct dissemination *dissemination, time_ns now, GArray *sends)
@@ -331,14 +333,14 @@
     return count;
 }
 
-/* A hash table keeps key, value and hash of an entry, with about half of its places in use. */
-#define HASH_ENTRY_OCTETS (2 * (sizeof(gpointer) + sizeof(gpointer) + sizeof(guint)))
+/* Approximate size of a hash table entry: key, value and hash, with half of the table in use. */
+#define HASH_ENTRY_BYTES (2 * (sizeof(gpointer) + sizeof(gpointer) + sizeof(guint)))
 
 size_t dissemination_memory(const struct dissemination *dissemination)
 {
     size_t groups = g_hash_table_size(dissemination->groups);
     size_t memory = sizeof(*dissemination);
-    memory += groups * (sizeof(struct group_entry) + HASH_ENTRY_OCTETS);
+    memory += groups * (sizeof(struct group_entry) + HASH_ENTRY_BYTES);
     memory += dissemination_forwarders(dissemination) * sizeof(struct forwarder);
     memory += dissemination->unanswered->len * sizeof(struct unanswered);
     return memory;
--- a/src/core/error.c
+++ b/src/core/error.c
@@ -1,4 +1,4 @@
-/* The one error domain, registered with GLib. */
+/* The error domain, registered with GLib. */
 #include "core/error.h"
 
 GQuark sw_error_quark(void)
--- a/src/core/handover.c
+++ b/src/core/handover.c
@@ -2,19 +2,20 @@
 
 #include <string.h>
 
-/* A database out of reach for longer keeps nobody waiting: no new owner can be warm there. A
- * shorter gap is a stall of this daemon or a lost probe. */
+/* A database without contact for longer is not waited for, since no new owner can be warm there. A
+ * shorter gap may be a stall of this daemon or a lost probe. */
 #define REACHED_WITHIN NANOSECONDS_PER_SECOND
 
-/* What an owner told counts for so long; it may have restarted since. */
+/* Time for which an owner's report counts; after that it may have restarted. */
 #define WARM_WITHIN NANOSECONDS_PER_SECOND
 
-/* An owner that told to be warm is asked again after this. */
-#define ASK_AGAIN_AFTER (WARM_WITHIN / 4)
+/* An owner that reported to be warm is queried again after this time. */
+#define QUERY_AGAIN_AFTER (WARM_WITHIN / 4)
 
-void handover_init(struct handover *handover, uint32_t database_count, time_ns most, time_ns now)
+void handover_init(struct handover *handover, uint32_t database_count, time_ns max_time,
+                   time_ns now)
 {
-    *handover = (struct handover){.until = now + most, .database_count = database_count};
+    *handover = (struct handover){.until = now + max_time, .database_count = database_count};
     for (uint32_t i = 0; i < database_count; i++) {
         handover->reached_at[i] = now;
     }
@@ -60,7 +61,7 @@
 }
 
 /* Databases at which new owners must be warm. */
-static uint32_t wanted(const struct handover *handover, time_ns now)
+static uint32_t required_databases(const struct handover *handover, time_ns now)
 {
     uint32_t databases = 0;
     for (uint32_t i = 0; i < handover->database_count; i++) {
@@ -70,7 +71,7 @@
     return databases;
 }
 
-/* Databases of which the owner told within this time that it is warm. */
+/* Databases for which the owner reported within this time that it is warm. */
 static uint32_t warm_within(const struct handover *handover, const struct handover_owner *owner,
                             time_ns within, time_ns now)
 {
@@ -88,15 +89,16 @@
     if (owner == NULL) {
         return 0;
     }
-    return wanted(handover, now) & ~warm_within(handover, owner, ASK_AGAIN_AFTER, now);
+    return required_databases(handover, now) &
+           ~warm_within(handover, owner, QUERY_AGAIN_AFTER, now);
 }
 
 enum handover_state handover_state(const struct handover *handover, time_ns now)
 {
     uint32_t missing = 0;
     for (uint32_t i = 0; i < handover->owner_count; i++) {
-        missing |=
-            wanted(handover, now) & ~warm_within(handover, &handover->owners[i], WARM_WITHIN, now);
+        missing |= required_databases(handover, now) &
+                   ~warm_within(handover, &handover->owners[i], WARM_WITHIN, now);
     }
     if (missing == 0) {
         return HANDOVER_STATE_WARM;
--- a/src/core/position_samples.c
+++ b/src/core/position_samples.c
@@ -4,9 +4,10 @@
 #include <math.h>
 #include <string.h>
 
-/* The sample that tells least: of the older ones, that with the smallest gap around it for its age.
- */
-static uint32_t least_telling(const struct group_view *view, time_ns now)
+/* The sample to remove: the oldest if it is beyond POSITION_SAMPLES_REACH, else, after the first
+ * POSITION_SAMPLES_DENSE, the one with the smallest gap between its neighbours relative to its
+ * age. */
+static uint32_t least_informative(const struct group_view *view, time_ns now)
 {
     uint32_t oldest = view->sample_count - 1;
     uint32_t least = oldest;
@@ -25,7 +26,7 @@
     return least;
 }
 
-static void drop(struct group_view *view, uint32_t index)
+static void remove_sample(struct group_view *view, uint32_t index)
 {
     uint32_t after = view->sample_count - index - 1;
     memmove(&view->samples[index], &view->samples[index + 1], after * sizeof(view->samples[0]));
@@ -35,7 +36,7 @@
 void position_samples_add(struct group_view *view, time_ns at, struct log_position held)
 {
     if (view->sample_count == GROUP_SAMPLES_MAX) {
-        drop(view, least_telling(view, at));
+        remove_sample(view, least_informative(view, at));
     }
     memmove(&view->samples[1], &view->samples[0], view->sample_count * sizeof(view->samples[0]));
     view->samples[0].at = at;
@@ -43,7 +44,7 @@
     view->sample_count++;
 }
 
-/* Moment between two samples at which the log passed `position`. */
+/* Time between two samples at which the log passed `position`. */
 static time_ns interpolate(const struct position_sample *older, const struct position_sample *newer,
                            struct log_position position)
 {
@@ -79,7 +80,7 @@
     if (view->sample_count == 0 || view->samples[0].at < moment) {
         return false;
     }
-    /* The oldest sample at or after the moment holds at least what stood then. */
+    /* The oldest sample at or after the moment contains at least the log as it was then. */
     uint32_t chosen = 0;
     while (chosen + 1 < view->sample_count && view->samples[chosen + 1].at >= moment) {
         chosen++;
--- a/src/core/quorum_settling.c
+++ b/src/core/quorum_settling.c
@@ -1,4 +1,4 @@
-/* Whether a change of a group's databases is done; see the header. */
+/* Whether a change of a group's databases is complete; see the header. */
 #include "core/quorum_settling.h"
 
 #include "core/acknowledge.h"
@@ -8,7 +8,7 @@
     *settling = (struct quorum_settling){.wait = wait};
 }
 
-/* The primary's status if the group has one that leads in the view's term, and is not deposed. */
+/* The primary's status if it is reachable and leads the view's term, else NULL. */
 static const struct database_status *find_primary(const struct group_view *view)
 {
     if (view->primary < 0 || !view->databases[view->primary].reachable) {
@@ -20,7 +20,8 @@
     return leads ? status : NULL;
 }
 
-/* Another term's log may lack what is needed: a position counts within its own term only. */
+/* A log of another term may not contain the needed entry, so only logs of the position's own term
+ * count. */
 static bool is_held_by_majority(const struct group_view *view, struct log_position needed)
 {
     uint32_t holders = 0;
@@ -34,8 +35,8 @@
     return holders >= majority_of(view->database_count);
 }
 
-static enum quorum_settling_state judge(struct quorum_settling *settling,
-                                        const struct group_view *view, time_ns now)
+static enum quorum_settling_state next_state(struct quorum_settling *settling,
+                                             const struct group_view *view, time_ns now)
 {
     if (settling->agreed_at == 0) {
         return QUORUM_SETTLING_AGREEING;
@@ -47,7 +48,8 @@
     if (primary == NULL) {
         return QUORUM_SETTLING_NO_LEADER;
     }
-    /* What was acknowledged is in the log of every later primary: its own position does as well. */
+    /* Acknowledged writes are in the log of every later primary, so the end of its log will do
+     * too. */
     bool seen_after =
         view->databases[view->primary].observed_at >= settling->agreed_at + settling->wait;
     if (settling->needed.term != view->term && seen_after) {
@@ -67,16 +69,16 @@
     if (agreed && settling->agreed_at == 0) {
         settling->agreed_at = now;
     }
-    settling->state = judge(settling, view, now);
+    settling->state = next_state(settling, view, now);
 }
 
 const char *quorum_settling_state_text(enum quorum_settling_state state)
 {
     switch (state) {
     case QUORUM_SETTLING_AGREEING:
-        return "most daemons are not known yet to have its databases";
+        return "a majority of the daemons has not confirmed its set of databases yet";
     case QUORUM_SETTLING_WAITING:
-        return "daemons may still count by the databases that it had before";
+        return "daemons may still use its previous set of databases";
     case QUORUM_SETTLING_NO_LEADER:
         return "it has no primary";
     case QUORUM_SETTLING_COPYING:
--- a/src/core/retry_budget.h
+++ b/src/core/retry_budget.h
@@ -1,5 +1,5 @@
-/* Retry budget of one daemon for one group: retries may be at most a fixed ratio of first attempts,
- * so that a failing group is not buried under its own retries. */
+/* Retry budget of one daemon for one group: retries are limited to a fixed ratio of first attempts,
+ * so that retries don't overload a failing group. */
 #ifndef SW_CORE_RETRY_BUDGET_H
 #define SW_CORE_RETRY_BUDGET_H
 
@@ -10,7 +10,8 @@
 /* Thousandths of a retry that each first attempt earns. */
 #define RETRY_BUDGET_EARNED_PER_ATTEMPT 200
 
-/* Most that can be saved, in thousandths: lets an idle group retry when a fault strikes. */
+/* Maximum of saved retries, in thousandths. It lets a group with little load retry when a fault
+ * occurs. */
 #define RETRY_BUDGET_SAVED_MAX 20000
 
 /* Atomic; request threads share one per group without a lock. */
@@ -21,10 +22,10 @@
 /* Starts with a full budget. */
 void retry_budget_init(struct retry_budget *budget);
 
-/* Counts a first attempt. */
+/* Counts a first attempt, which adds RETRY_BUDGET_EARNED_PER_ATTEMPT. */
 void retry_budget_earn(struct retry_budget *budget);
 
-/* Takes one retry; false if none is left. */
+/* Takes one retry from the budget; false if none is left. */
 bool retry_budget_spend(struct retry_budget *budget);
 
 #endif
--- a/tests/daemon/test_configuration.c
+++ b/tests/daemon/test_configuration.c
@@ -309,7 +309,7 @@
     enum exit_code exit_code = published_by_ctl(test, more, 1, -1, output);
     g_assert_cmpint(exit_code, ==, EXIT_CODE_REFUSED);
     g_assert_nonnull(strstr(output->str, "changes its databases"));
-    g_assert_nonnull(strstr(output->str, "daemons may still count by the databases"));
+    g_assert_nonnull(strstr(output->str, "daemons may still use its previous set of databases"));
     published_check_all_have(test, first);
     published_stop(test);
 }
