--- a/tests/core/acknowledge_test.c
+++ b/tests/core/acknowledge_test.c
@@ -1,4 +1,4 @@
-/* The acknowledgement rule: a majority under the write's own term, and nothing less. */
+/* The acknowledgement rule: only a majority within the write's own term counts. */
 #include "core/acknowledge.h"
 
 #include <glib.h>
--- a/tests/core/admission_test.c
+++ b/tests/core/admission_test.c
@@ -1,10 +1,10 @@
-/* Admission: slots, order of service, fair shares, refusal at once; and the retry budget. */
+/* Admission: slots, order of service, fair shares and immediate refusal; and the retry budget. */
 #include "core/admission.h"
 #include "core/retry_budget.h"
 
 #include <string.h>
 
-/* What admission takes for the service time before any was measured. */
+/* Admission's initial estimate of the service time. */
 #define SERVICE_TIME (5 * NANOSECONDS_PER_MILLISECOND)
 
 static const time_ns far_deadline = 100 * NANOSECONDS_PER_SECOND;
@@ -66,27 +66,27 @@
     admission_clear(&admission);
 }
 
-/* A tenant with many queued requests waits behind another's first one. */
+/* A tenant with many queued requests waits for another tenant's first one. */
 static void test_tenants_share_equally(void)
 {
     struct admission admission;
-    struct admission_ticket greedy[6];
-    struct admission_ticket modest = ticket_of(ADMISSION_CLASS_READ, 2);
+    struct admission_ticket heavy[6];
+    struct admission_ticket light = ticket_of(ADMISSION_CLASS_READ, 2);
     admission_init(&admission, 1, 10);
     for (int i = 0; i < 6; i++) {
-        greedy[i] = ticket_of(ADMISSION_CLASS_READ, 1);
-        enter(&admission, &greedy[i]);
+        heavy[i] = ticket_of(ADMISSION_CLASS_READ, 1);
+        enter(&admission, &heavy[i]);
     }
-    enter(&admission, &modest);
-    g_assert_true(serve_next(&admission) == &greedy[1]);
-    g_assert_true(serve_next(&admission) == &modest);
-    g_assert_true(serve_next(&admission) == &greedy[2]);
+    enter(&admission, &light);
+    g_assert_true(serve_next(&admission) == &heavy[1]);
+    g_assert_true(serve_next(&admission) == &light);
+    g_assert_true(serve_next(&admission) == &heavy[2]);
     while (serve_next(&admission) != NULL) {
     }
     admission_clear(&admission);
 }
 
-static void test_hopeless_deadline_is_refused_at_once(void)
+static void test_unreachable_deadline_is_refused_at_once(void)
 {
     struct admission admission;
     struct admission_ticket running = ticket_of(ADMISSION_CLASS_READ, 0);
@@ -107,26 +107,26 @@
     admission_clear(&admission);
 }
 
-/* The queue is never longer than half of the time that a request has. */
-static void test_wait_is_part_of_the_time(void)
+/* A queued request waits for at most half of the time to its deadline. */
+static void test_wait_is_limited_to_half_the_time(void)
 {
     struct admission admission;
     struct admission_ticket running = ticket_of(ADMISSION_CLASS_READ, 0);
-    struct admission_ticket short_of = ticket_of(ADMISSION_CLASS_READ, 0);
+    struct admission_ticket too_short = ticket_of(ADMISSION_CLASS_READ, 0);
     struct admission_ticket enough = ticket_of(ADMISSION_CLASS_READ, 0);
     admission_init(&admission, 1, 100);
     enter(&admission, &running);
-    /* One service time until the slot is free, and its own. */
-    short_of.deadline = 4 * SERVICE_TIME - NANOSECONDS_PER_MILLISECOND;
+    /* One service time until the slot is free, and the request's own. */
+    too_short.deadline = 4 * SERVICE_TIME - NANOSECONDS_PER_MILLISECOND;
     enough.deadline = 4 * SERVICE_TIME;
-    g_assert_cmpint(enter(&admission, &short_of), ==, ADMISSION_REFUSED);
+    g_assert_cmpint(enter(&admission, &too_short), ==, ADMISSION_REFUSED);
     g_assert_cmpint(enter(&admission, &enough), ==, ADMISSION_QUEUED);
     g_assert_true(serve_next(&admission) == &enough);
     admission_leave(&admission, SERVICE_TIME);
     admission_clear(&admission);
 }
 
-static void test_expired_in_queue_is_handed_back(void)
+static void test_expired_in_queue_is_returned(void)
 {
     struct admission admission;
     struct admission_ticket running = ticket_of(ADMISSION_CLASS_READ, 0);
@@ -143,15 +143,15 @@
     admission_clear(&admission);
 }
 
-/* What would end after its deadline is not begun, however its turn comes: the slot goes to the next
- * that can still be served. */
-static void test_too_late_at_its_turn_is_not_begun(void)
+/* A request that would end after its deadline is not started when a slot becomes free: the slot
+ * goes to the next request that can still be served. */
+static void test_too_late_is_not_started(void)
 {
     struct admission admission;
     struct admission_ticket running = ticket_of(ADMISSION_CLASS_READ, 0);
     struct admission_ticket late = ticket_of(ADMISSION_CLASS_READ, 0);
     struct admission_ticket in_time = ticket_of(ADMISSION_CLASS_READ, 0);
-    time_ns turn = NANOSECONDS_PER_SECOND - NANOSECONDS_PER_MILLISECOND;
+    time_ns slot_free_at = NANOSECONDS_PER_SECOND - NANOSECONDS_PER_MILLISECOND;
     bool admitted = true;
     admission_init(&admission, 1, 100);
     enter(&admission, &running);
@@ -159,32 +159,32 @@
     g_assert_cmpint(enter(&admission, &late), ==, ADMISSION_QUEUED);
     g_assert_cmpint(enter(&admission, &in_time), ==, ADMISSION_QUEUED);
     admission_leave(&admission, SERVICE_TIME);
-    g_assert_true(admission_next(&admission, turn, &admitted) == &late);
+    g_assert_true(admission_next(&admission, slot_free_at, &admitted) == &late);
     g_assert_false(admitted);
-    g_assert_true(admission_next(&admission, turn, &admitted) == &in_time);
+    g_assert_true(admission_next(&admission, slot_free_at, &admitted) == &in_time);
     g_assert_true(admitted);
     admission_leave(&admission, SERVICE_TIME);
     admission_clear(&admission);
 }
 
-/* A stuck database gives no slot back: those behind it get their answer as soon as a slot would
+/* A stuck database releases no slot. Requests queued for it are refused as soon as a slot would
  * come too late. */
-static void test_janitor_takes_expired_from_the_middle(void)
+static void test_expired_is_taken_from_any_position(void)
 {
     struct admission admission;
     struct admission_ticket running = ticket_of(ADMISSION_CLASS_READ, 0);
-    struct admission_ticket patient = ticket_of(ADMISSION_CLASS_READ, 0);
-    struct admission_ticket hasty = ticket_of(ADMISSION_CLASS_READ, 0);
+    struct admission_ticket long_deadline = ticket_of(ADMISSION_CLASS_READ, 0);
+    struct admission_ticket short_deadline = ticket_of(ADMISSION_CLASS_READ, 0);
     time_ns last_start = NANOSECONDS_PER_SECOND - 2 * SERVICE_TIME;
     admission_init(&admission, 1, 100);
-    hasty.deadline = NANOSECONDS_PER_SECOND;
+    short_deadline.deadline = NANOSECONDS_PER_SECOND;
     enter(&admission, &running);
-    enter(&admission, &patient);
-    enter(&admission, &hasty);
+    enter(&admission, &long_deadline);
+    enter(&admission, &short_deadline);
     g_assert_null(admission_take_expired(&admission, last_start));
-    g_assert_true(admission_take_expired(&admission, last_start + 1) == &hasty);
+    g_assert_true(admission_take_expired(&admission, last_start + 1) == &short_deadline);
     g_assert_null(admission_take_expired(&admission, last_start + 1));
-    g_assert_true(serve_next(&admission) == &patient);
+    g_assert_true(serve_next(&admission) == &long_deadline);
     admission_leave(&admission, 1);
     admission_clear(&admission);
 }
@@ -212,11 +212,12 @@
     g_test_add_func("/admission/slots", test_slots_then_queue_then_refusal);
     g_test_add_func("/admission/order", test_unrepeatable_writes_go_first);
     g_test_add_func("/admission/fair", test_tenants_share_equally);
-    g_test_add_func("/admission/hopeless", test_hopeless_deadline_is_refused_at_once);
-    g_test_add_func("/admission/part-of-time", test_wait_is_part_of_the_time);
-    g_test_add_func("/admission/expired", test_expired_in_queue_is_handed_back);
-    g_test_add_func("/admission/too-late", test_too_late_at_its_turn_is_not_begun);
-    g_test_add_func("/admission/janitor", test_janitor_takes_expired_from_the_middle);
+    g_test_add_func("/admission/unreachable-deadline",
+                    test_unreachable_deadline_is_refused_at_once);
+    g_test_add_func("/admission/wait-limit", test_wait_is_limited_to_half_the_time);
+    g_test_add_func("/admission/expired", test_expired_in_queue_is_returned);
+    g_test_add_func("/admission/too-late", test_too_late_is_not_started);
+    g_test_add_func("/admission/take-expired", test_expired_is_taken_from_any_position);
     g_test_add_func("/retry-budget/ratio", test_retry_budget_is_a_ratio);
     return g_test_run();
 }
--- a/tests/core/budget_move_test.c
+++ b/tests/core/budget_move_test.c
@@ -1,41 +1,43 @@
-/* Moves of places between daemons that overlap: whatever the moment at which a second one begins,
- * every owner comes to hold its share and every other daemon nothing, long before the time for
- * hand-over ends. The moments are enumerated: the second move begins after each step of the first.
- */
+/* Overlapping moves of positions between daemons: whenever the second move begins, every owner gets
+ * its share and every other daemon ends with no connection, long before the handover time ends. The
+ * second move is started after each step of the first. */
 #include "core/budget.h"
 
 #define DAEMONS 6
 
-/* How often a daemon that lost its place asks the owners, and all look at their wake-up times. */
+/* Interval at which a former owner queries the owners, and at which all daemons check their wake-up
+ * times. */
 #define STEP (25 * NANOSECONDS_PER_MILLISECOND)
 
-/* No move waits for its end. */
+/* So long that no move completes by time-out. */
 #define HANDOVER_TIME (600 * NANOSECONDS_PER_SECOND)
 
-/* All moves are over by then: some refused numbers, tried again after two seconds each. */
-#define PATIENCE (20 * NANOSECONDS_PER_SECOND)
+/* All moves are complete by then: some numbers are refused and tried again after two seconds
+ * each. */
+#define SETTLE_TIMEOUT (20 * NANOSECONDS_PER_SECOND)
 
-/* Steps of a move after which nothing is left to do, with some to spare. */
+/* Number of steps after which a move is complete, with a margin. */
 #define STEPS_MAX 120
 
-/* Of the test by seed. */
+/* Seeds, and moves per seed, of the random test. */
 #define SEEDS 300
 #define MOVES 12
 
-/* What is left for pools of 35 connections and two owners, and of 65 and three. */
+/* Connections that remain for pools, of databases that accept 35 with two owners and 65 with three.
+ */
 static const struct {
     uint32_t limit;
     uint32_t owners;
 } databases[] = {{27, 2}, {47, 3}};
 
-/* Holders of a number: none, or a daemon of whose end the database does not know yet. */
-#define NOBODY (-1)
-#define DEAD   (-2)
+/* Holders of a number: none, or a failed daemon whose end the database has not detected yet. */
+#define NO_HOLDER   (-1)
+#define DEAD_HOLDER (-2)
 
-/* Until the database notices that a daemon has died. */
+/* Time until the database detects that a daemon has failed. */
 #define NOTICE_TIME (3 * NANOSECONDS_PER_SECOND)
 
-/* Something that a daemon's pool is told next. */
+/* An opening or closing that waits to be performed. */
 struct task {
     uint32_t daemon;
     struct budget_action action;
@@ -45,23 +47,23 @@
     struct budget *budget;
     int32_t position;
     bool warm;
-    bool draining; /* lost its place, and the owners were warm */
-    bool released; /* told the owners */
+    bool draining; /* lost its position, and the owners were warm */
+    bool released; /* notified the owners that it holds nothing */
 };
 
 struct world {
     struct budget_options options;
     struct daemon daemons[DAEMONS];
     bool leaving[DAEMONS];
-    int32_t holder[BUDGET_CONNECTIONS_MAX]; /* of each number, NOBODY or DEAD */
-    time_ns noticed_at;                     /* when the database notices who has died */
-    uint32_t most;                          /* numbers held at one moment */
-    bool served;                            /* some daemon could serve; then one always can */
-    GQueue tasks;                           /* of struct task */
+    int32_t holder[BUDGET_CONNECTIONS_MAX]; /* of each number, or NO_HOLDER or DEAD_HOLDER */
+    time_ns noticed_at;                     /* when the database detects the failed daemons */
+    uint32_t held_max;                      /* maximum of numbers held at the same time */
+    bool served;  /* some daemon could serve; from then on one always must */
+    GQueue tasks; /* of struct task */
     time_ns now;
 };
 
-static void take_actions(struct world *world, uint32_t daemon, GArray *actions)
+static void apply_actions(struct world *world, uint32_t daemon, GArray *actions)
 {
     for (guint i = 0; i < actions->len; i++) {
         const struct budget_action *action = &g_array_index(actions, struct budget_action, i);
@@ -84,25 +86,25 @@
 {
     struct budget *budget = world->daemons[daemon].budget;
     GArray *actions = new_actions();
-    if (world->holder[number] != NOBODY) {
+    if (world->holder[number] != NO_HOLDER) {
         budget_number_taken(budget, number, world->now, actions);
     } else {
         world->holder[number] = (int32_t)daemon;
         budget_opened(budget, number, world->now, actions);
     }
-    take_actions(world, daemon, actions);
+    apply_actions(world, daemon, actions);
 }
 
 static void close_number(struct world *world, uint32_t daemon, uint32_t number)
 {
     GArray *actions = new_actions();
     g_assert_cmpint(world->holder[number], ==, (int32_t)daemon);
-    world->holder[number] = NOBODY;
+    world->holder[number] = NO_HOLDER;
     budget_closed(world->daemons[daemon].budget, number, world->now, actions);
-    take_actions(world, daemon, actions);
+    apply_actions(world, daemon, actions);
 }
 
-/* Carries out one opening or closing. False if none is left. */
+/* Performs one opening or closing. False if none is left. */
 static bool carry_out(struct world *world)
 {
     g_autofree struct task *task = g_queue_pop_head(&world->tasks);
@@ -128,10 +130,10 @@
         daemon->released = false;
     }
     budget_set_position(daemon->budget, position, true, world->now, actions);
-    take_actions(world, index, actions);
+    apply_actions(world, index, actions);
 }
 
-/* The first daemons that do not leave own the group. */
+/* Makes the first daemons that are not leaving the owners. */
 static void place_all(struct world *world)
 {
     int32_t owners = (int32_t)world->options.owners;
@@ -159,18 +161,18 @@
     return true;
 }
 
-static void tell_released(struct world *world)
+static void notify_released(struct world *world)
 {
     for (uint32_t i = 0; i < DAEMONS; i++) {
         if (world->daemons[i].position >= 0) {
             GArray *actions = new_actions();
             budget_peer_released(world->daemons[i].budget, world->now, actions);
-            take_actions(world, i, actions);
+            apply_actions(world, i, actions);
         }
     }
 }
 
-/* What the hand-over does for a daemon without a place. */
+/* The handover of a daemon without a position. */
 static void hand_over(struct world *world, uint32_t index)
 {
     struct daemon *daemon = &world->daemons[index];
@@ -178,16 +180,16 @@
         GArray *actions = new_actions();
         daemon->draining = true;
         budget_peer_warm(daemon->budget, world->now, actions);
-        take_actions(world, index, actions);
+        apply_actions(world, index, actions);
     }
     if (!daemon->released && budget_counted(daemon->budget) == 0) {
         daemon->released = true;
-        tell_released(world);
+        notify_released(world);
     }
 }
 
-/* Gives all numbers of one holder to another. */
-static void pass_numbers(struct world *world, int32_t from, int32_t to)
+/* Moves all numbers of one holder to another. */
+static void reassign_numbers(struct world *world, int32_t from, int32_t to)
 {
     for (uint32_t i = 0; i < BUDGET_CONNECTIONS_MAX; i++) {
         if (world->holder[i] == from) {
@@ -196,19 +198,19 @@
     }
 }
 
-/* Lets the clock go on, and does what is due at each daemon. */
+/* Advances the clock and performs due work of each daemon. */
 static void advance_clock(struct world *world)
 {
     world->now += STEP;
     if (world->now >= world->noticed_at) {
-        pass_numbers(world, DEAD, NOBODY);
+        reassign_numbers(world, DEAD_HOLDER, NO_HOLDER);
     }
     for (uint32_t i = 0; i < DAEMONS; i++) {
         struct daemon *daemon = &world->daemons[i];
         if (budget_next_wakeup(daemon->budget) <= world->now) {
             GArray *actions = new_actions();
             budget_tick(daemon->budget, world->now, actions);
-            take_actions(world, i, actions);
+            apply_actions(world, i, actions);
         }
         if (daemon->position < 0) {
             hand_over(world, i);
@@ -230,9 +232,9 @@
 {
     uint32_t held = 0;
     for (uint32_t i = 0; i < BUDGET_CONNECTIONS_MAX; i++) {
-        held += world->holder[i] != NOBODY;
+        held += world->holder[i] != NO_HOLDER;
     }
-    world->most = MAX(world->most, held);
+    world->held_max = MAX(world->held_max, held);
 }
 
 static void step(struct world *world)
@@ -245,7 +247,7 @@
     g_assert_true(is_served(world) == world->served);
 }
 
-/* True if every owner holds its share and nothing else, and nobody else holds anything. */
+/* True if every owner holds exactly its share, and no other daemon has a connection. */
 static bool is_settled(const struct world *world)
 {
     uint32_t share = budget_share(&world->options);
@@ -267,12 +269,12 @@
 
 static void await_settled(struct world *world)
 {
-    time_ns end = world->now + PATIENCE;
+    time_ns end = world->now + SETTLE_TIMEOUT;
     while (!is_settled(world) && world->now < end) {
         step(world);
     }
     g_assert_true(is_settled(world));
-    g_assert_cmpuint(world->most, <=, budget_numbers(&world->options));
+    g_assert_cmpuint(world->held_max, <=, budget_numbers(&world->options));
 }
 
 static void world_init(struct world *world, size_t database)
@@ -282,7 +284,7 @@
     world->options.handover_time = HANDOVER_TIME;
     g_queue_init(&world->tasks);
     for (uint32_t i = 0; i < BUDGET_CONNECTIONS_MAX; i++) {
-        world->holder[i] = NOBODY;
+        world->holder[i] = NO_HOLDER;
     }
     for (uint32_t i = 0; i < DAEMONS; i++) {
         world->daemons[i] = (struct daemon){.budget = budget_new(&world->options), .position = -1};
@@ -299,15 +301,15 @@
     g_queue_clear_full(&world->tasks, g_free);
 }
 
-/* Two moves: a daemon comes or goes, and after so many steps another. */
+/* Two moves: a daemon joins or leaves, and after a number of steps another one. */
 struct moves {
     const char *name;
-    uint32_t away; /* bit for each daemon that leaves before the first move */
+    uint32_t left_before; /* bit for each daemon that leaves before the first move */
     uint32_t first;
     uint32_t second;
 };
 
-/* One daemon stays at least: where there is no owner, nobody takes over. */
+/* At least one daemon stays: without an owner no daemon could take over. */
 static bool is_last(const struct world *world, uint32_t daemon)
 {
     for (uint32_t i = 0; i < DAEMONS; i++) {
@@ -318,7 +320,7 @@
     return true;
 }
 
-static void turn(struct world *world, uint32_t daemon)
+static void toggle_leaving(struct world *world, uint32_t daemon)
 {
     if (is_last(world, daemon)) {
         return;
@@ -331,16 +333,16 @@
     struct world world;
     world_init(&world, database);
     for (uint32_t i = 0; i < DAEMONS; i++) {
-        if ((moves->away >> i & 1) != 0) {
+        if ((moves->left_before >> i & 1) != 0) {
             set_leaving(&world, i, true);
             await_settled(&world);
         }
     }
-    turn(&world, moves->first);
+    toggle_leaving(&world, moves->first);
     for (uint32_t i = 0; i < steps; i++) {
         step(&world);
     }
-    turn(&world, moves->second);
+    toggle_leaving(&world, moves->second);
     await_settled(&world);
     world_clear(&world);
 }
@@ -366,7 +368,7 @@
     }
 }
 
-/* Ends a daemon at once. A fresh process of it is there, but owns nothing yet. */
+/* Kills a daemon. Its new process exists but owns nothing yet. */
 static void kill_daemon(struct world *world, uint32_t index)
 {
     struct daemon *daemon = &world->daemons[index];
@@ -374,7 +376,7 @@
         return;
     }
     drop_tasks(world, index);
-    pass_numbers(world, (int32_t)index, DEAD);
+    reassign_numbers(world, (int32_t)index, DEAD_HOLDER);
     world->noticed_at = world->now + NOTICE_TIME;
     budget_free(daemon->budget);
     *daemon = (struct daemon){.budget = budget_new(&world->options), .position = -1};
@@ -392,7 +394,7 @@
         if (kills && g_rand_boolean(random)) {
             kill_daemon(&world, daemon);
         } else {
-            turn(&world, daemon);
+            toggle_leaving(&world, daemon);
         }
         for (gint32 steps = g_rand_int_range(random, 0, STEPS_MAX); steps > 0; steps--) {
             step(&world);
@@ -405,8 +407,8 @@
     world_clear(&world);
 }
 
-/* Moves in a row, each begun at any moment of those before, by seed; with or without daemons that
- * die, old owners or new. */
+/* Successive moves, each started at a random moment of those before; with or without failures of
+ * daemons. */
 static void test_moves_in_a_row(gconstpointer data)
 {
     for (uint32_t seed = 1; seed <= SEEDS; seed++) {
--- a/tests/core/budget_test.c
+++ b/tests/core/budget_test.c
@@ -1,11 +1,11 @@
-/* The connection budget: many daemons with differing views share one database, events come in any
- * order, daemons pause and die; the database must never see more connections than its limit. */
+/* The connection budget: many daemons with different views share one database, events arrive in any
+ * order, daemons pause and fail. The database must never have more connections than its limit. */
 #include "core/budget.h"
 
 #define DAEMONS 8
 #define STEPS   4000
 
-/* The database: who holds each number, and which connections exist without one. */
+/* The database: the holder of each number, and the number of connections without one. */
 struct database {
     uint32_t limit;
     int32_t holder[BUDGET_CONNECTIONS_MAX]; /* daemon, or -1 */
@@ -15,19 +15,19 @@
 
 enum step_kind {
     STEP_CONNECT, /* the connection reaches the database */
-    STEP_LOCK,    /* the lock is asked for */
-    STEP_ANSWER,  /* the daemon learns what came of it */
+    STEP_LOCK,    /* the lock is requested */
+    STEP_ANSWER,  /* the daemon gets the result */
     STEP_CLOSE,   /* the close reaches the database */
-    STEP_CLOSED,  /* the daemon learns of the end */
+    STEP_CLOSED,  /* the daemon gets the end of the connection */
     STEP_WARM,
     STEP_RELEASED,
 };
 
-/* Something on its way; any of them may happen next. */
+/* A message in transit; any of them may arrive next. */
 struct pending {
     enum step_kind kind;
     uint32_t daemon;
-    uint32_t life; /* of the daemon when it began */
+    uint32_t life; /* of the daemon when it was sent */
     uint32_t number;
     bool granted;
 };
@@ -67,7 +67,7 @@
     g_assert_cmpuint(count, <=, world->database.limit);
 }
 
-/* The opening reserve counts on it that a daemon has one connection without a number at most. */
+/* The opening reserve assumes that each daemon has at most one connection without a number. */
 static void check_one_opening(const struct world *world, const struct pending *opening)
 {
     for (guint i = 0; i < world->pending->len; i++) {
@@ -104,7 +104,7 @@
     }
 }
 
-/* The lock at the database: given if nobody holds the number, else the connection is closed. */
+/* The lock at the database: granted if the number has no holder, else the connection is closed. */
 static bool take_lock(struct world *world, const struct pending *pending)
 {
     world->database.unnumbered--;
@@ -127,7 +127,7 @@
     }
 }
 
-static void tell_others(struct world *world, uint32_t from, bool warm)
+static void notify_others(struct world *world, uint32_t from, bool warm)
 {
     for (uint32_t i = 0; i < DAEMONS; i++) {
         if (i == from || world->daemons[i].paused) {
@@ -157,7 +157,7 @@
     perform(world, pending->daemon, actions);
 }
 
-/* Carries out one pending step at the database or the daemon. */
+/* Performs one pending step at the database or the daemon. */
 static void carry_out(struct world *world, struct pending pending)
 {
     bool current = pending.life == world->daemons[pending.daemon].life;
@@ -192,12 +192,12 @@
         return;
     case STEP_WARM:
     case STEP_RELEASED:
-        tell_others(world, pending.daemon, pending.kind == STEP_WARM);
+        notify_others(world, pending.daemon, pending.kind == STEP_WARM);
         return;
     }
 }
 
-/* A paused daemon does nothing, but its connections stand and packets under way arrive. */
+/* A paused daemon does nothing, but its connections stay open and messages in transit arrive. */
 static void carry_out_any(struct world *world)
 {
     if (world->pending->len == 0) {
@@ -224,8 +224,8 @@
     perform(world, daemon, actions);
 }
 
-/* The connections of a dead daemon end at the database at some later moment; its unanswered
- * connect may still arrive, which STEP_LOCK then undoes. */
+/* The connections of a failed daemon end at the database at some later time. A connect in transit
+ * may still arrive, which STEP_LOCK then undoes. */
 static void kill_daemon(struct world *world, uint32_t daemon)
 {
     struct daemon *killed = &world->daemons[daemon];
@@ -241,26 +241,27 @@
     killed->budget = budget_new(&world->options);
 }
 
-/* Two views: who owns in each. Daemons learn of either in any order. */
+/* One random step. The owners differ in two views, and daemons get positions of either in any
+ * order. */
 static void random_step(struct world *world)
 {
     world->now += random_below(world, 50) * NANOSECONDS_PER_MILLISECOND;
     uint32_t daemon = random_below(world, DAEMONS);
-    uint32_t dice = random_below(world, 100);
-    if (dice < 70) {
+    uint32_t choice = random_below(world, 100);
+    if (choice < 70) {
         carry_out_any(world);
-    } else if (dice < 80 && !world->daemons[daemon].paused) {
+    } else if (choice < 80 && !world->daemons[daemon].paused) {
         g_autoptr(GArray) actions = g_array_new(FALSE, FALSE, sizeof(struct budget_action));
         budget_tick(world->daemons[daemon].budget, world->now, actions);
         perform(world, daemon, actions);
-    } else if (dice < 88) {
+    } else if (choice < 88) {
         uint32_t first = random_below(world, 2) == 0 ? 0 : world->options.owners;
-        uint32_t place = daemon >= first ? daemon - first : world->options.owners;
-        bool owns = place < world->options.owners;
-        set_position(world, daemon, owns ? (int32_t)place : -1);
-    } else if (dice < 90) {
+        uint32_t position = daemon >= first ? daemon - first : world->options.owners;
+        bool owns = position < world->options.owners;
+        set_position(world, daemon, owns ? (int32_t)position : -1);
+    } else if (choice < 90) {
         kill_daemon(world, daemon);
-    } else if (dice < 95) {
+    } else if (choice < 95) {
         world->daemons[daemon].paused = !world->daemons[daemon].paused;
     }
 }
@@ -288,7 +289,7 @@
     g_rand_free(world->random);
 }
 
-/* Lets all settle under one view. */
+/* Runs until all daemons have settled under one view. */
 static void settle(struct world *world, uint32_t first)
 {
     for (uint32_t i = 0; i < DAEMONS; i++) {
@@ -309,7 +310,7 @@
     }
 }
 
-static void test_two_views_never_exceed(gconstpointer data)
+static void test_two_views_keep_the_limit(gconstpointer data)
 {
     uint32_t limit = GPOINTER_TO_UINT(data);
     for (uint32_t seed = 1; seed <= 60; seed++) {
@@ -328,7 +329,7 @@
     }
 }
 
-/* In a planned move there is a warm owner at every moment. */
+/* During a planned move at least one daemon can serve at every moment. */
 static void test_planned_move_keeps_a_server(void)
 {
     for (uint32_t seed = 1; seed <= 40; seed++) {
@@ -353,7 +354,7 @@
     }
 }
 
-/* Opens what the budget asks for until it holds `count` connections. */
+/* Opens connections as the budget requests until it holds `count`. */
 static void open_up_to(struct budget *budget, GArray *actions, uint32_t count)
 {
     for (guint i = 0; i < actions->len && budget_held(budget) < count; i++) {
@@ -365,7 +366,7 @@
     g_assert_cmpuint(budget_held(budget), ==, count);
 }
 
-/* Numbers for hand-over that the budget uses, and is not about to give back. */
+/* Counts the numbers for handover that are held and not being closed. */
 static uint32_t held_for_handover(const struct budget *budget, const struct budget_options *options)
 {
     uint32_t count = 0;
@@ -376,7 +377,7 @@
     return count;
 }
 
-/* The next move may come before this one is complete: its new owner needs numbers for hand-over
+/* The next move may start before this one is complete: its new owner needs the numbers for handover
  * while this one still serves. */
 static void test_handover_numbers_are_free_for_the_next_move(void)
 {
@@ -405,7 +406,7 @@
     }
 }
 
-/* The share need not be whole for that: to open all of it takes a while. */
+/* This does not need the complete share, since opening all of its connections takes time. */
 static void test_handover_numbers_go_back_once_warm(void)
 {
     struct budget_options options;
@@ -440,10 +441,10 @@
 int main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_data_func("/budget/two-views-never-exceed/35", GUINT_TO_POINTER(35),
-                         test_two_views_never_exceed);
-    g_test_add_data_func("/budget/two-views-never-exceed/65", GUINT_TO_POINTER(65),
-                         test_two_views_never_exceed);
+    g_test_add_data_func("/budget/two-views-keep-the-limit/35", GUINT_TO_POINTER(35),
+                         test_two_views_keep_the_limit);
+    g_test_add_data_func("/budget/two-views-keep-the-limit/65", GUINT_TO_POINTER(65),
+                         test_two_views_keep_the_limit);
     g_test_add_func("/budget/planned-move-keeps-a-server", test_planned_move_keeps_a_server);
     g_test_add_func("/budget/handover-numbers-are-free-for-the-next-move",
                     test_handover_numbers_are_free_for_the_next_move);
--- a/tests/core/config_currency_test.c
+++ b/tests/core/config_currency_test.c
@@ -1,4 +1,5 @@
-/* Currency: nothing older is applied, nothing unconfirmed is served, and where a fetch goes. */
+/* Configuration currency: no older version is applied, no unconfirmed one is served, and the
+ * sources of a fetch are tried in order. */
 #include "core/config_currency.h"
 
 #define SECONDS(n) ((n)*NANOSECONDS_PER_SECOND)
@@ -45,7 +46,7 @@
     return false;
 }
 
-static void hear(struct fixture *fixture, uint64_t version, uint64_t holder, time_ns now)
+static void announce(struct fixture *fixture, uint64_t version, uint64_t holder, time_ns now)
 {
     g_array_set_size(fixture->actions, 0);
     currency_announced(fixture->currency, mark(version), holder, now, fixture->actions);
@@ -67,7 +68,7 @@
 {
     struct fixture fixture;
     fixture_init(&fixture);
-    hear(&fixture, 7, 55, SECONDS(1));
+    announce(&fixture, 7, 55, SECONDS(1));
     g_assert_true(has_action(&fixture, CURRENCY_ACTION_FETCH_PEER));
     fetched(&fixture, 7, SECONDS(2));
     g_assert_true(has_action(&fixture, CURRENCY_ACTION_APPLY));
@@ -83,14 +84,14 @@
     fixture_clear(&fixture);
 }
 
-/* Content that comes unasked, from a publisher, in whatever order with what is heard. */
-static void test_content_unasked(void)
+/* Content that arrives without a request, from a publisher, in any order with announcements. */
+static void test_content_without_request(void)
 {
     struct fixture fixture;
     fixture_init(&fixture);
     fetched(&fixture, 3, SECONDS(1));
     g_assert_true(has_action(&fixture, CURRENCY_ACTION_APPLY));
-    hear(&fixture, 5, 0, SECONDS(1));
+    announce(&fixture, 5, 0, SECONDS(1));
     fetched(&fixture, 4, SECONDS(1));
     g_assert_false(has_action(&fixture, CURRENCY_ACTION_APPLY));
     fetched(&fixture, 5, SECONDS(1));
@@ -99,14 +100,14 @@
     g_assert_false(has_action(&fixture, CURRENCY_ACTION_APPLY));
     fetched(&fixture, 6, SECONDS(1));
     g_assert_true(has_action(&fixture, CURRENCY_ACTION_APPLY));
-    hear(&fixture, 5, 77, SECONDS(1));
+    announce(&fixture, 5, 77, SECONDS(1));
     fetched(&fixture, 5, SECONDS(1));
     g_assert_false(has_action(&fixture, CURRENCY_ACTION_APPLY));
     g_assert_cmpuint(currency_newest(fixture.currency).version, ==, 6);
     fixture_clear(&fixture);
 }
 
-/* What others had confirmed before a daemon started says nothing about what it was told since. */
+/* A confirmation from before a daemon's start does not cover what it received since. */
 static void test_confirmation_before_the_start_does_not_count(void)
 {
     struct fixture fixture;
@@ -119,13 +120,13 @@
     fixture_clear(&fixture);
 }
 
-/* A confirmation from before something newer was heard of says nothing about what is in force. */
+/* A confirmation received while a newer version is known does not cover the one in force. */
 static void test_confirmation_while_behind_does_not_count(void)
 {
     struct fixture fixture;
     fixture_init(&fixture);
     fetched(&fixture, 3, SECONDS(1));
-    hear(&fixture, 4, 0, SECONDS(2));
+    announce(&fixture, 4, 0, SECONDS(2));
     fixture.evidence.store_confirmed_at = SECONDS(3);
     tick(&fixture, SECONDS(3));
     g_assert_false(currency_serving(fixture.currency));
@@ -150,8 +151,8 @@
     fixture_clear(&fixture);
 }
 
-/* One that knows of a newer configuration and can't get it stops after the bound, though peers and
- * store answer. */
+/* A daemon that knows a newer configuration and can't fetch it stops after the bound, although
+ * peers and store respond. */
 static void test_stops_when_it_can_not_get_the_newest(void)
 {
     struct fixture fixture;
@@ -159,7 +160,7 @@
     fetched(&fixture, 3, SECONDS(1));
     fixture.evidence.store_confirmed_at = SECONDS(1);
     tick(&fixture, SECONDS(1));
-    hear(&fixture, 4, 0, SECONDS(2));
+    announce(&fixture, 4, 0, SECONDS(2));
     for (time_ns now = SECONDS(2); now <= SECONDS(13); now += SECONDS(1)) {
         fixture.evidence.store_confirmed_at = now;
         tick(&fixture, now);
@@ -168,7 +169,7 @@
     fixture_clear(&fixture);
 }
 
-/* Hears and fetches versions in any order; returns how often an older one was applied. */
+/* Announces and delivers versions in any order; returns how often an older one was applied. */
 static uint32_t count_reverts(const struct currency_options *options)
 {
     struct fixture fixture;
@@ -180,7 +181,7 @@
         uint64_t version = (uint64_t)g_rand_int_range(random, 1, 2 + step / 10);
         time_ns now = SECONDS(1) + (time_ns)step * NANOSECONDS_PER_MILLISECOND;
         if (g_rand_boolean(random)) {
-            hear(&fixture, version, (uint64_t)g_rand_int_range(random, 0, 5), now);
+            announce(&fixture, version, (uint64_t)g_rand_int_range(random, 0, 5), now);
         } else {
             uint64_t applied = currency_applied(fixture.currency).version;
             fetched(&fixture, version, now);
@@ -208,16 +209,16 @@
     g_assert_cmpuint(reverts_without_check, >, 0);
 }
 
-/* Holders are tried first, the latest before the others; then the store. */
+/* Holders are tried first, the most recent before the others; then the store. */
 static void test_sources_in_order(void)
 {
     struct fixture fixture;
     fixture_init(&fixture);
-    hear(&fixture, 2, 11, SECONDS(1));
+    announce(&fixture, 2, 11, SECONDS(1));
     const struct currency_action *action =
         &g_array_index(fixture.actions, struct currency_action, 0);
     g_assert_cmpuint(action->peer, ==, 11);
-    hear(&fixture, 2, 12, SECONDS(1));
+    announce(&fixture, 2, 12, SECONDS(1));
     g_assert_cmpuint(fixture.actions->len, ==, 0);
     currency_fetch_failed(fixture.currency, SECONDS(1), fixture.actions);
     action = &g_array_index(fixture.actions, struct currency_action, 0);
@@ -228,13 +229,13 @@
     fixture_clear(&fixture);
 }
 
-/* A fetch without an answer does not hold up the next. */
+/* A fetch without a reply does not block the next. */
 static void test_fetch_times_out(void)
 {
     struct fixture fixture;
     fixture_init(&fixture);
-    hear(&fixture, 2, 11, SECONDS(1));
-    hear(&fixture, 2, 12, SECONDS(1));
+    announce(&fixture, 2, 11, SECONDS(1));
+    announce(&fixture, 2, 12, SECONDS(1));
     tick(&fixture, SECONDS(2));
     g_assert_false(has_action(&fixture, CURRENCY_ACTION_FETCH_PEER));
     tick(&fixture, SECONDS(3));
@@ -242,8 +243,8 @@
     fixture_clear(&fixture);
 }
 
-/* Daemons that are confirmed by others leave the store alone. */
-static void test_few_ask_the_store(void)
+/* Daemons that are confirmed by peers do not query the store. */
+static void test_confirmed_daemon_does_not_query_the_store(void)
 {
     struct fixture fixture;
     fixture_init(&fixture);
@@ -264,7 +265,7 @@
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/currency/fresh-daemon-waits-for-confirmation",
                     test_fresh_daemon_waits_for_confirmation);
-    g_test_add_func("/currency/content-unasked", test_content_unasked);
+    g_test_add_func("/currency/content-without-request", test_content_without_request);
     g_test_add_func("/currency/confirmation-before-the-start-does-not-count",
                     test_confirmation_before_the_start_does_not_count);
     g_test_add_func("/currency/confirmation-while-behind-does-not-count",
@@ -275,6 +276,7 @@
     g_test_add_func("/currency/never-applies-older", test_never_applies_older);
     g_test_add_func("/currency/sources-in-order", test_sources_in_order);
     g_test_add_func("/currency/fetch-times-out", test_fetch_times_out);
-    g_test_add_func("/currency/few-ask-the-store", test_few_ask_the_store);
+    g_test_add_func("/currency/confirmed-daemon-does-not-query-the-store",
+                    test_confirmed_daemon_does_not_query_the_store);
     return g_test_run();
 }
--- a/tests/core/dissemination_test.c
+++ b/tests/core/dissemination_test.c
@@ -1,4 +1,5 @@
-/* Spread of group status: who is told, until when, and that nothing older is taken. */
+/* Distribution of group status: which daemons get updates, for how long, and that no older status
+ * is accepted. */
 #include "core/dissemination.h"
 
 #define SECONDS(n) ((n)*NANOSECONDS_PER_SECOND)
@@ -25,7 +26,7 @@
     };
 }
 
-/* True if the sends hold one to this daemon, as news or as an answer. */
+/* True if a status was sent to this daemon, as update or as acknowledgement. */
 static bool sent_to(const GArray *sends, uint64_t to, bool acknowledge)
 {
     for (guint i = 0; i < sends->len; i++) {
@@ -37,7 +38,7 @@
     return false;
 }
 
-static void test_owners_and_recent_forwarders_are_told(void)
+static void test_owners_and_recent_forwarders_get_updates(void)
 {
     const uint64_t owners[] = {SELF, 2, 3};
     struct dissemination *dissemination = new_owner(owners, 3);
@@ -55,7 +56,7 @@
     dissemination_free(dissemination);
 }
 
-static void test_repeated_until_answered(void)
+static void test_repeated_until_acknowledged(void)
 {
     const uint64_t owners[] = {SELF, 2, 3};
     struct dissemination *dissemination = new_owner(owners, 3);
@@ -83,7 +84,7 @@
     dissemination_free(dissemination);
 }
 
-static void test_owner_passes_news_on_once(void)
+static void test_owner_forwards_update_once(void)
 {
     const uint64_t owners[] = {SELF, 2, 3};
     struct dissemination *dissemination = new_owner(owners, 3);
@@ -101,8 +102,8 @@
     dissemination_free(dissemination);
 }
 
-/* Who tells something old learns what is new. */
-static void test_older_is_not_taken_but_answered(void)
+/* The sender of an old status gets the current one. */
+static void test_older_is_ignored_but_acknowledged(void)
 {
     struct dissemination *dissemination = new_owner(NULL, 0);
     g_autoptr(GArray) sends = g_array_new(FALSE, FALSE, sizeof(struct dissemination_send));
@@ -120,7 +121,8 @@
     dissemination_free(dissemination);
 }
 
-/* Statuses in any order: what is known never goes back, unless the check is off. */
+/* Statuses in any order: the known one never goes back, unless the check is disabled. Returns how
+ * often it did. */
 static uint32_t count_reverts(bool take_older)
 {
     struct dissemination_options options;
@@ -152,8 +154,8 @@
     g_assert_cmpuint(reverts_without_check, >, 0);
 }
 
-/* A daemon that lost its place as owner tells nobody and keeps no list. */
-static void test_no_owner_no_list(void)
+/* A former owner sends no updates and keeps no forwarders. */
+static void test_former_owner_has_no_list(void)
 {
     const uint64_t owners[] = {SELF, 2, 3};
     struct dissemination *dissemination = new_owner(owners, 3);
@@ -171,13 +173,13 @@
 int main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/dissemination/owners-and-recent-forwarders-are-told",
-                    test_owners_and_recent_forwarders_are_told);
-    g_test_add_func("/dissemination/repeated-until-answered", test_repeated_until_answered);
-    g_test_add_func("/dissemination/owner-passes-news-on-once", test_owner_passes_news_on_once);
-    g_test_add_func("/dissemination/older-is-not-taken-but-answered",
-                    test_older_is_not_taken_but_answered);
+    g_test_add_func("/dissemination/owners-and-recent-forwarders-get-updates",
+                    test_owners_and_recent_forwarders_get_updates);
+    g_test_add_func("/dissemination/repeated-until-acknowledged", test_repeated_until_acknowledged);
+    g_test_add_func("/dissemination/owner-forwards-update-once", test_owner_forwards_update_once);
+    g_test_add_func("/dissemination/older-is-ignored-but-acknowledged",
+                    test_older_is_ignored_but_acknowledged);
     g_test_add_func("/dissemination/never-goes-back", test_never_goes_back);
-    g_test_add_func("/dissemination/no-owner-no-list", test_no_owner_no_list);
+    g_test_add_func("/dissemination/former-owner-has-no-list", test_former_owner_has_no_list);
     return g_test_run();
 }
--- a/tests/core/group_control_fixture.c
+++ b/tests/core/group_control_fixture.c
@@ -64,7 +64,8 @@
                                        .status = rig->databases[database]});
 }
 
-/* A healthy group: database 0 leads term 5, the others follow it, all hold offset 10. */
+/* Starts with a healthy group: database 0 leads term 5, the others follow it, all hold offset
+ * 10. */
 void rig_start_with(struct rig *rig, uint32_t watchers,
                     void (*adjust)(struct group_control_options *))
 {
@@ -106,7 +107,7 @@
     group_control_free(rig->control);
 }
 
-/* Advances by whole ticks, probing as a shell would. Stops early once `until` comes up. */
+/* Advances in steps of 50 ms with probes of all databases. Stops early once `until` occurs. */
 bool rig_run(struct rig *rig, time_ns duration, enum group_action_kind until)
 {
     time_ns end = rig->now + duration;
@@ -129,13 +130,13 @@
     rig_feed(rig, (struct group_event){.kind = GROUP_EVENT_OPINION, .opinion = opinion});
 }
 
-void rig_peer_calm(struct rig *rig, uint64_t watcher)
+void rig_peer_without_suspicion(struct rig *rig, uint64_t watcher)
 {
     rig_opinion(
         rig, (struct group_opinion){.watcher = watcher, .term = 5, .primary = 0, .reachable = 7});
 }
 
-/* Answers the command of `action` as the database would. */
+/* Reports the result of a command. */
 void rig_complete(struct rig *rig, uint64_t command, enum group_command_result result,
                   struct database_status status)
 {
--- a/tests/core/group_control_test.c
+++ b/tests/core/group_control_test.c
@@ -1,4 +1,4 @@
-/* Scenarios of one watcher's control of a group of three databases in three zones. */
+/* Failure detection, failover and repair by one watcher of three databases in three zones. */
 #include "group_control_fixture.h"
 
 #include <glib.h>
@@ -10,8 +10,9 @@
                  .watcher = watcher, .term = term, .primary = 0, .suspects = true, .reachable = 6});
 }
 
-/* Kills the primary and lets this watcher and one peer agree; leaves the fences in `fences`. */
-static void lose_primary(struct rig *rig, uint64_t fences[3])
+/* Makes the primary unreachable and a peer confirm the suspicion; returns the commands in
+ * `fences`. */
+static void fail_primary(struct rig *rig, uint64_t fences[3])
 {
     rig->reachable[0] = false;
     g_assert_false(rig_run(rig, 600 * MS, GROUP_ACTION_FENCE));
@@ -66,8 +67,8 @@
     rig_stop(&rig);
 }
 
-/* A watcher that takes the group up and doesn't reach its primary, while the others are healthy and
- * not heard yet: promises are above the term it knows only since it knows none. */
+/* A new watcher that does not reach the primary and has no opinions of the others yet must not
+ * depose a healthy primary. It sees promised terms above its own only because it knows no term. */
 static void test_new_watcher_does_not_depose(void)
 {
     struct rig rig;
@@ -78,11 +79,11 @@
     rig.reachable[0] = false;
     g_assert_false(rig_run(&rig, 1900 * MS, GROUP_ACTION_FENCE));
     for (int second = 0; second < 10; second++) {
-        rig_peer_calm(&rig, PEER1);
-        rig_peer_calm(&rig, PEER2);
+        rig_peer_without_suspicion(&rig, PEER1);
+        rig_peer_without_suspicion(&rig, PEER2);
         g_assert_false(rig_run(&rig, 1000 * MS, GROUP_ACTION_FENCE));
     }
-    /* Alone, it must do it all. */
+    /* As the only watcher it must act by itself. */
     rig_set_watchers(&rig, 1);
     g_assert_true(rig_run(&rig, 1000 * MS, GROUP_ACTION_FENCE));
     rig_stop(&rig);
@@ -94,8 +95,8 @@
     rig_start(&rig);
     rig.reachable[0] = false;
     for (int second = 0; second < 10; second++) {
-        rig_peer_calm(&rig, PEER1);
-        rig_peer_calm(&rig, PEER2);
+        rig_peer_without_suspicion(&rig, PEER1);
+        rig_peer_without_suspicion(&rig, PEER2);
         g_assert_false(rig_run(&rig, 1000 * MS, GROUP_ACTION_FENCE));
     }
     g_assert_false(group_control_view(rig.control)->databases[0].reachable);
@@ -105,7 +106,7 @@
     rig_stop(&rig);
 }
 
-static void test_silent_watchers_abstain(void)
+static void test_unresponsive_watchers_abstain(void)
 {
     struct rig rig;
     rig_start(&rig);
@@ -145,7 +146,7 @@
     uint64_t fences[3];
     rig_start(&rig);
     rig.databases[2].held = (struct log_position){5, 11};
-    lose_primary(&rig, fences);
+    fail_primary(&rig, fences);
     rig_complete(&rig, fences[1], GROUP_COMMAND_OK, rig_promise(&rig, 1, 6));
     g_assert_null(rig_find(&rig, GROUP_ACTION_PROMOTE));
     rig_complete(&rig, fences[2], GROUP_COMMAND_OK, rig_promise(&rig, 2, 6));
@@ -173,7 +174,7 @@
     uint64_t fences[3];
     rig_start(&rig);
     rig.databases[1].leaving = true;
-    lose_primary(&rig, fences);
+    fail_primary(&rig, fences);
     rig_complete(&rig, fences[1], GROUP_COMMAND_OK, rig_promise(&rig, 1, 6));
     rig_complete(&rig, fences[2], GROUP_COMMAND_OK, rig_promise(&rig, 2, 6));
     g_assert_cmpuint(rig_find(&rig, GROUP_ACTION_PROMOTE)->database, ==, 2);
@@ -185,12 +186,12 @@
     struct rig rig;
     uint64_t fences[3];
     rig_start(&rig);
-    lose_primary(&rig, fences);
+    fail_primary(&rig, fences);
     rig_complete(&rig, fences[1], GROUP_COMMAND_REFUSED, rig_promise(&rig, 1, 9));
     rig_complete(&rig, fences[2], GROUP_COMMAND_REFUSED, rig_promise(&rig, 2, 9));
     g_assert_true(rig_recorded(&rig, GROUP_RECORD_ATTEMPT_FAILED, GROUP_REASON_REFUSED));
     g_assert_null(rig_find(&rig, GROUP_ACTION_FENCE));
-    /* The late grant of the old attempt changes nothing. */
+    /* A late grant of the failed attempt has no effect. */
     rig_complete(&rig, fences[0], GROUP_COMMAND_OK, rig_promise(&rig, 0, 6));
     g_assert_null(rig_find(&rig, GROUP_ACTION_PROMOTE));
     rig.reachable[0] = false;
@@ -204,7 +205,7 @@
     struct rig rig;
     uint64_t fences[3];
     rig_start(&rig);
-    lose_primary(&rig, fences);
+    fail_primary(&rig, fences);
     rig_complete(&rig, fences[1], GROUP_COMMAND_LOST, rig.databases[1]);
     rig.now += 60 * MS;
     rig_feed(&rig, (struct group_event){.kind = GROUP_EVENT_TICK});
@@ -214,12 +215,12 @@
     rig_stop(&rig);
 }
 
-/* Brings the rig to the point where database 1 was told to lead; returns the command. */
+/* Runs a failover up to the promote command for database 1; returns the command. */
 static uint64_t reach_promote(struct rig *rig)
 {
     uint64_t fences[3];
     rig_start(rig);
-    lose_primary(rig, fences);
+    fail_primary(rig, fences);
     rig_complete(rig, fences[2], GROUP_COMMAND_OK, rig_promise(rig, 2, 6));
     rig_complete(rig, fences[1], GROUP_COMMAND_OK, rig_promise(rig, 1, 6));
     g_assert_cmpuint(rig_find(rig, GROUP_ACTION_PROMOTE)->database, ==, 1);
@@ -261,13 +262,13 @@
     struct rig rig;
     uint64_t fences[3];
     rig_start(&rig);
-    lose_primary(&rig, fences);
+    fail_primary(&rig, fences);
     rig_opinion(&rig,
                 (struct group_opinion){
                     .watcher = PEER2, .term = 8, .primary = 2, .reachable = 7, .promised = 8});
     g_assert_true(rig_recorded(&rig, GROUP_RECORD_ATTEMPT_FAILED, GROUP_REASON_NEWER_PRIMARY));
     g_assert_nonnull(rig_find_for(&rig, GROUP_ACTION_PROBE, 2));
-    /* Hearsay is no proof: the view has no primary until the database itself says so. */
+    /* An opinion is no proof: the view has no primary until the database itself reports it. */
     g_assert_cmpint(group_control_view(rig.control)->primary, ==, -1);
     rig_promote(&rig, 2, 8);
     rig_probe(&rig, 2);
@@ -293,15 +294,15 @@
     rig_promise(&rig, 0, 6);
     rig_probe(&rig, 0);
     g_assert_cmpint(group_control_view(rig.control)->primary, ==, -1);
-    /* An old answer that arrives late does not bring it back. */
+    /* An old status that arrives late does not restore it. */
     rig.databases[0].promised_term = 5;
     rig_probe(&rig, 0);
     g_assert_cmpint(group_control_view(rig.control)->primary, ==, -1);
     rig_stop(&rig);
 }
 
-/* The primary restarted empty within the detection time. */
-static void test_forgetful_primary_is_replaced(void)
+/* The primary restarted without its state within the detection time. */
+static void test_primary_without_state_is_replaced(void)
 {
     struct rig rig;
     rig_start(&rig);
@@ -325,7 +326,7 @@
     for (uint32_t i = 0; i < 3; i++) {
         commands[i] = rig_find_for(&rig, GROUP_ACTION_FENCE, i)->command;
     }
-    /* Its grant does not make a majority with one other: both others must grant. */
+    /* Its grant makes no majority with one other grant: both other databases must grant. */
     rig_complete(&rig, commands[0], GROUP_COMMAND_OK, rig_promise(&rig, 0, 6));
     rig_complete(&rig, commands[1], GROUP_COMMAND_OK, rig_promise(&rig, 1, 6));
     rig.now += 40 * MS;
@@ -336,7 +337,7 @@
     rig_stop(&rig);
 }
 
-static void test_interrupted_failover_is_taken_up(void)
+static void test_interrupted_failover_is_completed(void)
 {
     struct rig rig;
     rig_start(&rig);
@@ -351,7 +352,7 @@
     rig_stop(&rig);
 }
 
-static void test_members_are_told_to_follow(void)
+static void test_members_get_follow_commands(void)
 {
     struct rig rig;
     rig_start(&rig);
@@ -362,7 +363,8 @@
     rig_set_watchers(&rig, 3);
     rig_probe(&rig, 2);
     rig_probe(&rig, 0);
-    /* What was seen before the primary was known tells nothing: it may have been told since. */
+    /* A status from before the primary was known proves nothing: the database may have got the
+     * follow command since. */
     g_assert_null(rig_find_for(&rig, GROUP_ACTION_FOLLOW, 2));
     rig.now += 10 * MS;
     rig_probe(&rig, 2);
@@ -396,8 +398,9 @@
     rig_stop(&rig);
 }
 
-/* With one member away, the other's stray promise keeps every write from being confirmed. */
-static void test_urgent_stray_promise_is_repaired_at_once(void)
+/* With one member unreachable, the other's stray promise prevents all writes from being
+ * confirmed. */
+static void test_blocking_stray_promise_is_repaired_at_once(void)
 {
     struct rig rig;
     rig_start(&rig);
@@ -446,7 +449,8 @@
     g_test_add_func("/group_control/first_primary", test_first_primary);
     g_test_add_func("/group_control/new_watcher_does_not_depose", test_new_watcher_does_not_depose);
     g_test_add_func("/group_control/one_watcher_does_not_depose", test_one_watcher_does_not_depose);
-    g_test_add_func("/group_control/silent_watchers_abstain", test_silent_watchers_abstain);
+    g_test_add_func("/group_control/unresponsive_watchers_abstain",
+                    test_unresponsive_watchers_abstain);
     g_test_add_func("/group_control/isolated_watcher_does_not_depose",
                     test_isolated_watcher_does_not_depose);
     g_test_add_func("/group_control/mutation_single_watcher", test_mutation_single_watcher);
@@ -464,14 +468,14 @@
     g_test_add_func("/group_control/own_stall_is_not_suspicion", test_own_stall_is_not_suspicion);
     g_test_add_func("/group_control/fenced_primary_is_not_trusted",
                     test_fenced_primary_is_not_trusted);
-    g_test_add_func("/group_control/forgetful_primary_is_replaced",
-                    test_forgetful_primary_is_replaced);
-    g_test_add_func("/group_control/interrupted_failover_is_taken_up",
-                    test_interrupted_failover_is_taken_up);
-    g_test_add_func("/group_control/members_are_told_to_follow", test_members_are_told_to_follow);
+    g_test_add_func("/group_control/primary_without_state_is_replaced",
+                    test_primary_without_state_is_replaced);
+    g_test_add_func("/group_control/interrupted_failover_is_completed",
+                    test_interrupted_failover_is_completed);
+    g_test_add_func("/group_control/members_get_follow_commands", test_members_get_follow_commands);
     g_test_add_func("/group_control/stray_promise_is_repaired", test_stray_promise_is_repaired);
-    g_test_add_func("/group_control/urgent_stray_promise_is_repaired_at_once",
-                    test_urgent_stray_promise_is_repaired_at_once);
+    g_test_add_func("/group_control/blocking_stray_promise_is_repaired_at_once",
+                    test_blocking_stray_promise_is_repaired_at_once);
     g_test_add_func("/suspicion/zone_votes", test_zone_votes);
     g_test_add_func("/suspicion/ranks_are_distinct", test_ranks_are_distinct);
     return g_test_run();
--- a/tests/core/group_replication_test.c
+++ b/tests/core/group_replication_test.c
@@ -1,5 +1,5 @@
-/* Stalled replication as one watcher sees it: a primary that answers and leads, while what it holds
- * reaches no majority. */
+/* Stalled replication at one watcher: a primary that responds and leads, but replicates to no
+ * majority. */
 #include "core/group_control.h"
 
 #include <glib.h>
@@ -23,15 +23,15 @@
     bool peer_suspects;
     uint64_t sequence;
     time_ns now;
-    uint64_t fences[DATABASES_MAX]; /* commands of the last attempt */
+    uint64_t fences[DATABASES_MAX]; /* command ids of the last attempt */
     uint64_t fence_term;            /* of the last attempt; 0 if there was none */
-    uint32_t promoted;              /* database that was told to lead last */
+    uint32_t promoted;              /* database of the last promote command */
     enum group_reason reason;       /* of the last attempt */
     enum group_reason suspected_for;
-    uint32_t suspected; /* times */
+    uint32_t suspected; /* number of suspicions */
 };
 
-static void note_record(struct rig *rig, const struct group_record *record)
+static void count_record(struct rig *rig, const struct group_record *record)
 {
     if (record->kind == GROUP_RECORD_FENCE_STARTED) {
         rig->reason = record->reason;
@@ -57,7 +57,7 @@
             rig->promoted = action->database;
         }
         if (action->kind == GROUP_ACTION_RECORD_EVENT) {
-            note_record(rig, &action->record);
+            count_record(rig, &action->record);
         }
     }
 }
@@ -71,7 +71,7 @@
                                    .status = rig->databases[database]});
 }
 
-static void hear_peer(struct rig *rig)
+static void receive_peer_opinion(struct rig *rig)
 {
     rig->sequence += 1;
     feed(rig, (struct group_event){.kind = GROUP_EVENT_OPINION,
@@ -83,7 +83,8 @@
                                                .reachable = 7}});
 }
 
-/* A healthy group: database 0 leads term 5, the others follow it, all hold offset 10. */
+/* Starts with a healthy group: database 0 leads term 5, the others follow it, all hold offset
+ * 10. */
 static void start_with(struct rig *rig, uint32_t count)
 {
     struct group_event watchers = {.kind = GROUP_EVENT_WATCHERS,
@@ -124,7 +125,7 @@
     group_control_free(rig->control);
 }
 
-/* Advances by whole rounds of probes; stops once an attempt begins. True if one did. */
+/* Advances in rounds of probes until an attempt begins. True if one did. */
 static bool run(struct rig *rig, time_ns duration)
 {
     time_ns end = rig->now + duration;
@@ -136,7 +137,7 @@
             probe(rig, i);
         }
         if (rig->fence_term == 0) {
-            hear_peer(rig);
+            receive_peer_opinion(rig);
         }
     }
     return rig->fence_term != 0;
@@ -149,7 +150,7 @@
     g_assert_true(begun);
 }
 
-static void expect_none(struct rig *rig, time_ns duration)
+static void expect_no_attempt(struct rig *rig, time_ns duration)
 {
     bool begun = run(rig, duration);
 
@@ -170,16 +171,16 @@
                                    .status = rig->databases[database]});
 }
 
-/* The primary grants first and holds most, and yet another one leads: one that a majority without
- * it promised. */
+/* The primary grants first and holds the longest log, but another database leads: one that got the
+ * promises of a majority without it. */
 static void test_replaced(void)
 {
     struct rig rig;
 
     start(&rig);
-    expect_none(&rig, 1000 * MS);
+    expect_no_attempt(&rig, 1000 * MS);
     write_at_primary(&rig);
-    expect_none(&rig, 1400 * MS);
+    expect_no_attempt(&rig, 1400 * MS);
     expect_attempt(&rig, 1000 * MS);
     g_assert_cmpint(rig.suspected_for, ==, GROUP_REASON_REPLICATION_STALLED);
     g_assert_cmpint(rig.reason, ==, GROUP_REASON_REPLICATION_STALLED);
@@ -191,32 +192,32 @@
     stop(&rig);
 }
 
-/* Without the other zone nothing is done. */
+/* Without the vote of the other zone there is no attempt. */
 static void test_zones_vote(void)
 {
     struct rig rig;
 
     start(&rig);
-    expect_none(&rig, 1000 * MS);
+    expect_no_attempt(&rig, 1000 * MS);
     rig.peer_suspects = false;
     write_at_primary(&rig);
-    expect_none(&rig, 10000 * MS);
+    expect_no_attempt(&rig, 10000 * MS);
     g_assert_cmpuint(rig.suspected, ==, 1);
     stop(&rig);
 }
 
-/* Nothing to replicate: a stalled link can't be told from a calm one, and harms nobody. */
+/* Without writes a stalled replication can't be told from an idle one, and does no harm. */
 static void test_idle(void)
 {
     struct rig rig;
 
     start(&rig);
-    expect_none(&rig, 30000 * MS);
+    expect_no_attempt(&rig, 30000 * MS);
     g_assert_cmpuint(rig.suspected, ==, 0);
     stop(&rig);
 }
 
-/* One replica holds all there is: writes are confirmed. */
+/* One replica holds the complete log, so writes are confirmed. */
 static void test_one_replica_suffices(void)
 {
     struct rig rig;
@@ -225,31 +226,31 @@
     for (int i = 0; i < 100; i++) {
         write_at_primary(&rig);
         rig.databases[2].held = rig.databases[0].held;
-        expect_none(&rig, 100 * MS);
+        expect_no_attempt(&rig, 100 * MS);
     }
     g_assert_cmpuint(rig.suspected, ==, 0);
     stop(&rig);
 }
 
-/* Both replicas are far behind and catch up, slowly, while the primary goes on. */
+/* Both replicas are far behind and catch up slowly while the primary continues to write. */
 static void test_slow_progress(void)
 {
     struct rig rig;
 
     start(&rig);
-    expect_none(&rig, 500 * MS);
+    expect_no_attempt(&rig, 500 * MS);
     rig.databases[0].held.offset += 10000;
     for (int i = 0; i < 20; i++) {
         rig.databases[0].held.offset += 100;
         rig.databases[1].held.offset += 1;
         rig.databases[2].held.offset += 1;
-        expect_none(&rig, 1000 * MS);
+        expect_no_attempt(&rig, 1000 * MS);
     }
     g_assert_cmpuint(rig.suspected, ==, 0);
     stop(&rig);
 }
 
-/* Positions applied don't count: a replica that holds the log may show it late. */
+/* Applied positions don't count: a replica that holds the log may apply it late. */
 static void test_late_applying(void)
 {
     struct rig rig;
@@ -259,46 +260,48 @@
     rig.databases[0].applied.offset = 20;
     rig.databases[1].held.offset = 20;
     rig.databases[2].held.offset = 20;
-    expect_none(&rig, 10000 * MS);
+    expect_no_attempt(&rig, 10000 * MS);
     g_assert_cmpuint(rig.suspected, ==, 0);
     stop(&rig);
 }
 
-/* Replicas that don't answer are no evidence, and the time of their silence does not count. */
-static void test_silent_replicas(void)
+/* Unresponsive replicas are no evidence of a stall, and the time without response does not
+ * count. */
+static void test_unresponsive_replicas(void)
 {
     struct rig rig;
 
     start(&rig);
-    expect_none(&rig, 500 * MS);
+    expect_no_attempt(&rig, 500 * MS);
     write_at_primary(&rig);
     rig.reachable[1] = false;
-    expect_none(&rig, 5000 * MS);
+    expect_no_attempt(&rig, 5000 * MS);
     rig.reachable[2] = false;
-    expect_none(&rig, 5000 * MS);
+    expect_no_attempt(&rig, 5000 * MS);
     rig.reachable[1] = true;
     rig.reachable[2] = true;
-    expect_none(&rig, 1000 * MS);
+    expect_no_attempt(&rig, 1000 * MS);
     g_assert_cmpuint(rig.suspected, ==, 0);
     stop(&rig);
 }
 
-/* A watcher that stood still has not seen replicas stand still. */
+/* A watcher that stalled itself has not observed a stall of the replicas. */
 static void test_own_stall(void)
 {
     struct rig rig;
 
     start(&rig);
-    expect_none(&rig, 500 * MS);
+    expect_no_attempt(&rig, 500 * MS);
     write_at_primary(&rig);
-    expect_none(&rig, 500 * MS);
+    expect_no_attempt(&rig, 500 * MS);
     rig.now += 5000 * MS;
-    expect_none(&rig, 500 * MS);
+    expect_no_attempt(&rig, 500 * MS);
     g_assert_cmpuint(rig.suspected, ==, 0);
     stop(&rig);
 }
 
-/* The old primary is told to follow the new one, which can replicate to nobody either. */
+/* Makes `leader` the primary of the term and the others its followers; it can't replicate
+ * either. */
 static void lead(struct rig *rig, uint32_t leader, uint64_t term)
 {
     for (uint32_t i = 0; i < DATABASES; i++) {
@@ -310,7 +313,7 @@
     rig->databases[leader].held = (struct log_position){term, 100 + term};
 }
 
-/* Where no database can replicate, replacements become rarer by the factor 2, up to 16. */
+/* Where no database can replicate, each replacement doubles the time limit, up to factor 16. */
 static void test_backs_off(void)
 {
     struct rig rig;
@@ -320,11 +323,11 @@
     feed(&rig, (struct group_event){.kind = GROUP_EVENT_WATCHERS,
                                     .watcher_count = 1,
                                     .watchers = {{.id = SELF, .zone = 0}}});
-    expect_none(&rig, 500 * MS);
+    expect_no_attempt(&rig, 500 * MS);
     write_at_primary(&rig);
     bound = rig.options.replication_stall_after;
     for (uint32_t i = 0; i < 6; i++) {
-        expect_none(&rig, bound - 100 * MS);
+        expect_no_attempt(&rig, bound - 100 * MS);
         expect_attempt(&rig, 1000 * MS);
         lead(&rig, 1 + i % 2, rig.fence_term);
         for (uint32_t j = 0; j < DATABASES; j++) {
@@ -335,7 +338,8 @@
     stop(&rig);
 }
 
-/* Of five, one replica keeps up and three take nothing: its progress is no sign of health. */
+/* Of five databases, one replica keeps up and three receive nothing: its progress does not prove
+ * that the primary replicates to a majority. */
 static void test_one_of_five_keeps_up(void)
 {
     struct rig rig;
@@ -344,7 +348,7 @@
     for (int i = 0; i < 15; i++) {
         write_at_primary(&rig);
         rig.databases[4].held = rig.databases[0].held;
-        expect_none(&rig, 100 * MS);
+        expect_no_attempt(&rig, 100 * MS);
     }
     write_at_primary(&rig);
     expect_attempt(&rig, 500 * MS);
@@ -359,15 +363,15 @@
     stop(&rig);
 }
 
-/* A replica answers probes but no fence: in the end the old primary leads again, better than none.
- */
+/* A replica responds to probes but to no fence: after EXCLUSIONS_MAX failed attempts the old
+ * primary may lead again, since there is no other candidate. */
 static void test_chosen_again_after_failures(void)
 {
     struct rig rig;
     uint32_t attempts = 0;
 
     start(&rig);
-    expect_none(&rig, 500 * MS);
+    expect_no_attempt(&rig, 500 * MS);
     write_at_primary(&rig);
     while (rig.promoted == DATABASES_MAX && attempts < 10) {
         expect_attempt(&rig, 6000 * MS);
@@ -382,18 +386,18 @@
     stop(&rig);
 }
 
-/* Probes made at a longer interval have not shown what the shorter times ask for. */
+/* Probes at a longer interval can't show a failure within the shorter times. */
 static void test_detection_gets_shorter(void)
 {
     struct rig rig;
 
     start(&rig);
     group_control_set_detection(rig.control, 8000 * MS, 8000 * MS);
-    expect_none(&rig, 500 * MS);
+    expect_no_attempt(&rig, 500 * MS);
     write_at_primary(&rig);
-    expect_none(&rig, 3000 * MS);
+    expect_no_attempt(&rig, 3000 * MS);
     group_control_set_detection(rig.control, 400 * MS, 400 * MS);
-    expect_none(&rig, 1000 * MS);
+    expect_no_attempt(&rig, 1000 * MS);
     g_assert_cmpuint(rig.suspected, ==, 0);
     expect_attempt(&rig, 1000 * MS);
     stop(&rig);
@@ -408,7 +412,7 @@
     g_test_add_func("/group_replication/one_replica_suffices", test_one_replica_suffices);
     g_test_add_func("/group_replication/slow_progress", test_slow_progress);
     g_test_add_func("/group_replication/late_applying", test_late_applying);
-    g_test_add_func("/group_replication/silent_replicas", test_silent_replicas);
+    g_test_add_func("/group_replication/unresponsive_replicas", test_unresponsive_replicas);
     g_test_add_func("/group_replication/own_stall", test_own_stall);
     g_test_add_func("/group_replication/backs_off", test_backs_off);
     g_test_add_func("/group_replication/one_of_five_keeps_up", test_one_of_five_keeps_up);
--- a/tests/core/handover_test.c
+++ b/tests/core/handover_test.c
@@ -1,10 +1,10 @@
-/* Hand-over of one group by its old owner: what the new owners tell, or fail to tell, decides when
- * the old one stops serving; it never waits for longer than the time for hand-over. */
+/* Handover of one group by its former owner: the reports of the new owners, or their absence,
+ * determine when it stops serving. It never waits longer than the handover time. */
 #include "core/handover.h"
 
 #define DATABASES 3
 #define ALL       7U
-#define MOST      (5 * NANOSECONDS_PER_SECOND)
+#define MAX_TIME  (5 * NANOSECONDS_PER_SECOND)
 #define START     (100 * NANOSECONDS_PER_SECOND)
 #define STEP      (25 * NANOSECONDS_PER_MILLISECOND)
 
@@ -15,7 +15,7 @@
 static void begin(struct handover *handover)
 {
     const uint64_t owners[] = {FIRST, SECOND};
-    handover_init(handover, DATABASES, MOST, START);
+    handover_init(handover, DATABASES, MAX_TIME, START);
     handover_set_owners(handover, owners, G_N_ELEMENTS(owners));
 }
 
@@ -48,7 +48,7 @@
     assert_state(&handover, START + 2 * STEP, HANDOVER_STATE_WARM);
 }
 
-static void test_doubled_and_foreign_notices_change_nothing(void)
+static void test_duplicate_and_foreign_notices_have_no_effect(void)
 {
     struct handover handover;
     begin(&handover);
@@ -67,18 +67,18 @@
     assert_state(&handover, START, HANDOVER_STATE_WARM);
 }
 
-/* Paused, cut off or dead and not yet known to be: nothing is heard of it. */
-static void test_silent_owner_is_waited_for_no_longer(void)
+/* An owner that is paused, partitioned, or failed and not yet detected: no report arrives. */
+static void test_wait_for_unresponsive_owner_ends(void)
 {
     struct handover handover;
     begin(&handover);
-    for (time_ns now = START; now < START + MOST; now += STEP) {
+    for (time_ns now = START; now < START + MAX_TIME; now += STEP) {
         report_warm(&handover, FIRST, now);
         handover_set_reachable(&handover, ALL, now);
         g_assert_cmpuint(handover_databases_to_query(&handover, SECOND, now), ==, ALL);
         assert_state(&handover, now, HANDOVER_STATE_WAITING);
     }
-    assert_state(&handover, START + MOST, HANDOVER_STATE_TIMED_OUT);
+    assert_state(&handover, START + MAX_TIME, HANDOVER_STATE_TIMED_OUT);
 }
 
 static void test_dead_owner_is_replaced(void)
@@ -95,8 +95,8 @@
     assert_state(&handover, START + STEP, HANDOVER_STATE_WARM);
 }
 
-/* An owner that was warm went and came back: it has to tell anew. */
-static void test_flapping_owner_starts_cold(void)
+/* An owner that was warm left and came back: its old report does not count. */
+static void test_returning_owner_is_not_warm(void)
 {
     const uint64_t both[] = {FIRST, SECOND};
     struct handover handover;
@@ -109,8 +109,9 @@
     g_assert_cmpuint(handover_databases_to_query(&handover, FIRST, START), ==, ALL);
 }
 
-/* The same when its restart was too short to be seen: it is asked again, and does not answer. */
-static void test_old_answers_run_out(void)
+/* The same after a restart too short to be detected: the owner is queried again and does not
+ * reply. */
+static void test_old_reports_expire(void)
 {
     struct handover handover;
     begin(&handover);
@@ -122,8 +123,8 @@
     assert_state(&handover, later, HANDOVER_STATE_WAITING);
 }
 
-/* The old owner itself does not reach the databases for a moment: that makes nobody warm. */
-static void test_moment_without_databases(void)
+/* The former owner does not reach the databases for a short time, which makes no owner warm. */
+static void test_databases_briefly_unreachable(void)
 {
     struct handover handover;
     begin(&handover);
@@ -133,8 +134,8 @@
     }
 }
 
-/* Nobody is warm at a database that has failed. */
-static void test_failed_database_is_left_out(void)
+/* No owner can be warm at a failed database. */
+static void test_failed_database_is_ignored(void)
 {
     struct handover handover;
     begin(&handover);
@@ -151,15 +152,15 @@
 {
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/handover/waits-for-all-owners", test_waits_for_all_owners);
-    g_test_add_func("/handover/doubled-and-foreign-notices-change-nothing",
-                    test_doubled_and_foreign_notices_change_nothing);
+    g_test_add_func("/handover/duplicate-and-foreign-notices-have-no-effect",
+                    test_duplicate_and_foreign_notices_have_no_effect);
     g_test_add_func("/handover/no-owner-left", test_no_owner_left);
-    g_test_add_func("/handover/silent-owner-is-waited-for-no-longer",
-                    test_silent_owner_is_waited_for_no_longer);
+    g_test_add_func("/handover/wait-for-unresponsive-owner-ends",
+                    test_wait_for_unresponsive_owner_ends);
     g_test_add_func("/handover/dead-owner-is-replaced", test_dead_owner_is_replaced);
-    g_test_add_func("/handover/flapping-owner-starts-cold", test_flapping_owner_starts_cold);
-    g_test_add_func("/handover/old-answers-run-out", test_old_answers_run_out);
-    g_test_add_func("/handover/moment-without-databases", test_moment_without_databases);
-    g_test_add_func("/handover/failed-database-is-left-out", test_failed_database_is_left_out);
+    g_test_add_func("/handover/returning-owner-is-not-warm", test_returning_owner_is_not_warm);
+    g_test_add_func("/handover/old-reports-expire", test_old_reports_expire);
+    g_test_add_func("/handover/databases-briefly-unreachable", test_databases_briefly_unreachable);
+    g_test_add_func("/handover/failed-database-is-ignored", test_failed_database_is_ignored);
     return g_test_run();
 }
--- a/tests/core/membership_test.c
+++ b/tests/core/membership_test.c
@@ -1,4 +1,5 @@
-/* Membership's datagrams: bounded in size, whatever is known. */
+/* Datagrams of membership: bounded in size for any number of members, and dropped if invalid or
+ * from another deployment. */
 #include "core/membership.h"
 
 #include <string.h>
@@ -7,11 +8,11 @@
 
 #define MEMBERS 400
 
-/* The longest to encode. */
+/* The value with the longest encoding. */
 #define OWN_DEPLOYMENT UINT32_MAX
 
-/* Merges many members by datagrams as another daemon would send them. */
-static void learn_members(struct membership *membership, struct membership_actions *actions)
+/* Adds many members through datagrams as another daemon would send them. */
+static void add_members(struct membership *membership, struct membership_actions *actions)
 {
     for (uint32_t i = 0; i < MEMBERS; i++) {
         struct gossip_message message;
@@ -45,11 +46,11 @@
         struct message message;
         message_init(&message, MESSAGE_KIND_GOSSIP);
         message.gossip = action->message;
-        g_autoptr(GByteArray) octets = message_encode(&message);
-        g_assert_cmpuint(octets->len, <=, MEMBERSHIP_DATAGRAM_MAX);
+        g_autoptr(GByteArray) bytes = message_encode(&message);
+        g_assert_cmpuint(bytes->len, <=, MEMBERSHIP_DATAGRAM_MAX);
         struct message decoded;
         g_autoptr(GError) error = NULL;
-        g_assert_true(message_decode(octets->data, octets->len, &decoded, &error));
+        g_assert_true(message_decode(bytes->data, bytes->len, &decoded, &error));
         g_assert_cmpuint(decoded.gossip.deployment, ==, MEMBERSHIP_DEPLOYMENT_FIXED);
         g_assert_cmpuint(decoded.gossip.deployment_hash, ==, OWN_DEPLOYMENT);
         g_assert_cmpuint(decoded.gossip.updates_count, ==, action->message.updates_count);
@@ -76,7 +77,7 @@
 {
     struct membership *membership = new_membership();
     struct membership_actions *actions = membership_actions_new();
-    learn_members(membership, actions);
+    add_members(membership, actions);
     check_sizes(actions);
     size_t sent = 0;
     for (int i = 0; i < 200; i++) {
@@ -90,12 +91,12 @@
     membership_free(membership);
 }
 
-/* The answer to a sync from one that knows nobody is bounded in datagrams, too. */
-static void test_sync_answer_is_bounded(void)
+/* The reply to a sync from a daemon without members is bounded in datagrams, too. */
+static void test_sync_reply_is_bounded(void)
 {
     struct membership *membership = new_membership();
     struct membership_actions *actions = membership_actions_new();
-    learn_members(membership, actions);
+    add_members(membership, actions);
     membership_actions_clear(actions);
     struct gossip_message message;
     gossip_message_init(&message);
@@ -119,8 +120,8 @@
     membership_free(membership);
 }
 
-/* Fields out of range, from a foreign or broken sender, are not taken in. */
-static void test_bad_updates_are_dropped(void)
+/* Updates with fields out of range, from a foreign or faulty sender, are dropped. */
+static void test_invalid_updates_are_dropped(void)
 {
     struct membership *membership = new_membership();
     struct membership_actions *actions = membership_actions_new();
@@ -144,8 +145,8 @@
     membership_free(membership);
 }
 
-/* True if a datagram that says this identity is taken in. */
-static bool is_taken(uint32_t deployment)
+/* True if a datagram of this deployment is accepted. */
+static bool is_accepted(uint32_t deployment)
 {
     struct membership *membership = new_membership();
     struct membership_actions *actions = membership_actions_new();
@@ -158,26 +159,26 @@
     struct member_address from = {9, 9};
     membership_receive(membership, &message, from, 2 * NANOSECONDS_PER_SECOND, actions);
     struct member member;
-    bool taken = membership_find(membership, 77, &member);
-    g_assert_true(taken == (membership_actions_count(actions) > 0));
+    bool accepted = membership_find(membership, 77, &member);
+    g_assert_true(accepted == (membership_actions_count(actions) > 0));
     membership_actions_free(actions);
     membership_free(membership);
-    return taken;
+    return accepted;
 }
 
-/* Another deployment's daemon gets neither an answer nor a place in the list; an older one, which
- * says nothing, does. */
+/* A daemon of another deployment gets no reply and no entry in the list. One of an older version,
+ * without a deployment in its messages, gets both. */
 static void test_other_deployment_is_dropped(void)
 {
-    bool own = is_taken(OWN_DEPLOYMENT);
-    bool unnamed = is_taken(DEPLOYMENT_UNNAMED);
-    bool another = is_taken(deployment_hash("another"));
+    bool own = is_accepted(OWN_DEPLOYMENT);
+    bool unnamed = is_accepted(DEPLOYMENT_UNNAMED);
+    bool another = is_accepted(deployment_hash("another"));
     g_assert_true(own);
     g_assert_true(unnamed);
     g_assert_false(another);
 }
 
-/* The names of two deployments differ in what is sent; no name is the same as none said. */
+/* Different names have different hashes; an empty name equals a missing one. */
 static void test_deployment_hash(void)
 {
     g_assert_cmpuint(deployment_hash(""), ==, DEPLOYMENT_UNNAMED);
@@ -191,9 +192,9 @@
 {
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/membership/datagrams-are-bounded", test_datagrams_are_bounded);
-    g_test_add_func("/membership/sync-answer-is-bounded", test_sync_answer_is_bounded);
+    g_test_add_func("/membership/sync-reply-is-bounded", test_sync_reply_is_bounded);
     g_test_add_func("/membership/other-deployment-is-dropped", test_other_deployment_is_dropped);
     g_test_add_func("/membership/deployment-hash", test_deployment_hash);
-    g_test_add_func("/membership/bad-updates-are-dropped", test_bad_updates_are_dropped);
+    g_test_add_func("/membership/invalid-updates-are-dropped", test_invalid_updates_are_dropped);
     return g_test_run();
 }
--- a/tests/core/ownership_test.c
+++ b/tests/core/ownership_test.c
@@ -1,11 +1,12 @@
-/* Ownership: the same owners from any order of events, one per zone, few moves, cheap changes. */
+/* Ownership: the same owners from any order of events, one per zone, few moves, and little
+ * computation per change. */
 #include "core/ownership.h"
 
 #define ZONES   9
 #define GROUPS  63
 #define MEMBERS 90
 
-/* Each group has three zones, each zone as many groups as the others. */
+/* Each group has three zones, and each zone the same number of groups. */
 #define GROUPS_PER_ZONE (3 * GROUPS / ZONES)
 
 static struct ownership_options options;
@@ -57,8 +58,8 @@
     ownership_set_member(ownership, &member, changes);
 }
 
-/* The same members in another order, with the groups known only afterwards. */
-static struct ownership *made_anew(GRand *random, const bool *present)
+/* The same members added in another order, before the groups. */
+static struct ownership *build_from_scratch(GRand *random, const bool *present)
 {
     struct ownership *ownership = ownership_new(&options, member_number(0).id);
     uint32_t first = (uint32_t)g_rand_int_range(random, 0, MEMBERS);
@@ -84,8 +85,8 @@
     }
 }
 
-/* Owners follow from the members alone, not from the order of events. */
-static void test_steps_equal_scratch(void)
+/* Owners depend on the members only, not on the order of events. */
+static void test_owners_do_not_depend_on_order(void)
 {
     g_autoptr(GRand) random = g_rand_new_with_seed(7);
     bool present[MEMBERS] = {false};
@@ -98,14 +99,14 @@
         bool dead = g_rand_int_range(random, 0, 4) == 0;
         set_member(ownership, number, dead ? MEMBER_STATE_DEAD : MEMBER_STATE_ALIVE, leaving);
         present[number] = !dead && !leaving;
-        struct ownership *scratch = made_anew(random, present);
+        struct ownership *scratch = build_from_scratch(random, present);
         assert_same_owners(ownership, scratch);
         ownership_free(scratch);
     }
     ownership_free(ownership);
 }
 
-/* How many groups each member owns, by its number. */
+/* Counts the groups of each member, by its number. */
 static void count_owned(const struct ownership *ownership, uint32_t *owned)
 {
     for (uint32_t i = 0; i < GROUPS; i++) {
@@ -123,7 +124,7 @@
     return (2 * GROUPS_PER_ZONE + zone_members - 1) / zone_members;
 }
 
-/* Nobody owns more than twice the mean of its zone. */
+/* No member owns more than twice the mean of its zone. */
 static void test_load_is_bounded(void)
 {
     struct ownership *ownership = ownership_new(&options, 0);
@@ -173,11 +174,12 @@
     ownership_free(ownership);
 }
 
-/* Besides the leaver's own groups, only those move that someone's full load had sent elsewhere. */
-static void test_a_leaver_moves_few_groups(void)
+/* Apart from the departing member's groups, only groups move that the load bound had assigned to
+ * another member than the highest ranked. */
+static void test_departure_moves_few_groups(void)
 {
     uint32_t moved = 0;
-    uint32_t owned_by_leavers = 0;
+    uint32_t owned_by_departing = 0;
     struct ownership *ownership = ownership_new(&options, 0);
     set_groups(ownership);
     for (uint32_t i = 0; i < MEMBERS; i++) {
@@ -186,21 +188,22 @@
     for (uint32_t i = 0; i < MEMBERS; i++) {
         uint32_t owned[MEMBERS] = {0};
         count_owned(ownership, owned);
-        struct member leaver = member_number(i);
-        leaver.leaving = true;
+        struct member departing = member_number(i);
+        departing.leaving = true;
         g_autoptr(GArray) changes = g_array_new(FALSE, FALSE, sizeof(struct ownership_change));
-        ownership_set_member(ownership, &leaver, changes);
+        ownership_set_member(ownership, &departing, changes);
         g_assert_cmpuint(changes->len, >=, owned[i]);
         moved += changes->len;
-        owned_by_leavers += owned[i];
+        owned_by_departing += owned[i];
         set_member(ownership, i, MEMBER_STATE_ALIVE, false);
     }
-    g_assert_cmpuint(owned_by_leavers, ==, 3 * GROUPS);
+    g_assert_cmpuint(owned_by_departing, ==, 3 * GROUPS);
     g_assert_cmpuint(moved, <=, 3 * GROUPS * 5 / 4);
     ownership_free(ownership);
 }
 
-/* Members 0 to 3, each alone in its zone; of them `missing` and `absent` as told in this order. */
+/* Members 0 to 3, each the only one in its zone; `missing` and `absent` are applied in the given
+ * order. */
 static struct ownership *four_members(int32_t missing, int32_t absent, bool absent_first)
 {
     struct ownership *ownership = ownership_new(&options, member_number(0).id);
@@ -220,8 +223,8 @@
     return ownership;
 }
 
-/* An absent member is as one that left while enough others are there, else as one that is there;
- * and all as before once it is back. */
+/* An absent member is replaced like one that left while there are enough others, else it keeps its
+ * groups. Once it is back, the owners are as before. */
 static void test_absent_member_is_replaced_if_possible(void)
 {
     struct ownership *all = four_members(-1, -1, false);
@@ -243,8 +246,8 @@
     ownership_free(absent_first);
 }
 
-/* A member that comes costs ranks of its own zone only. */
-static void test_a_join_is_cheap(void)
+/* A new member needs rank computations of its own zone only. */
+static void test_join_ranks_one_zone_only(void)
 {
     struct ownership *ownership = ownership_new(&options, 0);
     set_groups(ownership);
@@ -274,8 +277,9 @@
     ownership_free(ownership);
 }
 
-/* A fresh or cut-off daemon takes nothing new, keeps what it has, and gives up what it lost. */
-static void test_unsettled_takes_nothing_new(void)
+/* A new or partitioned daemon gains no group, keeps those that it has, and gives up those that it
+ * lost. */
+static void test_unsettled_daemon_gains_no_group(void)
 {
     struct ownership *ownership = ownership_new(&options, member_number(0).id);
     set_groups(ownership);
@@ -304,34 +308,35 @@
     ownership_free(ownership);
 }
 
-/* Each daemon asks the owner of its own zone first; where there is none, each owner is asked first
- * by a like share of the daemons, and by the same ones each time. */
-static void test_askers_share_out(void)
+/* Each daemon prefers the owner in its own zone. Where there is none, each owner is preferred by an
+ * equal share of the daemons, and always by the same ones. */
+static void test_requesters_spread_over_owners(void)
 {
-    enum { ASKERS = 900, OWNERS = 3 };
+    enum { REQUESTERS = 900, OWNERS = 3 };
     struct ownership_member owners[OWNERS];
-    uint32_t asked_first[OWNERS] = {0};
+    uint32_t preferred_by[OWNERS] = {0};
     for (uint32_t i = 0; i < OWNERS; i++) {
         owners[i] = (struct ownership_member){.id = member_number(i).id, .zone = (uint16_t)i};
     }
-    for (uint32_t number = OWNERS; number < ASKERS + OWNERS; number++) {
-        struct ownership_member asker = {.id = member_number(number).id,
-                                         .zone = member_number(number).zone};
+    for (uint32_t number = OWNERS; number < REQUESTERS + OWNERS; number++) {
+        struct ownership_member requester = {.id = member_number(number).id,
+                                             .zone = member_number(number).zone};
         uint32_t first = 0;
         for (uint32_t i = 1; i < OWNERS; i++) {
-            int order = ownership_compare_for(&asker, &owners[first], &owners[i]);
+            int order = ownership_compare_for(&requester, &owners[first], &owners[i]);
             g_assert_cmpint(order, !=, 0);
-            g_assert_cmpint(ownership_compare_for(&asker, &owners[i], &owners[first]), ==, -order);
+            g_assert_cmpint(ownership_compare_for(&requester, &owners[i], &owners[first]), ==,
+                            -order);
             first = order < 0 ? first : i;
         }
-        if (asker.zone < OWNERS) {
-            g_assert_cmpuint(first, ==, asker.zone);
+        if (requester.zone < OWNERS) {
+            g_assert_cmpuint(first, ==, requester.zone);
         }
-        asked_first[first]++;
+        preferred_by[first]++;
     }
     for (uint32_t i = 0; i < OWNERS; i++) {
-        g_assert_cmpuint(asked_first[i], >, ASKERS / OWNERS * 8 / 10);
-        g_assert_cmpuint(asked_first[i], <, ASKERS / OWNERS * 12 / 10);
+        g_assert_cmpuint(preferred_by[i], >, REQUESTERS / OWNERS * 8 / 10);
+        g_assert_cmpuint(preferred_by[i], <, REQUESTERS / OWNERS * 12 / 10);
     }
 }
 
@@ -339,16 +344,17 @@
 {
     g_test_init(&argc, &argv, NULL);
     ownership_options_default(&options);
-    g_test_add_func("/ownership/steps-equal-scratch", test_steps_equal_scratch);
+    g_test_add_func("/ownership/owners-do-not-depend-on-order", test_owners_do_not_depend_on_order);
     g_test_add_func("/ownership/one-owner-in-each-zone", test_one_owner_in_each_zone);
     g_test_add_func("/ownership/few-daemons-own-all", test_few_daemons_own_all);
     g_test_add_func("/ownership/load-is-bounded", test_load_is_bounded);
-    g_test_add_func("/ownership/a-leaver-moves-few-groups", test_a_leaver_moves_few_groups);
+    g_test_add_func("/ownership/departure-moves-few-groups", test_departure_moves_few_groups);
     g_test_add_func("/ownership/absent-member-is-replaced-if-possible",
                     test_absent_member_is_replaced_if_possible);
-    g_test_add_func("/ownership/a-join-is-cheap", test_a_join_is_cheap);
+    g_test_add_func("/ownership/join-ranks-one-zone-only", test_join_ranks_one_zone_only);
     g_test_add_func("/ownership/groups-come-and-go", test_groups_come_and_go);
-    g_test_add_func("/ownership/unsettled-takes-nothing-new", test_unsettled_takes_nothing_new);
-    g_test_add_func("/ownership/askers-share-out", test_askers_share_out);
+    g_test_add_func("/ownership/unsettled-daemon-gains-no-group",
+                    test_unsettled_daemon_gains_no_group);
+    g_test_add_func("/ownership/requesters-spread-over-owners", test_requesters_spread_over_owners);
     return g_test_run();
 }
--- a/tests/core/quorum_settling_test.c
+++ b/tests/core/quorum_settling_test.c
@@ -1,5 +1,6 @@
-/* A change of a group's databases is done only in this order: most daemons know it, all that went
- * by the databases of before has ended, a majority of the databases has what was acknowledged. */
+/* A change of a group's databases completes only in this order: most daemons know it, all
+ * operations with the previous set have ended, a majority of the databases holds all acknowledged
+ * writes. */
 #include "core/quorum_settling.h"
 
 #include <glib.h>
@@ -9,7 +10,7 @@
 #define DATABASES  4
 #define TERM       7
 
-/* A group of four in which database 0 leads; all hold up to offset 10. */
+/* A group of four databases led by database 0; all hold offset 10. */
 static struct group_view view_at(time_ns now)
 {
     struct group_view view = {.term = TERM, .database_count = DATABASES};
@@ -26,7 +27,7 @@
     return view;
 }
 
-/* One that agreed at second 1. */
+/* A group that reached agreement at second 1. */
 static struct quorum_settling agreed(void)
 {
     struct quorum_settling settling;
@@ -54,8 +55,9 @@
     g_assert_cmpint(settling.state, ==, QUORUM_SETTLING_DONE);
 }
 
-/* A look at the primary from before the end of the wait may lack what was acknowledged since. */
-static void test_old_look(void)
+/* A status of the primary from before the end of the wait may not include the last acknowledged
+ * writes. */
+static void test_old_observation(void)
 {
     struct quorum_settling settling = agreed();
     struct group_view view = view_at(SECONDS(100));
@@ -63,7 +65,8 @@
     g_assert_cmpint(settling.state, ==, QUORUM_SETTLING_COPYING);
 }
 
-/* From three to four: two of the old three hold all, which is no majority of four. */
+/* From three databases to four: two of the old three hold the needed position, which is no majority
+ * of four. */
 static void test_new_database_lags(void)
 {
     struct quorum_settling settling = agreed();
@@ -72,14 +75,14 @@
     view.databases[3].status.held.offset = 9;
     quorum_settling_observe(&settling, &view, true, SECONDS(500));
     g_assert_cmpint(settling.state, ==, QUORUM_SETTLING_COPYING);
-    /* The primary has gone on; what counts is where it stood. */
+    /* The primary's log has grown; only its end after the wait counts. */
     view.databases[0].status.held.offset = 20;
     view.databases[3].status.held.offset = 10;
     quorum_settling_observe(&settling, &view, true, SECONDS(501));
     g_assert_cmpint(settling.state, ==, QUORUM_SETTLING_DONE);
 }
 
-/* From three to two: both are needed. */
+/* From three databases to two: both must hold the needed position. */
 static void test_two_are_left(void)
 {
     struct quorum_settling settling = agreed();
@@ -93,7 +96,7 @@
     g_assert_cmpint(settling.state, ==, QUORUM_SETTLING_DONE);
 }
 
-/* Logs of another term, and databases that have promised a newer one, give no evidence. */
+/* Logs of another term, and databases that promised a newer one, give no evidence. */
 static void test_change_of_primary(void)
 {
     struct quorum_settling settling = agreed();
@@ -114,7 +117,7 @@
     g_assert_cmpint(settling.state, ==, QUORUM_SETTLING_COPYING);
 }
 
-/* What was once held by a majority stays so through failovers. */
+/* A position once held by a majority stays so through failovers. */
 static void test_stays_done(void)
 {
     struct quorum_settling settling = agreed();
@@ -129,7 +132,7 @@
 {
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/quorum-settling/in-order", test_in_order);
-    g_test_add_func("/quorum-settling/old-look", test_old_look);
+    g_test_add_func("/quorum-settling/old-observation", test_old_observation);
     g_test_add_func("/quorum-settling/new-database-lags", test_new_database_lags);
     g_test_add_func("/quorum-settling/two-are-left", test_two_are_left);
     g_test_add_func("/quorum-settling/change-of-primary", test_change_of_primary);
--- a/tests/core/read_flow_test.c
+++ b/tests/core/read_flow_test.c
@@ -1,4 +1,5 @@
-/* Scenarios of one read: a short answer is never passed on, a lost one is tried elsewhere. */
+/* Scenarios of one read: a stale reply is never returned, a lost one is tried at another
+ * database. */
 #include "core/read_flow.h"
 
 #include <glib.h>
@@ -36,7 +37,7 @@
     return read_flow_next(flow, &event, view);
 }
 
-static void test_short_answer_goes_elsewhere(void)
+static void test_stale_reply_goes_to_another_database(void)
 {
     struct group_view view;
     struct read_flow flow;
@@ -51,7 +52,7 @@
     g_assert_cmpuint(last.seen.offset, ==, 12);
 }
 
-static void test_lost_answers_try_each_database_once(void)
+static void test_lost_replies_try_each_database_once(void)
 {
     struct group_view view;
     struct read_flow flow;
@@ -85,9 +86,9 @@
     g_assert_cmpuint(step.retry_after_ms, >, 0);
 }
 
-/* No replica is fresh in time and the primary is reserved: that is the reason to tell, not a
- * deadline that is still far away. */
-static void test_short_answers_everywhere_are_no_deadline(void)
+/* No replica is fresh enough in time and the primary is reserved: the read is refused for that
+ * reason, not for a deadline that is still far away. */
+static void test_stale_replies_everywhere_are_no_deadline_error(void)
 {
     struct group_view view;
     struct read_flow flow;
@@ -103,7 +104,7 @@
     g_assert_cmpuint(step.retry_after_ms, >, 0);
 }
 
-/* A replica that is about to catch up is waited for without a connection, and no longer than
+/* The flow waits for a replica that is about to catch up without a connection, and no longer than
  * allowed. */
 static void test_waits_for_a_replica_then_takes_the_primary(void)
 {
@@ -163,10 +164,11 @@
 int main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/read-flow/short-answer", test_short_answer_goes_elsewhere);
-    g_test_add_func("/read-flow/lost-answers", test_lost_answers_try_each_database_once);
+    g_test_add_func("/read-flow/stale-reply", test_stale_reply_goes_to_another_database);
+    g_test_add_func("/read-flow/lost-replies", test_lost_replies_try_each_database_once);
     g_test_add_func("/read-flow/unreachable", test_nothing_reachable_is_refused_with_retry_after);
-    g_test_add_func("/read-flow/short-everywhere", test_short_answers_everywhere_are_no_deadline);
+    g_test_add_func("/read-flow/stale-everywhere",
+                    test_stale_replies_everywhere_are_no_deadline_error);
     g_test_add_func("/read-flow/waits", test_waits_for_a_replica_then_takes_the_primary);
     g_test_add_func("/read-flow/caught-up", test_reads_from_the_replica_that_caught_up);
     return g_test_run();
--- a/tests/core/route_test.c
+++ b/tests/core/route_test.c
@@ -1,4 +1,4 @@
-/* Routing of reads and writes over hand-made views of one group. */
+/* Routing of reads and writes for given views of one group. */
 #include "core/route.h"
 
 #include <glib.h>
@@ -20,7 +20,7 @@
     return view;
 }
 
-/* Primary at 1000, writing 1000 entries a second; replica 1 lags 100 ms, replica 2 lags 5 s. */
+/* Primary at offset 10000, 1000 entries per second; replica 1 lags by 100 ms, replica 2 by 5 s. */
 static struct group_view make_view(void)
 {
     struct group_view view = {.term = 1, .primary = 0, .database_count = 3};
@@ -80,7 +80,7 @@
     g_assert_cmpint(decision.reason, ==, ROUTE_REASON_PRIMARY_READ);
 }
 
-static void test_spent_allowance_refuses(void)
+static void test_exhausted_allowance_refuses(void)
 {
     struct group_view view = make_view();
     struct route_read_request request = make_request(10000);
@@ -102,7 +102,7 @@
     g_assert_cmpint(decision.refused[2], ==, ROUTE_REASON_BEHIND);
 }
 
-static void test_blind_daemon_keeps_staleness_bound(void)
+static void test_daemon_without_samples_keeps_staleness_bound(void)
 {
     struct group_view view = make_view();
     struct route_read_request request = make_request(0);
@@ -112,7 +112,7 @@
     g_assert_cmpint(decision.database, ==, 0);
 }
 
-static void test_newer_term_rules_out_old_follower(void)
+static void test_newer_term_excludes_old_follower(void)
 {
     struct group_view view = make_view();
     view.term = 2;
@@ -125,7 +125,7 @@
     g_assert_cmpint(decision.refused[1], ==, ROUTE_REASON_OLDER_TERM);
 }
 
-static void test_leaving_and_unreachable_get_nothing(void)
+static void test_leaving_and_unreachable_get_no_reads(void)
 {
     struct group_view view = make_view();
     struct route_read_request request = make_request(0);
@@ -174,11 +174,11 @@
     g_test_add_func("/route/old-token", test_old_token_takes_nearest_replica);
     g_test_add_func("/route/fresh-token", test_fresh_token_waits_at_replica);
     g_test_add_func("/route/no-wait", test_no_wait_allowed_goes_to_primary);
-    g_test_add_func("/route/spent-allowance", test_spent_allowance_refuses);
+    g_test_add_func("/route/exhausted-allowance", test_exhausted_allowance_refuses);
     g_test_add_func("/route/staleness-bound", test_staleness_bound_without_token);
-    g_test_add_func("/route/blind-daemon", test_blind_daemon_keeps_staleness_bound);
-    g_test_add_func("/route/newer-term", test_newer_term_rules_out_old_follower);
-    g_test_add_func("/route/leaving", test_leaving_and_unreachable_get_nothing);
+    g_test_add_func("/route/no-recent-samples", test_daemon_without_samples_keeps_staleness_bound);
+    g_test_add_func("/route/newer-term", test_newer_term_excludes_old_follower);
+    g_test_add_func("/route/leaving", test_leaving_and_unreachable_get_no_reads);
     g_test_add_func("/route/load", test_load_spreads_reads);
     g_test_add_func("/route/write", test_write_goes_to_primary_only);
     g_test_add_func("/route/reason-names", test_every_reason_has_a_name);
--- a/tests/core/write_flow_test.c
+++ b/tests/core/write_flow_test.c
@@ -1,4 +1,4 @@
-/* Scenarios of one write: what it may do, and what it may tell, after each fault. */
+/* Scenarios of one write: its steps and its answer after each fault. */
 #include "core/write_flow.h"
 
 #include <glib.h>
@@ -119,7 +119,7 @@
     g_assert_true(scenario.flow.replayed);
 }
 
-/* The lost attempt may still arrive: an error may be told only once the key is closed. */
+/* The lost attempt may still arrive: the error may be returned only once the key is closed. */
 static void test_error_after_lost_closes_the_key(void)
 {
     struct scenario scenario;
@@ -148,7 +148,7 @@
     g_assert_cmpuint(scenario.step.retry_after_ms, >, 0);
 }
 
-/* Attempts that a dead primary never took do not use up those of the next one. */
+/* Attempts that a failed primary never received do not count. */
 static void test_refused_attempts_do_not_count(void)
 {
     struct scenario scenario;
@@ -179,8 +179,8 @@
     assert_answer(&scenario, OUTCOME_UNKNOWN, ERROR_KIND_OUTCOME_UNKNOWN);
 }
 
-/* A primary that is being replaced shows a row that will not last: it may not be told as the truth,
- * since this write may have run at the new primary. Found by the simulator. */
+/* A primary that is being replaced may show a ledger row that will be lost. It must not be returned
+ * as the outcome, since this write may have run at the new primary. */
 static void test_key_reused_needs_evidence(void)
 {
     struct scenario scenario;
@@ -200,7 +200,7 @@
     assert_answer(&scenario, OUTCOME_REFUSED, ERROR_KIND_KEY_REUSED);
 }
 
-static void test_attempts_spent_closes_the_key(void)
+static void test_exhausted_attempts_close_the_key(void)
 {
     struct scenario scenario;
     start(&scenario, true);
@@ -216,7 +216,7 @@
     assert_answer(&scenario, OUTCOME_REFUSED, ERROR_KIND_KEY_CLOSED);
 }
 
-static void test_give_up_tells_not_run_only_before_sending(void)
+static void test_give_up_reports_not_run_only_before_sending(void)
 {
     struct scenario scenario;
     struct write_event event = {
@@ -251,8 +251,8 @@
     g_test_add_func("/write-flow/refused-attempts", test_refused_attempts_do_not_count);
     g_test_add_func("/write-flow/lost-no-primary", test_lost_then_no_primary_is_unknown);
     g_test_add_func("/write-flow/key-reused", test_key_reused_needs_evidence);
-    g_test_add_func("/write-flow/attempts-spent", test_attempts_spent_closes_the_key);
-    g_test_add_func("/write-flow/give-up", test_give_up_tells_not_run_only_before_sending);
+    g_test_add_func("/write-flow/exhausted-attempts", test_exhausted_attempts_close_the_key);
+    g_test_add_func("/write-flow/give-up", test_give_up_reports_not_run_only_before_sending);
     g_test_add_func("/write-flow/conflict", test_conflict_runs_again_without_a_key);
     return g_test_run();
 }
