--- a/src/core/group_control.c
+++ b/src/core/group_control.c
@@ -184,7 +184,7 @@
     view->primary = primary;
     view->writes_paused = control->pause.id != 0;
     for (uint32_t i = 0; i < control->options.database_count; i++) {
-        const struct member *member = &control->members[i];
+        const struct group_member *member = &control->members[i];
         struct database_view *database = &view->databases[i];
 
         database->status = member->status;
@@ -202,7 +202,7 @@
     if (primary == NO_DATABASE) {
         return;
     }
-    const struct member *leader = &control->members[primary];
+    const struct group_member *leader = &control->members[primary];
     time_ns last = view->sample_count > 0 ? view->samples[0].at : 0;
     if (view->sample_count == 0 || leader->observed_at >= last + control->options.sample_interval) {
         position_samples_add(view, leader->observed_at, leader->status.held);
@@ -251,7 +251,7 @@
 static void handle_operator_request(struct group_control *control, const struct group_event *event,
                                     enum requested_state requested)
 {
-    struct member *member = &control->members[event->database];
+    struct group_member *member = &control->members[event->database];
     uint64_t known = MAX(member->status.leaving_order, member->requested_order);
 
     member->requested = requested;
--- a/src/core/group_control.h
+++ b/src/core/group_control.h
@@ -137,8 +137,7 @@
     GROUP_ACTION_FOLLOW,       /* follow(term, primary) */
     GROUP_ACTION_SET_LEAVING,  /* mark the database as leaving, or not */
     GROUP_ACTION_SEND_OPINION, /* to all other watchers of the group */
-    GROUP_ACTION_PUBLISH_VIEW, /* group_control_view() changed; with `change`, report when drained
-                                */
+    GROUP_ACTION_PUBLISH_VIEW, /* the view changed; with `change`: report when drained */
     GROUP_ACTION_RECORD_EVENT, /* for the event log */
 };
 
--- a/src/core/group_control_change.c
+++ b/src/core/group_control_change.c
@@ -133,8 +133,8 @@
 static bool target_caught_up(const struct group_control *control)
 {
     const struct change *change = &control->change;
-    const struct member *target = &control->members[change->target];
-    const struct member *leader = &control->members[control->known_primary];
+    const struct group_member *target = &control->members[change->target];
+    const struct group_member *leader = &control->members[control->known_primary];
 
     if ((int32_t)change->target == control->known_primary) {
         return true;
@@ -185,8 +185,8 @@
 static bool may_force(const struct group_control *control)
 {
     const struct change *change = &control->change;
-    const struct member *target = &control->members[change->target];
-    const struct member *leader = &control->members[control->known_primary];
+    const struct group_member *target = &control->members[change->target];
+    const struct group_member *leader = &control->members[control->known_primary];
     time_ns half = pause_bound(control) / 2;
 
     return change->reason == GROUP_REASON_DRAIN &&
@@ -252,7 +252,7 @@
 
 static bool can_take_over(const struct group_control *control, uint32_t database)
 {
-    const struct member *member = &control->members[database];
+    const struct group_member *member = &control->members[database];
 
     return (int32_t)database != control->known_primary &&
            member->requested != REQUESTED_STATE_DRAIN && !member->status.leaving &&
@@ -288,7 +288,7 @@
 
 static bool primary_must_leave(const struct group_control *control, int32_t primary)
 {
-    const struct member *member = &control->members[primary];
+    const struct group_member *member = &control->members[primary];
 
     if (member->requested == REQUESTED_STATE_SERVE) {
         return false;
--- a/src/core/group_control_failover.c
+++ b/src/core/group_control_failover.c
@@ -160,7 +160,7 @@
 static void finish_attempt(struct group_control *control)
 {
     struct attempt *attempt = &control->attempt;
-    const struct member *leader = &control->members[attempt->target];
+    const struct group_member *leader = &control->members[attempt->target];
 
     control_record(control, GROUP_RECORD_PROMOTED, attempt->reason, attempt->term,
                    (int32_t)attempt->target, leader->status.held);
@@ -257,7 +257,7 @@
 static void advance_checking(struct group_control *control)
 {
     struct attempt *attempt = &control->attempt;
-    const struct member *target = &control->members[attempt->target];
+    const struct group_member *target = &control->members[attempt->target];
 
     if (target->status.promised_term > attempt->term) {
         fail_attempt(control, GROUP_REASON_REFUSED);
--- a/src/core/group_control_internal.h
+++ b/src/core/group_control_internal.h
@@ -18,17 +18,17 @@
 };
 
 /* One database as known to this watcher. */
-struct member {
+struct group_member {
     struct database_status status;
-    bool seen;
+    bool status_known;
     time_ns regressed_since; /* it has reported a lower promise or term since then; 0 if not */
     bool lost_state;   /* lost its log and promises, and has not caught up with the primary yet */
     uint32_t failures; /* consecutive failed probes */
-    time_ns last_success_at; /* last successful probe; own stalls are added */
+    time_ns last_success_at; /* last successful probe, moved forward by own stalls */
     time_ns observed_at;     /* when the query for status was sent */
     uint32_t round_trip_us;
     time_ns behind_since; /* holds less than the primary, and its log has not changed since then; 0
-                             if not. Own stalls are added */
+                             if not. Moved forward by own stalls */
     struct log_position behind_position; /* end of its log at behind_since */
     enum requested_state requested;
     uint64_t requested_order; /* time of the newest request; kept after the request is complete */
@@ -105,7 +105,7 @@
     time_ns last_event_at;
     time_ns started_at;
 
-    struct member members[GROUP_DATABASES_MAX];
+    struct group_member members[GROUP_DATABASES_MAX];
     bool in_membership;
     uint32_t watcher_count;
     struct group_watcher watchers[GROUP_WATCHERS_MAX];
@@ -115,7 +115,7 @@
     uint64_t known_term; /* highest term with a known primary */
     int32_t known_primary;
     time_ns learned_at; /* when known_primary became known */
-    time_ns led_at;     /* when it was last seen to lead; own stalls are added */
+    time_ns led_at;     /* when it was last seen to lead, moved forward by own stalls */
     uint64_t promised_max;
     uint64_t promised_seen; /* promised_max when the start of an attempt was last considered */
     uint64_t proposed_max;  /* highest term that this watcher has tried; never tried again */
--- a/src/core/group_control_observe.c
+++ b/src/core/group_control_observe.c
@@ -24,9 +24,9 @@
 
 bool observe_is_reachable(const struct group_control *control, uint32_t database)
 {
-    const struct member *member = &control->members[database];
+    const struct group_member *member = &control->members[database];
 
-    if (!member->seen || member->failures >= 2) {
+    if (!member->status_known || member->failures >= 2) {
         return false;
     }
     return control->now < member->last_success_at + control->options.unreachable_after;
@@ -50,7 +50,7 @@
     uint32_t count = 0;
 
     for (uint32_t i = 0; i < control->options.database_count; i++) {
-        if (control->members[i].seen && control->members[i].status.promised_term > term) {
+        if (control->members[i].status_known && control->members[i].status.promised_term > term) {
             count += 1;
         }
     }
@@ -72,7 +72,7 @@
 {
     const struct database_status *status = &control->members[database].status;
 
-    if (!control->members[database].seen || status->role != DATABASE_ROLE_PRIMARY) {
+    if (!control->members[database].status_known || status->role != DATABASE_ROLE_PRIMARY) {
         return false;
     }
     if (status->term != control->known_term || status->promised_term != status->term) {
@@ -107,9 +107,10 @@
 
 /* Promises and terms never decrease, so a status with a lower one was sent earlier or its database
  * lost its state. */
-static bool status_has_regressed(const struct member *member, const struct database_status *status)
+static bool status_has_regressed(const struct group_member *member,
+                                 const struct database_status *status)
 {
-    if (!member->seen) {
+    if (!member->status_known) {
         return false;
     }
     if (status->promised_term != member->status.promised_term) {
@@ -120,8 +121,8 @@
 
 /* A late status is followed by current ones; a database that lost its state keeps reporting the
  * lower one. */
-static bool has_lost_promise(struct group_control *control, struct member *member,
-                             time_ns observed_at)
+static bool regression_persists(struct group_control *control, struct group_member *member,
+                                time_ns observed_at)
 {
     if (observed_at == 0) {
         return false;
@@ -134,9 +135,9 @@
 
 /* A status with a new promise can't be a late one. A lower term, or a shorter log in the same term,
  * then shows that the database lost its log. */
-static bool has_lost_log(const struct member *member, const struct database_status *status)
+static bool has_lost_log(const struct group_member *member, const struct database_status *status)
 {
-    if (!member->seen || status->promised_term <= member->status.promised_term) {
+    if (!member->status_known || status->promised_term <= member->status.promised_term) {
         return false;
     }
     if (status->term != member->status.term) {
@@ -155,7 +156,7 @@
 static void update_state_lost(struct group_control *control, uint32_t database,
                               const struct database_status *status, bool lost)
 {
-    struct member *member = &control->members[database];
+    struct group_member *member = &control->members[database];
 
     member->regressed_since = 0;
     if (lost) {
@@ -167,27 +168,27 @@
     }
 }
 
-static bool changes_routing(const struct member *member, const struct database_status *status)
+static bool changes_routing(const struct group_member *member, const struct database_status *status)
 {
-    return !member->seen || member->status.leaving != status->leaving ||
+    return !member->status_known || member->status.leaving != status->leaving ||
            member->status.role != status->role || member->status.term != status->term;
 }
 
 bool observe_status(struct group_control *control, uint32_t database,
                     const struct database_status *status, time_ns observed_at)
 {
-    struct member *member = &control->members[database];
+    struct group_member *member = &control->members[database];
     bool older = status_has_regressed(member, status);
     bool lost = older || has_lost_log(member, status);
 
-    if (older && !has_lost_promise(control, member, observed_at)) {
+    if (older && !regression_persists(control, member, observed_at)) {
         return false;
     }
     if (changes_routing(member, status)) {
         control->publish_due = true;
     }
     member->status = *status;
-    member->seen = true;
+    member->status_known = true;
     if (observed_at > member->observed_at) {
         member->observed_at = observed_at;
     }
@@ -203,7 +204,7 @@
     return true;
 }
 
-static void smooth_round_trip(struct member *member, time_ns round_trip)
+static void smooth_round_trip(struct group_member *member, time_ns round_trip)
 {
     uint32_t sample_us = (uint32_t)(round_trip / 1000);
 
@@ -216,7 +217,7 @@
 
 void observe_probe(struct group_control *control, const struct group_event *event)
 {
-    struct member *member = &control->members[event->database];
+    struct group_member *member = &control->members[event->database];
 
     if (!event->reachable) {
         member->failures += 1;
--- a/src/core/group_control_replication.c
+++ b/src/core/group_control_replication.c
@@ -23,7 +23,7 @@
 /* True if the database reports that it follows the known primary. */
 static bool follows(const struct group_control *control, uint32_t database)
 {
-    const struct member *member = &control->members[database];
+    const struct group_member *member = &control->members[database];
 
     return (int32_t)database != control->known_primary && observe_is_reachable(control, database) &&
            !member->lost_state && member->regressed_since == 0 &&
@@ -32,7 +32,7 @@
            member->status.promised_term == control->known_term;
 }
 
-static void update_progress(struct group_control *control, struct member *member, bool behind)
+static void update_progress(struct group_control *control, struct group_member *member, bool behind)
 {
     if (!behind) {
         member->behind_since = 0;
@@ -45,7 +45,7 @@
     }
 }
 
-static bool has_stalled(const struct member *member, time_ns now, time_ns bound)
+static bool has_stalled(const struct group_member *member, time_ns now, time_ns bound)
 {
     return member->behind_since != 0 && now >= member->behind_since + bound;
 }
@@ -100,7 +100,7 @@
 static void update_all_progress(struct group_control *control, int32_t primary, time_ns bound)
 {
     for (uint32_t i = 0; i < control->options.database_count; i++) {
-        struct member *member = &control->members[i];
+        struct group_member *member = &control->members[i];
         bool behind =
             primary != NO_DATABASE && follows(control, i) &&
             log_position_compare(member->status.held, control->members[primary].status.held) < 0;
--- a/src/core/group_control_resync.c
+++ b/src/core/group_control_resync.c
@@ -5,7 +5,7 @@
 
 static bool must_follow(const struct group_control *control, uint32_t database)
 {
-    const struct member *member = &control->members[database];
+    const struct group_member *member = &control->members[database];
 
     if (!observe_is_reachable(control, database) || (int32_t)database == control->known_primary) {
         return false;
@@ -24,7 +24,7 @@
 
 static void send_follow(struct group_control *control, uint32_t database)
 {
-    struct member *member = &control->members[database];
+    struct group_member *member = &control->members[database];
     struct group_action *action = control_add_command(control, GROUP_ACTION_FOLLOW, database);
 
     action->term = control->known_term;
@@ -46,7 +46,7 @@
 
 static void set_leaving(struct group_control *control, uint32_t database, bool leaving)
 {
-    struct member *member = &control->members[database];
+    struct group_member *member = &control->members[database];
     struct group_action *action = control_add_command(control, GROUP_ACTION_SET_LEAVING, database);
 
     action->leaving = leaving;
@@ -59,7 +59,7 @@
 
 /* A request is complete once the database has its mark, or that of a newer request to another
  * watcher. */
-static bool request_is_complete(const struct member *member)
+static bool request_is_complete(const struct group_member *member)
 {
     return member->resync_command == 0 && member->status.leaving_order >= member->requested_order;
 }
@@ -67,7 +67,7 @@
 /* The primary is marked only once another database leads. */
 static void resync_leaving(struct group_control *control, uint32_t database)
 {
-    struct member *member = &control->members[database];
+    struct group_member *member = &control->members[database];
     bool leaves = member->requested == REQUESTED_STATE_DRAIN;
 
     if (member->requested != REQUESTED_STATE_NONE && request_is_complete(member)) {
@@ -85,7 +85,7 @@
 
 static void resync_follow(struct group_control *control, uint32_t database)
 {
-    struct member *member = &control->members[database];
+    struct group_member *member = &control->members[database];
     time_ns due;
 
     if (!must_follow(control, database)) {
@@ -123,7 +123,7 @@
 bool resync_handle_command(struct group_control *control, const struct group_event *event)
 {
     for (uint32_t i = 0; i < control->options.database_count; i++) {
-        struct member *member = &control->members[i];
+        struct group_member *member = &control->members[i];
 
         if (member->resync_command == 0 || member->resync_command != event->command) {
             continue;
--- a/src/core/membership.c
+++ b/src/core/membership.c
@@ -182,8 +182,8 @@
     merge_message(membership, message, now, actions);
 }
 
-/* Removes records that were kept for their full time. Not while no majority is reachable: in a
- * shrinking list the few members left would look like a majority. */
+/* Removes members whose forget_time or tombstone_time has passed. Removes none while no majority
+ * is reachable: in a shrinking list the few members left would look like a majority. */
 static void sweep(struct membership *membership, time_ns now, struct membership_actions *actions)
 {
     if (!membership_majority_reachable(membership, now, membership->options.zone_timeout)) {
@@ -203,9 +203,9 @@
             expired = now > record->changed_at + membership->options.tombstone_time;
         }
         if (expired && member_record_live(record)) {
-            struct member_record forgotten = *record;
-            forgotten.state = MEMBER_STATE_LEFT;
-            membership_report(actions, MEMBERSHIP_ACTION_MEMBER_REMOVED, &forgotten);
+            struct member_record removed = *record;
+            removed.state = MEMBER_STATE_LEFT;
+            membership_report(actions, MEMBERSHIP_ACTION_MEMBER_REMOVED, &removed);
         }
         if (expired) {
             membership_remove_at(membership, i - 1);
--- a/src/core/membership.h
+++ b/src/core/membership.h
@@ -88,8 +88,7 @@
     MEMBERSHIP_ACTION_MEMBER_CHANGED,   /* state or leaving mark changed without a restart */
     MEMBERSHIP_ACTION_MEMBER_REMOVED,   /* dead, left, or removed from the list */
     MEMBERSHIP_ACTION_ZONE_CHANGED,     /* the zone became reachable or unreachable from here */
-    MEMBERSHIP_ACTION_CONFIGURATION_ANNOUNCED, /* a version newer than the one in force here exists
-                                                */
+    MEMBERSHIP_ACTION_CONFIGURATION_ANNOUNCED, /* a version newer than that in force exists */
     MEMBERSHIP_ACTION_SUPERSEDED               /* a later process runs with this daemon's id */
 };
 
--- a/src/core/membership_internal.h
+++ b/src/core/membership_internal.h
@@ -41,7 +41,7 @@
 struct probe {
     uint64_t target;
     uint32_t sequence;
-    bool other_zone; /* of a member of another zone: no reply raises no suspicion */
+    bool other_zone; /* of a member of another zone: a missing reply raises no suspicion */
     time_ns sent_at;
     time_ns due; /* next step: request other members to probe; at give_up: suspect the target */
     time_ns give_up;
--- a/src/core/membership_probe.c
+++ b/src/core/membership_probe.c
@@ -154,8 +154,8 @@
     send_ping(membership, target, probe.sequence, actions);
 }
 
-/* A relay pings one member of each of its zones. No reply raises no suspicion, since only the
- * member's own zone may decide that. */
+/* A relay pings one member of each of its zones. A missing reply raises no suspicion, since only
+ * the member's own zone may decide that. */
 static void probe_zones(struct membership *membership, time_ns now,
                         struct membership_actions *actions)
 {
--- a/src/core/read_flow.h
+++ b/src/core/read_flow.h
@@ -37,8 +37,7 @@
     READ_EVENT_LOST,     /* sent, but no reply or a truncated one */
     READ_EVENT_FAILED,   /* the database reported an error of the statement */
     READ_EVENT_GIVE_UP,  /* the step was not performed: no retry budget or slot left */
-    READ_EVENT_ANSWERED, /* a complete reply, with the status read before it in the same round trip
-                          */
+    READ_EVENT_ANSWERED, /* a complete reply, after a status in the same round trip */
 };
 
 struct read_event {
--- a/src/core/slot_share.c
+++ b/src/core/slot_share.c
@@ -437,10 +437,10 @@
 
 bool slot_share_is_active(const struct slot_share *share, time_ns now)
 {
-    bool alone = share->peer_count == 0;
+    bool without_peers = share->peer_count == 0;
     bool needs_more = recent_demand(share) > slot_share_limit(share, now);
     bool changes = now < share->home_from || (!share->is_owner && now < share->home_until);
-    bool active = changes || (needs_more && !alone);
+    bool active = changes || (needs_more && !without_peers);
     for (uint32_t i = 0; i < share->peer_count; i++) {
         const struct slot_share_peer *peer = &share->peers[i];
         active = active || lent_now(peer, now) > 0 || peer->borrowed_in_use > 0 ||
--- a/src/core/write_flow.h
+++ b/src/core/write_flow.h
@@ -1,7 +1,8 @@
 /* The execution of one write, as a state machine: run it at the primary, gather evidence and
  * answer; or, after a lost reply, run it again under the same idempotency key or close the key. The
  * driver (a request thread of the daemon, or the simulator) performs each step and feeds the result
- * as the next event.
+ * as the next event. The ledger is the table in the databases of idempotency keys and their
+ * outcomes.
  *
  * START -> EXECUTE -> COMMITTED -> EVIDENCE -> ANSWER done
  *
@@ -48,8 +49,7 @@
     WRITE_EVENT_FAILED,       /* the database reported an error: rolled back */
     WRITE_EVENT_CONFLICT,     /* serialization failure: rolled back */
     WRITE_EVENT_COMMITTED,    /* committed at event.position by this attempt */
-    WRITE_EVENT_ALREADY_DONE, /* the ledger has the outcome, committed at event.position or before
-                               */
+    WRITE_EVENT_ALREADY_DONE, /* the ledger has the outcome; committed by event.position */
     WRITE_EVENT_KEY_CLOSED, /* the ledger has closed the key at event.position: the write never ran
                                and never will */
     WRITE_EVENT_KEY_REUSED, /* the ledger has another request with this key */
--- a/tests/core/acknowledge_test.c
+++ b/tests/core/acknowledge_test.c
@@ -15,7 +15,7 @@
     return status;
 }
 
-static enum acknowledge_verdict judge(const struct database_status *statuses, uint32_t count)
+static enum acknowledge_verdict verdict_of(const struct database_status *statuses, uint32_t count)
 {
     struct acknowledge_evidence evidence;
     acknowledge_start(&evidence, written, 3);
@@ -28,23 +28,23 @@
 static void test_majority_holds(void)
 {
     struct database_status statuses[] = {status_of(3, 3, 10), status_of(3, 3, 12)};
-    g_assert_cmpint(judge(statuses, 1), ==, ACKNOWLEDGE_PENDING);
-    g_assert_cmpint(judge(statuses, 2), ==, ACKNOWLEDGE_HELD);
+    g_assert_cmpint(verdict_of(statuses, 1), ==, ACKNOWLEDGE_PENDING);
+    g_assert_cmpint(verdict_of(statuses, 2), ==, ACKNOWLEDGE_HELD);
 }
 
 static void test_newer_promise_gives_no_evidence(void)
 {
     struct database_status statuses[] = {status_of(3, 3, 10), status_of(4, 3, 10),
                                          status_of(4, 3, 10)};
-    g_assert_cmpint(judge(statuses, 2), ==, ACKNOWLEDGE_PENDING);
-    g_assert_cmpint(judge(statuses, 3), ==, ACKNOWLEDGE_FENCED);
+    g_assert_cmpint(verdict_of(statuses, 2), ==, ACKNOWLEDGE_PENDING);
+    g_assert_cmpint(verdict_of(statuses, 3), ==, ACKNOWLEDGE_FENCED);
 }
 
 static void test_short_log_gives_no_evidence(void)
 {
     struct database_status statuses[] = {status_of(3, 3, 10), status_of(3, 3, 9),
                                          status_of(3, 2, 50)};
-    g_assert_cmpint(judge(statuses, 3), ==, ACKNOWLEDGE_PENDING);
+    g_assert_cmpint(verdict_of(statuses, 3), ==, ACKNOWLEDGE_PENDING);
 }
 
 static void test_member_fenced_after_it_held(void)
--- a/tests/core/budget_move_test.c
+++ b/tests/core/budget_move_test.c
@@ -23,8 +23,7 @@
 #define SEEDS 300
 #define MOVES 12
 
-/* Connections that remain for pools, of databases that accept 35 with two owners and 65 with three.
- */
+/* Connections left for pools of databases with 35 connections and two owners, and 65 and three. */
 static const struct {
     uint32_t limit;
     uint32_t owners;
--- a/tools/layout_header.py
+++ b/tools/layout_header.py
@@ -14,7 +14,7 @@
 import sys
 
 NAMES = {
-    "5e80c5672e7b25e79999a681eb13a888": "cc7353718bd270eae00635aa706710cb",
+    "6e57e124974862b70dd78298f28ae140": "cc7353718bd270eae00635aa706710cb",
 }
 
 
