--- a/src/core/slot_share.c
+++ b/src/core/slot_share.c
@@ -155,8 +155,8 @@
     share->is_owner = true;
 }
 
-void slot_share_set_place(struct slot_share *share, const uint64_t *owners, uint32_t count,
-                          int32_t position, uint32_t rotation, time_ns now)
+void slot_share_set_position(struct slot_share *share, const uint64_t *owners, uint32_t count,
+                             int32_t position, uint32_t rotation, time_ns now)
 {
     uint32_t before = usable_home(share, now);
     for (uint32_t i = 0; i < share->peer_count; i++) {
--- a/src/core/slot_share.h
+++ b/src/core/slot_share.h
@@ -98,8 +98,8 @@
 /* Sets the owners in the order of their positions, and this daemon's position or -1. `rotation` is
  * a number of the database that shifts the positions with one more slot when the slots don't divide
  * evenly, so that these are spread over all positions. */
-void slot_share_set_place(struct slot_share *share, const uint64_t *owners, uint32_t count,
-                          int32_t position, uint32_t rotation, time_ns now);
+void slot_share_set_position(struct slot_share *share, const uint64_t *owners, uint32_t count,
+                             int32_t position, uint32_t rotation, time_ns now);
 
 /* Total slots that this owner's statements may hold now. */
 uint32_t slot_share_limit(const struct slot_share *share, time_ns now);
--- a/src/daemon/control_slots.c
+++ b/src/daemon/control_slots.c
@@ -123,7 +123,7 @@
         struct database_runtime *database = &group->runtime->databases[i];
         pthread_mutex_lock(&database->admission_lock);
         slot_share_set_database_count(&database->share, databases);
-        slot_share_set_place(&database->share, owners, count, place, i, now);
+        slot_share_set_position(&database->share, owners, count, place, i, now);
         apply_limit(group, i, now);
         pthread_mutex_unlock(&database->admission_lock);
     }
--- a/src/sim/sim_slots.c
+++ b/src/sim/sim_slots.c
@@ -108,7 +108,7 @@
         }
     }
     for (uint32_t i = 0; i < daemon->run->database_count; i++) {
-        slot_share_set_place(&daemon->shares[i], ids, count, place, i, daemon->node.world->now);
+        slot_share_set_position(&daemon->shares[i], ids, count, place, i, daemon->node.world->now);
         sim_slots_advance(daemon, i);
     }
 }
--- a/tests/core/slot_share_test.c
+++ b/tests/core/slot_share_test.c
@@ -43,7 +43,8 @@
     fixture->packets = g_array_new(FALSE, FALSE, sizeof(struct packet));
     for (uint32_t i = 0; i < OWNERS; i++) {
         slot_share_init(&fixture->shares[i], SLOTS, 100 + i);
-        slot_share_set_place(&fixture->shares[i], owner_ids, OWNERS, (int32_t)i, 0, fixture->now);
+        slot_share_set_position(&fixture->shares[i], owner_ids, OWNERS, (int32_t)i, 0,
+                                fixture->now);
     }
 }
 
@@ -167,8 +168,8 @@
     for (uint32_t rotation = 0; rotation < OWNERS; rotation++) {
         uint32_t slots = 0;
         for (uint32_t i = 0; i < OWNERS; i++) {
-            slot_share_set_place(&fixture.shares[i], owner_ids, OWNERS, (int32_t)i, rotation,
-                                 fixture.now);
+            slot_share_set_position(&fixture.shares[i], owner_ids, OWNERS, (int32_t)i, rotation,
+                                    fixture.now);
             slots += fixture.shares[i].home;
         }
         g_assert_cmpuint(slots, ==, SLOTS);
@@ -244,7 +245,7 @@
     set_wanted(&fixture, 50, 0, 0);
     run(&fixture, SETTLE_TIME + 200 * MILLISECOND);
     slot_share_init(&fixture.shares[1], SLOTS, 201);
-    slot_share_set_place(&fixture.shares[1], owner_ids, OWNERS, 1, 0, fixture.now);
+    slot_share_set_position(&fixture.shares[1], owner_ids, OWNERS, 1, 0, fixture.now);
     set_wanted(&fixture, 50, 50, 50);
     run(&fixture, SETTLE_TIME);
     g_assert_cmpuint(fixture.peak, <=, SLOTS + 1);
@@ -264,7 +265,7 @@
     set_wanted(&fixture, 50, 0, 0);
     run(&fixture, SETTLE_TIME + 200 * MILLISECOND);
     uint32_t home = fixture.shares[0].home;
-    slot_share_set_place(&fixture.shares[0], &owner_ids[1], OWNERS - 1, -1, 0, fixture.now);
+    slot_share_set_position(&fixture.shares[0], &owner_ids[1], OWNERS - 1, -1, 0, fixture.now);
     g_assert_cmpuint(slot_share_limit(&fixture.shares[0], fixture.now), ==, home);
     fixture.now += NANOSECONDS_PER_SECOND;
     g_assert_cmpuint(slot_share_limit(&fixture.shares[0], fixture.now), ==, 1);
