--- a/src/core/group_control_change.c
+++ b/src/core/group_control_change.c
@@ -43,8 +43,8 @@
     if (control->change.state != CHANGE_STATE_IDLE) {
         return;
     }
-    /* One coordinator at a time: another one starts a change only after its opinions have
-     * stopped. */
+    /* One coordinator at a time: another watcher starts a change only some time after the last
+     * opinion that announced this one. */
     control->change.not_before = control->now + control->options.backoff_max * 2 +
                                  observe_rank(control, false) * control->options.rank_step;
     if (pause->id != 0 && pause->id != opinion->change) {
