--- a/src/pooler/access/access.c
+++ b/src/pooler/access/access.c
@@ -36,7 +36,7 @@
     rcu_read_lock();
     const struct view *view = rcu_dereference(session->worker->shared->view);
     if (view != NULL && view->configuration != NULL) {
-        const tenant_t *holder = configuration_holder(view->configuration, session->key);
+        const tenant_t *holder = configuration_tenant_of_key(view->configuration, session->key);
         bool keys = view->configuration->keys != NULL;
         bool open = !keys || session->route.is_public;
         name = holder != NULL ? holder->name : (open ? access_nobody() : NULL);
@@ -86,7 +86,7 @@
     metrics_count(&session->worker->metrics,
                   verdict == ACCESS_UNPROVEN ? METRICS_REFUSED_UNPROVEN : METRICS_REFUSED_KEYS);
     session->request.refusal = access_verdict_name(verdict);
-    session->request.over_in = NEXT_WORD_NS;
+    session->request.recovery_time = NEXT_WORD_NS;
     session->request.may_have_run = false;
     if (session->transaction != SESSION_TRANSACTION_NONE) {
         session_answer_lost(session, ANSWER_ABORTED);
--- a/src/pooler/client/retry_advice.c
+++ b/src/pooler/client/retry_advice.c
@@ -25,11 +25,12 @@
 {
     double later = SPREAD * MIN(refused->priority, SPREADS_MOST);
     double factor = 1 + later + SPREAD * chance;
-    double over_in = (double)(refused->over_in == 0 ? UNKNOWN_NS : refused->over_in);
+    double recovery_time =
+        (double)(refused->recovery_time == 0 ? UNKNOWN_NS : refused->recovery_time);
     double most = (double)refused->patience * PATIENCE_PART / (1 + SPREAD * (SPREADS_MOST + 1));
     if (refused->patience != 0) {
-        over_in = MIN(over_in, most);
+        recovery_time = MIN(recovery_time, most);
     }
-    double wait = MAX(over_in, (double)LEAST_NS) * factor;
+    double wait = MAX(recovery_time, (double)LEAST_NS) * factor;
     return (uint32_t)(wait / (double)NANOSECONDS_PER_MILLISECOND) + 1;
 }
--- a/src/pooler/client/retry_advice.h
+++ b/src/pooler/client/retry_advice.h
@@ -16,9 +16,9 @@
 
 /** @brief What is known of a refused request. */
 typedef struct retry_case {
-    time_ns over_in;   /* time until its cause is likely to be over; 0: not known */
-    time_ns patience;  /* its route's timeout; 0: not known */
-    uint32_t priority; /* of its route, 0: the most urgent */
+    time_ns recovery_time; /* time until its cause is likely to be over; 0: not known */
+    time_ns patience;      /* its route's timeout; 0: not known */
+    uint32_t priority;     /* of its route, 0: the most urgent */
 } retry_case_t;
 
 /** @brief When to come back.
--- a/src/pooler/client/session.c
+++ b/src/pooler/client/session.c
@@ -38,7 +38,7 @@
         session_end(session);
         break;
     }
-    worker_settle(worker);
+    worker_run_deferred(worker);
 }
 
 static void
@@ -47,7 +47,7 @@
     struct session *session = user;
     struct worker *worker = session->worker;
     session_flush(session);
-    worker_settle(worker);
+    worker_run_deferred(worker);
 }
 
 void
@@ -87,13 +87,13 @@
         }
     } else if (session->state == SESSION_RUNNING) {
         give_up_server(session);
-        forward_drop(session);
+        forward_cancel(session);
         session_answer_lost(session, ANSWER_TIMEOUT);
     } else if (session->transaction == SESSION_TRANSACTION_OPEN) {
         g_info("A transaction rested for too long and was rolled back.");
         session_fail_transaction(session);
     }
-    worker_settle(worker);
+    worker_run_deferred(worker);
 }
 
 struct session *
@@ -157,7 +157,7 @@
     if (session->server != NULL) {
         server_release(session->server);
     }
-    forward_drop(session);
+    forward_cancel(session);
     g_queue_delete_link(&worker->sessions, session->worker_link);
     g_ptr_array_add(worker->ended, session);
 }
@@ -244,7 +244,7 @@
         start_session(session, &message);
     } else if (message.kind == CLIENT_MESSAGE_STATEMENT) {
         operation_note_message(session);
-        session_ask(session);
+        session_dispatch(session);
     } else if (message.kind == CLIENT_MESSAGE_END) {
         session_end(session);
     } else {
@@ -287,7 +287,7 @@
 }
 
 bool
-session_is_at_rest(const struct session *session)
+session_is_idle(const struct session *session)
 {
     return session->state == SESSION_IDLE && session->transaction == SESSION_TRANSACTION_NONE &&
            buffer_length(&session->in) == 0 && buffer_length(&session->out) == 0;
@@ -296,7 +296,7 @@
 void
 session_check_stop(struct session *session, time_ns now)
 {
-    bool at_rest = session_is_at_rest(session);
+    bool at_rest = session_is_idle(session);
     bool used = session->request.arrived != 0 && session->database != NULL &&
                 now > session->request.arrived + STOP_IDLE_NS;
     bool young = now < session->opened + STOP_IDLE_NS;
--- a/src/pooler/client/session_answer.c
+++ b/src/pooler/client/session_answer.c
@@ -15,7 +15,7 @@
 #define BACK_WITHIN_NS (1000 * NANOSECONDS_PER_MILLISECOND)
 
 enum transaction_state
-session_told_state(const struct session *session)
+session_transaction_state(const struct session *session)
 {
     switch (session->transaction) {
     case SESSION_TRANSACTION_NONE:
@@ -55,7 +55,7 @@
 static void
 finish(struct session *session, enum answer_code code, const struct log_position *position)
 {
-    wire_write_ready(&session->out, session_told_state(session), position);
+    wire_write_ready(&session->out, session_transaction_state(session), position);
     rest(session, code, position);
 }
 
@@ -122,11 +122,11 @@
 {
     const struct session_route *route = &session->route;
     time_ns now = backend_now();
-    time_ns over_in = session->request.over_in;
-    if (over_in == 0 && route->group != NULL) {
-        over_in = router_over_in(session, now);
+    time_ns recovery_time = session->request.recovery_time;
+    if (recovery_time == 0 && route->group != NULL) {
+        recovery_time = router_recovery_time(session, now);
     }
-    const retry_case_t refused = {over_in, route->timeout_ms * NANOSECONDS_PER_MILLISECOND,
+    const retry_case_t refused = {recovery_time, route->timeout_ms * NANOSECONDS_PER_MILLISECOND,
                                   route->priority};
     uint32_t wait_ms = retry_advice_ms(&refused, g_random_double());
     session->told_back_at = now + wait_ms * NANOSECONDS_PER_MILLISECOND;
@@ -158,7 +158,7 @@
     if (session->server != NULL) {
         server_release(session->server);
     }
-    forward_drop(session);
+    forward_cancel(session);
     session->transaction = SESSION_TRANSACTION_FAILED;
 }
 
@@ -168,7 +168,7 @@
     if (session->server != NULL) {
         server_release(session->server);
     }
-    forward_drop(session);
+    forward_cancel(session);
     session->transaction = SESSION_TRANSACTION_NONE;
     session->read_only = false;
 }
@@ -288,13 +288,13 @@
     if (may_begin_anew(session, code)) {
         server_release(server);
         session->transaction = SESSION_TRANSACTION_REQUESTED;
-        session_try_again(session, code);
+        session_retry(session, code);
         return;
     }
     if (alone) {
         server_release(server);
         if (meaning->not_run && meaning->elsewhere) {
-            session_try_again(session, code);
+            session_retry(session, code);
             return;
         }
         session_answer_error(session, code, text);
@@ -386,7 +386,7 @@
     bool read_alone = session->transaction == SESSION_TRANSACTION_NONE && !session->request.writes;
     bool not_begun = session->transaction == SESSION_TRANSACTION_REQUESTED;
     if (read_alone || not_begun) {
-        session_try_again(session, ANSWER_BUSY);
+        session_retry(session, ANSWER_BUSY);
     } else {
         session_answer_lost(session, reason == ANSWER_NONE ? ANSWER_BUSY : reason);
     }
@@ -417,7 +417,7 @@
 }
 
 void
-session_end_wait(struct session *session, enum metrics_refusal why)
+session_refuse_queued(struct session *session, enum metrics_refusal why)
 {
     session->request.refusal = metrics_refusal_text(why);
     metrics_refuse(&session->worker->metrics, why, session->route.priority);
@@ -425,7 +425,7 @@
 }
 
 void
-session_try_again(struct session *session, enum answer_code reason)
+session_retry(struct session *session, enum answer_code reason)
 {
     struct session_request *request = &session->request;
     time_ns now = backend_now();
--- a/src/pooler/client/session_internal.h
+++ b/src/pooler/client/session_internal.h
@@ -24,7 +24,7 @@
 /* Takes the session's route from the newest view. False if there is none. */
 bool session_bind_route(struct session *session);
 /* Does what the session's request asks. */
-void session_ask(struct session *session);
+void session_dispatch(struct session *session);
 /* What the session prepared under this name; NULL if nothing. */
 const struct prepared *session_find_prepared(const struct session *session, struct span name);
 void session_set_prepared(struct session *session, struct span name, bool writes,
@@ -40,7 +40,7 @@
 
 /* session_answer.c */
 /* The state of the transaction that the client is told. */
-enum transaction_state session_told_state(const struct session *session);
+enum transaction_state session_transaction_state(const struct session *session);
 /* An owner's answer, as the client is to get it. */
 void session_pass_on(struct session *session, enum answer_code code, enum transaction_state state,
                      struct span output, const struct log_position *position);
--- a/src/pooler/client/session_statement.c
+++ b/src/pooler/client/session_statement.c
@@ -220,7 +220,7 @@
 }
 
 void
-session_ask(struct session *session)
+session_dispatch(struct session *session)
 {
     const struct statement *statement = &session->request.statement;
     bool failed = session->transaction == SESSION_TRANSACTION_FAILED;
--- a/src/pooler/control/control.c
+++ b/src/pooler/control/control.c
@@ -127,10 +127,10 @@
         ", above limits %" PRIu64 ", no home %" PRIu64 ", unknown keys %" PRIu64
         ", no proof %" PRIu64 ", tokens asked %" PRIu64 ", unanswered %" PRIu64 ", hedged %" PRIu64
         ", late %" PRIu64,
-        count_of(sum, METRICS_FOUND_OPEN), count_of(sum, METRICS_OPENED_STATEMENT),
-        count_of(sum, METRICS_OPENED_IN_PLACE), count_of(sum, METRICS_REFUSED_RATE),
+        count_of(sum, METRICS_CONNECTIONS_REUSED), count_of(sum, METRICS_OPENED_STATEMENT),
+        count_of(sum, METRICS_CONNECTIONS_REPLACED), count_of(sum, METRICS_REFUSED_RATE),
         count_of(sum, METRICS_REFUSED_NO_HOME), count_of(sum, METRICS_REFUSED_KEYS),
-        count_of(sum, METRICS_REFUSED_UNPROVEN), count_of(sum, METRICS_TOKENS_ASKED),
+        count_of(sum, METRICS_REFUSED_UNPROVEN), count_of(sum, METRICS_TOKENS_REQUESTED),
         count_of(sum, METRICS_TOKENS_UNANSWERED), count_of(sum, METRICS_TOKENS_HEDGED),
         count_of(sum, METRICS_TOKENS_LATE));
 }
@@ -174,7 +174,7 @@
     g_autofree char *taken =
         g_strdup_printf("%" PRIu64, count_of(&sum, METRICS_FORWARD_BYTES_RECEIVED));
     g_autofree char *tokens = g_strdup_printf("%" PRIu64, count_of(&sum, METRICS_TOKEN_BYTES));
-    g_autofree char *signs = g_strdup_printf("%" PRIu64, count_of(&sum, METRICS_SIGN_BYTES));
+    g_autofree char *signs = g_strdup_printf("%" PRIu64, count_of(&sum, METRICS_PING_BYTES));
     g_autofree char *version = g_strdup_printf("%" PRIu64, configuration_version(control));
     g_autofree char *age = g_strdup_printf("%" PRIu32, configuration_age_ms(control));
     g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_INFO, "SW_READS_AT_REPLICA", at_replica,
@@ -348,7 +348,7 @@
     const rate_bounds_t bounds = {settings->rate.window_s, settings->rate.overage,
                                   settings->rate.slack};
     control->shared.counting = counting_new(&bounds, backend_now());
-    control->shared.held_max =
+    control->shared.unacknowledged_max =
         settings->access.revoke_ms * MS - evidence_lifetime(settings->access.revoke_ms);
     control->shared.proof_lifetime = evidence_lifetime(settings->access.revoke_ms);
     control->shared.stop_grace = (time_ns)(settings->stop.grace_s * (double)NANOSECONDS_PER_SECOND);
--- a/src/pooler/control/control_member.c
+++ b/src/pooler/control/control_member.c
@@ -524,7 +524,7 @@
 static bool
 has_news(struct control *control)
 {
-    uint64_t news = atomic_load(&control->shared.news);
+    uint64_t news = atomic_load(&control->shared.urgent_updates);
     bool changed = news != control->news_told;
     control->news_told = news;
     return changed || orders_followed(control) != control->orders_told;
--- a/src/pooler/control/control_reach.c
+++ b/src/pooler/control/control_reach.c
@@ -188,7 +188,7 @@
     }
     if (zone_reach_decide(reach, &view, now)) {
         log_change(control, &view, now);
-        atomic_store(&control->shared.cut_off_at, reach->cut_off ? now : 0);
+        atomic_store(&control->shared.partitioned_since, reach->cut_off ? now : 0);
         for (unsigned i = 0; i < control->workers_count; i++) {
             worker_wake(control->workers[i]);
         }
--- a/src/pooler/control/zone_reach.h
+++ b/src/pooler/control/zone_reach.h
@@ -14,8 +14,8 @@
  * connection has not answered: the edge of a partition refuses, too.
  *
  * Not being ready only turns away new clients. Sessions that are already open and at rest are
- * closed as well (let_clients_go() in worker.c); without that, readiness alone changes little. What
- * it is worth stands in docs/design/cut-off-zones.md.
+ * closed as well (close_idle_sessions() in worker.c); without that, readiness alone changes little.
+ * What it is worth stands in docs/design/cut-off-zones.md.
  */
 #ifndef SW_POOLER_ZONE_REACH_H
 #define SW_POOLER_ZONE_REACH_H
--- a/src/pooler/databases/database.c
+++ b/src/pooler/databases/database.c
@@ -92,7 +92,7 @@
                      "SW_SERVICE", database->group->shared->service, "MESSAGE",
                      "Database %s: %s, before %s.", database->shared->id,
                      database_fault_name(fault), database_fault_name(old));
-    worker_tell_news(database->group->worker);
+    worker_notify_coordinator(database->group->worker);
 }
 
 void
@@ -307,7 +307,7 @@
     if (idle == NULL) {
         return false;
     }
-    metrics_count(&database->group->worker->metrics, METRICS_OPENED_IN_PLACE);
+    metrics_count(&database->group->worker->metrics, METRICS_CONNECTIONS_REPLACED);
     server_close(idle, ANSWER_NONE);
     return true;
 }
@@ -427,8 +427,9 @@
 is_held_up(const struct server *server, time_ns now)
 {
     const struct worker *worker = server->database->group->worker;
-    return server->state == SERVER_RUNNING && now > server->sent_at + worker->shared->held_max &&
-           socket_holds_bytes(server->socket);
+    return server->state == SERVER_RUNNING &&
+           now > server->sent_at + worker->shared->unacknowledged_max &&
+           socket_has_unacknowledged(server->socket);
 }
 
 static void
@@ -506,7 +507,7 @@
     check_refusal(database, now);
     database_close_unused(database, now);
     database_close_where(database, is_orphan, now, ANSWER_TIMEOUT);
-    if (database->group->worker->shared->held_max != 0) {
+    if (database->group->worker->shared->unacknowledged_max != 0) {
         database_close_where(database, is_held_up, now, ANSWER_TIMEOUT);
     }
     check_silence(database, now);
--- a/src/pooler/databases/server.c
+++ b/src/pooler/databases/server.c
@@ -63,7 +63,7 @@
         server_close(server, ANSWER_BUSY);
         break;
     }
-    worker_settle(worker);
+    worker_run_deferred(worker);
 }
 
 static void
@@ -92,7 +92,7 @@
     } else {
         server_flush(server);
     }
-    worker_settle(worker);
+    worker_run_deferred(worker);
 }
 
 static void
@@ -101,7 +101,7 @@
     struct server *server = user;
     struct worker *worker = server->database->group->worker;
     server_close(server, ANSWER_BUSY);
-    worker_settle(worker);
+    worker_run_deferred(worker);
 }
 
 struct server *
@@ -196,7 +196,7 @@
     event_del(server->readable);
     event_del(server->writable);
     event_del(server->timer);
-    if (former == SERVER_RUNNING && socket_holds_bytes(server->socket)) {
+    if (former == SERVER_RUNNING && socket_has_unacknowledged(server->socket)) {
         socket_reset_on_close(server->socket); /* what has not arrived is not to arrive later */
     }
     close(server->socket);
--- a/src/pooler/databases/server_answer.c
+++ b/src/pooler/databases/server_answer.c
@@ -103,7 +103,7 @@
         enum answer_code code = server->code == ANSWER_NONE ? ANSWER_BUSY : server->code;
         server->state = SERVER_RESERVED;
         server_release(server);
-        session_try_again(session, code);
+        session_retry(session, code);
         return;
     }
     access_verdict_t verdict = access_check_at(session, server);
--- a/src/pooler/forwarding/forward.c
+++ b/src/pooler/forwarding/forward.c
@@ -62,7 +62,7 @@
 {
     if (!left && session->state == SESSION_RUNNING) {
         session->request.may_have_run = false;
-        session_try_again(session, ANSWER_BUSY);
+        session_retry(session, ANSWER_BUSY);
         if (session->state == SESSION_IDLE) {
             session_process(session);
         }
@@ -114,7 +114,7 @@
 {
     detach(session);
     link->avoid_until = now + DECLINED_NS;
-    session_try_again(session, ANSWER_MISROUTED);
+    session_retry(session, ANSWER_MISROUTED);
 }
 
 /* The owner gave a sign: what waits may go to it. */
@@ -172,14 +172,14 @@
     struct worker *worker = link->worker;
     struct forward_answer answer = {0};
     g_autoptr(GError) error = NULL;
-    metrics_count_more(&worker->metrics, METRICS_FORWARD_BYTES_RECEIVED, len);
+    metrics_count_by(&worker->metrics, METRICS_FORWARD_BYTES_RECEIVED, len);
     if (!forward_answer_decode(data, len, &answer, &error)) {
         g_warning("An owner's answer can't be read: %s.", error->message);
         return false;
     }
     take_answer(link, &answer);
     forward_answer_clear(&answer);
-    worker_settle(worker);
+    worker_run_deferred(worker);
     return true;
 }
 
@@ -188,11 +188,11 @@
 {
     link_t *link = user;
     lose(link, backend_now());
-    worker_settle(link->worker);
+    worker_run_deferred(link->worker);
 }
 
 link_t *
-link_of(struct worker *worker, const char *text, const struct sockaddr_in *address)
+link_get(struct worker *worker, const char *text, const struct sockaddr_in *address)
 {
     link_t *link = g_hash_table_lookup(worker->links, text);
     if (link == NULL) {
@@ -242,11 +242,11 @@
 {
     GByteArray *message = forward_ask_encode(ask);
     struct metrics *metrics = &link->worker->metrics;
-    metrics_count_more(metrics, METRICS_FORWARD_BYTES, message->len);
+    metrics_count_by(metrics, METRICS_FORWARD_BYTES, message->len);
     if (ask->channel == 0 && !ask->announces) {
-        metrics_count_more(metrics, METRICS_SIGN_BYTES, message->len);
+        metrics_count_by(metrics, METRICS_PING_BYTES, message->len);
     } else if (ask->admits != NULL && ask->admits[0] != '\0') {
-        metrics_count_more(metrics, METRICS_TOKEN_BYTES, message->len);
+        metrics_count_by(metrics, METRICS_TOKEN_BYTES, message->len);
     }
     peer_send(link->peer, message);
 }
@@ -272,7 +272,7 @@
 }
 
 bool
-forward_none_left(const struct group *group)
+forward_all_unreachable(const struct group *group)
 {
     for (guint i = 0; i < group->links->len; i++) {
         if (!((const link_t *)g_ptr_array_index(group->links, i))->doubted) {
@@ -283,7 +283,7 @@
 }
 
 void
-forward_try_again(const struct group *group)
+forward_reconnect(const struct group *group)
 {
     time_ns now = backend_now();
     for (guint i = 0; i < group->links->len; i++) {
@@ -444,7 +444,7 @@
 }
 
 void
-forward_drop(struct session *session)
+forward_cancel(struct session *session)
 {
     link_t *link = session->forward.link;
     if (link == NULL) {
--- a/src/pooler/forwarding/forward.h
+++ b/src/pooler/forwarding/forward.h
@@ -35,7 +35,7 @@
 /* forward.c: towards owners */
 
 /** @return the link to this address, made if there is none; `text` is the address as text. */
-link_t *link_of(struct worker *worker, const char *text, const struct sockaddr_in *address);
+link_t *link_get(struct worker *worker, const char *text, const struct sockaddr_in *address);
 /** @brief Notes in which zone the owner is; interned, NULL: not known. */
 void link_set_zone(link_t *link, const char *zone);
 void link_free(link_t *link);
@@ -47,29 +47,29 @@
 /* forward_token.c: questions for tokens */
 
 /** @brief A question for a token; the link owns it. */
-typedef struct token_question token_question_t;
+typedef struct token_request token_request_t;
 
 /** @brief Asks the pooler at the other end for a token to begin one operation of the tenant.
  *  @param home its place in the tenant's list of homes. Passed to admission_answered() or
  *         admission_lost(), one of which is called unless the question is abandoned.
  *  @return the question; NULL if the pooler can't be asked now. */
-token_question_t *forward_ask_token(struct session *session, link_t *link, const char *tenant,
-                                    unsigned home);
+token_request_t *forward_request_token(struct session *session, link_t *link, const char *tenant,
+                                       unsigned home);
 
 /** @brief The operation no longer waits for the answer: no callback follows. A token that is
  * granted all the same is lost to the tenant, and counted as METRICS_TOKENS_LATE. */
-void forward_abandon_token(token_question_t *question);
+void forward_abandon_token(token_request_t *question);
 
 /** @return when it was asked. */
-time_ns token_asked_at(const token_question_t *question);
+time_ns token_requested_at(const token_request_t *question);
 /** @return the link on which it was asked. */
-link_t *token_link(const token_question_t *question);
+link_t *token_link(const token_request_t *question);
 
 /** @return the address at the other end, as text. */
-const char *link_text(const link_t *link);
+const char *link_address(const link_t *link);
 
 /** @return what is believed of the pooler at the other end, as a home of limits. */
-home_belief_t *link_belief(link_t *link);
+home_belief_t *link_home_health(link_t *link);
 
 /** @return when the pooler at the other end is likely to be of use again; `now` or earlier: it is.
  */
@@ -85,16 +85,16 @@
 void forward_continue(struct session *session);
 
 /** @brief Nobody waits for the session's channel any more; nothing happens if it has none. */
-void forward_drop(struct session *session);
+void forward_cancel(struct session *session);
 
 /** @return true if the session's transaction or statement is at an owner. */
 bool forward_is_open(const struct session *session);
 
 /** @return true if the group has owners, and each was lost and has given no sign since. */
-bool forward_none_left(const struct group *group);
+bool forward_all_unreachable(const struct group *group);
 
 /** @brief Tries to reach the owners of a group that were lost. */
-void forward_try_again(const struct group *group);
+void forward_reconnect(const struct group *group);
 
 /** @brief Asks quiet owners for a sign of life, and gives up on silent ones. */
 void forward_tick(struct worker *worker, time_ns now);
--- a/src/pooler/forwarding/forward_internal.h
+++ b/src/pooler/forwarding/forward_internal.h
@@ -14,7 +14,7 @@
 
 /** @brief A question for a token. It lasts until it is answered or the link is lost, also if it is
  * abandoned before. Belongs to the link's worker. */
-struct token_question {
+struct token_request {
     link_t *link;
     uint64_t channel;
     struct session *session; /* that waits for the answer; NULL: abandoned */
@@ -30,7 +30,7 @@
     struct peer *peer; /* NULL while there is no connection */
     struct peer_callbacks callbacks;
     GHashTable *channels;  /* number -> session */
-    GHashTable *questions; /* number -> token_question_t, owned */
+    GHashTable *questions; /* number -> token_request_t, owned */
     home_belief_t belief;  /* of the pooler there, as a home of limits */
     uint64_t last_channel;
     uint32_t running;    /* statements without an answer */
--- a/src/pooler/forwarding/forward_serve.c
+++ b/src/pooler/forwarding/forward_serve.c
@@ -23,7 +23,7 @@
 send_answer(caller_t *caller, struct forward_answer *answer)
 {
     GByteArray *message = forward_answer_encode(answer);
-    metrics_count_more(&caller->worker->metrics, METRICS_FORWARD_BYTES, message->len);
+    metrics_count_by(&caller->worker->metrics, METRICS_FORWARD_BYTES, message->len);
     peer_send(caller->peer, message);
     forward_answer_clear(answer);
 }
@@ -39,7 +39,7 @@
     answer.stages_us_count = operation_timing_report(&session->timing, answer.stages_us);
     answer.at_primary = session->request.at_primary;
     answer.code = (uint32_t)code;
-    answer.state = (uint32_t)session_told_state(session);
+    answer.state = (uint32_t)session_transaction_state(session);
     answer.output = g_memdup2(content.data, content.length);
     answer.output_length = content.length;
     if (position != NULL) {
@@ -216,7 +216,7 @@
     }
     if (session->state == SESSION_IDLE) {
         take_statement(session, ask, now);
-        session_ask(session);
+        session_dispatch(session);
     }
 }
 
@@ -273,7 +273,7 @@
     struct worker *worker = caller->worker;
     struct forward_ask ask = {0};
     g_autoptr(GError) error = NULL;
-    metrics_count_more(&worker->metrics, METRICS_FORWARD_BYTES_RECEIVED, len);
+    metrics_count_by(&worker->metrics, METRICS_FORWARD_BYTES_RECEIVED, len);
     if (!forward_ask_decode(data, len, &ask, &error)) {
         g_warning("A forwarded statement can't be read: %s.", error->message);
         return false;
@@ -290,7 +290,7 @@
         run(caller, &ask);
     }
     forward_ask_clear(&ask);
-    worker_settle(worker);
+    worker_run_deferred(worker);
     return true;
 }
 
@@ -318,7 +318,7 @@
     end_all(caller);
     g_ptr_array_remove(worker->callers, caller);
     clear_caller(caller);
-    worker_settle(worker);
+    worker_run_deferred(worker);
 }
 
 void
--- a/src/pooler/forwarding/forward_token.c
+++ b/src/pooler/forwarding/forward_token.c
@@ -12,7 +12,7 @@
 #define QUESTIONS_MOST 256
 
 static void
-send_question(const token_question_t *question, const char *tenant)
+send_question(const token_request_t *question, const char *tenant)
 {
     struct forward_ask ask;
     forward_ask_init(&ask);
@@ -38,15 +38,15 @@
     return link_connect(link);
 }
 
-token_question_t *
-forward_ask_token(struct session *session, link_t *link, const char *tenant, unsigned home)
+token_request_t *
+forward_request_token(struct session *session, link_t *link, const char *tenant, unsigned home)
 {
     time_ns now = backend_now();
     if (!may_be_asked(link, now)) {
         return NULL;
     }
-    token_question_t *question = g_new0(token_question_t, 1);
-    *question = (token_question_t){link, ++link->last_channel, session, home, now};
+    token_request_t *question = g_new0(token_request_t, 1);
+    *question = (token_request_t){link, ++link->last_channel, session, home, now};
     if (link->running == 0 && g_hash_table_size(link->questions) == 0) {
         link->quiet_since = now;
     }
@@ -57,31 +57,31 @@
 }
 
 void
-forward_abandon_token(token_question_t *question)
+forward_abandon_token(token_request_t *question)
 {
     question->session = NULL;
 }
 
 time_ns
-token_asked_at(const token_question_t *question)
+token_requested_at(const token_request_t *question)
 {
     return question->asked_at;
 }
 
 link_t *
-token_link(const token_question_t *question)
+token_link(const token_request_t *question)
 {
     return question->link;
 }
 
 const char *
-link_text(const link_t *link)
+link_address(const link_t *link)
 {
     return link->text;
 }
 
 home_belief_t *
-link_belief(link_t *link)
+link_home_health(link_t *link)
 {
     return &link->belief;
 }
@@ -97,7 +97,7 @@
 bool
 link_take_token(link_t *link, const struct forward_answer *answer, time_ns now)
 {
-    token_question_t *question = g_hash_table_lookup(link->questions, &answer->channel);
+    token_request_t *question = g_hash_table_lookup(link->questions, &answer->channel);
     if (question == NULL) {
         return false;
     }
@@ -128,7 +128,7 @@
     }
     g_hash_table_steal_all(link->questions);
     for (guint i = 0; i < lost->len; i++) {
-        const token_question_t *question = g_ptr_array_index(lost, i);
+        const token_request_t *question = g_ptr_array_index(lost, i);
         if (question->session != NULL) {
             admission_lost(question->session, question->home);
         }
--- a/src/pooler/rate/admission.c
+++ b/src/pooler/rate/admission.c
@@ -28,9 +28,9 @@
 typedef struct home {
     link_t *link; /* NULL: this pooler */
     bool near;
-    time_ns empty_until[SHARE_PRIORITIES]; /* not asked before, as it refused this priority */
-    time_ns token_at[SHARE_PRIORITIES];    /* when it may have a token for it, as it told */
-    time_ns declined_until;                /* asked last until then, as it declined */
+    time_ns empty_until[SHARE_PRIORITIES];   /* not asked before, as it refused this priority */
+    time_ns next_token_at[SHARE_PRIORITIES]; /* when it may have a token for it, as it told */
+    time_ns declined_until;                  /* asked last until then, as it declined */
 } home_t;
 
 /** @brief The homes of one tenant's limit, as of one roster. */
@@ -71,7 +71,7 @@
     for (unsigned i = 0; i < ROSTER_SHARES; i++) {
         const roster_member_t *member = &roster->members[places[i]];
         link_t *link =
-            member->self ? NULL : link_of(worker, member->address, &member->socket_address);
+            member->self ? NULL : link_get(worker, member->address, &member->socket_address);
         if (!member->away && !member->entering && !has_home(out, link)) {
             out->homes[out->count++] = (home_t){.link = link, .near = member->same_zone};
         }
@@ -116,7 +116,7 @@
 static bool
 is_avoided(const home_t *home, time_ns now)
 {
-    bool slow = home->link != NULL && home_belief_avoided(link_belief(home->link), now);
+    bool slow = home->link != NULL && home_belief_avoided(link_home_health(home->link), now);
     return slow || now < home->declined_until;
 }
 
@@ -125,7 +125,7 @@
 static bool
 is_quiet(const home_t *home, time_ns now)
 {
-    bool silent = home->link != NULL && home_belief_is_silent(link_belief(home->link), now);
+    bool silent = home->link != NULL && home_belief_is_silent(link_home_health(home->link), now);
     return silent || now < home->declined_until;
 }
 
@@ -151,9 +151,9 @@
 static time_ns
 first_token(const struct session *session, const homes_t *homes, time_ns now)
 {
-    time_ns first = session->request.token_at;
+    time_ns first = session->request.next_token_at;
     for (unsigned i = 0; i < homes->count; i++) {
-        time_ns until = homes->homes[i].token_at[share_priority(session->route.priority)];
+        time_ns until = homes->homes[i].next_token_at[share_priority(session->route.priority)];
         if (until > now && (first == 0 || until < first)) {
             first = until;
         }
@@ -170,7 +170,7 @@
     bool at_limit = first_token(session, homes, now) != 0;
     for (unsigned i = 0; i < homes->count; i++) {
         const home_t *home = &homes->homes[i];
-        bool asked = (session->request.homes_asked & (1U << i)) != 0;
+        bool asked = (session->request.homes_requested & (1U << i)) != 0;
         bool quiet = at_limit && is_quiet(home, now);
         if (asked || quiet || is_empty(session, home, now)) {
             continue;
@@ -222,14 +222,14 @@
 static void
 note_refusal(struct session *session, home_t *home, time_ns now, time_ns wait)
 {
-    time_ns first = session->request.token_at;
+    time_ns first = session->request.next_token_at;
     time_ns until = now + wait;
     time_ns ask_at = now + MIN(wait, EMPTY_NS);
     for (unsigned i = share_priority(session->route.priority); i < SHARE_PRIORITIES; i++) {
         home->empty_until[i] = MAX(home->empty_until[i], ask_at); /* the less urgent, as well */
-        home->token_at[i] = MAX(home->token_at[i], until);
+        home->next_token_at[i] = MAX(home->next_token_at[i], until);
     }
-    session->request.token_at = first == 0 ? until : MIN(first, until);
+    session->request.next_token_at = first == 0 ? until : MIN(first, until);
 }
 
 static time_ns
@@ -261,9 +261,9 @@
 admission_drop(struct session *session)
 {
     for (unsigned i = 0; i < ROSTER_SHARES; i++) {
-        if (session->request.questions[i] != NULL) {
-            forward_abandon_token(session->request.questions[i]);
-            session->request.questions[i] = NULL;
+        if (session->request.token_requests[i] != NULL) {
+            forward_abandon_token(session->request.token_requests[i]);
+            session->request.token_requests[i] = NULL;
         }
     }
 }
@@ -275,7 +275,7 @@
     homes_t *homes = homes_of(session->worker, session->tenant);
     if (homes->revision != session->request.homes_revision) {
         session->request.homes_revision = homes->revision;
-        session->request.homes_asked = 0;
+        session->request.homes_requested = 0;
         admission_drop(session);
     }
     return homes;
@@ -287,9 +287,9 @@
 {
     time_ns first = 0;
     for (unsigned i = 0; i < ROSTER_SHARES; i++) {
-        const token_question_t *question = session->request.questions[i];
+        const token_request_t *question = session->request.token_requests[i];
         if (question != NULL) {
-            time_ns until = token_asked_at(question) + HOME_SILENT_NS;
+            time_ns until = token_requested_at(question) + HOME_SILENT_NS;
             first = first == 0 ? until : MIN(first, until);
         }
     }
@@ -303,17 +303,17 @@
 {
     link_t *link = homes->homes[place].link;
     bool beside = given_up_at(session) != 0;
-    token_question_t *question = forward_ask_token(session, link, tenant->name, place);
+    token_request_t *question = forward_request_token(session, link, tenant->name, place);
     if (question == NULL) {
         return false;
     }
-    session->request.questions[place] = question;
-    metrics_count(&session->worker->metrics, METRICS_TOKENS_ASKED);
+    session->request.token_requests[place] = question;
+    metrics_count(&session->worker->metrics, METRICS_TOKENS_REQUESTED);
     if (beside) {
         metrics_count(&session->worker->metrics, METRICS_TOKENS_HEDGED);
     }
     operation_timing_enter(&session->timing, STAGE_TOKEN, now);
-    time_ns hedge_at = now + home_belief_patience(link_belief(link));
+    time_ns hedge_at = now + home_belief_patience(link_home_health(link));
     session_set_timer(session, MIN(hedge_at, given_up_at(session)));
     return true;
 }
@@ -332,7 +332,7 @@
     time_ns now = backend_now();
     for (int i = choose(session, homes, now); i >= 0; i = choose(session, homes, now)) {
         home_t *home = &homes->homes[i];
-        session->request.homes_asked |= 1U << i;
+        session->request.homes_requested |= 1U << i;
         if (home->link == NULL) {
             if (ask_here(session, tenant, home, now)) {
                 granted(session);
@@ -354,7 +354,7 @@
 {
     tenant_t tenant;
     session->state = SESSION_ADMITTING;
-    session->request.homes_asked = 0;
+    session->request.homes_requested = 0;
     admission_drop(session);
     bool counted = session->worker->shared->counting != NULL && session->forwarded.caller == NULL;
     if (!counted || !find_limit(session->worker, session->tenant, &tenant)) {
@@ -388,7 +388,7 @@
 admission_answered(struct session *session, unsigned place, const admission_answer_t *answer)
 {
     time_ns now = backend_now();
-    session->request.questions[place] = NULL;
+    session->request.token_requests[place] = NULL;
     if (!answer->declined && !answer->refused) {
         granted(session);
         process_rest(session);
@@ -409,7 +409,7 @@
 void
 admission_lost(struct session *session, unsigned place)
 {
-    session->request.questions[place] = NULL;
+    session->request.token_requests[place] = NULL;
     metrics_count(&session->worker->metrics, METRICS_TOKENS_UNANSWERED);
     go_on(session);
 }
@@ -418,19 +418,19 @@
 static void
 note_waiting(struct session *session, unsigned place, time_ns now)
 {
-    token_question_t *question = session->request.questions[place];
-    home_belief_t *belief = link_belief(token_link(question));
-    if (now < token_asked_at(question) + HOME_SILENT_NS) {
+    token_request_t *question = session->request.token_requests[place];
+    home_belief_t *belief = link_home_health(token_link(question));
+    if (now < token_requested_at(question) + HOME_SILENT_NS) {
         home_belief_slow(belief, now);
         return;
     }
     if (home_belief_silent(belief, now)) {
         g_info("The home at %s does not answer; others are asked first.",
-               link_text(token_link(question)));
+               link_address(token_link(question)));
     }
     metrics_count(&session->worker->metrics, METRICS_TOKENS_UNANSWERED);
     forward_abandon_token(question);
-    session->request.questions[place] = NULL;
+    session->request.token_requests[place] = NULL;
 }
 
 void
@@ -438,7 +438,7 @@
 {
     time_ns now = backend_now();
     for (unsigned i = 0; i < ROSTER_SHARES; i++) {
-        if (session->request.questions[i] != NULL) {
+        if (session->request.token_requests[i] != NULL) {
             note_waiting(session, i, now);
         }
     }
--- a/src/pooler/rate/admission.h
+++ b/src/pooler/rate/admission.h
@@ -33,7 +33,7 @@
 void admission_begin(struct session *session);
 
 /** @brief A home that was asked has answered.
- *  @param place of the home in the tenant's list, as given to forward_ask_token(). */
+ *  @param place of the home in the tenant's list, as given to forward_request_token(). */
 void admission_answered(struct session *session, unsigned place, const admission_answer_t *answer);
 
 /** @brief A home that was asked can't be reached: another one is asked. */
--- a/src/pooler/routing/choice.c
+++ b/src/pooler/routing/choice.c
@@ -163,7 +163,7 @@
 weigh_waiting(struct database *database, const struct session *session, time_ns fresh, time_ns now,
               struct choice *choice)
 {
-    if (session->request.held || fresh >= choice_objective(session)) {
+    if (session->request.deferred || fresh >= choice_objective(session)) {
         return;
     }
     bool open = database_idle_server(database, session) != NULL;
--- a/src/pooler/routing/group.c
+++ b/src/pooler/routing/group.c
@@ -132,7 +132,7 @@
             group->own_address = g_intern_string(owner->text);
             continue;
         }
-        link_t *link = link_of(group->worker, owner->text, &owner->address);
+        link_t *link = link_get(group->worker, owner->text, &owner->address);
         link_set_zone(link, owner->zone);
         g_ptr_array_add(group->links, link);
         group->links_near += owner->same_zone;
@@ -169,7 +169,7 @@
     group->connections = view->connections;
     group->alone_connections = view->alone_connections;
     apply_owners(group, view);
-    group->alone = group->alone && group->connections == 0 && forward_none_left(group);
+    group->alone = group->alone && group->connections == 0 && forward_all_unreachable(group);
     if (group->alone) {
         group->connections = group->alone_connections;
     }
@@ -199,7 +199,7 @@
 {
     time_ns now = backend_now();
     if (group->alone || (router_forwards(group) && group->queue.length > 0)) {
-        forward_try_again(group);
+        forward_reconnect(group);
     } else {
         group->unreached_since = 0; /* nobody waits: the next statement tries anew */
     }
@@ -214,7 +214,7 @@
 is_left_alone(struct group *group)
 {
     time_ns now = backend_now();
-    return forward_none_left(group) && group->unreached_since != 0 &&
+    return forward_all_unreachable(group) && group->unreached_since != 0 &&
            now >= group->unreached_since + ALONE_AFTER_NS;
 }
 
@@ -236,7 +236,7 @@
 void
 group_rejoin(struct group *group)
 {
-    if (forward_none_left(group)) {
+    if (forward_all_unreachable(group)) {
         return;
     }
     group->unreached_since = 0;
@@ -256,7 +256,7 @@
     struct worker_figures *figures = &group->shared->workers[group->worker->index];
     uint32_t before = atomic_exchange(&figures->in_flight, count);
     if (count == 0 && before != 0 && group->phase == GROUP_PHASE_DRAINING) {
-        worker_tell_news(group->worker);
+        worker_notify_coordinator(group->worker);
     }
 }
 
@@ -286,7 +286,7 @@
         return false;
     }
     if (group->alone) {
-        forward_try_again(group);
+        forward_reconnect(group);
     }
     for (guint i = 0; i < group->databases->len; i++) {
         struct database *database = g_ptr_array_index(group->databases, i);
--- a/src/pooler/routing/refusal.c
+++ b/src/pooler/routing/refusal.c
@@ -170,7 +170,7 @@
             find_prospect(later, now, &prospect) == later->request.line) {
             prospect.ahead = count_ahead(later);
             if (pace_is_late(&group->pace[later->request.line], &prospect)) {
-                session_end_wait(later, METRICS_REFUSAL_URGENT);
+                session_refuse_queued(later, METRICS_REFUSAL_DISPLACED);
                 note_shortage(later, now);
             }
         }
@@ -226,7 +226,7 @@
         note_shortage(session, backend_now());
         return true;
     }
-    *why = METRICS_REFUSAL_PRIMARY;
+    *why = METRICS_REFUSAL_PRIMARY_LOST;
     return is_hopeless(session);
 }
 
@@ -239,7 +239,7 @@
 }
 
 time_ns
-router_over_in(struct session *session, time_ns now)
+router_recovery_time(struct session *session, time_ns now)
 {
     const struct group *group = session->route.group;
     struct need need;
--- a/src/pooler/routing/router.c
+++ b/src/pooler/routing/router.c
@@ -106,7 +106,7 @@
         return false; /* refused while it waited; its client is told as soon as the loop turns */
     }
     if (now < session->request.not_before) {
-        worker_run_at(session->worker, session->request.not_before);
+        worker_run_queues_at(session->worker, session->request.not_before);
         return false;
     }
     bool forwards = router_forwards(session->route.group);
@@ -124,22 +124,22 @@
         return false;
     }
     if (choice.hold_until != 0) {
-        session->request.held = true;
+        session->request.deferred = true;
         session->request.not_before = choice.hold_until;
         metrics_count(&session->worker->metrics, METRICS_READS_HELD);
-        worker_run_at(session->worker, choice.hold_until);
+        worker_run_queues_at(session->worker, choice.hold_until);
         return false;
     }
     bool open_too =
         choice.to_open != NULL && database_may_open(choice.to_open, now) &&
-        now >= session->request.opened_at + OPENING_PATIENCE_NS &&
+        now >= session->request.last_opened_at + OPENING_PATIENCE_NS &&
         (choice.server == NULL || choice.open_cost * OPENING_FACTOR < choice.server_cost);
     if (open_too) {
-        session->request.opened_at = now;
+        session->request.last_opened_at = now;
         server_open(choice.to_open, session->tenant, METRICS_OPENED_STATEMENT);
     }
     if (choice.server == NULL || choice.server->state != SERVER_IDLE) {
-        bool opens = session->request.opened_at != 0;
+        bool opens = session->request.last_opened_at != 0;
         operation_timing_enter(&session->timing, opens ? STAGE_OPENING : STAGE_QUEUE, now);
         return false;
     }
@@ -156,7 +156,7 @@
     choice_note_try(choice.server->database, now);
     count_read(session, choice.server->database);
     note_led(&need, choice.server->database);
-    metrics_count(&session->worker->metrics, METRICS_FOUND_OPEN);
+    metrics_count(&session->worker->metrics, METRICS_CONNECTIONS_REUSED);
     server_run(choice.server, session, need.has_position ? &need.position : NULL);
     return true;
 }
--- a/src/pooler/shared/configuration.c
+++ b/src/pooler/shared/configuration.c
@@ -95,7 +95,7 @@
 }
 
 const tenant_t *
-configuration_holder(const struct configuration *configuration, const char *key)
+configuration_tenant_of_key(const struct configuration *configuration, const char *key)
 {
     return configuration->keys == NULL || key == NULL
                ? NULL
--- a/src/pooler/shared/configuration.h
+++ b/src/pooler/shared/configuration.h
@@ -68,7 +68,8 @@
 void configuration_add_key(struct configuration *configuration, const char *key, tenant_t *tenant);
 
 /** @return the tenant that holds the key; NULL if nobody does. */
-const tenant_t *configuration_holder(const struct configuration *configuration, const char *key);
+const tenant_t *configuration_tenant_of_key(const struct configuration *configuration,
+                                            const char *key);
 /** @return the tenant of this name; NULL if there is none. */
 const tenant_t *configuration_tenant(const struct configuration *configuration, const char *name);
 
--- a/src/pooler/shared/metrics.c
+++ b/src/pooler/shared/metrics.c
@@ -23,7 +23,7 @@
     [METRICS_FORWARD_BYTES] = "forward_bytes_sent",
     [METRICS_FORWARD_BYTES_RECEIVED] = "forward_bytes_received",
     [METRICS_TOKEN_BYTES] = "token_bytes_sent",
-    [METRICS_SIGN_BYTES] = "sign_bytes_sent",
+    [METRICS_PING_BYTES] = "sign_bytes_sent",
     [METRICS_OPENED_READY] = "database_connections_opened_ready",
     [METRICS_OPENED_STATEMENT] = "database_connections_opened_statement",
     [METRICS_OPENED_AHEAD] = "database_connections_opened_ahead",
@@ -31,35 +31,35 @@
     [METRICS_AHEAD_UNUSED] = "database_connections_ahead_unused",
     [METRICS_OPENED_PROOF] = "database_connections_opened_proof",
     [METRICS_OPENED_PROBE] = "database_connections_opened_probe",
-    [METRICS_OPENED_IN_PLACE] = "database_connections_replaced",
-    [METRICS_FOUND_OPEN] = "database_connections_found_open",
+    [METRICS_CONNECTIONS_REPLACED] = "database_connections_replaced",
+    [METRICS_CONNECTIONS_REUSED] = "database_connections_found_open",
     [METRICS_REFUSED_KEYS] = "refused_unknown_key",
     [METRICS_REFUSED_RATE] = "refused_above_limit",
     [METRICS_REFUSED_NO_HOME] = "refused_without_home",
     [METRICS_READS_HELD] = "reads_held",
     [METRICS_WINDOWS_NARROWED] = "database_windows_narrowed",
-    [METRICS_TOKENS_ASKED] = "tokens_asked",
+    [METRICS_TOKENS_REQUESTED] = "tokens_asked",
     [METRICS_TOKENS_UNANSWERED] = "tokens_unanswered",
     [METRICS_TOKENS_HEDGED] = "tokens_hedged",
     [METRICS_TOKENS_LATE] = "tokens_late",
     [METRICS_REFUSED_UNPROVEN] = "refused_without_proof",
     [METRICS_OPERATIONS_LATE] = "operations_late",
-    [METRICS_LET_GO] = "clients_let_go",
+    [METRICS_SESSIONS_CLOSED_PARTITIONED] = "clients_let_go",
     [METRICS_BACK_SERVED] = "returns_served",
     [METRICS_BACK_REFUSED] = "returns_refused",
 };
 
 static const char *const refusal_names[METRICS_REFUSAL_COUNT] = {
     [METRICS_REFUSAL_LATE] = "late",
-    [METRICS_REFUSAL_URGENT] = "displaced",
-    [METRICS_REFUSAL_PRIMARY] = "primary_lost",
+    [METRICS_REFUSAL_DISPLACED] = "displaced",
+    [METRICS_REFUSAL_PRIMARY_LOST] = "primary_lost",
     [METRICS_REFUSAL_WAITED] = "waited",
 };
 
 static const char *const refusal_texts[METRICS_REFUSAL_COUNT] = {
     [METRICS_REFUSAL_LATE] = "it would be late",
-    [METRICS_REFUSAL_URGENT] = "more urgent ones came",
-    [METRICS_REFUSAL_PRIMARY] = "the primary is out of reach",
+    [METRICS_REFUSAL_DISPLACED] = "more urgent ones came",
+    [METRICS_REFUSAL_PRIMARY_LOST] = "the primary is out of reach",
     [METRICS_REFUSAL_WAITED] = "it has waited too long",
 };
 
@@ -94,7 +94,7 @@
 }
 
 void
-metrics_count_more(struct metrics *metrics, enum metrics_counter counter, uint64_t by)
+metrics_count_by(struct metrics *metrics, enum metrics_counter counter, uint64_t by)
 {
     increase(&metrics->counters[counter], by);
 }
--- a/src/pooler/shared/metrics.h
+++ b/src/pooler/shared/metrics.h
@@ -38,7 +38,7 @@
     METRICS_FORWARD_BYTES,          /* sent between poolers for statements and answers, all kinds */
     METRICS_FORWARD_BYTES_RECEIVED, /* the same, received */
     METRICS_TOKEN_BYTES,            /* of those sent: for tokens of limits */
-    METRICS_SIGN_BYTES,             /* of those sent: to see whether the other side lives */
+    METRICS_PING_BYTES,             /* of those sent: to see whether the other side lives */
     METRICS_OPENED_READY,           /* connections opened to be ready */
     METRICS_OPENED_STATEMENT,       /* for a statement that waits */
     METRICS_OPENED_AHEAD,           /* for a statement that is likely to come */
@@ -46,22 +46,23 @@
     METRICS_AHEAD_UNUSED,           /* of those opened ahead: closed unused */
     METRICS_OPENED_PROOF,           /* for a question whether the primary leads */
     METRICS_OPENED_PROBE,           /* to see whether a faulty database is back */
-    METRICS_OPENED_IN_PLACE,        /* connections closed so that another tenant's has room */
-    METRICS_FOUND_OPEN,   /* statements and transactions that found a connection of their tenant */
-    METRICS_REFUSED_KEYS, /* starts and statements whose key nobody holds */
-    METRICS_REFUSED_UNPROVEN, /* statements refused for want of proof that their key stands */
-    METRICS_REFUSED_RATE,     /* operations above their tenant's limit */
+    METRICS_CONNECTIONS_REPLACED,   /* connections closed so that another tenant's has room */
+    METRICS_CONNECTIONS_REUSED,     /* statements and transactions that found a connection of their
+                                       tenant */
+    METRICS_REFUSED_KEYS,           /* starts and statements whose key nobody holds */
+    METRICS_REFUSED_UNPROVEN,       /* statements refused for want of proof that their key stands */
+    METRICS_REFUSED_RATE,           /* operations above their tenant's limit */
     METRICS_REFUSED_NO_HOME, /* operations for which no home of the limit granted or refused a token
                               */
-    METRICS_TOKENS_ASKED,    /* tokens to begin operations, asked of other poolers */
+    METRICS_TOKENS_REQUESTED,  /* tokens to begin operations, asked of other poolers */
     METRICS_TOKENS_UNANSWERED, /* of these, without an answer in time */
     METRICS_READS_HELD,        /* reads that waited until a replica would be fresh enough */
     METRICS_TOKENS_HEDGED,     /* tokens asked for while another home was slow to answer */
     METRICS_TOKENS_LATE,       /* tokens granted when nobody waited any more: lost to the tenants */
     METRICS_OPERATIONS_LATE,   /* operations past their route's objective at this pooler */
-    METRICS_BACK_SERVED,      /* requests served of clients that came back when they were told to */
-    METRICS_BACK_REFUSED,     /* the same, refused again or failed */
-    METRICS_LET_GO,           /* sessions at rest closed, as the zone is cut off */
+    METRICS_BACK_SERVED,  /* requests served of clients that came back when they were told to */
+    METRICS_BACK_REFUSED, /* the same, refused again or failed */
+    METRICS_SESSIONS_CLOSED_PARTITIONED, /* sessions at rest closed, as the zone is cut off */
     METRICS_WINDOWS_NARROWED, /* times that a slow database was limited to its share of slots */
     METRICS_COUNTER_COUNT,
 };
@@ -69,10 +70,10 @@
 /** @brief Why a statement was refused before it was sent: the label `reason` of
  *  swiftworks_refused_statements_total. */
 enum metrics_refusal {
-    METRICS_REFUSAL_LATE,    /* it would be late */
-    METRICS_REFUSAL_URGENT,  /* it waited, and more urgent ones came */
-    METRICS_REFUSAL_PRIMARY, /* the primary is out of reach */
-    METRICS_REFUSAL_WAITED,  /* it has waited for as long as it may */
+    METRICS_REFUSAL_LATE,         /* it would be late */
+    METRICS_REFUSAL_DISPLACED,    /* it waited, and more urgent ones came */
+    METRICS_REFUSAL_PRIMARY_LOST, /* the primary is out of reach */
+    METRICS_REFUSAL_WAITED,       /* it has waited for as long as it may */
     METRICS_REFUSAL_COUNT,
 };
 
@@ -96,7 +97,7 @@
 /* Adds one, or `by`, to a counter. */
 void metrics_count(struct metrics *metrics, enum metrics_counter counter);
 
-void metrics_count_more(struct metrics *metrics, enum metrics_counter counter, uint64_t by);
+void metrics_count_by(struct metrics *metrics, enum metrics_counter counter, uint64_t by);
 
 /* One statement that was never sent, of a route of this priority, is refused. */
 void metrics_refuse(struct metrics *metrics, enum metrics_refusal why, uint32_t priority);
--- a/src/pooler/shared/socket.c
+++ b/src/pooler/shared/socket.c
@@ -79,7 +79,7 @@
 }
 
 bool
-socket_holds_bytes(int handle)
+socket_has_unacknowledged(int handle)
 {
     int held = 0;
     return ioctl(handle, SIOCOUTQ, &held) == 0 && held > 0;
--- a/src/pooler/shared/socket.h
+++ b/src/pooler/shared/socket.h
@@ -28,6 +28,6 @@
 void socket_reset_on_close(int handle);
 
 /** @return true if bytes that were sent have not been acknowledged by the far end's machine. */
-bool socket_holds_bytes(int handle);
+bool socket_has_unacknowledged(int handle);
 
 #endif
--- a/src/pooler/worker/worker.c
+++ b/src/pooler/worker/worker.c
@@ -24,7 +24,7 @@
 #define STOP_RESERVE_NS (700 * NANOSECONDS_PER_MILLISECOND)
 
 void
-worker_alert(struct worker *worker)
+worker_wake_control(struct worker *worker)
 {
     uint64_t one = 1;
     if (write(worker->shared->control_wake, &one, sizeof one) < 0) {
@@ -33,10 +33,10 @@
 }
 
 void
-worker_tell_news(struct worker *worker)
+worker_notify_coordinator(struct worker *worker)
 {
-    atomic_fetch_add(&worker->shared->news, 1);
-    worker_alert(worker);
+    atomic_fetch_add(&worker->shared->urgent_updates, 1);
+    worker_wake_control(worker);
 }
 
 void
@@ -73,7 +73,7 @@
 }
 
 void
-worker_settle(struct worker *worker)
+worker_run_deferred(struct worker *worker)
 {
     while (worker->groups_to_run->len > 0) {
         guint last = worker->groups_to_run->len - 1;
@@ -153,7 +153,7 @@
                 view->configuration->transaction_idle_ms * NANOSECONDS_PER_MILLISECOND;
         }
         atomic_store(&worker->view_number, view->number);
-        worker_alert(worker);
+        worker_wake_control(worker);
     }
     rcu_read_unlock();
     if (before == 0 && worker->view_number != 0) {
@@ -166,7 +166,7 @@
 {
     atomic_store(&worker->has_ended, true);
     event_base_loopbreak(worker->base);
-    worker_alert(worker);
+    worker_wake_control(worker);
 }
 
 /* Transactions have half of the grace; then whatever is left ends. */
@@ -211,9 +211,9 @@
 /* Closes sessions at rest while the zone is cut off: their clients connect again, and the entry
  * leads them to another zone. Left open, they would stay here and be refused. */
 static void
-let_clients_go(struct worker *worker, time_ns now)
+close_idle_sessions(struct worker *worker, time_ns now)
 {
-    time_ns since = atomic_load(&worker->shared->cut_off_at);
+    time_ns since = atomic_load(&worker->shared->partitioned_since);
     if (since == 0) {
         return;
     }
@@ -224,8 +224,8 @@
     for (GList *link = worker->sessions.head; link != NULL && left > 0;) {
         struct session *session = link->data;
         link = link->next;
-        if (session->forwarded.caller == NULL && session_is_at_rest(session)) {
-            metrics_count(&worker->metrics, METRICS_LET_GO);
+        if (session->forwarded.caller == NULL && session_is_idle(session)) {
+            metrics_count(&worker->metrics, METRICS_SESSIONS_CLOSED_PARTITIONED);
             session_end(session);
             left--;
         }
@@ -247,15 +247,15 @@
     }
     forward_tick(worker, now);
     check_stop(worker, now);
-    let_clients_go(worker, now);
+    close_idle_sessions(worker, now);
     if (worker->busy > 0 || faulty) {
         worker_arm_tick(worker);
     }
-    worker_settle(worker);
+    worker_run_deferred(worker);
 }
 
 /* The earliest held statement may go: runs all queues. Statements that are still held set the timer
- * again (worker_run_at()). */
+ * again (worker_run_queues_at()). */
 static void
 on_held(evutil_socket_t socket, short events, void *user)
 {
@@ -270,11 +270,11 @@
             g_ptr_array_add(worker->groups_to_run, group);
         }
     }
-    worker_settle(worker);
+    worker_run_deferred(worker);
 }
 
 void
-worker_run_at(struct worker *worker, time_ns at)
+worker_run_queues_at(struct worker *worker, time_ns at)
 {
     if (worker->held_at != 0 && worker->held_at <= at) {
         return;
@@ -297,10 +297,10 @@
     }
     apply_view(worker);
     check_stop(worker, backend_now());
-    if (atomic_load(&worker->shared->cut_off_at) != 0) {
-        worker_arm_tick(worker); /* let_clients_go */
+    if (atomic_load(&worker->shared->partitioned_since) != 0) {
+        worker_arm_tick(worker); /* close_idle_sessions */
     }
-    worker_settle(worker);
+    worker_run_deferred(worker);
 }
 
 static void
@@ -318,7 +318,7 @@
         }
         session_open(worker, handle);
     }
-    worker_settle(worker);
+    worker_run_deferred(worker);
 }
 
 static void
@@ -428,7 +428,7 @@
         }
     }
     g_ptr_array_set_size(worker->groups_to_run, 0);
-    worker_settle(worker);
+    worker_run_deferred(worker);
 }
 
 void
--- a/src/pooler/worker/worker.h
+++ b/src/pooler/worker/worker.h
@@ -18,20 +18,21 @@
 
 /* What a worker shares with the control thread. */
 struct worker_shared {
-    struct view *view;          /* under RCU */
-    _Atomic time_ns stop_at;    /* when the planned stop began; 0: not yet */
-    time_ns stop_grace;         /* how long a planned stop may take */
-    _Atomic time_ns cut_off_at; /* this zone is cut off since then; 0: it is not */
-    int control_wake;           /* eventfd that wakes the control thread */
-    _Atomic uint64_t news; /* rises with each change that the coordinator should hear of at once */
+    struct view *view;                 /* under RCU */
+    _Atomic time_ns stop_at;           /* when the planned stop began; 0: not yet */
+    time_ns stop_grace;                /* how long a planned stop may take */
+    _Atomic time_ns partitioned_since; /* this zone is cut off since then; 0: it is not */
+    int control_wake;                  /* eventfd that wakes the control thread */
+    _Atomic uint64_t
+        urgent_updates; /* rises with each change that the coordinator should hear of at once */
     struct sockaddr_in listen;
     struct sockaddr_in forward_listen; /* for other poolers' statements; port 0: nowhere */
     uint32_t sessions_max;
     /* The configuration of the newest view was the store's newest then; 0: never proven. */
     _Atomic time_ns configuration_proven_at;
-    time_ns proof_lifetime; /* for which that counts; 0: no proof is asked for */
-    time_ns held_max;       /* a statement that has not left by then is taken back; 0: never */
-    counting_t *counting;   /* of tenants' operations; NULL: none are counted */
+    time_ns proof_lifetime;     /* for which that counts; 0: no proof is asked for */
+    time_ns unacknowledged_max; /* a statement that has not left by then is taken back; 0: never */
+    counting_t *counting;       /* of tenants' operations; NULL: none are counted */
 };
 
 /* Starts the thread. NULL with `error` if it can't listen. `index` counts from 0. */
--- a/src/pooler/worker/worker_internal.h
+++ b/src/pooler/worker/worker_internal.h
@@ -66,24 +66,24 @@
     char *message; /* the client's message; the spans point into it */
     size_t message_length;
     struct statement statement;
-    bool writes;          /* a write, or the execution of a prepared one */
-    time_ns arrived;      /* when it was read */
-    time_ns deadline;     /* of its route's timeout */
-    time_ns sent;         /* when it was last sent to a database */
-    const char *sent_to;  /* id of that database, NULL: to none yet */
-    time_ns not_before;   /* it is not sent again before */
-    time_ns opened_at;    /* a connection was last opened for it */
-    bool held;            /* it has waited for a replica to be fresh enough; only once */
-    pace_line_t line;     /* in which it waits, or would */
-    uint32_t homes_asked; /* bit set: homes of the tenant's limit asked for a token */
-    token_question_t *questions[ROSTER_SHARES]; /* open ones, by home; NULL: none */
-    time_ns token_at; /* when the first home that refused has a token again; 0: none refused */
+    bool writes;              /* a write, or the execution of a prepared one */
+    time_ns arrived;          /* when it was read */
+    time_ns deadline;         /* of its route's timeout */
+    time_ns sent;             /* when it was last sent to a database */
+    const char *sent_to;      /* id of that database, NULL: to none yet */
+    time_ns not_before;       /* it is not sent again before */
+    time_ns last_opened_at;   /* a connection was last opened for it */
+    bool deferred;            /* it has waited for a replica to be fresh enough; only once */
+    pace_line_t line;         /* in which it waits, or would */
+    uint32_t homes_requested; /* bit set: homes of the tenant's limit asked for a token */
+    token_request_t *token_requests[ROSTER_SHARES]; /* open ones, by home; NULL: none */
+    time_ns next_token_at; /* when the first home that refused has a token again; 0: none refused */
     uint64_t homes_revision; /* of the roster that the homes are of */
     uint32_t attempts;
-    bool may_have_run;   /* it was sent to a database */
-    bool at_primary;     /* it was sent to its group's primary, as far as known */
-    const char *refusal; /* why it was refused as it came; NULL: it was not */
-    time_ns over_in;     /* expected time until what refused it is over; 0: not known */
+    bool may_have_run;     /* it was sent to a database */
+    bool at_primary;       /* it was sent to its group's primary, as far as known */
+    const char *refusal;   /* why it was refused as it came; NULL: it was not */
+    time_ns recovery_time; /* expected time until what refused it is over; 0: not known */
 };
 
 /** @brief What differs between a client of this pooler and one whose pooler forwards to it. */
@@ -315,15 +315,15 @@
 
 /* worker.c */
 /* Frees what ended and lets queues move. At the end of each callback of the event loop. */
-void worker_settle(struct worker *worker);
+void worker_run_deferred(struct worker *worker);
 /* Sees to it that the tick goes off while anything is asked. */
 void worker_arm_tick(struct worker *worker);
 /* Runs all queues at that moment, at the latest. */
-void worker_run_at(struct worker *worker, time_ns at);
+void worker_run_queues_at(struct worker *worker, time_ns at);
 /* Wakes the control thread. */
-void worker_alert(struct worker *worker);
+void worker_wake_control(struct worker *worker);
 /* The same, for something that the coordinator should hear of at once. */
-void worker_tell_news(struct worker *worker);
+void worker_notify_coordinator(struct worker *worker);
 
 /* session.c */
 void session_open(struct worker *worker, int socket);
@@ -336,12 +336,12 @@
 /* The server broke or was given up while it worked for the session. */
 void session_server_lost(struct session *session, enum answer_code reason);
 /* The statement has not run and may go elsewhere: queues it again or refuses it. */
-void session_try_again(struct session *session, enum answer_code reason);
+void session_retry(struct session *session, enum answer_code reason);
 /* Its statement is not run, as it would be late; the client is told when to come back. */
 void session_refuse(struct session *session, enum metrics_refusal why);
 /* The same for one in a queue, which is left only after the current callback: safe while the queue
  * is walked. */
-void session_end_wait(struct session *session, enum metrics_refusal why);
+void session_refuse_queued(struct session *session, enum metrics_refusal why);
 /* The operation is not begun; the client is told when to come back. */
 void session_refuse_operation(struct session *session, enum answer_code code, uint32_t retry_ms);
 /* The operation may begin: its statement goes to the router. */
@@ -352,7 +352,7 @@
 void session_continue(struct session *session);
 /* True if no statement or transaction is open and nothing is buffered: its client does not take a
  * close for a failure. */
-bool session_is_at_rest(const struct session *session);
+bool session_is_idle(const struct session *session);
 /* Ends idle sessions of a worker that stops. */
 void session_check_stop(struct session *session, time_ns now);
 
@@ -450,7 +450,7 @@
 /* True if only the primary can serve the session's statement, whatever else is known. */
 bool router_wants_primary(const struct session *session);
 /* In how long a request that is refused now could be served here; 0: not known. */
-time_ns router_over_in(struct session *session, time_ns now);
+time_ns router_recovery_time(struct session *session, time_ns now);
 /* True if other poolers hold the connections to the group's databases. */
 bool router_forwards(const struct group *group);
 
--- a/tests/pooler/test_forward.c
+++ b/tests/pooler/test_forward.c
@@ -402,11 +402,13 @@
     warm_up(fixture, "strict");
     read_of_each(fixture, "strict");
     uint64_t before = count_served(fixture, 0);
-    uint64_t here = atomic_load(&worker_metrics(fixture->worker)->counters[METRICS_FOUND_OPEN]);
+    uint64_t here =
+        atomic_load(&worker_metrics(fixture->worker)->counters[METRICS_CONNECTIONS_REUSED]);
     read_of_each(fixture, "strict");
     g_assert_cmpuint(count_served(fixture, 0) - before, ==, TENANTS);
-    g_assert_cmpuint(atomic_load(&worker_metrics(fixture->worker)->counters[METRICS_FOUND_OPEN]),
-                     ==, here);
+    g_assert_cmpuint(
+        atomic_load(&worker_metrics(fixture->worker)->counters[METRICS_CONNECTIONS_REUSED]), ==,
+        here);
 }
 
 /* The other owner is lost: this one serves all. */
@@ -416,8 +418,9 @@
     warm_up(fixture, "strict");
     stop_owner(fixture, 0);
     read_of_each(fixture, "strict");
-    g_assert_cmpuint(atomic_load(&worker_metrics(fixture->worker)->counters[METRICS_FOUND_OPEN]),
-                     >=, TENANTS);
+    g_assert_cmpuint(
+        atomic_load(&worker_metrics(fixture->worker)->counters[METRICS_CONNECTIONS_REUSED]), >=,
+        TENANTS);
 }
 
 #define ADD_OWNER(name, set_up_by, test)                                                           \
--- a/tests/pooler/test_worker.c
+++ b/tests/pooler/test_worker.c
@@ -850,7 +850,8 @@
 static uint64_t
 count_let_go(const struct fixture *fixture)
 {
-    return atomic_load(&worker_metrics(fixture->worker)->counters[METRICS_LET_GO]);
+    return atomic_load(
+        &worker_metrics(fixture->worker)->counters[METRICS_SESSIONS_CLOSED_PARTITIONED]);
 }
 
 static void
@@ -878,12 +879,12 @@
     }
     good(open, "BEGIN", 'T');
     good(open, "WRITE hut open", 'T');
-    atomic_store(&fixture->shared.cut_off_at, backend_now());
+    atomic_store(&fixture->shared.partitioned_since, backend_now());
     worker_wake(fixture->worker);
     g_usleep(200 * 1000);
     g_assert_cmpuint(count_let_go(fixture), ==, 0);
     time_ns before = backend_now();
-    atomic_store(&fixture->shared.cut_off_at, before - 3 * NANOSECONDS_PER_SECOND);
+    atomic_store(&fixture->shared.partitioned_since, before - 3 * NANOSECONDS_PER_SECOND);
     for (unsigned i = 0; i < 20; i++) {
         worker_wake(fixture->worker);
         g_usleep(1000);
@@ -895,7 +896,7 @@
     good(open, "WRITE hut still-open", 'T');
     good(open, "COMMIT", 'I');
     wait_for_let_go(fixture, AT_REST + 1);
-    atomic_store(&fixture->shared.cut_off_at, 0);
+    atomic_store(&fixture->shared.partitioned_since, 0);
     g_assert_cmpuint(line_group_committed(fixture->group, "hut", "still-open"), ==, 1);
     for (unsigned i = 0; i < AT_REST; i++) {
         client_close(clients[i]);
