--- a/src/pooler/client/operation_report.c
+++ b/src/pooler/client/operation_report.c
@@ -5,7 +5,7 @@
 
 /* Limits each worker's lines of late operations, per second and at once. Enough to see which stage
  * is to blame, and few beside the lines of changes, which share the log's budget. */
-static const bucket_limit_t late_lines_limit = {.rate_per_s = 2, .room = 4};
+static const bucket_limit_t late_log_limit = {.rate_per_s = 2, .room = 4};
 
 /* True if the client's message is part of an operation: what only prepares the session is not. */
 static bool
@@ -91,7 +91,7 @@
         return;
     }
     metrics_count(&worker->metrics, METRICS_OPERATIONS_LATE);
-    if (bucket_take(&worker->late_lines, &late_lines_limit, 0, now, &wait)) {
+    if (bucket_take(&worker->late_log_bucket, &late_log_limit, 0, now, &wait)) {
         log_late(session, code, total);
     }
 }
--- a/src/pooler/client/session_answer.c
+++ b/src/pooler/client/session_answer.c
@@ -63,8 +63,8 @@
 static void
 count_return(struct session *session, enum answer_code code)
 {
-    time_ns told = session->told_back_at;
-    session->told_back_at = 0;
+    time_ns told = session->advised_retry_at;
+    session->advised_retry_at = 0;
     if (told != 0 && session->request.arrived >= told &&
         session->request.arrived < told + BACK_WITHIN_NS) {
         metrics_count(&session->worker->metrics,
@@ -129,7 +129,7 @@
     const retry_case_t refused = {recovery_time, route->timeout_ms * NANOSECONDS_PER_MILLISECOND,
                                   route->priority};
     uint32_t wait_ms = retry_advice_ms(&refused, g_random_double());
-    session->told_back_at = now + wait_ms * NANOSECONDS_PER_MILLISECOND;
+    session->advised_retry_at = now + wait_ms * NANOSECONDS_PER_MILLISECOND;
     return g_strdup_printf("%s; retry in %u ms", meaning->advice, wait_ms);
 }
 
@@ -405,7 +405,7 @@
         return;
     }
     session_answer_error(session, code, text);
-    session->told_back_at = backend_now() + retry_ms * NANOSECONDS_PER_MILLISECOND;
+    session->advised_retry_at = backend_now() + retry_ms * NANOSECONDS_PER_MILLISECOND;
 }
 
 void
--- a/src/pooler/worker/worker.c
+++ b/src/pooler/worker/worker.c
@@ -1,4 +1,4 @@
-/* The worker's thread: its event loop, listener, view and planned stop; see the header. */
+/* A worker's thread: event loop, listeners, application of views, planned stop; see the header. */
 #define G_LOG_DOMAIN "worker"
 #include "pooler/shared/socket.h"
 #include "pooler/worker/worker_internal.h"
@@ -7,20 +7,22 @@
 #include <sys/eventfd.h>
 #include <unistd.h>
 
-/* Time between two looks at what waits or is silent, while anything is asked. */
+/* Interval of the checks for time-outs and unresponsive peers while any statement is in progress.
+ */
 #define TICK_MS 50
 
 #define LISTEN_BACKLOG 512
 #define ACCEPTS_MAX    64
 
-/* Connections are kept ready, and lost owners tried again, so often while nothing else asks for it.
- */
-#define REFRESH_EVERY_NS (900 * NANOSECONDS_PER_MILLISECOND)
+/* Interval of group_refresh(), which restores ready connections and reconnects to lost owners, for
+ * groups that no new view has changed. */
+#define REFRESH_INTERVAL_NS (900 * NANOSECONDS_PER_MILLISECOND)
 
-/* A planned stop takes new clients this long at least: the entry has to notice first. */
+/* A planned stop accepts new clients for this long: until then the load balancer may not have
+ * noticed that this pooler is not ready. */
 #define STOP_MIN_NS (2600 * NANOSECONDS_PER_MILLISECOND)
 
-/* Kept free before the end of the grace. */
+/* Sessions that are still open are ended this long before the end of the grace period. */
 #define STOP_RESERVE_NS (700 * NANOSECONDS_PER_MILLISECOND)
 
 void
@@ -28,7 +30,7 @@
 {
     uint64_t one = 1;
     if (write(worker->shared->control_wake, &one, sizeof one) < 0) {
-        return; /* it is awake already */
+        return; /* the eventfd's counter is full: a wake-up is pending */
     }
 }
 
@@ -44,7 +46,7 @@
 {
     uint64_t one = 1;
     if (write(worker->wake, &one, sizeof one) < 0) {
-        return; /* it is awake already */
+        return; /* the eventfd's counter is full: a wake-up is pending */
     }
 }
 
@@ -100,9 +102,9 @@
     }
 }
 
-/* Sessions whose start came before the first view. */
+/* Processes the start messages that came before the first view. */
 static void
-continue_waiting(struct worker *worker)
+continue_sessions(struct worker *worker)
 {
     for (GList *link = worker->sessions.head; link != NULL;) {
         struct session *session = link->data;
@@ -111,7 +113,7 @@
     }
 }
 
-/* Most views change few groups, or none. */
+/* Most views change few groups or none: unchanged groups keep their revision and are skipped. */
 static void
 apply_group(struct worker *worker, const struct pooled_group *published, bool refresh)
 {
@@ -129,7 +131,7 @@
 apply_groups(struct worker *worker, const struct view *view)
 {
     time_ns now = backend_now();
-    bool refresh = now >= worker->refreshed_at + REFRESH_EVERY_NS;
+    bool refresh = now >= worker->refreshed_at + REFRESH_INTERVAL_NS;
     if (refresh) {
         worker->refreshed_at = now;
     }
@@ -138,7 +140,8 @@
     }
 }
 
-/* Views are told apart by number: another one may lie where a freed one lay. */
+/* Views are compared by number, not by address: a new view may be allocated where a freed one was.
+ */
 static void
 apply_view(struct worker *worker)
 {
@@ -157,7 +160,7 @@
     }
     rcu_read_unlock();
     if (before == 0 && worker->view_number != 0) {
-        continue_waiting(worker);
+        continue_sessions(worker);
     }
 }
 
@@ -169,7 +172,9 @@
     worker_wake_control(worker);
 }
 
-/* Transactions have half of the grace; then whatever is left ends. */
+/* Ends idle sessions; shortly before the end of the grace period ends all that are left, except
+ * those with a running statement. Queued statements of other poolers are declined, so that their
+ * poolers send them to another owner. */
 static void
 check_stop(struct worker *worker, time_ns now)
 {
@@ -178,13 +183,13 @@
         return;
     }
     worker->stopping = true;
-    bool last = now > began + worker->shared->stop_grace - STOP_RESERVE_NS;
+    bool grace_over = now > began + worker->shared->stop_grace - STOP_RESERVE_NS;
     for (GList *link = worker->sessions.head; link != NULL;) {
         struct session *session = link->data;
         link = link->next;
-        if (last && session->state == SESSION_QUEUED && session->forwarded.caller != NULL) {
+        if (grace_over && session->state == SESSION_QUEUED && session->forwarded.caller != NULL) {
             caller_decline(session);
-        } else if (last && session->state != SESSION_RUNNING) {
+        } else if (grace_over && session->state != SESSION_RUNNING) {
             session_end(session);
         } else {
             session_check_stop(session, now);
@@ -198,18 +203,21 @@
     worker_arm_tick(worker);
 }
 
-/* Clients stay connected for so long after the zone is found cut off. The load balancer at the
- * entry sends new clients elsewhere only after two probes in a row, a second apart, found this
- * pooler not ready; a client that is closed before would come back to this zone. */
-#define LET_GO_AFTER_NS (2 * NANOSECONDS_PER_SECOND)
+/* Idle clients are disconnected this long after a network partition of the zone was detected. The
+ * load balancer sends new clients to other zones only after two consecutive probes, one second
+ * apart, found this pooler not ready; a client disconnected earlier would reconnect to this zone.
+ */
+#define CLOSE_IDLE_AFTER_NS (2 * NANOSECONDS_PER_SECOND)
 
-/* Of a worker's sessions, one in LET_GO_PART is closed each TICK_MS, LET_GO_LEAST at least: most
- * within a second, but not all at once, which would flood the other zones. */
-#define LET_GO_PART  10
-#define LET_GO_LEAST 4U
+/* Each TICK_MS, one in CLOSE_IDLE_PART of a worker's sessions is closed, and at least
+ * CLOSE_IDLE_MIN. Most are closed within a second, but not all at once: their reconnects would
+ * overload the other zones. */
+#define CLOSE_IDLE_PART 10
+#define CLOSE_IDLE_MIN  4U
 
-/* Closes sessions at rest while the zone is cut off: their clients connect again, and the entry
- * leads them to another zone. Left open, they would stay here and be refused. */
+/* Closes idle sessions while the zone is partitioned: their clients reconnect, and the load
+ * balancer sends them to another zone. Left open, they would stay here and have their statements
+ * refused. */
 static void
 close_idle_sessions(struct worker *worker, time_ns now)
 {
@@ -218,9 +226,9 @@
         return;
     }
     worker_arm_tick(worker);
-    guint left = now < since + LET_GO_AFTER_NS
+    guint left = now < since + CLOSE_IDLE_AFTER_NS
                      ? 0
-                     : MAX(worker->sessions.length / LET_GO_PART, LET_GO_LEAST);
+                     : MAX(worker->sessions.length / CLOSE_IDLE_PART, CLOSE_IDLE_MIN);
     for (GList *link = worker->sessions.head; link != NULL && left > 0;) {
         struct session *session = link->data;
         link = link->next;
@@ -254,15 +262,15 @@
     worker_run_deferred(worker);
 }
 
-/* The earliest held statement may go: runs all queues. Statements that are still held set the timer
- * again (worker_run_queues_at()). */
+/* The earliest deferred statement may be sent: runs all queues. Statements that are still deferred
+ * set the timer again (worker_run_queues_at()). */
 static void
-on_held(evutil_socket_t socket, short events, void *user)
+on_deferral_timer(evutil_socket_t socket, short events, void *user)
 {
     struct worker *worker = user;
     GHashTableIter iterator;
     gpointer value = NULL;
-    worker->held_at = 0;
+    worker->next_deferred_at = 0;
     g_hash_table_iter_init(&iterator, worker->groups);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct group *group = value;
@@ -276,15 +284,15 @@
 void
 worker_run_queues_at(struct worker *worker, time_ns at)
 {
-    if (worker->held_at != 0 && worker->held_at <= at) {
+    if (worker->next_deferred_at != 0 && worker->next_deferred_at <= at) {
         return;
     }
     time_ns now = backend_now();
     time_ns wait = at > now ? at - now : 0;
     struct timeval left = {(time_t)(wait / NANOSECONDS_PER_SECOND),
                            (suseconds_t)(wait % NANOSECONDS_PER_SECOND / 1000) + 1};
-    worker->held_at = at;
-    evtimer_add(worker->held, &left);
+    worker->next_deferred_at = at;
+    evtimer_add(worker->deferral_timer, &left);
 }
 
 static void
@@ -293,12 +301,12 @@
     struct worker *worker = user;
     uint64_t count = 0;
     if (read(worker->wake, &count, sizeof count) < 0 && errno != EAGAIN) {
-        g_warning("A wake-up could not be read.");
+        g_warning("Reading the wake-up eventfd failed.");
     }
     apply_view(worker);
     check_stop(worker, backend_now());
     if (atomic_load(&worker->shared->partitioned_since) != 0) {
-        worker_arm_tick(worker); /* close_idle_sessions */
+        worker_arm_tick(worker); /* for close_idle_sessions() */
     }
     worker_run_deferred(worker);
 }
@@ -331,7 +339,7 @@
     }
 }
 
-/* Listens for other poolers' statements, if an address is given for that. */
+/* Listens for poolers that forward statements, if an address is set for that. */
 static bool
 listen_for_callers(struct worker *worker, GError **error)
 {
@@ -387,7 +395,7 @@
         event_new(worker->base, listener, EV_READ | EV_PERSIST, on_acceptable, worker);
     worker->woken = event_new(worker->base, worker->wake, EV_READ | EV_PERSIST, on_wake, worker);
     worker->tick = evtimer_new(worker->base, on_tick, worker);
-    worker->held = evtimer_new(worker->base, on_held, worker);
+    worker->deferral_timer = evtimer_new(worker->base, on_deferral_timer, worker);
     worker->groups = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_group);
     worker->links = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, (GDestroyNotify)link_free);
     worker->homes = admission_homes_new();
@@ -399,15 +407,16 @@
     event_add(worker->acceptable, NULL);
     event_add(worker->woken, NULL);
     if (!listen_for_callers(worker, error)) {
-        return NULL; /* the process ends: nothing is taken back */
+        return NULL; /* the process exits: nothing is freed */
     }
     pthread_create(&worker->thread, NULL, run, worker);
     return worker;
 }
 
-/* Frees what the planned stop left open. After the thread has ended. */
+/* Closes the sessions and connections that the planned stop left open. After the thread has ended.
+ */
 static void
-close_rest(struct worker *worker)
+close_remaining(struct worker *worker)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
@@ -435,11 +444,11 @@
 worker_join(struct worker *worker)
 {
     pthread_join(worker->thread, NULL);
-    close_rest(worker);
+    close_remaining(worker);
     event_free(worker->acceptable);
     event_free(worker->woken);
     event_free(worker->tick);
-    event_free(worker->held);
+    event_free(worker->deferral_timer);
     g_clear_pointer(&worker->forward_acceptable, event_free);
     g_hash_table_unref(worker->homes);
     g_hash_table_unref(worker->links);
--- a/src/pooler/worker/worker_internal.h
+++ b/src/pooler/worker/worker_internal.h
@@ -1,5 +1,6 @@
-/* The structs of one worker: sessions of clients, groups with their databases, and connections to
- * these. All belong to the worker's thread; nothing here is locked. */
+/* The structs of one worker: client sessions, groups of databases, and connections to databases.
+ * All belong to the worker's thread, so none is locked. A group is a set of databases with one
+ * replicated log: one primary and its replicas. */
 #ifndef SW_POOLER_WORKER_INTERNAL_H
 #define SW_POOLER_WORKER_INTERNAL_H
 
@@ -26,30 +27,30 @@
 #include "pooler/shared/wire.h"
 #include "pooler/worker/worker.h"
 
-/* One client's connection, from its start to its end. */
+/* What a client's session is doing. */
 enum session_state {
-    SESSION_STARTING,  /* has not named its database yet */
-    SESSION_IDLE,      /* nothing is asked */
-    SESSION_ADMITTING, /* a token to begin an operation is asked for */
-    SESSION_QUEUED,    /* a statement waits for a connection to a database */
-    SESSION_RUNNING,   /* a statement is at a database */
+    SESSION_STARTING,  /* the client has not named its database yet */
+    SESSION_IDLE,      /* no statement is in progress */
+    SESSION_ADMITTING, /* waits for a rate-limit token to begin an operation */
+    SESSION_QUEUED,    /* its statement waits for a connection to a database */
+    SESSION_RUNNING,   /* its statement was sent to a database or an owner */
     SESSION_ENDED,     /* closed; freed at the end of the callback */
 };
 
 enum session_transaction {
     SESSION_TRANSACTION_NONE,
-    SESSION_TRANSACTION_REQUESTED, /* begun by the client, at no database yet */
+    SESSION_TRANSACTION_REQUESTED, /* begun by the client, not yet at a database */
     SESSION_TRANSACTION_OPEN,      /* begun at a database */
     SESSION_TRANSACTION_FAILED,    /* rolled back; the client must end it */
 };
 
-/* A name that a client prepared. */
+/* A statement that a client prepared under a name. */
 struct prepared {
     bool writes;
     char *shape;
 };
 
-/* What a session's route said when the transaction or single statement began. */
+/* The session's route as of the start of its transaction or single statement. */
 struct session_route {
     struct group *group;
     enum route_kind kind;
@@ -57,54 +58,60 @@
     uint32_t target_ms;
     uint32_t priority;
     uint32_t staleness_ms;
-    bool is_public;         /* needs no key */
-    uint64_t configuration; /* version that the route is of; of a forwarded session, the asker's */
+    bool is_public;         /* clients need no key */
+    uint64_t configuration; /* version of the configuration with this route; of a forwarded session,
+                               the forwarding pooler's */
 };
 
-/* The statement that a session asks at the moment. */
+/* The statement that a session is processing. */
 struct session_request {
     char *message; /* the client's message; the spans point into it */
     size_t message_length;
     struct statement statement;
-    bool writes;              /* a write, or the execution of a prepared one */
-    time_ns arrived;          /* when it was read */
-    time_ns deadline;         /* of its route's timeout */
-    time_ns sent;             /* when it was last sent to a database */
-    const char *sent_to;      /* id of that database, NULL: to none yet */
-    time_ns not_before;       /* it is not sent again before */
-    time_ns last_opened_at;   /* a connection was last opened for it */
-    bool deferred;            /* it has waited for a replica to be fresh enough; only once */
-    pace_line_t line;         /* in which it waits, or would */
-    uint32_t homes_requested; /* bit set: homes of the tenant's limit asked for a token */
+    bool writes;            /* a write, or the execution of a prepared one */
+    time_ns arrived;        /* when the message was read */
+    time_ns deadline;       /* arrival plus the route's timeout */
+    time_ns sent;           /* when it was last sent to a database or an owner */
+    const char *sent_to;    /* id of that database, or address of that owner; NULL: not sent yet */
+    time_ns not_before;     /* earliest time of the next attempt */
+    time_ns last_opened_at; /* when a connection was last opened for it */
+    bool deferred;    /* it was deferred until a replica would be fresh enough; at most once */
+    pace_line_t line; /* the queue that it waits in, or would */
+    uint32_t homes_requested; /* bit set of the homes of the tenant's limit that a token was
+                                 requested from */
     token_request_t *token_requests[ROSTER_SHARES]; /* open ones, by home; NULL: none */
-    time_ns next_token_at; /* when the first home that refused has a token again; 0: none refused */
-    uint64_t homes_revision; /* of the roster that the homes are of */
+    time_ns next_token_at; /* earliest time at which a home that refused has a token again; 0: none
+                              refused */
+    uint64_t homes_revision; /* revision of the roster that the homes were taken from */
     uint32_t attempts;
     bool may_have_run;     /* it was sent to a database */
-    bool at_primary;       /* it was sent to its group's primary, as far as known */
-    const char *refusal;   /* why it was refused as it came; NULL: it was not */
-    time_ns recovery_time; /* expected time until what refused it is over; 0: not known */
+    bool at_primary;       /* it was last sent to its group's primary, as far as known */
+    const char *refusal;   /* why it was refused before it was sent; NULL: not refused */
+    time_ns recovery_time; /* expected time until the cause of its refusal is over; 0: not known */
 };
 
-/** @brief What differs between a client of this pooler and one whose pooler forwards to it. */
+/** @brief Operations that differ between a session with a client connection of its own and a
+ * session whose statements another pooler forwards. */
 typedef struct client_ops {
-    /** The answer to what was asked stands in the session's `out`. May end the session. */
+    /** Delivers the answer, which is complete in the session's `out`. May end the session. */
     void (*answered)(struct session *session, enum answer_code code,
                      const struct log_position *position);
-    /** Takes the session's route from the newest view; false if there is none. */
+    /** Sets the session's route from the newest view. False if the view has none. */
     bool (*bind_route)(struct session *session);
     /** Closes the client's connection. */
     void (*close)(struct session *session);
 } client_ops_t;
 
-/** @brief Where a session's statement or transaction is forwarded to; link NULL: nowhere. */
+/** @brief The owner that a session's statement or transaction is forwarded to; link NULL: it is not
+ * forwarded. */
 typedef struct session_forward {
     link_t *link;
     uint64_t channel;
-    bool running; /* an answer is awaited */
+    bool running; /* a statement was sent and has no answer yet */
 } session_forward_t;
 
-/** @brief Whom a forwarded session belongs to; caller NULL: to a client of this pooler. */
+/** @brief The pooler that forwards a session's statements; caller NULL: the session has a client
+ * connection of its own. */
 typedef struct session_forwarded {
     caller_t *caller;
     uint64_t channel;
@@ -123,48 +130,52 @@
     struct buffer out;
     enum session_state state;
     enum session_transaction transaction;
-    bool read_only;       /* the transaction only reads */
+    bool read_only;       /* the transaction is read-only */
     bool statements_run;  /* the open transaction has run a statement */
-    char *database;       /* as named at the start; NULL before */
-    char *key;            /* as named at the start: a secret; NULL before */
-    const char *tenant;   /* who holds the key, interned; NULL before it was looked up */
-    GHashTable *values;   /* name -> value; NULL while there is none */
+    char *database;       /* named by the client's start message; NULL before */
+    char *key;            /* the client's key, a secret, from the start message; NULL before */
+    const char *tenant;   /* the tenant that the key belongs to, interned; NULL before the key was
+                             looked up */
+    GHashTable *values;   /* name -> value set by the client; NULL while there is none */
     GHashTable *prepared; /* name -> struct prepared; NULL while there is none */
     struct session_route route;
     struct session_request request;
-    operation_timing_t timing; /* of its operation; of a forwarded session, of its statement */
-    struct server *server;     /* the connection that serves it, NULL for none */
+    operation_timing_t
+        timing; /* of its operation; of a forwarded session, of its current statement */
+    struct server
+        *server; /* connection that runs its statement or holds its transaction; NULL: none */
     bool has_own_commit;
     struct log_position own_commit; /* last acknowledged commit of the session */
     time_ns own_commit_at;
-    time_ns told_back_at; /* when its client was told to come back; 0: it was not, or has come */
-    time_ns began;        /* when the transaction's first message was read */
+    time_ns advised_retry_at; /* time at which its refused client was advised to retry; 0: none, or
+                                 it has retried */
+    time_ns began;            /* when the transaction's first message was read */
     time_ns opened;
-    time_ns start_took;  /* from `opened` to the answer to its start; 0: counted already */
-    bool waits_for_view; /* its start came before any configuration was known */
+    time_ns start_took;  /* from `opened` to the answer to the start message; 0: counted already */
+    bool waits_for_view; /* its start message came before the first view */
     GList *queue_link;   /* in the group's queue while SESSION_QUEUED */
     GList *worker_link;
 };
 
-/* A connection to a database. */
+/* State of a connection to a database. */
 enum server_state {
     SERVER_CONNECTING,
-    SERVER_STARTING, /* connected; the database has not answered the start */
+    SERVER_STARTING, /* connected; the database has not answered the start message */
     SERVER_IDLE,
-    SERVER_RESERVED, /* inside a session's transaction, nothing is asked */
-    SERVER_RUNNING,  /* works for a session */
-    SERVER_CLEANING, /* rolls back */
+    SERVER_RESERVED, /* holds a session's transaction; no statement is in progress */
+    SERVER_RUNNING,  /* runs a session's statement */
+    SERVER_CLEANING, /* rolls back after its session released it */
     SERVER_CLOSED,
 };
 
-/* What an answer that is still to come belongs to. */
+/* What an outstanding answer of a database belongs to. */
 enum expected {
     EXPECT_START,
-    EXPECT_SETUP, /* values and prepared names */
+    EXPECT_SETUP, /* session values and prepared names, set before a statement */
     EXPECT_BEGIN,
     EXPECT_STATEMENT,
     EXPECT_ROLLBACK,
-    EXPECT_STATUS, /* of a check of leadership */
+    EXPECT_STATUS, /* status query of a leadership check */
 };
 
 struct server {
@@ -288,72 +299,79 @@
     struct event *woken;
     struct event *tick;
     bool tick_armed;
-    struct event *held;           /* timer for held_at */
-    time_ns held_at;              /* when the first held statement may go; 0: none is held */
-    _Atomic uint64_t view_number; /* of the view that is followed; 0: none yet */
-    time_ns refreshed_at;         /* groups whose view has not changed were looked after */
-    bool has_tenants;             /* clients are known by keys */
-    time_ns transaction_idle;     /* an open transaction that rests longer is rolled back */
-    GHashTable *groups;           /* service -> struct group */
-    usual_times_t usual;          /* what statements take at databases of any group at rest */
-    GHashTable *links;            /* address as text -> link_t */
-    GHashTable *homes;            /* tenant, interned -> homes of its limit, as asked last */
-    GPtrArray *callers;           /* caller_t */
-    int forward_listener;         /* -1: none */
+    struct event *deferral_timer; /* expires at next_deferred_at */
+    time_ns next_deferred_at; /* earliest time at which a deferred statement may be sent; 0: none is
+                                 deferred */
+    _Atomic uint64_t view_number; /* number of the view that was applied last; 0: none yet */
+    time_ns
+        refreshed_at; /* when group_refresh() last ran for the groups that no view had changed */
+    bool has_tenants; /* clients are identified by keys */
+    time_ns transaction_idle; /* an open transaction that is idle for longer is rolled back */
+    GHashTable *groups;       /* service -> struct group */
+    usual_times_t
+        usual;          /* baseline times of statements at lightly loaded databases of all groups */
+    GHashTable *links;  /* address as text -> link_t */
+    GHashTable *homes;  /* tenant, interned -> homes of its limit, as last requested */
+    GPtrArray *callers; /* caller_t */
+    int forward_listener; /* -1: none */
     struct event *forward_acceptable;
     GQueue sessions;
     GPtrArray *ended;         /* sessions to free after the callback */
     GPtrArray *closed;        /* servers to free after the callback */
-    GPtrArray *groups_to_run; /* groups whose queue may move */
+    GPtrArray *groups_to_run; /* groups whose queues worker_run_deferred() runs */
     bool stopping;
-    uint32_t busy; /* sessions queued or running */
+    uint32_t busy; /* sessions that wait for a token, queued or running */
     _Atomic uint32_t session_count;
     _Atomic bool has_ended;
     struct metrics metrics;
-    bucket_t late_lines; /* limits the log's lines of late operations */
+    bucket_t late_log_bucket; /* limits the log lines about late operations */
 };
 
 /* worker.c */
-/* Frees what ended and lets queues move. At the end of each callback of the event loop. */
+/* Runs the queues in groups_to_run and frees closed connections and ended sessions. Called at the
+ * end of each callback of the event loop. */
 void worker_run_deferred(struct worker *worker);
-/* Sees to it that the tick goes off while anything is asked. */
+/* Starts the timer of the next tick unless it runs already. */
 void worker_arm_tick(struct worker *worker);
-/* Runs all queues at that moment, at the latest. */
+/* Runs all queues at that time or earlier. */
 void worker_run_queues_at(struct worker *worker, time_ns at);
 /* Wakes the control thread. */
 void worker_wake_control(struct worker *worker);
-/* The same, for something that the coordinator should hear of at once. */
+/* Wakes the control thread to report a change to the coordinator at once. */
 void worker_notify_coordinator(struct worker *worker);
 
 /* session.c */
 void session_open(struct worker *worker, int socket);
-/* Closes the client's connection; what runs for it is left to its server. */
+/* Closes the client's connection. A statement that still runs is left to its database connection.
+ */
 void session_end(struct session *session);
 void session_free(struct session *session);
-/* The statement is answered by the database. */
+/* Handles the database's answer to the session's statement. */
 void session_answer(struct session *session, struct server *server, enum transaction_state state,
                     const struct log_position *position);
-/* The server broke or was given up while it worked for the session. */
+/* The session's database connection or forwarding link broke or was closed while it served the
+ * session. */
 void session_server_lost(struct session *session, enum answer_code reason);
-/* The statement has not run and may go elsewhere: queues it again or refuses it. */
+/* Queues a statement that has not run for another attempt, or refuses it if its deadline has passed
+ * or too many attempts were made. */
 void session_retry(struct session *session, enum answer_code reason);
-/* Its statement is not run, as it would be late; the client is told when to come back. */
+/* Refuses the session's statement before it is sent; the answer says when to retry. */
 void session_refuse(struct session *session, enum metrics_refusal why);
-/* The same for one in a queue, which is left only after the current callback: safe while the queue
- * is walked. */
+/* The same for a queued statement. It leaves the queue only after the current callback, so this is
+ * safe while the queue is iterated. */
 void session_refuse_queued(struct session *session, enum metrics_refusal why);
-/* The operation is not begun; the client is told when to come back. */
+/* Refuses to begin the session's operation; the answer says when to retry. */
 void session_refuse_operation(struct session *session, enum answer_code code, uint32_t retry_ms);
-/* The operation may begin: its statement goes to the router. */
+/* The operation was admitted: passes its statement to the router. */
 void session_route(struct session *session);
-/* Its statement goes to a database. */
+/* The session's statement is being sent: starts its timer. */
 void session_sent(struct session *session);
-/* Goes on with a session whose start came before the first view. */
+/* Processes the start message of a session that waited for the first view. */
 void session_continue(struct session *session);
-/* True if no statement or transaction is open and nothing is buffered: its client does not take a
- * close for a failure. */
+/* True if no statement or transaction is open and nothing is buffered, so that closing the
+ * connection loses nothing. */
 bool session_is_idle(const struct session *session);
-/* Ends idle sessions of a worker that stops. */
+/* During a planned stop: ends the session if it is idle. */
 void session_check_stop(struct session *session, time_ns now);
 
 /* server.c */
