--- a/src/pooler/client/operation_report.c
+++ b/src/pooler/client/operation_report.c
@@ -1,15 +1,18 @@
-/* What a client's operation took: marks where it begins, pauses and ends, the histograms, and a
- * line for one that was late as a whole. What is forwarded counts at the client's pooler alone. */
+/* Reports how long a client's operations took: tracks the begin, pauses and end of each operation,
+ * updates the histograms, and logs operations over their route's latency objective. An operation is
+ * a single statement or a whole transaction. Forwarded statements are reported only by the client's
+ * pooler. */
 #define G_LOG_DOMAIN "operation"
 #include "pooler/client/session_internal.h"
 
-/* Limits each worker's lines of late operations, per second and at once. Enough to see which stage
- * is to blame, and few beside the lines of changes, which share the log's budget. */
+/* Rate limit of each worker's log lines about late operations. Enough to see which stage takes the
+ * time, and few compared with the lines about state changes, which share the log's budget. */
 static const bucket_limit_t late_log_limit = {.rate_per_s = 2, .room = 4};
 
-/* True if the client's message is part of an operation: what only prepares the session is not. */
+/* True if the client's message is part of an operation. SET, PREPARE and DEALLOCATE outside a
+ * transaction are not. */
 static bool
-is_of_operation(const struct session *session)
+is_part_of_operation(const struct session *session)
 {
     enum statement_kind kind = session->request.statement.kind;
     return session->timing.statements > 0 || kind == STATEMENT_BEGIN ||
@@ -26,7 +29,7 @@
     } else {
         operation_timing_begin(timing, STAGE_OWN, session->request.arrived);
     }
-    if (is_of_operation(session)) {
+    if (is_part_of_operation(session)) {
         timing->statements++;
     }
 }
@@ -46,18 +49,18 @@
 }
 
 static void
-log_late(const struct session *session, enum answer_code code, time_ns total)
+log_late_operation(const struct session *session, enum answer_code code, time_ns total)
 {
     const operation_timing_t *timing = &session->timing;
     const struct session_request *request = &session->request;
     const struct session_route *route = &session->route;
     g_autofree char *id = span_copy(request->statement.id);
     g_autofree char *stages = describe_stages(timing);
-    g_autofree char *took = g_strdup_printf("%.1f", (double)total / 1e6);
+    g_autofree char *total_ms = g_strdup_printf("%.1f", (double)total / 1e6);
     g_autofree char *paused = g_strdup_printf("%.1f", (double)timing->spent[STAGE_PAUSE] / 1e6);
-    time_ns lasted = total - timing->spent[STAGE_START] + timing->spent[STAGE_PAUSE];
+    time_ns duration = total - timing->spent[STAGE_START] + timing->spent[STAGE_PAUSE];
     g_autofree char *session_age =
-        g_strdup_printf("%.1f", (double)(backend_now() - session->opened - lasted) / 1e6);
+        g_strdup_printf("%.1f", (double)(backend_now() - session->opened - duration) / 1e6);
     g_autofree char *priority = g_strdup_printf("%u", route->priority);
     g_autofree char *statements = g_strdup_printf("%u", timing->statements);
     g_autofree char *attempts = g_strdup_printf("%u", timing->attempts);
@@ -69,16 +72,16 @@
         session->database == NULL ? "" : session->database, "SW_ROUTE_KIND",
         metrics_route_name(route->kind), "SW_PRIORITY", priority, "SW_SERVICE",
         route->group == NULL ? "" : route->group->shared->service, "SW_ANSWER",
-        answer_meaning(code)->name, "SW_MS", took, "SW_STAGES_MS", stages, "SW_PAUSED_MS", paused,
-        "SW_SESSION_MS", session_age, "SW_STATEMENTS", statements, "SW_ATTEMPTS", attempts,
+        answer_meaning(code)->name, "SW_MS", total_ms, "SW_STAGES_MS", stages, "SW_PAUSED_MS",
+        paused, "SW_SESSION_MS", session_age, "SW_STATEMENTS", statements, "SW_ATTEMPTS", attempts,
         "SW_AT_PRIMARY", at_primary, "SW_AT_REPLICA", at_replica, "SW_SENT_TO",
         request->sent_to == NULL ? "" : request->sent_to, "MESSAGE",
-        "Operation %s: late, %s ms against %u: %s.", id, took, route->target_ms, stages);
+        "Operation %s took %s ms, objective %u ms: %s.", id, total_ms, route->target_ms, stages);
 }
 
-/* The operation is over. */
+/* Updates the metrics of a finished operation, and logs it if it was late. */
 static void
-report(struct session *session, enum answer_code code, time_ns now)
+end_operation(struct session *session, enum answer_code code, time_ns now)
 {
     operation_timing_t *timing = &session->timing;
     struct worker *worker = session->worker;
@@ -92,14 +95,14 @@
     }
     metrics_count(&worker->metrics, METRICS_OPERATIONS_LATE);
     if (bucket_take(&worker->late_log_bucket, &late_log_limit, 0, now, &wait)) {
-        log_late(session, code, total);
+        log_late_operation(session, code, total);
     }
 }
 
-/* Notes where its statement was run. */
+/* Counts whether the statement ran at a primary or at a replica. */
 static void
-count_place(operation_timing_t *timing, const struct session_request *request,
-            enum answer_code code)
+count_database_role(operation_timing_t *timing, const struct session_request *request,
+                    enum answer_code code)
 {
     if (code == ANSWER_NONE && request->sent_to != NULL) {
         timing->at_primary += request->at_primary;
@@ -116,9 +119,9 @@
     if (session->forwarded.caller != NULL || timing->statements == 0) {
         return;
     }
-    count_place(timing, &session->request, code);
+    count_database_role(timing, &session->request, code);
     if (session->transaction == SESSION_TRANSACTION_NONE) {
-        report(session, code, now);
+        end_operation(session, code, now);
         timing->statements = 0;
     }
 }
--- a/src/pooler/client/session.c
+++ b/src/pooler/client/session.c
@@ -1,11 +1,12 @@
-/* A client's session: its connection, its timer and its planned end. One statement is asked at a
- * time; what the client sends ahead stays in its buffer. */
+/* A client's session: its connection, its timer and its end during a planned stop. One statement is
+ * processed at a time; messages that the client pipelines wait in the input buffer. */
 #define G_LOG_DOMAIN "session"
 #include "pooler/client/session_internal.h"
 
 #include <unistd.h>
 
-/* How long after a planned stop began a new session may sit without asking anything. */
+/* During a planned stop, a session is ended once it has been idle for this long since its start or
+ * its last message. */
 #define STOP_IDLE_NS (400 * NANOSECONDS_PER_MILLISECOND)
 
 void
@@ -61,7 +62,7 @@
 }
 
 static void
-give_up_server(struct session *session)
+close_server(struct session *session)
 {
     struct server *server = session->server;
     if (server != NULL) {
@@ -86,11 +87,11 @@
             session_answer_lost(session, ANSWER_BUSY);
         }
     } else if (session->state == SESSION_RUNNING) {
-        give_up_server(session);
+        close_server(session);
         forward_cancel(session);
         session_answer_lost(session, ANSWER_TIMEOUT);
     } else if (session->transaction == SESSION_TRANSACTION_OPEN) {
-        g_info("A transaction rested for too long and was rolled back.");
+        g_info("A transaction exceeded the idle limit and was rolled back.");
         session_fail_transaction(session);
     }
     worker_run_deferred(worker);
@@ -186,7 +187,7 @@
     g_autofree char *tag = access_key_tag(session->key);
     g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_INFO, "SW_DATABASE", session->database, "SW_KEY",
                      tag, "SW_REASON", access_verdict_name(verdict), "MESSAGE",
-                     "A start for %s is refused: %s.", session->database,
+                     "Session start for database %s refused: %s.", session->database,
                      access_verdict_name(verdict));
     metrics_count(&session->worker->metrics,
                   unproven ? METRICS_REFUSED_UNPROVEN : METRICS_REFUSED_KEYS);
@@ -207,7 +208,8 @@
     session->database = span_copy(message->database);
     if (!session_bind_route(session)) {
         g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_INFO, "SW_DATABASE", session->database,
-                         "MESSAGE", "A start for %s: no such database.", session->database);
+                         "MESSAGE", "Session start for database %s refused: no such database.",
+                         session->database);
         wire_write_error(&session->out, ANSWER_NO_DATABASE, session->database);
         session_flush(session);
         session_end(session);
@@ -226,9 +228,10 @@
     session->start_took = backend_now() - session->opened;
 }
 
-/* Takes one message off the buffer. The statement's spans point into a copy of it. */
+/* Removes one message from the input buffer and executes it. The statement's spans point into a
+ * copy. */
 static void
-take_message(struct session *session, size_t length)
+process_message(struct session *session, size_t length)
 {
     session->waits_for_view = false;
     struct session_request *request = &session->request;
@@ -271,7 +274,7 @@
             session->waits_for_view = true;
             break;
         }
-        take_message(session, length);
+        process_message(session, length);
     }
     if (session->worker->stopping) {
         session_check_stop(session, backend_now());
@@ -296,11 +299,11 @@
 void
 session_check_stop(struct session *session, time_ns now)
 {
-    bool at_rest = session_is_idle(session);
+    bool idle = session_is_idle(session);
     bool used = session->request.arrived != 0 && session->database != NULL &&
                 now > session->request.arrived + STOP_IDLE_NS;
-    bool young = now < session->opened + STOP_IDLE_NS;
-    if ((at_rest && (used || !young)) || (session->state == SESSION_STARTING && !young)) {
+    bool new = now < session->opened + STOP_IDLE_NS;
+    if ((idle && (used || !new)) || (session->state == SESSION_STARTING && !new)) {
         session_end(session);
     }
 }
--- a/src/pooler/client/session_answer.c
+++ b/src/pooler/client/session_answer.c
@@ -1,18 +1,19 @@
-/* What a session's client is told: answers of databases, refusals, and unknown ends. */
+/* Answers to a session's client: results and errors of databases, refusals, and statements whose
+ * outcome is unknown. */
 #define G_LOG_DOMAIN "session"
 #include "pooler/client/retry_advice.h"
 #include "pooler/client/session_internal.h"
 
 #include <inttypes.h>
 
-/* A statement that has not run goes to another database this often at most. */
+/* A statement that has not run is sent this many times at most. */
 #define ATTEMPTS_MAX 6
 
-/* Wait before a statement that met a busy database is sent again. */
+/* Unit of the backoff before a statement that a busy database refused is sent again. */
 #define BUSY_WAIT_NS (15 * NANOSECONDS_PER_MILLISECOND)
 
-/* A client that was told when to come back, and asks within this time after, has come back. */
-#define BACK_WITHIN_NS (1000 * NANOSECONDS_PER_MILLISECOND)
+/* A request within this time after the advised retry time counts as the advised retry. */
+#define RETRY_WINDOW_NS (1000 * NANOSECONDS_PER_MILLISECOND)
 
 enum transaction_state
 session_transaction_state(const struct session *session)
@@ -34,9 +35,9 @@
            session->state == SESSION_RUNNING;
 }
 
-/* The session is idle from now on, and its client gets the answer. */
+/* Makes the session idle and delivers the buffered answer. */
 static void
-rest(struct session *session, enum answer_code code, const struct log_position *position)
+become_idle(struct session *session, enum answer_code code, const struct log_position *position)
 {
     if (session_is_busy(session)) {
         session->worker->busy--;
@@ -51,40 +52,40 @@
     session->client->answered(session, code, position);
 }
 
-/* Writes the end of an answer. */
+/* Completes an answer and delivers it. */
 static void
 finish(struct session *session, enum answer_code code, const struct log_position *position)
 {
     wire_write_ready(&session->out, session_transaction_state(session), position);
-    rest(session, code, position);
+    become_idle(session, code, position);
 }
 
-/* Counts what became of a request whose client had been told when to come back. */
+/* Counts the outcome of a request whose client followed the advice when to retry. */
 static void
-count_return(struct session *session, enum answer_code code)
+count_advised_retry(struct session *session, enum answer_code code)
 {
-    time_ns told = session->advised_retry_at;
+    time_ns advised = session->advised_retry_at;
     session->advised_retry_at = 0;
-    if (told != 0 && session->request.arrived >= told &&
-        session->request.arrived < told + BACK_WITHIN_NS) {
+    if (advised != 0 && session->request.arrived >= advised &&
+        session->request.arrived < advised + RETRY_WINDOW_NS) {
         metrics_count(&session->worker->metrics,
                       code == ANSWER_NONE ? METRICS_BACK_SERVED : METRICS_BACK_REFUSED);
     }
 }
 
-/* Counts an answer where the client is. */
+/* Counts an answer, only at the client's pooler. */
 static void
 count_answer(struct session *session, enum answer_code code)
 {
     if (session->forwarded.caller == NULL) {
         metrics_answer(&session->worker->metrics, session->route.kind, code,
                        backend_now() - session->request.arrived);
-        count_return(session, code);
+        count_advised_retry(session, code);
     }
 }
 
 void
-session_answer_own(struct session *session)
+session_answer_locally(struct session *session)
 {
     wire_write_complete(&session->out, NULL);
     finish(session, ANSWER_NONE, NULL);
@@ -116,7 +117,7 @@
                      answer_meaning(code)->name, text, waited, request->attempts);
 }
 
-/* Tells the client when to come back, and notes that. */
+/* The text of a refusal, with the advised delay before a retry, which is recorded. */
 static char *
 write_advice(struct session *session, const struct answer_meaning *meaning)
 {
@@ -151,7 +152,6 @@
     finish(session, code, NULL);
 }
 
-/* The transaction is over at the database; the client has still to end it. */
 void
 session_fail_transaction(struct session *session)
 {
@@ -173,7 +173,7 @@
     session->read_only = false;
 }
 
-/* A statement in doubt: a write or commit that was sent, and whose end is not known. */
+/* True for a write or commit that was sent and whose outcome is unknown. */
 static bool
 in_doubt(const struct session *session)
 {
@@ -183,7 +183,6 @@
     return request->may_have_run && (single || commit);
 }
 
-/* Answers a statement whose connection is lost and that goes nowhere else. */
 void
 session_answer_lost(struct session *session, enum answer_code reason)
 {
@@ -218,9 +217,9 @@
     }
 }
 
-/* A statement over its route's latency objective: where its time went. */
+/* Logs a statement that took longer than its route's latency objective. */
 static void
-log_slow(const struct session *session, const struct server *server, time_ns latency)
+log_slow_statement(const struct session *session, const struct server *server, time_ns latency)
 {
     const struct session_request *request = &session->request;
     if (latency <= session->route.target_ms * NANOSECONDS_PER_MILLISECOND) {
@@ -236,12 +235,12 @@
                      configuration, "SW_SERVICE", server->database->group->shared->service,
                      "SW_SENT_TO", server->database->shared->id, "SW_MS", total, "SW_WAITED_MS",
                      waited, "MESSAGE",
-                     "Request %s: slow, %s ms, of these %s before it was sent, %u attempts.", id,
+                     "Request %s took %s ms, %s ms of them before it was sent, %u attempts.", id,
                      total, waited, request->attempts);
 }
 
 static void
-tell_success(struct session *session, struct server *server, const struct log_position *position)
+send_success(struct session *session, struct server *server, const struct log_position *position)
 {
     struct span rows = buffer_content(&server->rows);
     struct span signature = span_of(server->signature);
@@ -249,11 +248,11 @@
     wire_write_complete(&session->out, &signature);
     time_ns latency = backend_now() - session->request.arrived;
     count_answer(session, ANSWER_NONE);
-    log_slow(session, server, latency);
+    log_slow_statement(session, server, latency);
     finish(session, ANSWER_NONE, position);
 }
 
-/* The database answered inside a transaction, or ended it. */
+/* Follows the transaction's state at the database, which may have ended it. */
 static void
 follow_transaction(struct session *session, enum transaction_state state)
 {
@@ -267,9 +266,10 @@
     }
 }
 
-/* True if nothing of the transaction has run, so that it may begin anew elsewhere. */
+/* True if no statement of the transaction has run, so that it may be restarted at another database.
+ */
 static bool
-may_begin_anew(const struct session *session, enum answer_code code)
+may_restart_elsewhere(const struct session *session, enum answer_code code)
 {
     const struct answer_meaning *meaning = answer_meaning(code);
     return session->transaction == SESSION_TRANSACTION_OPEN && !session->statements_run &&
@@ -281,17 +281,17 @@
 {
     enum answer_code code = server->code;
     const struct answer_meaning *meaning = answer_meaning(code);
-    /* A refusal tells the client when to come back; the database's own text does not. */
+    /* For a refusal the pooler's own text is used, which says when to retry. */
     bool advised = meaning->not_run && meaning->elsewhere;
     g_autofree char *text = advised ? NULL : g_strdup(server->error_text);
-    bool alone = session->transaction == SESSION_TRANSACTION_NONE;
-    if (may_begin_anew(session, code)) {
+    bool single = session->transaction == SESSION_TRANSACTION_NONE;
+    if (may_restart_elsewhere(session, code)) {
         server_release(server);
         session->transaction = SESSION_TRANSACTION_REQUESTED;
         session_retry(session, code);
         return;
     }
-    if (alone) {
+    if (single) {
         server_release(server);
         if (meaning->not_run && meaning->elsewhere) {
             session_retry(session, code);
@@ -315,8 +315,8 @@
         session->transaction = SESSION_TRANSACTION_NONE;
         session->read_only = false;
     }
-    /* The rows are taken before the connection serves another session. */
-    tell_success(session, server, position);
+    /* The rows are copied before the connection is released to another session. */
+    send_success(session, server, position);
     if (over && session->server != NULL) {
         server_release(server);
     }
@@ -357,8 +357,8 @@
 }
 
 void
-session_pass_on(struct session *session, enum answer_code code, enum transaction_state state,
-                struct span output, const struct log_position *position)
+session_deliver_answer(struct session *session, enum answer_code code, enum transaction_state state,
+                       struct span output, const struct log_position *position)
 {
     if (code == ANSWER_NONE) {
         note_own_commit(session, position);
@@ -368,7 +368,7 @@
     follow_owner(session, state);
     buffer_append(&session->out, output.data, output.length);
     count_answer(session, code);
-    rest(session, code, position);
+    become_idle(session, code, position);
     if (session->state == SESSION_IDLE) {
         session_process(session);
     }
@@ -383,9 +383,9 @@
         }
         return;
     }
-    bool read_alone = session->transaction == SESSION_TRANSACTION_NONE && !session->request.writes;
+    bool single_read = session->transaction == SESSION_TRANSACTION_NONE && !session->request.writes;
     bool not_begun = session->transaction == SESSION_TRANSACTION_REQUESTED;
-    if (read_alone || not_begun) {
+    if (single_read || not_begun) {
         session_retry(session, ANSWER_BUSY);
     } else {
         session_answer_lost(session, reason == ANSWER_NONE ? ANSWER_BUSY : reason);
--- a/src/pooler/client/session_statement.c
+++ b/src/pooler/client/session_statement.c
@@ -1,5 +1,5 @@
-/* What a session's client asks: values, prepared names and transactions are kept here, all else is
- * handed to the router. */
+/* The statements of a session's client. Values, prepared statements and transaction state are kept
+ * here; reads and writes go through admission to the router. */
 #define G_LOG_DOMAIN "session"
 #include "pooler/client/session_internal.h"
 
@@ -11,14 +11,12 @@
     g_free(prepared);
 }
 
-/* True once a configuration and the group orders are known, so that "no such database" is true. */
 bool
 session_knows_routes(const struct worker *worker)
 {
     return worker->view_number != 0;
 }
 
-/* Takes the session's route from the newest view. False if there is none. */
 bool
 session_bind_route(struct session *session)
 {
@@ -55,7 +53,7 @@
     g_autofree char *name = span_copy(statement->name);
     g_autofree char *value = span_copy(statement->value);
     session_set_value(session, name, value);
-    session_answer_own(session);
+    session_answer_locally(session);
 }
 
 void
@@ -74,7 +72,7 @@
 prepare(struct session *session, const struct statement *statement)
 {
     session_set_prepared(session, statement->name, statement->writes, statement->value);
-    session_answer_own(session);
+    session_answer_locally(session);
 }
 
 const struct prepared *
@@ -91,7 +89,7 @@
     if (session->prepared != NULL) {
         g_hash_table_remove(session->prepared, name);
     }
-    session_answer_own(session);
+    session_answer_locally(session);
 }
 
 static void
@@ -110,7 +108,7 @@
     session->statements_run = false;
     session->began = session->request.arrived;
     router_announce(session);
-    session_answer_own(session);
+    session_answer_locally(session);
 }
 
 static void
@@ -121,11 +119,11 @@
         return;
     }
     session_end_transaction(session);
-    session_answer_own(session);
+    session_answer_locally(session);
 }
 
 static void
-refuse_in_failed(struct session *session)
+reject_in_failed_transaction(struct session *session)
 {
     if (session->request.statement.kind == STATEMENT_COMMIT) {
         session_end_transaction(session);
@@ -135,8 +133,8 @@
     session_answer_error(session, ANSWER_MALFORMED, "the transaction failed; roll it back");
 }
 
-/* Time that an owner's answer may take beyond the statement's deadline. */
-#define OWNER_ANSWERS_NS (20 * NANOSECONDS_PER_MILLISECOND)
+/* Time beyond the statement's deadline that is allowed for an owner's answer to arrive. */
+#define OWNER_MARGIN_NS (20 * NANOSECONDS_PER_MILLISECOND)
 
 static void
 start_request_timer(struct session *session)
@@ -152,12 +150,13 @@
     session->state = SESSION_RUNNING;
     session->request.sent = backend_now();
     session->timing.attempts++;
-    /* An owner ends the statement itself at its deadline, and knows better how. */
-    time_ns patience = forward_is_open(session) ? OWNER_ANSWERS_NS : 0;
-    session_set_timer(session, session->request.deadline + patience);
+    /* At the deadline the owner ends the statement itself, and knows whether it may have run. */
+    time_ns margin = forward_is_open(session) ? OWNER_MARGIN_NS : 0;
+    session_set_timer(session, session->request.deadline + margin);
 }
 
-/* Sends a statement of the open transaction on, or finds a connection for the first one. */
+/* Sends a statement of an open transaction to where the transaction is. Any other statement begins
+ * an operation and needs to be admitted. */
 static void
 submit(struct session *session)
 {
@@ -189,7 +188,7 @@
 }
 
 static void
-ask_database(struct session *session)
+run_statement(struct session *session)
 {
     struct session_request *request = &session->request;
     const struct statement *statement = &request->statement;
@@ -232,7 +231,7 @@
         }
     }
     if (failed && !may_end_failed(statement->kind)) {
-        refuse_in_failed(session);
+        reject_in_failed_transaction(session);
         return;
     }
     switch (statement->kind) {
@@ -256,7 +255,7 @@
     case STATEMENT_WRITE:
     case STATEMENT_EXECUTE:
     case STATEMENT_COMMIT:
-        ask_database(session);
+        run_statement(session);
         break;
     default:
         session_answer_error(session, ANSWER_MALFORMED, NULL);
--- a/src/pooler/forwarding/forward.c
+++ b/src/pooler/forwarding/forward.c
@@ -160,7 +160,7 @@
     operation_timing_merge(&session->timing, answer->stages_us, answer->stages_us_count, now);
     session->request.at_primary = answer->at_primary;
     const struct log_position position = {answer->term, answer->offset};
-    session_pass_on(session, (enum answer_code)answer->code, (enum transaction_state)answer->state,
+    session_deliver_answer(session, (enum answer_code)answer->code, (enum transaction_state)answer->state,
                     (struct span){(const char *)answer->output, answer->output_length},
                     answer->has_position ? &position : NULL);
 }
