--- a/src/pooler/shared/answer.c
+++ b/src/pooler/shared/answer.c
@@ -1,4 +1,4 @@
-/* The table from the kind of an answer to what it means; see pooler/shared/wire.h. */
+/* Meanings of the answer codes; see pooler/shared/wire.h. */
 #include "pooler/shared/wire.h"
 
 static const struct answer_meaning meanings[ANSWER_CODE_COUNT] = {
--- a/src/pooler/shared/buffer.c
+++ b/src/pooler/shared/buffer.c
@@ -6,9 +6,8 @@
 #include <string.h>
 #include <sys/socket.h>
 
-/* Smallest allocation, and what one read takes at most. */
-#define CAPACITY_MIN 512
-#define RECEIVE_SIZE 16384
+#define CAPACITY_MIN 512   /* smallest allocation, bytes */
+#define RECEIVE_SIZE 16384 /* largest read, bytes */
 
 struct span
 span_of(const char *text)
@@ -66,18 +65,18 @@
     if (buffer->capacity - buffer->end >= length && buffer->data != NULL) {
         return buffer->data + buffer->end;
     }
-    size_t held = buffer_length(buffer);
+    size_t length_before = buffer_length(buffer);
     size_t capacity = MAX(CAPACITY_MIN, buffer->capacity);
-    while (capacity < held + length) {
+    while (capacity < length_before + length) {
         capacity *= 2;
     }
     char *data = g_malloc(capacity);
-    if (held > 0 && buffer->data != NULL) {
-        memcpy(data, buffer->data + buffer->start, held);
+    if (length_before > 0 && buffer->data != NULL) {
+        memcpy(data, buffer->data + buffer->start, length_before);
     }
     g_free(buffer->data);
-    *buffer = (struct buffer){.data = data, .end = held, .capacity = capacity};
-    return data + held;
+    *buffer = (struct buffer){.data = data, .end = length_before, .capacity = capacity};
+    return data + length_before;
 }
 
 void
@@ -121,10 +120,10 @@
 enum transfer
 buffer_receive(struct buffer *buffer, int socket)
 {
-    char room[RECEIVE_SIZE];
-    ssize_t count = recv(socket, room, sizeof room, 0);
+    char chunk[RECEIVE_SIZE];
+    ssize_t count = recv(socket, chunk, sizeof chunk, 0);
     if (count > 0) {
-        buffer_append(buffer, room, (size_t)count);
+        buffer_append(buffer, chunk, (size_t)count);
         return TRANSFER_DONE;
     }
     return count < 0 && is_temporary(errno) ? TRANSFER_BLOCKED : TRANSFER_ENDED;
--- a/src/pooler/shared/buffer.h
+++ b/src/pooler/shared/buffer.h
@@ -1,5 +1,5 @@
-/* Bytes on their way in or out of a connection: appended at the end, consumed at the start. An
- * empty buffer holds no memory, so that idle sessions cost little. Owned by one thread. */
+/* Input or output buffer of a connection: bytes are appended at the end and consumed at the start.
+ * An empty buffer holds no memory, so that idle sessions use little. Owned by one thread. */
 #ifndef SW_POOLER_BUFFER_H
 #define SW_POOLER_BUFFER_H
 
@@ -14,53 +14,53 @@
     size_t capacity;
 };
 
-/* A stretch of bytes that belongs to somebody else. */
+/* A range of bytes that the span does not own. */
 struct span {
     const char *data;
     size_t length;
 };
 
-/* The span of a text that ends with NUL. */
+/* The span of a NUL-terminated text. */
 struct span span_of(const char *text);
 
 /* True if the span holds exactly this text. */
 bool span_equals(struct span span, const char *text);
 
-/* A copy that ends with NUL; the caller frees it by g_free. */
+/* A NUL-terminated copy. Freed by the caller with g_free(). */
 char *span_copy(struct span span);
 
-/* Frees what the buffer holds and leaves it empty. */
+/* Frees the content and leaves the buffer empty. */
 void buffer_clear(struct buffer *buffer);
 
 size_t buffer_length(const struct buffer *buffer);
 
-/* What the buffer holds; valid until the next change. */
+/* The buffered bytes; valid until the next change. */
 struct span buffer_content(const struct buffer *buffer);
 
-/* Drops bytes at the start; the memory is freed with the last one. */
+/* Removes bytes at the start. The memory is freed when the buffer becomes empty. */
 void buffer_consume(struct buffer *buffer, size_t length);
 
-/* Room for at least `length` bytes behind the end. */
+/* Reserves space for at least `length` bytes after the end, and returns its address. */
 char *buffer_reserve(struct buffer *buffer, size_t length);
 
-/* Takes over bytes that were written into reserved room. */
+/* Appends bytes that were written into reserved space. */
 void buffer_commit(struct buffer *buffer, size_t length);
 
 void buffer_append(struct buffer *buffer, const void *data, size_t length);
 void buffer_append_text(struct buffer *buffer, const char *text);
 void buffer_append_format(struct buffer *buffer, const char *format, ...) G_GNUC_PRINTF(2, 3);
 
-/* What came of one system call. */
+/* Result of sending or receiving. */
 enum transfer {
-    TRANSFER_DONE,    /* all was sent, or some bytes came */
-    TRANSFER_BLOCKED, /* the socket takes or has no more at the moment */
-    TRANSFER_ENDED,   /* the other side closed, or the connection broke */
+    TRANSFER_DONE,    /* everything was sent, or some bytes were received */
+    TRANSFER_BLOCKED, /* the call would block */
+    TRANSFER_ENDED,   /* the peer closed the connection, or it broke */
 };
 
-/* Reads once from a socket that does not block. */
+/* Reads once from a non-blocking socket. */
 enum transfer buffer_receive(struct buffer *buffer, int socket);
 
-/* Sends as much as the socket takes. */
+/* Sends until the buffer is empty or the socket would block. */
 enum transfer buffer_send(struct buffer *buffer, int socket);
 
 #endif
--- a/src/pooler/shared/configuration.h
+++ b/src/pooler/shared/configuration.h
@@ -1,6 +1,6 @@
-/* The configuration in force: which database names clients may ask for, how their statements are
- * routed, and which services stand behind them. Immutable once decoded and shared between threads
- * by reference. */
+/* The configuration in force: the database names that clients may use, how statements to them are
+ * routed, and the services (groups of databases) that serve them. Immutable once decoded, and
+ * shared between threads by reference. */
 #ifndef SW_POOLER_CONFIGURATION_H
 #define SW_POOLER_CONFIGURATION_H
 
@@ -12,42 +12,43 @@
 enum route_kind {
     ROUTE_KIND_PRIMARY,           /* every read sees every acknowledged commit */
     ROUTE_KIND_BOUNDED_STALENESS, /* commits younger than the bound may be missing */
-    ROUTE_KIND_READ_YOUR_WRITES,  /* the same, but for the session's own commits */
+    ROUTE_KIND_READ_YOUR_WRITES,  /* the same, but the session's own commits are always seen */
 };
 
-/* What one database name stands for. */
+/* The route of one database name. */
 struct route {
-    char *database; /* the name that clients ask for */
-    char *service;  /* the group of databases behind it */
+    char *database; /* the name that clients use */
+    char *service;  /* name of the group of databases that serves it */
     enum route_kind kind;
-    uint32_t timeout_ms;   /* bound of a statement */
-    uint32_t target_ms;    /* latency objective of an operation */
-    uint32_t priority;     /* 0 is the most urgent */
-    uint32_t staleness_ms; /* bound of ROUTE_KIND_BOUNDED_STALENESS and _READ_YOUR_WRITES */
-    bool is_public;        /* clients need no key */
+    uint32_t timeout_ms; /* time limit of a statement */
+    uint32_t target_ms;  /* latency objective of an operation */
+    uint32_t priority;   /* 0 is the highest */
+    uint32_t
+        staleness_ms; /* staleness bound of ROUTE_KIND_BOUNDED_STALENESS and _READ_YOUR_WRITES */
+    bool is_public;   /* clients need no key */
 };
 
 /* One group of databases as configured. */
 struct service {
     char *name;
-    uint32_t max_connections; /* of one database, from all callers */
-    uint32_t sync_replicas;   /* replicas that hold a commit before it is acknowledged */
+    uint32_t max_connections; /* to one database, from all poolers */
+    uint32_t sync_replicas;   /* replicas that must have a commit before it is acknowledged */
 };
 
-/** @brief Somebody who is served: known by keys, and limited in operations. */
+/** @brief A tenant: identified by keys, and subject to a rate limit of operations. */
 typedef struct tenant {
     const char *name;  /* interned: equal names are the same pointer */
-    bool limited;      /* in operations over all poolers together */
-    double rate_per_s; /* so many a second */
-    double burst;      /* operations beyond that which may come at once */
+    bool limited;      /* a rate limit applies, over all poolers together */
+    double rate_per_s; /* operations per second */
+    double burst;      /* operations beyond that rate that may come at once */
 } tenant_t;
 
 struct configuration {
     uint64_t version;
     GHashTable *routes;  /* database name -> struct route, owned */
     GPtrArray *services; /* of struct service, owned */
-    GHashTable *tenants; /* interned name -> tenant_t, owned; NULL: clients have no keys */
-    GHashTable *keys;    /* key, owned -> tenant_t; NULL with the tenants */
+    GHashTable *tenants; /* interned name -> tenant_t, owned; NULL: clients need no keys */
+    GHashTable *keys;    /* key, owned -> tenant_t; NULL if tenants is NULL */
     uint32_t transaction_idle_ms;
 };
 
@@ -56,18 +57,18 @@
 struct configuration *configuration_ref(struct configuration *configuration);
 void configuration_unref(struct configuration *configuration);
 
-/* Takes the route; a later one of the same name replaces it. */
+/* Takes ownership of the route. Replaces an earlier one of the same name. */
 void configuration_add_route(struct configuration *configuration, struct route *route);
 void configuration_add_service(struct configuration *configuration, const char *name,
                                uint32_t max_connections, uint32_t sync_replicas);
 
-/** @brief From now on clients of routes that are not public need a key. */
+/** @brief Requires a key from clients of routes that are not public. */
 void configuration_require_keys(struct configuration *configuration);
-/** @return the tenant of this name, added if there is none. Not limited at first. */
+/** @return the tenant of this name, added without a limit if there is none. */
 tenant_t *configuration_add_tenant(struct configuration *configuration, const char *name);
 void configuration_add_key(struct configuration *configuration, const char *key, tenant_t *tenant);
 
-/** @return the tenant that holds the key; NULL if nobody does. */
+/** @return the tenant that the key belongs to; NULL if the key is unknown. */
 const tenant_t *configuration_tenant_of_key(const struct configuration *configuration,
                                             const char *key);
 /** @return the tenant of this name; NULL if there is none. */
@@ -79,8 +80,8 @@
 const struct service *configuration_service(const struct configuration *configuration,
                                             const char *name);
 
-/* Decodes the row that holds the newest configuration. The adapter implements it. Errors are
- * SW_ERROR, ERROR_KIND_INVALID_CONFIGURATION. */
+/* Decodes the store's row with the newest configuration. Implemented by the platform adapter that
+ * the program is linked with. Errors are SW_ERROR, ERROR_KIND_INVALID_CONFIGURATION. */
 struct configuration *configuration_decode(const char *content, size_t length, GError **error);
 
 #endif
--- a/src/pooler/shared/database_use.c
+++ b/src/pooler/shared/database_use.c
@@ -1,4 +1,4 @@
-/* What a group's databases spend their time on; see the header. */
+/* Time that a group's databases spend on requests, by reason; see the header. */
 #include "pooler/shared/database_use.h"
 
 #include <inttypes.h>
--- a/src/pooler/shared/log.c
+++ b/src/pooler/shared/log.c
@@ -1,4 +1,4 @@
-/* The log's writer; see the header. */
+/* The log writer; see the header. */
 #include "pooler/shared/log.h"
 
 #include <glib.h>
@@ -11,11 +11,12 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Warnings and worse may use this many times the budget, so that they are kept first. */
+/* Warnings and errors may use this many times the budget, so that lines of lower levels are dropped
+ * first. */
 #define SEVERE_FACTOR 4
 
 struct log_state {
-    pthread_mutex_t lock; /* guards the second, its count, and the writing of a line */
+    pthread_mutex_t lock; /* guards the fields below and the writing of a line */
     gint64 second;
     uint32_t written;
     uint32_t left_out;
@@ -43,7 +44,7 @@
     return level & G_LOG_LEVEL_DEBUG ? "debug" : "info";
 }
 
-/* Called with the lock held. True if the line may be written. */
+/* True if the budget of this second allows another line. Called with the lock held. */
 static bool
 take_budget(bool severe, uint32_t *left_out_before)
 {
@@ -65,22 +66,23 @@
     return true;
 }
 
-/* True if a line can be written without waiting: a pipe that tells so takes PIPE_BUF bytes. */
+/* True if a line can be written without blocking: a pipe that polls writable takes PIPE_BUF bytes.
+ */
 static bool
-takes_line(size_t length)
+can_write_line(size_t length)
 {
     struct pollfd output = {STDOUT_FILENO, POLLOUT, 0};
     return length <= PIPE_BUF && poll(&output, 1, 0) == 1 && (output.revents & POLLOUT) != 0;
 }
 
-/* A line that the reader does not take is lost rather than waited for: a thread that waited here
- * would serve, or follow the store, no more. Called with the lock held, so that no other thread
- * fills the pipe in between. */
+/* Writes a line, or drops it if the write would block: a blocked worker would stop serving, and a
+ * blocked control thread would stop following the store. Called with the lock held, so that no
+ * other thread fills the pipe between the check and the write. */
 static void
 write_text(const char *text)
 {
     size_t length = strlen(text);
-    if (!takes_line(length) || write(STDOUT_FILENO, text, length) < 0) {
+    if (!can_write_line(length) || write(STDOUT_FILENO, text, length) < 0) {
         atomic_fetch_add(&left_out_total, 1);
     }
 }
--- a/src/pooler/shared/log.h
+++ b/src/pooler/shared/log.h
@@ -1,15 +1,15 @@
-/* The pooler's log: GLib's structured messages as one JSON object a line on standard output. Each
- * file's log domain is the fixed prefix of its part. Lines over the budget of a second are counted
- * by part and left out; the count is logged. */
+/* The pooler's log: GLib's structured messages, written as one JSON object per line to standard
+ * output. A file's log domain is written as the field "part". Lines above the budget of a second
+ * are dropped; the next line that is written carries their number as "left_out". */
 #ifndef SW_POOLER_LOG_H
 #define SW_POOLER_LOG_H
 
 #include <stdint.h>
 
-/* Installs the writer. Before any thread starts. */
+/* Installs the log writer. To be called before any thread starts. */
 void pooler_log_start(uint32_t lines_per_second);
 
-/* Lines left out so far. Any thread. */
+/* Number of lines dropped so far. Any thread. */
 uint64_t pooler_log_left_out(void);
 
 #endif
--- a/src/pooler/shared/metrics.c
+++ b/src/pooler/shared/metrics.c
@@ -185,7 +185,7 @@
     }
 }
 
-/* Prometheus' form of a histogram of seconds. */
+/* Writes a histogram in seconds in Prometheus' text format. */
 static void
 print_histogram(const char *name, const char *labels, const _Atomic uint64_t *buckets,
                 uint64_t sum_us, GString *out)
@@ -213,7 +213,7 @@
                     value_of(&metrics->latency_sum_us[kind]), out);
 }
 
-/* Operations of one kind and priority: whole, and by stage those that took any time. */
+/* Operations of one route kind and priority: total time, and time by stage where it is not zero. */
 static void
 print_operations(const struct metrics *metrics, int kind, int priority, GString *out)
 {
--- a/src/pooler/shared/operation_timing.c
+++ b/src/pooler/shared/operation_timing.c
@@ -1,4 +1,4 @@
-/* Where an operation's time goes; see the header. */
+/* Time of an operation by stage; see the header. */
 #include "pooler/shared/operation_timing.h"
 
 static const char *const stage_names[STAGE_COUNT + 1] = {
@@ -20,9 +20,9 @@
     *timing = (operation_timing_t){.stage = stage, .since = now};
 }
 
-/* The time since the last mark goes to this stage. */
+/* Adds the time since the last accounting to this stage. */
 static void
-spend(operation_timing_t *timing, operation_stage_t stage, time_ns now)
+add_elapsed(operation_timing_t *timing, operation_stage_t stage, time_ns now)
 {
     timing->spent[stage] += now > timing->since ? now - timing->since : 0;
     timing->since = now;
@@ -31,36 +31,36 @@
 void
 operation_timing_enter(operation_timing_t *timing, operation_stage_t stage, time_ns now)
 {
-    spend(timing, timing->stage, now);
+    add_elapsed(timing, timing->stage, now);
     timing->stage = stage;
 }
 
 void
 operation_timing_retry(operation_timing_t *timing, time_ns now)
 {
-    spend(timing, STAGE_RETRY, now);
+    add_elapsed(timing, STAGE_RETRY, now);
     timing->stage = STAGE_RETRY;
 }
 
-/* What is a queue there is the owner's here. */
+/* Maps an owner's stage to the client's pooler's: the owner's STAGE_QUEUE is STAGE_OWNER_QUEUE. */
 static operation_stage_t
-stage_here(size_t stage_there)
+map_owner_stage(size_t owner_stage)
 {
-    return stage_there == STAGE_QUEUE ? STAGE_OWNER_QUEUE : (operation_stage_t)stage_there;
+    return owner_stage == STAGE_QUEUE ? STAGE_OWNER_QUEUE : (operation_stage_t)owner_stage;
 }
 
 void
 operation_timing_merge(operation_timing_t *timing, const uint32_t *spent_us, size_t count,
                        time_ns now)
 {
-    time_ns left = now > timing->since ? now - timing->since : 0;
+    time_ns unaccounted = now > timing->since ? now - timing->since : 0;
     for (size_t i = 0; i < count && i < STAGE_COUNT; i++) {
         time_ns spent = spent_us[i] * NANOSECONDS_PER_MICROSECOND;
-        spent = spent < left ? spent : left;
-        timing->spent[stage_here(i)] += spent;
-        left -= spent;
+        spent = spent < unaccounted ? spent : unaccounted;
+        timing->spent[map_owner_stage(i)] += spent;
+        unaccounted -= spent;
     }
-    timing->spent[STAGE_HOP] += left;
+    timing->spent[STAGE_HOP] += unaccounted;
     timing->since = now;
     timing->stage = STAGE_OWN;
 }
--- a/src/pooler/shared/operation_timing.h
+++ b/src/pooler/shared/operation_timing.h
@@ -1,12 +1,12 @@
 /**
  * @file
- * @brief Where an operation's time goes, as its caller sees it.
+ * @brief Time that an operation spends in each stage of its processing.
  *
- * An operation is a single statement or a whole transaction. It is in one stage at a time; a mark
- * names the next one. Between two messages of a transaction it is in STAGE_PAUSE, which is the
- * client's time and no part of the total. What an owner spent on a forwarded statement comes back
- * with its answer, so that the caller's pooler knows the way there and back: its own wait, less the
- * owner's stages. Values and moments in, durations out; no clock, any thread.
+ * An operation is a single statement or a whole transaction. It is in one stage at a time. Between
+ * two messages of a transaction it is in STAGE_PAUSE, which is the client's time and not part of
+ * the total. An owner's answer to a forwarded statement carries the owner's times by stage; the
+ * rest of the time since the statement was forwarded is the network's round trip, STAGE_HOP. Pure
+ * functions: times are arguments.
  */
 #ifndef SW_POOLER_OPERATION_TIMING_H
 #define SW_POOLER_OPERATION_TIMING_H
@@ -16,55 +16,59 @@
 
 #include "core/types.h"
 
-/** @brief The numbers travel between poolers and are never given to another stage; what an owner
- * usually spends comes first, as zeros at the end are left out. */
+/** @brief The numbers are sent between poolers, so they are never reused. Stages in which owners
+ * usually spend time have the lowest numbers, as trailing zeros are not sent. */
 typedef enum operation_stage {
-    STAGE_OWN = 0,          /* the pooler's own work: message, key, choice, answer */
-    STAGE_QUEUE = 1,        /* waits at the client's pooler: for a connection, room, or an owner */
-    STAGE_DATABASE = 2,     /* its statements are at a database */
-    STAGE_BEGIN = 3,        /* its transaction is begun at a database */
-    STAGE_OPENING = 4,      /* waits, and a connection is being opened for it */
-    STAGE_PROOF = 5,        /* waits for proof that the primary leads */
-    STAGE_RETRY = 6,        /* attempts that were not run, and rests after them */
-    STAGE_START = 7,        /* of a session's first: from its acceptance to its start's answer */
-    STAGE_TOKEN = 8,        /* waits for a token of the tenant's limit */
-    STAGE_HOP = 9,          /* on the way to the owner and back */
-    STAGE_OWNER_QUEUE = 10, /* waits at the owner, as in STAGE_QUEUE */
+    STAGE_OWN = 0,      /* processing in the pooler: parsing, key check, routing, answer */
+    STAGE_QUEUE = 1,    /* queued at the client's pooler for a connection, a slot or an owner */
+    STAGE_DATABASE = 2, /* its statements run at a database */
+    STAGE_BEGIN = 3,    /* its transaction begins at a database */
+    STAGE_OPENING = 4,  /* queued while a connection is opened for it */
+    STAGE_PROOF = 5,    /* waits for a check that the primary still leads */
+    STAGE_RETRY = 6,    /* attempts that did not run, and the backoff after them */
+    STAGE_START = 7, /* of a session's first operation: from accepting the connection to the answer
+                        to its start message */
+    STAGE_TOKEN = 8, /* waits for a token of the tenant's rate limit */
+    STAGE_HOP = 9,   /* network round trip to the owner */
+    STAGE_OWNER_QUEUE = 10, /* queued at the owner */
     STAGE_COUNT = 11,
-    STAGE_PAUSE = STAGE_COUNT, /* the client's */
+    STAGE_PAUSE = STAGE_COUNT, /* waits for the client's next message */
 } operation_stage_t;
 
-/** @brief How an operation's time was spent so far. */
+/** @brief Times of an operation so far. */
 typedef struct operation_timing {
     operation_stage_t stage;
-    time_ns since;                  /* it is in this stage since then */
+    time_ns since;                  /* when the stage was entered, or last accounted for */
     time_ns spent[STAGE_COUNT + 1]; /* by stage */
-    uint32_t statements;            /* asked by the client, transaction's ends among them */
-    uint32_t attempts;              /* sent to an owner or database */
-    uint32_t at_primary;            /* statements at a primary, */
-    uint32_t at_replica;            /* and at a replica, as far as this pooler knows */
+    uint32_t statements;            /* statements of the client, ends of transactions included */
+    uint32_t attempts;              /* times that a statement was sent to an owner or database */
+    uint32_t at_primary; /* statements that ran at a primary, as far as this pooler knows */
+    uint32_t at_replica; /* statements that ran at a replica, as far as this pooler knows */
 } operation_timing_t;
 
-/** @brief Begins anew, in this stage. */
+/** @brief Resets all times and enters a stage. */
 void operation_timing_begin(operation_timing_t *timing, operation_stage_t stage, time_ns now);
 
-/** @brief From now on it is in this stage. */
+/** @brief Accounts for the current stage and enters another one. */
 void operation_timing_enter(operation_timing_t *timing, operation_stage_t stage, time_ns now);
 
-/** @brief The attempt under way was not run: its time, and what follows, is a retry's. */
+/** @brief The current attempt did not run: accounts for its time as STAGE_RETRY, and enters that
+ * stage. */
 void operation_timing_retry(operation_timing_t *timing, time_ns now);
 
-/** @brief Takes what an owner spent while this pooler was in STAGE_HOP; then STAGE_OWN.
- *  @param spent_us by stage, `count` of them; what this pooler does not know counts as the hop. */
+/** @brief Accounts for the current stage, STAGE_HOP, with the times that the owner reported, and
+ * enters STAGE_OWN.
+ *  @param spent_us the owner's times by stage, `count` of them; times of stages that this pooler
+ * does not know count as STAGE_HOP. */
 void operation_timing_merge(operation_timing_t *timing, const uint32_t *spent_us, size_t count,
                             time_ns now);
 
-/** @brief Writes what was spent by stage, for the pooler that forwarded.
- *  @param spent_us room for STAGE_COUNT.
- *  @return how many to send: those up to the last that is not 0. */
+/** @brief Writes the times by stage, for the pooler that forwarded the statement.
+ *  @param spent_us array of STAGE_COUNT.
+ *  @return number of times to send: up to the last that is not 0. */
 size_t operation_timing_report(const operation_timing_t *timing, uint32_t *spent_us);
 
-/** @return the time of all stages but the client's. */
+/** @return the time of all stages except STAGE_PAUSE. */
 time_ns operation_timing_total(const operation_timing_t *timing);
 
 /** @return the stage's name for logs and metrics. */
--- a/src/pooler/shared/peer.c
+++ b/src/pooler/shared/peer.c
@@ -9,12 +9,13 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* A peer whose machine is dark is given up after this. */
-#define DARK_TIMEOUT_MS 1500
+/* A connection with data that the peer's host has not acknowledged for this time is closed. */
+#define USER_TIMEOUT_MS 1500
 
-/* A connection at rest whose far end has gone silent is given up after twice this: on the accepting
- * side nothing else shows it, and what is open on it would be held. */
-#define REST_MS 8000
+/* An idle connection whose peer's host no longer responds is closed after twice this time. On the
+ * accepting side nothing else detects this, and sessions that are open on the connection would keep
+ * their database connections. */
+#define KEEP_ALIVE_IDLE_MS 8000
 
 struct peer {
     int socket;
@@ -24,7 +25,7 @@
     struct buffer in;
     struct buffer out;
     const struct peer_callbacks *callbacks;
-    bool failed; /* closes at the next turn of the loop */
+    bool failed; /* closes at the next iteration of the event loop */
     bool has_sent;
 };
 
@@ -52,7 +53,7 @@
     peer_free(peer);
 }
 
-/* False if the connection is over. */
+/* Sends buffered bytes. False if the connection is closed. */
 static bool
 flush(struct peer *peer)
 {
@@ -71,7 +72,7 @@
     return false;
 }
 
-/* False if the connection is to be closed. */
+/* Passes complete frames to the callback. False if the connection is to be closed. */
 static bool
 take_frames(struct peer *peer)
 {
@@ -102,9 +103,9 @@
 {
     struct peer *peer = user;
     enum transfer transfer = buffer_receive(&peer->in, peer->socket);
-    bool good = transfer != TRANSFER_ENDED && !peer->failed;
-    good = good && (transfer == TRANSFER_BLOCKED || take_frames(peer));
-    if (!good) {
+    bool ok = transfer != TRANSFER_ENDED && !peer->failed;
+    ok = ok && (transfer == TRANSFER_BLOCKED || take_frames(peer));
+    if (!ok) {
         close_peer(peer);
     }
 }
@@ -121,8 +122,8 @@
 static struct peer *
 peer_new(struct event_base *base, int handle, const struct peer_callbacks *callbacks)
 {
-    socket_set_dark(handle, DARK_TIMEOUT_MS);
-    socket_keep_alive(handle, REST_MS);
+    socket_set_user_timeout(handle, USER_TIMEOUT_MS);
+    socket_keep_alive(handle, KEEP_ALIVE_IDLE_MS);
     struct peer *peer = g_new0(struct peer, 1);
     peer->socket = handle;
     peer->base = base;
@@ -143,7 +144,7 @@
 peer_connect(struct event_base *base, const struct sockaddr_in *address,
              const struct peer_callbacks *callbacks)
 {
-    int handle = socket_connect(address, DARK_TIMEOUT_MS);
+    int handle = socket_connect(address, USER_TIMEOUT_MS);
     if (handle < 0) {
         return NULL;
     }
@@ -161,7 +162,8 @@
     buffer_append(&peer->out, message->data, message->len);
     g_byte_array_unref(message);
     if (idle && !event_pending(peer->writable, EV_WRITE, NULL) && !flush(peer)) {
-        /* The caller may still use the peer: it closes at the next turn of the loop. */
+        /* The caller may still use the peer, so it is closed at the next iteration of the event
+         * loop. */
         peer->failed = true;
         event_active(peer->writable, EV_WRITE, 0);
     }
--- a/src/pooler/shared/peer.h
+++ b/src/pooler/shared/peer.h
@@ -1,5 +1,5 @@
-/* Connections between poolers: frames of a length and one CBOR message over TCP. Belongs to the
- * control thread. */
+/* Connections between poolers over TCP. A frame is a length, 32 bits in network byte order, and one
+ * CBOR message. A connection belongs to the thread of its event loop. */
 #ifndef SW_POOLER_PEER_H
 #define SW_POOLER_PEER_H
 
@@ -9,20 +9,21 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Longest frame that is taken. */
+/* Longest accepted frame, in bytes. */
 #define PEER_FRAME_MAX ((size_t)8 * 1024 * 1024)
 
 struct peer;
 
 struct peer_callbacks {
-    /* One frame came; false closes the connection. */
+    /* A frame was received. Returning false closes the connection. */
     bool (*frame)(void *user, struct peer *peer, const uint8_t *data, size_t length);
-    /* The connection is over; the peer is freed afterwards. */
+    /* The connection was closed or broke. The peer is freed afterwards. */
     void (*closed)(void *user, struct peer *peer);
     void *user;
 };
 
-/* Connects; frames may be sent at once. NULL if no socket could be had. */
+/* Starts to connect. Frames may be sent at once. NULL if no socket could be created or the address
+ * was refused at once. */
 struct peer *peer_connect(struct event_base *base, const struct sockaddr_in *address,
                           const struct peer_callbacks *callbacks);
 
@@ -30,13 +31,15 @@
 struct peer *peer_accept(struct event_base *base, int handle,
                          const struct peer_callbacks *callbacks);
 
-/* True if any byte has left: before that, the other side has nothing of what was sent. */
+/* True if any byte was written to the socket. Until then the other pooler can have received
+ * nothing. */
 bool peer_has_sent(const struct peer *peer);
 
-/* Closes without the closed callback, and frees. */
+/* Closes the connection without the closed callback, and frees the peer. */
 void peer_free(struct peer *peer);
 
-/* Sends a frame; frees the message. A broken connection shows by the closed callback. */
+/* Sends a frame and frees the message. A broken connection is reported by the closed callback,
+ * after this call. */
 void peer_send(struct peer *peer, GByteArray *message);
 
 #endif
--- a/src/pooler/shared/socket.c
+++ b/src/pooler/shared/socket.c
@@ -28,12 +28,12 @@
 socket_listen(const struct sockaddr_in *address, int backlog, bool shared, GError **error)
 {
     int handle = new_socket();
-    bool good = handle >= 0;
-    good = good && set_option(handle, SOL_SOCKET, SO_REUSEADDR, 1);
-    good = good && (!shared || set_option(handle, SOL_SOCKET, SO_REUSEPORT, 1));
-    good = good && bind(handle, (const struct sockaddr *)address, sizeof *address) == 0;
-    good = good && listen(handle, backlog) == 0;
-    if (good) {
+    bool ok = handle >= 0;
+    ok = ok && set_option(handle, SOL_SOCKET, SO_REUSEADDR, 1);
+    ok = ok && (!shared || set_option(handle, SOL_SOCKET, SO_REUSEPORT, 1));
+    ok = ok && bind(handle, (const struct sockaddr *)address, sizeof *address) == 0;
+    ok = ok && listen(handle, backlog) == 0;
+    if (ok) {
         return handle;
     }
     g_autofree char *text = format_address(address);
@@ -56,18 +56,18 @@
 }
 
 void
-socket_set_dark(int handle, unsigned dark_ms)
+socket_set_user_timeout(int handle, unsigned user_timeout_ms)
 {
-    set_option(handle, IPPROTO_TCP, TCP_USER_TIMEOUT, (int)dark_ms);
+    set_option(handle, IPPROTO_TCP, TCP_USER_TIMEOUT, (int)user_timeout_ms);
 }
 
 void
-socket_keep_alive(int handle, unsigned rest_ms)
+socket_keep_alive(int handle, unsigned idle_ms)
 {
-    int rest_s = (int)MAX(rest_ms / 1000, 1U);
+    int idle_s = (int)MAX(idle_ms / 1000, 1U);
     set_option(handle, SOL_SOCKET, SO_KEEPALIVE, 1);
-    set_option(handle, IPPROTO_TCP, TCP_KEEPIDLE, rest_s);
-    set_option(handle, IPPROTO_TCP, TCP_KEEPINTVL, MAX(rest_s / 4, 1));
+    set_option(handle, IPPROTO_TCP, TCP_KEEPIDLE, idle_s);
+    set_option(handle, IPPROTO_TCP, TCP_KEEPINTVL, MAX(idle_s / 4, 1));
     set_option(handle, IPPROTO_TCP, TCP_KEEPCNT, 4);
 }
 
@@ -81,20 +81,20 @@
 bool
 socket_has_unacknowledged(int handle)
 {
-    int held = 0;
-    return ioctl(handle, SIOCOUTQ, &held) == 0 && held > 0;
+    int unacknowledged = 0;
+    return ioctl(handle, SIOCOUTQ, &unacknowledged) == 0 && unacknowledged > 0;
 }
 
 int
-socket_connect(const struct sockaddr_in *address, unsigned dark_ms)
+socket_connect(const struct sockaddr_in *address, unsigned user_timeout_ms)
 {
     int handle = new_socket();
     if (handle < 0) {
         return -1;
     }
     set_option(handle, IPPROTO_TCP, TCP_NODELAY, 1);
-    if (dark_ms != 0) {
-        socket_set_dark(handle, dark_ms);
+    if (user_timeout_ms != 0) {
+        socket_set_user_timeout(handle, user_timeout_ms);
     }
     int result = connect(handle, (const struct sockaddr *)address, sizeof *address);
     if (result != 0 && errno != EINPROGRESS) {
--- a/src/pooler/shared/view.c
+++ b/src/pooler/shared/view.c
@@ -1,4 +1,4 @@
-/* The published view; see the header. */
+/* Reference counts of the published view; see the header. */
 #include "pooler/shared/view.h"
 
 #include <glib.h>
--- a/src/pooler/shared/wire.h
+++ b/src/pooler/shared/wire.h
@@ -1,6 +1,6 @@
-/* The edge of statements: what clients ask and databases answer, as typed messages. How they look
- * on a connection is the adapter's business; this header knows no format. The functions are
- * implemented by the adapter that the program is linked with. No state; any thread. */
+/* Messages of clients and databases as typed structs, independent of the wire format. The functions
+ * encode and decode them, and are implemented by the platform adapter that the program is linked
+ * with. No state; any thread. */
 #ifndef SW_POOLER_WIRE_H
 #define SW_POOLER_WIRE_H
 
@@ -9,39 +9,39 @@
 #include "core/types.h"
 #include "pooler/shared/buffer.h"
 
-/* Longest message that is taken, in bytes. */
+/* Longest accepted message, in bytes. */
 #define WIRE_MESSAGE_MAX ((size_t)1024 * 1024)
 
-/* The closed list of answers other than success, towards clients and from databases. */
+/* All answer codes, to clients and from databases. ANSWER_NONE is success. */
 enum answer_code {
     ANSWER_NONE,
     ANSWER_BUSY,         /* not run: no slot */
-    ANSWER_LAGGING,      /* not run: the log lacks the wanted position */
-    ANSWER_READONLY,     /* not run: the database does not lead */
-    ANSWER_MISROUTED,    /* not run: another database stands there */
+    ANSWER_LAGGING,      /* not run: the database's log has not reached the required position */
+    ANSWER_READONLY,     /* not run: the database is not the primary */
+    ANSWER_MISROUTED,    /* not run: the address belongs to another database */
     ANSWER_OVERLOADED,   /* not run: too many connections or requests */
     ANSWER_ABORTED,      /* the transaction was rolled back */
-    ANSWER_NO_STATEMENT, /* not run: the prepared name is unknown */
+    ANSWER_NO_STATEMENT, /* not run: unknown prepared statement */
     ANSWER_NO_DATABASE,  /* not run: no such database is configured */
     ANSWER_TOO_LARGE,    /* not run: over a size limit */
-    ANSWER_MALFORMED,    /* not run: not understood, or not allowed now */
+    ANSWER_MALFORMED,    /* not run: syntax error, or not allowed in this state */
     ANSWER_UNAUTHORIZED, /* not run: not allowed */
     ANSWER_FAILED,       /* run, and failed */
     ANSWER_TIMEOUT,      /* may have run */
     ANSWER_IN_DOUBT,     /* may have run */
-    ANSWER_OTHER,        /* a code that the adapter does not know; may have run */
+    ANSWER_OTHER,        /* unknown to the adapter; may have run */
     ANSWER_CODE_COUNT,
 };
 
-/* What a code says about the statement that it answers. */
+/* Properties of an answer code. */
 struct answer_meaning {
     const char *name;   /* for logs and metrics */
-    bool not_run;       /* a promise: the statement has not run */
-    bool elsewhere;     /* another database, or the same one later, may do it */
+    bool not_run;       /* guarantees that the statement has not run */
+    bool elsewhere;     /* another database, or the same one later, may run it */
     const char *advice; /* short text for the client */
 };
 
-/* The meaning of a code; the table from kind to answer. */
+/* The properties of a code. */
 const struct answer_meaning *answer_meaning(enum answer_code code);
 
 enum statement_kind {
@@ -66,7 +66,7 @@
 struct statement {
     enum statement_kind kind;
     struct span id;
-    struct span text;  /* as the client sent it */
+    struct span text;  /* the client's text */
     struct span name;  /* SET, PREPARE, EXECUTE, DEALLOCATE */
     struct span value; /* SET: the value; PREPARE: the shape; EXECUTE: the arguments */
     bool writes;       /* WRITE, or PREPARE of one that writes */
@@ -83,7 +83,7 @@
 struct client_message {
     enum client_message_kind kind;
     struct span database; /* of a start */
-    struct span key;      /* of a start: says who the client is; a secret */
+    struct span key;      /* of a start: identifies the client's tenant; a secret */
     struct statement statement;
 };
 
@@ -111,31 +111,33 @@
     struct log_position position;
 };
 
-/* What a database tells of itself. */
+/* A database's answer to a status query. */
 struct database_report {
-    bool leads;
+    bool leads; /* it is the primary */
     uint64_t term;
-    struct log_position received;
-    uint64_t paused_term; /* 0: not paused */
+    struct log_position received; /* end of the log that it has */
+    uint64_t paused_term;         /* term of the pause; 0: not paused */
     uint64_t lag_ms;
     uint32_t busy;
     uint32_t connections;
 };
 
-/* Length of the first whole message, its end included; 0 if more bytes are needed. */
+/* Length of the first complete message with its terminator; 0 if more bytes are needed. */
 size_t wire_message_length(struct span content);
 
 void wire_read_client(struct span message, struct client_message *out);
 void wire_read_reply(struct span message, struct database_reply *out);
 bool wire_read_report(struct span row, struct database_report *out);
 
-/* Towards clients. `position` may be NULL, `signature` too (an answer of our own). */
+/* Messages to clients. `position` may be NULL; `signature` is NULL for an answer that no database
+ * gave. */
 void wire_write_ready(struct buffer *out, enum transaction_state state,
                       const struct log_position *position);
 void wire_write_complete(struct buffer *out, const struct span *signature);
 void wire_write_error(struct buffer *out, enum answer_code code, const char *text);
 
-/* Towards databases. `after` may be NULL. `tenant`: for whom the connection is. */
+/* Messages to databases. `after` is the log position that the statement must see, or NULL. `tenant`
+ * owns the connection. */
 void wire_write_start(struct buffer *out, const char *service, const char *tenant,
                       const char *database);
 void wire_write_statement(struct buffer *out, struct span id, const struct log_position *after,
@@ -143,7 +145,7 @@
 void wire_write_execute(struct buffer *out, struct span id, const struct log_position *after,
                         const char *name, struct span arguments);
 
-/* Statements of our own. */
+/* Statements that the pooler itself issues. */
 void wire_write_begin(struct buffer *out, bool read_only, const struct log_position *after);
 void wire_write_rollback(struct buffer *out);
 void wire_write_reset(struct buffer *out);
