--- a/src/pooler/forwarding/forward.c
+++ b/src/pooler/forwarding/forward.c
@@ -1,10 +1,10 @@
 /**
  * @file
- * @brief Statements left to an owner of their group; see the header.
+ * @brief Statements forwarded to an owner of their group; see the header.
  *
- * What a lost link means: what never left goes to another owner; a single read, and a transaction
- * that has had no answer yet, go to another owner, as the lost one rolls back what nobody waits
- * for. A single write or a commit is in doubt, and any other transaction is over.
+ * When a link is lost: a statement of which no byte was sent goes to another owner. So do a single
+ * read and a transaction without an answer yet, as the lost owner rolls back the transactions of
+ * closed connections. A single write or a commit is in doubt. Any other transaction is aborted.
  */
 #define G_LOG_DOMAIN "forward"
 #include "pooler/forwarding/forward_internal.h"
@@ -15,23 +15,24 @@
 
 #include <string.h>
 
-/** An owner that has said nothing for so long, while something is asked, is asked for a sign. */
+/** An owner is pinged if a request is outstanding and it has sent nothing for this time. */
 #define PING_AFTER_NS (150 * NANOSECONDS_PER_MILLISECOND)
 
-/** Without that sign for so long, it is given up. */
-#define SILENT_AFTER_NS (350 * NANOSECONDS_PER_MILLISECOND)
+/** The link is closed if a ping is not answered within this time. */
+#define PING_TIMEOUT_NS (350 * NANOSECONDS_PER_MILLISECOND)
 
-/** A new connection without a sign for so long is tried anew: a live owner answers within a few
- *  milliseconds, and one that was dark when the first packet came is sent another only after a
- *  second. */
-#define SIGN_WAIT_NS (120 * NANOSECONDS_PER_MILLISECOND)
+/** The same for the first ping on a new connection. A running owner answers within a few
+ * milliseconds. If its host was unreachable when the first SYN was sent, TCP sends the next one
+ * only a second later, so a new connection is faster. */
+#define FIRST_PING_TIMEOUT_NS (120 * NANOSECONDS_PER_MILLISECOND)
 
-/** A lost or unwilling owner is passed over for so long, twice as long each time it is lost. */
+/** Time for which a lost owner is not used. Doubles with each consecutive loss. */
 #define AVOID_MIN_NS (100 * NANOSECONDS_PER_MILLISECOND)
 #define AVOID_MAX_NS (1600 * NANOSECONDS_PER_MILLISECOND)
 
-/** An owner that declines has lost the group, or stops. */
-#define DECLINED_NS (150 * NANOSECONDS_PER_MILLISECOND)
+/** Time for which an owner that declined a statement is not used: it no longer owns the group, or
+ * is stopping. */
+#define DECLINED_AVOID_NS (150 * NANOSECONDS_PER_MILLISECOND)
 
 bool
 forward_is_open(const struct session *session)
@@ -56,11 +57,12 @@
     session->forward.link = NULL;
 }
 
-/* A statement that never left has not run, whatever it is. */
+/* Handles the loss of the session's link. A statement of which no byte was sent has not run, and is
+ * retried whatever its kind. */
 static void
-tell_lost(struct session *session, bool left)
+fail_session(struct session *session, bool was_sent)
 {
-    if (!left && session->state == SESSION_RUNNING) {
+    if (!was_sent && session->state == SESSION_RUNNING) {
         session->request.may_have_run = false;
         session_retry(session, ANSWER_BUSY);
         if (session->state == SESSION_IDLE) {
@@ -72,61 +74,60 @@
 }
 
 static time_ns
-avoided_for(const link_t *link)
+avoid_time(const link_t *link)
 {
-    return MIN(AVOID_MIN_NS << MIN(link->losses, 5U), AVOID_MAX_NS);
+    return MIN(AVOID_MIN_NS << MIN(link->losses_in_row, 5U), AVOID_MAX_NS);
 }
 
-/* A link that was lost and is being tried again (doubted) is most likely still lost. How long that
- * lasts is unknown: half of the next time that it would be avoided is assumed. */
+/* A lost link on which a reconnect is in progress is most likely still lost. How long is not known:
+ * half of the next avoidance time is assumed. */
 time_ns
 link_next_try(const link_t *link, time_ns now)
 {
-    time_ns again = link->doubted && link->losses > 0 ? now + avoided_for(link) / 2 : now;
-    return MAX(MAX(link->avoid_until, link->belief.avoid_until), again);
+    time_ns again = link->unconfirmed && link->losses_in_row > 0 ? now + avoid_time(link) / 2 : now;
+    return MAX(MAX(link->avoid_until, link->home_health.avoid_until), again);
 }
 
-/* The link's connection is over; its peer is still there. */
+/* Handles the loss of the link's connection. The peer object has not been freed yet. */
 static void
-lose(link_t *link, time_ns now)
+lose_link(link_t *link, time_ns now)
 {
-    bool left = peer_has_sent(link->peer);
+    bool was_sent = peer_has_sent(link->peer);
     g_autoptr(GList) sessions = g_hash_table_get_values(link->channels);
-    if (!link->doubted || link->running > 0) { /* it was told already that it can't be reached */
-        g_message("The link to %s is lost, with %u statements under way.", link->text,
-                  link->running);
+    if (!link->unconfirmed || link->running > 0) { /* otherwise the loss was logged before */
+        g_message("Link to %s lost with %u statements in progress.", link->text, link->running);
     }
     link->peer = NULL;
-    link->doubted = true;
-    link->avoid_until = now + avoided_for(link);
-    link->losses++;
+    link->unconfirmed = true;
+    link->avoid_until = now + avoid_time(link);
+    link->losses_in_row++;
     for (GList *item = sessions; item != NULL; item = item->next) {
         detach(item->data);
     }
     for (GList *item = sessions; item != NULL; item = item->next) {
-        tell_lost(item->data, left);
+        fail_session(item->data, was_sent);
     }
-    link_lose_tokens(link);
+    link_fail_token_requests(link);
 }
 
 static void
 decline(struct session *session, link_t *link, time_ns now)
 {
     detach(session);
-    link->avoid_until = now + DECLINED_NS;
+    link->avoid_until = now + DECLINED_AVOID_NS;
     session_retry(session, ANSWER_MISROUTED);
 }
 
-/* The owner gave a sign: what waits may go to it. */
+/* A message from the owner confirms an unconfirmed link: queued statements may use it. */
 static void
-trust(link_t *link)
+confirm_link(link_t *link)
 {
     GHashTableIter iterator;
     gpointer group = NULL;
-    if (!link->doubted) {
+    if (!link->unconfirmed) {
         return;
     }
-    link->doubted = false;
+    link->unconfirmed = false;
     g_hash_table_iter_init(&iterator, link->worker->groups);
     while (g_hash_table_iter_next(&iterator, NULL, &group)) {
         group_rejoin(group);
@@ -135,15 +136,15 @@
 }
 
 static void
-take_answer(link_t *link, const struct forward_answer *answer)
+handle_answer(link_t *link, const struct forward_answer *answer)
 {
     struct session *session = g_hash_table_lookup(link->channels, &answer->channel);
     time_ns now = backend_now();
-    link->quiet_since = now;
-    link->losses = 0;
-    trust(link);
-    link_note_heard(link);
-    if (link_take_token(link, answer, now)) {
+    link->awaiting_since = now;
+    link->losses_in_row = 0;
+    confirm_link(link);
+    link_note_contact(link);
+    if (link_handle_token_answer(link, answer, now)) {
         return;
     }
     if (session == NULL || !session->forward.running) {
@@ -160,9 +161,10 @@
     operation_timing_merge(&session->timing, answer->stages_us, answer->stages_us_count, now);
     session->request.at_primary = answer->at_primary;
     const struct log_position position = {answer->term, answer->offset};
-    session_deliver_answer(session, (enum answer_code)answer->code, (enum transaction_state)answer->state,
-                    (struct span){(const char *)answer->output, answer->output_length},
-                    answer->has_position ? &position : NULL);
+    session_deliver_answer(session, (enum answer_code)answer->code,
+                           (enum transaction_state)answer->state,
+                           (struct span){(const char *)answer->output, answer->output_length},
+                           answer->has_position ? &position : NULL);
 }
 
 static bool
@@ -174,10 +176,10 @@
     g_autoptr(GError) error = NULL;
     metrics_count_by(&worker->metrics, METRICS_FORWARD_BYTES_RECEIVED, len);
     if (!forward_answer_decode(data, len, &answer, &error)) {
-        g_warning("An owner's answer can't be read: %s.", error->message);
+        g_warning("Invalid answer of an owner: %s.", error->message);
         return false;
     }
-    take_answer(link, &answer);
+    handle_answer(link, &answer);
     forward_answer_clear(&answer);
     worker_run_deferred(worker);
     return true;
@@ -187,7 +189,7 @@
 on_closed(void *user, struct peer *peer)
 {
     link_t *link = user;
-    lose(link, backend_now());
+    lose_link(link, backend_now());
     worker_run_deferred(link->worker);
 }
 
@@ -201,9 +203,9 @@
         link->text = g_strdup(text);
         link->address = *address;
         link->callbacks = (struct peer_callbacks){on_frame, on_closed, link};
-        link->doubted = true;
+        link->unconfirmed = true;
         link->channels = g_hash_table_new(g_int64_hash, g_int64_equal);
-        link->questions = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
+        link->token_requests = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
         g_hash_table_insert(worker->links, link->text, link);
     }
     return link;
@@ -222,7 +224,7 @@
         peer_free(link->peer);
     }
     g_hash_table_unref(link->channels);
-    g_hash_table_unref(link->questions);
+    g_hash_table_unref(link->token_requests);
     g_free(link->text);
     g_free(link);
 }
@@ -232,7 +234,7 @@
 {
     if (link->peer == NULL) {
         link->peer = peer_connect(link->worker->base, &link->address, &link->callbacks);
-        link->quiet_since = backend_now();
+        link->awaiting_since = backend_now();
     }
     return link->peer != NULL;
 }
@@ -252,7 +254,7 @@
 }
 
 static void
-ask_for_a_sign(link_t *link, time_ns now)
+send_ping(link_t *link, time_ns now)
 {
     struct forward_ask ask;
     forward_ask_init(&ask);
@@ -261,12 +263,11 @@
     forward_ask_clear(&ask);
 }
 
-/* A lost owner may be frozen, and take connections all the same: it is asked first. */
 void
-link_try_again(link_t *link, time_ns now)
+link_reconnect(link_t *link, time_ns now)
 {
     if (link->peer == NULL && now >= link->avoid_until && link_connect(link)) {
-        ask_for_a_sign(link, now);
+        send_ping(link, now);
         worker_arm_tick(link->worker);
     }
 }
@@ -275,7 +276,7 @@
 forward_all_unreachable(const struct group *group)
 {
     for (guint i = 0; i < group->links->len; i++) {
-        if (!((const link_t *)g_ptr_array_index(group->links, i))->doubted) {
+        if (!((const link_t *)g_ptr_array_index(group->links, i))->unconfirmed) {
             return false;
         }
     }
@@ -288,8 +289,8 @@
     time_ns now = backend_now();
     for (guint i = 0; i < group->links->len; i++) {
         link_t *link = g_ptr_array_index(group->links, i);
-        if (link->doubted) {
-            link_try_again(link, now);
+        if (link->unconfirmed) {
+            link_reconnect(link, now);
         }
     }
 }
@@ -362,13 +363,13 @@
     g_hash_table_insert(link->channels, &session->forward.channel, session);
 }
 
-/* Something is asked whose answer is awaited. */
+/* Notes that an answer is awaited on the session's channel. */
 static void
-note_asking(struct session *session, time_ns now)
+begin_waiting(struct session *session, time_ns now)
 {
     link_t *link = session->forward.link;
-    if (link->running++ == 0 && g_hash_table_size(link->questions) == 0) {
-        link->quiet_since = now;
+    if (link->running++ == 0 && g_hash_table_size(link->token_requests) == 0) {
+        link->awaiting_since = now;
     }
     session->forward.running = true;
 }
@@ -390,7 +391,7 @@
     if (opens) {
         fill_opening(session, now, &ask);
     }
-    note_asking(session, now);
+    begin_waiting(session, now);
     operation_timing_enter(&session->timing, STAGE_HOP, now);
     request->may_have_run = true;
     request->sent_to = link->text;
@@ -398,9 +399,10 @@
     forward_ask_clear(&ask);
 }
 
-/* The owner that the session's statement goes to; NULL: none, or this pooler serves it. */
+/* The owner that the session's statement is forwarded to; NULL: none can be reached, or this pooler
+ * serves it. */
 static link_t *
-choose(const struct session *session, time_ns now)
+choose_owner(const struct session *session, time_ns now)
 {
     return router_forwards(session->route.group) ? owner_choose(session, now)
                                                  : owner_choose_elsewhere(session, now);
@@ -409,7 +411,7 @@
 bool
 forward_start(struct session *session)
 {
-    link_t *link = choose(session, backend_now());
+    link_t *link = choose_owner(session, backend_now());
     if (link == NULL || !link_connect(link)) {
         return false;
     }
@@ -423,7 +425,7 @@
 forward_announce(const struct session *session)
 {
     time_ns now = backend_now();
-    link_t *link = choose(session, now);
+    link_t *link = choose_owner(session, now);
     if (link == NULL || !link_connect(link)) {
         return false;
     }
@@ -462,20 +464,20 @@
 }
 
 static void
-check(link_t *link, time_ns now)
+check_link(link_t *link, time_ns now)
 {
-    bool asked = link->running > 0 || g_hash_table_size(link->questions) > 0;
-    if (link->peer == NULL || (!asked && !link->doubted)) {
+    bool awaiting = link->running > 0 || g_hash_table_size(link->token_requests) > 0;
+    if (link->peer == NULL || (!awaiting && !link->unconfirmed)) {
         return;
     }
-    bool pinged = link->pinged_at >= link->quiet_since;
-    time_ns patience = link->doubted ? SIGN_WAIT_NS : SILENT_AFTER_NS;
-    if (pinged && now > link->pinged_at + patience) {
+    bool pinged = link->pinged_at >= link->awaiting_since;
+    time_ns timeout = link->unconfirmed ? FIRST_PING_TIMEOUT_NS : PING_TIMEOUT_NS;
+    if (pinged && now > link->pinged_at + timeout) {
         struct peer *peer = link->peer;
-        lose(link, now);
+        lose_link(link, now);
         peer_free(peer);
-    } else if (!pinged && now > link->quiet_since + PING_AFTER_NS) {
-        ask_for_a_sign(link, now);
+    } else if (!pinged && now > link->awaiting_since + PING_AFTER_NS) {
+        send_ping(link, now);
     }
 }
 
@@ -486,6 +488,6 @@
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, worker->links);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        check(value, now);
+        check_link(value, now);
     }
 }
--- a/src/pooler/forwarding/forward_internal.h
+++ b/src/pooler/forwarding/forward_internal.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * @brief Shared by the parts of forwarding: links to owners (forward.c) and the choice of one
- * (owner_choice.c).
+ * @brief Shared by the parts of forwarding: links to owners (forward.c), requests for tokens on
+ * them (forward_token.c) and the choice of an owner (owner_choice.c).
  */
 #ifndef SW_POOLER_FORWARD_INTERNAL_H
 #define SW_POOLER_FORWARD_INTERNAL_H
@@ -12,14 +12,14 @@
 #include "pooler/rate/home_belief.h"
 #include "pooler/shared/peer.h"
 
-/** @brief A question for a token. It lasts until it is answered or the link is lost, also if it is
+/** @brief A request for a token. It exists until it is answered or the link is lost, even if it was
  * abandoned before. Belongs to the link's worker. */
 struct token_request {
     link_t *link;
     uint64_t channel;
-    struct session *session; /* that waits for the answer; NULL: abandoned */
-    unsigned home;           /* its place among the homes of the session's tenant */
-    time_ns asked_at;
+    struct session *session; /* session that waits for the token; NULL: abandoned */
+    unsigned home;           /* index of the link's pooler in the tenant's list of homes */
+    time_ns requested_at;
 };
 
 struct link {
@@ -29,24 +29,25 @@
     struct sockaddr_in address;
     struct peer *peer; /* NULL while there is no connection */
     struct peer_callbacks callbacks;
-    GHashTable *channels;  /* number -> session */
-    GHashTable *questions; /* number -> token_request_t, owned */
-    home_belief_t belief;  /* of the pooler there, as a home of limits */
+    GHashTable *channels;       /* number -> session */
+    GHashTable *token_requests; /* number -> token_request_t, owned */
+    home_belief_t home_health;  /* of the link's pooler as a home of rate limits */
     uint64_t last_channel;
-    uint32_t running;    /* statements without an answer */
-    time_ns quiet_since; /* the owner was last heard, or first asked after a rest */
+    uint32_t running;       /* statements that were sent and not answered */
+    time_ns awaiting_since; /* last message from the owner, or first request after an idle time */
     time_ns pinged_at;
     time_ns avoid_until;
-    uint32_t losses; /* in a row */
-    bool doubted;    /* not heard since it was lost, or ever: it gets no statement before it gives a
-                        sign */
+    uint32_t losses_in_row; /* consecutive losses of the connection */
+    bool unconfirmed; /* no message received since it was lost, or ever: no statement is sent on it
+                       */
 };
 
-/** @brief Connects to a lost owner again, if it is time to, and asks it for a sign: it may be
- * frozen, and take connections all the same. */
-void link_try_again(link_t *link, time_ns now);
+/** @brief Reconnects a lost link once avoid_until has passed, and sends a ping: a frozen process
+ * accepts connections too, so only an answer shows that the owner works. */
+void link_reconnect(link_t *link, time_ns now);
 
-/** @return true if there is a connection, made if need be. */
+/** @brief Connects the link unless it is connected. @return false if no connection could be
+ * started. */
 bool link_connect(link_t *link);
 
 /** @brief Sends a message and counts its bytes. The link must be connected. */
@@ -54,19 +55,20 @@
 
 /* forward_token.c */
 
-/** @brief Something came from the pooler at the other end. */
-void link_note_heard(link_t *link);
-/** @return true if the answer was one to a question for a token. */
-bool link_take_token(link_t *link, const struct forward_answer *answer, time_ns now);
-/** @brief The link is lost, and its questions with it. */
-void link_lose_tokens(link_t *link);
+/** @brief A message was received on the link: updates the health state of the home. */
+void link_note_contact(link_t *link);
+/** @brief Handles the answer to a request for a token. @return false if the answer belongs to no
+ * such request. */
+bool link_handle_token_answer(link_t *link, const struct forward_answer *answer, time_ns now);
+/** @brief Fails all token requests of a lost link. */
+void link_fail_token_requests(link_t *link);
 
-/** @return the owner that the session's statement goes to; NULL if none can be reached now. Opens
- *  links to those that may be reached soon. */
+/** @return the owner that the session's statement is sent to; NULL if none can be reached now.
+ * Starts to connect unconfirmed links that could be used next. */
 link_t *owner_choose(const struct session *session, time_ns now);
 
-/** @return the owner that serves the session's statement better than this pooler, itself an owner;
- *  NULL if none does. */
+/** @return the owner that is preferred for the session's statement over this pooler, which is an
+ * owner itself; NULL if there is none. */
 link_t *owner_choose_elsewhere(const struct session *session, time_ns now);
 
 #endif
--- a/src/pooler/forwarding/forward_serve.c
+++ b/src/pooler/forwarding/forward_serve.c
@@ -1,9 +1,10 @@
 /**
  * @file
- * @brief Statements that other poolers leave to this one; see forward.h.
+ * @brief Statements that other poolers forward to this one; see forward.h.
  *
- * Each channel is a session without a socket: it has what the statement needs of the client's
- * session, and its answers go back as frames. It lives as long as its transaction is open.
+ * Each channel is a session without a socket. It holds the part of the client's session that the
+ * statement needs, and its answers are returned as frames. It exists until its transaction or
+ * single statement has ended.
  */
 #define G_LOG_DOMAIN "forward"
 #include "pooler/forwarding/forward.h"
@@ -54,7 +55,7 @@
     }
 }
 
-/* The route came with the statement. */
+/* Forwarded statements carry their route. */
 static bool
 has_route(struct session *session)
 {
@@ -86,9 +87,9 @@
     decline(session->forwarded.caller, session->forwarded.channel);
 }
 
-/* The transaction is no longer known here: it was rolled back. */
+/* Answers a statement of a transaction that is no longer known here, as it was rolled back. */
 static void
-tell_rolled_back(caller_t *caller, const struct forward_ask *ask)
+answer_rolled_back(caller_t *caller, const struct forward_ask *ask)
 {
     struct buffer out = {0};
     struct forward_answer answer;
@@ -110,21 +111,21 @@
 }
 
 static time_ns
-moment(time_ns now, uint64_t age_us)
+time_before(time_ns now, uint64_t age_us)
 {
     time_ns age = age_us * NANOSECONDS_PER_MICROSECOND;
     return now > age ? now - age : 0;
 }
 
-/* A route kind that only newer poolers know is served as the strictest kind. */
+/* An unknown route kind, of a newer pooler, is treated as the strictest kind. */
 static enum route_kind
-route_kind_of(uint32_t told)
+route_kind_of(uint32_t number)
 {
-    return told <= ROUTE_KIND_READ_YOUR_WRITES ? (enum route_kind)told : ROUTE_KIND_PRIMARY;
+    return number <= ROUTE_KIND_READ_YOUR_WRITES ? (enum route_kind)number : ROUTE_KIND_PRIMARY;
 }
 
 static void
-take_opening(struct session *session, const struct forward_ask *ask, time_ns now)
+read_opening(struct session *session, const struct forward_ask *ask, time_ns now)
 {
     session->route = (struct session_route){
         g_hash_table_lookup(session->worker->groups, ask->service),
@@ -140,20 +141,20 @@
     session->transaction =
         ask->in_transaction ? SESSION_TRANSACTION_REQUESTED : SESSION_TRANSACTION_NONE;
     session->read_only = ask->read_only;
-    session->began = moment(now, ask->transaction_age_us);
+    session->began = time_before(now, ask->transaction_age_us);
     session->has_own_commit = ask->has_own_commit;
     session->own_commit = (struct log_position){ask->own_commit_term, ask->own_commit_offset};
-    session->own_commit_at = moment(now, ask->own_commit_age_us);
+    session->own_commit_at = time_before(now, ask->own_commit_age_us);
 }
 
-/* Takes the statement, and what it needs of the client's session. */
+/* Reads the statement and the parts of the client's session that it needs. */
 static void
-take_statement(struct session *session, const struct forward_ask *ask, time_ns now)
+read_statement(struct session *session, const struct forward_ask *ask, time_ns now)
 {
     struct session_request *request = &session->request;
     struct client_message message;
     g_free(request->message);
-    *request = (struct session_request){.arrived = moment(now, ask->age_us)};
+    *request = (struct session_request){.arrived = time_before(now, ask->age_us)};
     request->message = g_strndup((const char *)ask->message, ask->message_length);
     request->message_length = ask->message_length;
     wire_read_client((struct span){request->message, ask->message_length}, &message);
@@ -170,16 +171,16 @@
     }
 }
 
-/* True if this pooler serves the group and does not stop. */
+/* True if this pooler serves the group and is not stopping. */
 static bool
-takes(const caller_t *caller, const struct forward_ask *ask)
+accepts(const caller_t *caller, const struct forward_ask *ask)
 {
     const struct group *group = g_hash_table_lookup(caller->worker->groups, ask->service);
     return group != NULL && group->connections > 0 && !caller->worker->stopping;
 }
 
-/* False if another owner may know more: of a key that is newer than the configuration here, or that
- * it still stands. */
+/* False if another owner may be able to serve the session: the key may be newer than the
+ * configuration here, or another owner may have proof that it is still valid. */
 static bool
 may_serve(struct session *session, const struct forward_ask *ask)
 {
@@ -194,10 +195,10 @@
     time_ns now = backend_now();
     struct session *session = g_hash_table_lookup(caller->channels, &ask->channel);
     if (session == NULL && !ask->opens) {
-        tell_rolled_back(caller, ask);
+        answer_rolled_back(caller, ask);
         return;
     }
-    if (ask->opens && (session != NULL || !takes(caller, ask))) {
+    if (ask->opens && (session != NULL || !accepts(caller, ask))) {
         decline(caller, ask->channel);
         return;
     }
@@ -207,7 +208,7 @@
         session->forwarded.caller = caller;
         session->forwarded.channel = ask->channel;
         g_hash_table_insert(caller->channels, &session->forwarded.channel, session);
-        take_opening(session, ask, now);
+        read_opening(session, ask, now);
         if (!may_serve(session, ask)) {
             caller_decline(session);
             return;
@@ -215,20 +216,20 @@
         metrics_count(&caller->worker->metrics, METRICS_SERVED_FOR_OTHERS);
     }
     if (session->state == SESSION_IDLE) {
-        take_statement(session, ask, now);
+        read_statement(session, ask, now);
         session_dispatch(session);
     }
 }
 
-/* A statement like this is likely to come: a connection is opened for it meanwhile. */
+/* Opens a database connection in advance for an announced statement. */
 static void
-take_announcement(caller_t *caller, const struct forward_ask *ask)
+handle_announcement(caller_t *caller, const struct forward_ask *ask)
 {
     struct session session = {.worker = caller->worker, .client = &forwarded_ops};
-    if (!takes(caller, ask)) {
+    if (!accepts(caller, ask)) {
         return;
     }
-    take_opening(&session, ask, backend_now());
+    read_opening(&session, ask, backend_now());
     if (access_check(&session) == ACCESS_GRANTED) {
         router_announce(&session);
     }
@@ -245,16 +246,16 @@
 }
 
 static void
-give_sign(caller_t *caller)
+answer_ping(caller_t *caller)
 {
     struct forward_answer answer;
     forward_answer_init(&answer);
     send_answer(caller, &answer);
 }
 
-/* Tells whether an operation of a tenant may begin. */
+/* Answers whether an operation of a tenant may begin. */
 static void
-give_token(caller_t *caller, const struct forward_ask *ask)
+answer_token_request(caller_t *caller, const struct forward_ask *ask)
 {
     admission_answer_t token = admission_give(caller->worker, ask->admits, ask->priority);
     struct forward_answer answer;
@@ -275,15 +276,15 @@
     g_autoptr(GError) error = NULL;
     metrics_count_by(&worker->metrics, METRICS_FORWARD_BYTES_RECEIVED, len);
     if (!forward_ask_decode(data, len, &ask, &error)) {
-        g_warning("A forwarded statement can't be read: %s.", error->message);
+        g_warning("Invalid message of a forwarding pooler: %s.", error->message);
         return false;
     }
     if (ask.announces) {
-        take_announcement(caller, &ask);
+        handle_announcement(caller, &ask);
     } else if (ask.channel == 0) {
-        give_sign(caller);
+        answer_ping(caller);
     } else if (ask.admits != NULL && ask.admits[0] != '\0') {
-        give_token(caller, &ask);
+        answer_token_request(caller, &ask);
     } else if (ask.ends) {
         end(caller, ask.channel);
     } else {
--- a/src/pooler/forwarding/forward_token.c
+++ b/src/pooler/forwarding/forward_token.c
@@ -1,38 +1,38 @@
-/* Questions for tokens at other poolers; see forward.h. A question outlives the operation that
- * asked it: its answer, also a late one, tells that the pooler there is alive and how long it
- * takes, and a link with questions is watched for silence. */
+/* Requests for rate-limit tokens to other poolers; see forward.h. A request outlives the operation
+ * it was made for: even a late answer shows that the peer responds and how long it takes, and links
+ * with open requests are pinged. */
 #define G_LOG_DOMAIN "forward"
 #include "pooler/forwarding/forward_internal.h"
 
 #include "generated/messages.h"
 #include "pooler/client/session_internal.h"
 
-/* A link with so many open questions is asked no more: bounds the memory, and more questions would
- * tell nothing more of the other end. */
-#define QUESTIONS_MOST 256
+/* Limit of open requests on a link. Bounds the memory; more requests would reveal nothing more
+ * about the peer. */
+#define TOKEN_REQUESTS_MAX 256
 
 static void
-send_question(const token_request_t *question, const char *tenant)
+send_token_request(const token_request_t *request, const char *tenant)
 {
     struct forward_ask ask;
     forward_ask_init(&ask);
-    ask.channel = question->channel;
+    ask.channel = request->channel;
     ask.admits = g_strdup(tenant);
-    ask.priority = question->session->route.priority;
-    link_send(question->link, &ask);
+    ask.priority = request->session->route.priority;
+    link_send(request->link, &ask);
     forward_ask_clear(&ask);
 }
 
-/* True if the link can take a question now. On one that was lost, a sign of life is asked for
- * first; one that was never used is taken to work. */
+/* True if a token can be requested on the link now. A lost link has to be confirmed by a ping
+ * first; a link that was never used is assumed to work. */
 static bool
-may_be_asked(link_t *link, time_ns now)
+can_request(link_t *link, time_ns now)
 {
-    if (now < link->avoid_until || g_hash_table_size(link->questions) >= QUESTIONS_MOST) {
+    if (now < link->avoid_until || g_hash_table_size(link->token_requests) >= TOKEN_REQUESTS_MAX) {
         return false;
     }
-    if (link->doubted && link->losses > 0) {
-        link_try_again(link, now);
+    if (link->unconfirmed && link->losses_in_row > 0) {
+        link_reconnect(link, now);
         return false;
     }
     return link_connect(link);
@@ -42,36 +42,36 @@
 forward_request_token(struct session *session, link_t *link, const char *tenant, unsigned home)
 {
     time_ns now = backend_now();
-    if (!may_be_asked(link, now)) {
+    if (!can_request(link, now)) {
         return NULL;
     }
-    token_request_t *question = g_new0(token_request_t, 1);
-    *question = (token_request_t){link, ++link->last_channel, session, home, now};
-    if (link->running == 0 && g_hash_table_size(link->questions) == 0) {
-        link->quiet_since = now;
+    token_request_t *request = g_new0(token_request_t, 1);
+    *request = (token_request_t){link, ++link->last_channel, session, home, now};
+    if (link->running == 0 && g_hash_table_size(link->token_requests) == 0) {
+        link->awaiting_since = now;
     }
-    g_hash_table_insert(link->questions, &question->channel, question);
+    g_hash_table_insert(link->token_requests, &request->channel, request);
     worker_arm_tick(link->worker);
-    send_question(question, tenant);
-    return question;
+    send_token_request(request, tenant);
+    return request;
 }
 
 void
-forward_abandon_token(token_request_t *question)
+forward_abandon_token(token_request_t *request)
 {
-    question->session = NULL;
+    request->session = NULL;
 }
 
 time_ns
-token_requested_at(const token_request_t *question)
+token_requested_at(const token_request_t *request)
 {
-    return question->asked_at;
+    return request->requested_at;
 }
 
 link_t *
-token_link(const token_request_t *question)
+token_link(const token_request_t *request)
 {
-    return question->link;
+    return request->link;
 }
 
 const char *
@@ -83,29 +83,29 @@
 home_belief_t *
 link_home_health(link_t *link)
 {
-    return &link->belief;
+    return &link->home_health;
 }
 
 void
-link_note_heard(link_t *link)
+link_note_contact(link_t *link)
 {
-    if (home_belief_heard(&link->belief)) {
-        g_info("The home at %s is heard again.", link->text);
+    if (home_belief_heard(&link->home_health)) {
+        g_info("The home at %s responds again.", link->text);
     }
 }
 
 bool
-link_take_token(link_t *link, const struct forward_answer *answer, time_ns now)
+link_handle_token_answer(link_t *link, const struct forward_answer *answer, time_ns now)
 {
-    token_request_t *question = g_hash_table_lookup(link->questions, &answer->channel);
-    if (question == NULL) {
+    token_request_t *request = g_hash_table_lookup(link->token_requests, &answer->channel);
+    if (request == NULL) {
         return false;
     }
     const admission_answer_t token = {answer->declined, answer->refused, answer->retry_ms};
-    struct session *session = question->session;
-    unsigned home = question->home;
-    home_belief_answered(&link->belief, now - question->asked_at);
-    g_hash_table_remove(link->questions, &answer->channel); /* frees it */
+    struct session *session = request->session;
+    unsigned home = request->home;
+    home_belief_answered(&link->home_health, now - request->requested_at);
+    g_hash_table_remove(link->token_requests, &answer->channel); /* frees it */
     if (session != NULL) {
         admission_answered(session, home, &token);
     } else if (!token.declined && !token.refused) {
@@ -114,23 +114,23 @@
     return true;
 }
 
-/* The questions leave the table before any session is told: a session that goes on may abandon
- * other questions of the same link, or ask new ones. */
+/* All requests are removed from the table before any session is notified: a session that continues
+ * may abandon other requests of this link, or make new ones. */
 void
-link_lose_tokens(link_t *link)
+link_fail_token_requests(link_t *link)
 {
     g_autoptr(GPtrArray) lost = g_ptr_array_new_with_free_func(g_free);
     GHashTableIter iterator;
     gpointer value = NULL;
-    g_hash_table_iter_init(&iterator, link->questions);
+    g_hash_table_iter_init(&iterator, link->token_requests);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         g_ptr_array_add(lost, value);
     }
-    g_hash_table_steal_all(link->questions);
+    g_hash_table_steal_all(link->token_requests);
     for (guint i = 0; i < lost->len; i++) {
-        const token_request_t *question = g_ptr_array_index(lost, i);
-        if (question->session != NULL) {
-            admission_lost(question->session, question->home);
+        const token_request_t *request = g_ptr_array_index(lost, i);
+        if (request->session != NULL) {
+            admission_lost(request->session, request->home);
         }
     }
 }
--- a/src/pooler/forwarding/owner_choice.c
+++ b/src/pooler/forwarding/owner_choice.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * @brief To which owner of its group a statement is forwarded: near ones first, then the one that
- * has connections of the statement's tenant, then the one with the least to do.
+ * @brief Choice of the owner that a statement is forwarded to: preferably one of the near zone,
+ * that already has connections of the statement's tenant, and that is not much busier than the
+ * others.
  */
 #include "pooler/forwarding/forward_internal.h"
 
@@ -10,77 +11,80 @@
 #include <string.h>
 #include <xxhash.h>
 
-/** Owners in other zones are tried where none of this zone has given a sign for so long: some
- *  times the way there and back. */
-#define NEAR_FIRST_NS (50 * NANOSECONDS_PER_MILLISECOND)
+/** Owners in other zones are tried after none of the near zone could be reached for this time: a
+ * few round trips. */
+#define OTHER_ZONE_DELAY_NS (50 * NANOSECONDS_PER_MILLISECOND)
 
-/** A tenant's owner is passed over where another one has so many statements from here less: below
- *  OTHER_ZONE_COST, so that a statement leaves its zone for load alone. */
+/** The tenant's preferred owner is not used if it has this many statements of this worker more in
+ * progress than the least busy one. Below OTHER_ZONE_COST, so that tenant affinity alone never
+ * sends a statement to another zone. */
 #define TENANT_COST 6
 
-/** An owner in another zone is taken where the near ones have so many statements more. */
+/** An owner in another zone is used if the near ones have this many statements of this worker more
+ * in progress. */
 #define OTHER_ZONE_COST 12
 
-/** @brief An owner that a statement may go to. */
+/** @brief An owner that a statement may be sent to. */
 typedef struct candidate {
     link_t *link; /* NULL: none */
     uint32_t cost;
-    uint64_t rank; /* of the owner for the tenant: the same at all poolers */
+    uint64_t rank; /* of the owner for the tenant, equal at all poolers; the highest is preferred */
 } candidate_t;
 
 static bool
 is_usable(const link_t *link, time_ns now)
 {
-    return !link->doubted && now >= link->avoid_until;
+    return !link->unconfirmed && now >= link->avoid_until;
 }
 
-/** @brief What a statement looks for in an owner. */
-typedef struct wish {
-    const char *tenant; /* NULL: any owner serves it as well as another */
-    const char *zone;   /* near which it is best served; NULL: this pooler's */
-} wish_t;
+/** @brief Which owners a statement prefers. */
+typedef struct owner_preference {
+    const char *tenant; /* tenant whose preferred owner is used; NULL: no preference */
+    const char *zone;   /* zone of the near owners; NULL: this pooler's zone */
+} owner_preference_t;
 
 static bool
-is_near(const struct group *group, guint place, const wish_t *wish)
+is_near(const struct group *group, guint index, const owner_preference_t *preference)
 {
-    const link_t *link = g_ptr_array_index(group->links, place);
-    return wish->zone == NULL ? place < group->links_near : link->zone == wish->zone;
+    const link_t *link = g_ptr_array_index(group->links, index);
+    return preference->zone == NULL ? index < group->links_near : link->zone == preference->zone;
 }
 
-/* Where only the primary can serve a statement, its zone has to be reached in any case: there the
- * owners hold most of the connections to it. */
-static wish_t
-wish_of(const struct session *session)
+/* A statement that only the primary can serve prefers owners in the primary's zone: it has to go to
+ * that zone anyway, and the owners there hold most of the connections to the primary. */
+static owner_preference_t
+preference_of(const struct session *session)
 {
     const struct group *group = session->route.group;
     bool keyed = session->worker->has_tenants && session->tenant != access_nobody();
-    wish_t wish = {keyed ? session->tenant : NULL,
-                   group->primary == NULL ? NULL : group->primary->zone};
-    bool zoned = wish.zone != NULL && session->worker->has_tenants && router_wants_primary(session);
+    owner_preference_t preference = {keyed ? session->tenant : NULL,
+                                     group->primary == NULL ? NULL : group->primary->zone};
+    bool zoned =
+        preference.zone != NULL && session->worker->has_tenants && router_wants_primary(session);
     for (guint i = 0; zoned && i < group->links->len; i++) {
-        if (is_near(group, i, &wish)) {
-            return wish;
+        if (is_near(group, i, &preference)) {
+            return preference;
         }
     }
-    wish.zone = NULL;
-    return wish;
+    preference.zone = NULL;
+    return preference;
 }
 
-/* Statements from here under way there, near ones by preference. */
+/* Statements of this worker in progress at the owner, plus OTHER_ZONE_COST unless it is near. */
 static uint32_t
-cost_of(const struct group *group, guint place, const wish_t *wish)
+cost_of(const struct group *group, guint index, const owner_preference_t *preference)
 {
-    const link_t *link = g_ptr_array_index(group->links, place);
-    return link->running + (is_near(group, place, wish) ? 0 : OTHER_ZONE_COST);
+    const link_t *link = g_ptr_array_index(group->links, index);
+    return link->running + (is_near(group, index, preference) ? 0 : OTHER_ZONE_COST);
 }
 
 static uint32_t
-least_cost(const struct group *group, const wish_t *wish, time_ns now)
+least_cost(const struct group *group, const owner_preference_t *preference, time_ns now)
 {
     uint32_t least = UINT32_MAX;
     for (guint i = 0; i < group->links->len; i++) {
         if (is_usable(g_ptr_array_index(group->links, i), now)) {
-            least = MIN(least, cost_of(group, i, wish));
+            least = MIN(least, cost_of(group, i, preference));
         }
     }
     return least;
@@ -92,26 +96,29 @@
     return XXH3_64bits_withSeed(address, strlen(address), XXH3_64bits(tenant, strlen(tenant)));
 }
 
-/* The highest rank wins. Without a tenant that is the first of the list, which begins with another
- * owner at each pooler. */
+/* The highest rank is preferred. Without a tenant that is the first owner of the list, whose order
+ * differs between poolers. */
 static uint64_t
-rank_of(const struct group *group, guint place, const wish_t *wish)
+rank_of(const struct group *group, guint index, const owner_preference_t *preference)
 {
-    const link_t *link = g_ptr_array_index(group->links, place);
-    return wish->tenant == NULL ? UINT64_MAX - place : rank_for(wish->tenant, link->text);
+    const link_t *link = g_ptr_array_index(group->links, index);
+    return preference->tenant == NULL ? UINT64_MAX - index
+                                      : rank_for(preference->tenant, link->text);
 }
 
-/* The owner that the tenant's statements of this zone go to, so that they meet connections that are
- * open for it; another one where that has much more to do than the least busy. */
+/* The reachable owner with the highest rank for the tenant, so that the tenant's statements find
+ * connections open for it, among those that cost at most TENANT_COST more than the cheapest. */
 static link_t *
-choose_reachable(const struct group *group, const wish_t *wish, time_ns now, uint32_t *best_cost)
+choose_reachable(const struct group *group, const owner_preference_t *preference, time_ns now,
+                 uint32_t *best_cost)
 {
     candidate_t best = {0};
-    uint32_t least = least_cost(group, wish, now);
-    uint32_t most = wish->tenant == NULL ? least : least + TENANT_COST;
+    uint32_t least = least_cost(group, preference, now);
+    uint32_t most = preference->tenant == NULL ? least : least + TENANT_COST;
     for (guint i = 0; i < group->links->len; i++) {
         link_t *link = g_ptr_array_index(group->links, i);
-        const candidate_t candidate = {link, cost_of(group, i, wish), rank_of(group, i, wish)};
+        const candidate_t candidate = {link, cost_of(group, i, preference),
+                                       rank_of(group, i, preference)};
         bool taken = is_usable(link, now) && candidate.cost <= most;
         if (taken && (best.link == NULL || candidate.rank > best.rank)) {
             best = candidate;
@@ -121,51 +128,54 @@
     return best.link;
 }
 
-/* Links are opened as they are needed: every pooler connected to every owner would be machines
- * squared. Those of other zones only where the near ones are lost, or have much to do. */
+/* Links are connected only when needed: connecting every pooler to every owner would make the
+ * number of connections quadratic in the number of poolers. Links to other zones are connected only
+ * if the near owners are unreachable or busy. */
 link_t *
 owner_choose(const struct session *session, time_ns now)
 {
     struct group *group = session->route.group;
-    const wish_t found = wish_of(session);
-    const wish_t *wish = &found;
+    const owner_preference_t found = preference_of(session);
+    const owner_preference_t *preference = &found;
     uint32_t cost = 0;
-    link_t *best = choose_reachable(group, wish, now, &cost);
+    link_t *best = choose_reachable(group, preference, now, &cost);
     bool forwards = router_forwards(group);
     if (best != NULL || !forwards) {
         group->unreached_since = 0;
     } else if (group->unreached_since == 0) {
         group->unreached_since = now;
     }
-    bool waited = best == NULL && forwards && now >= group->unreached_since + NEAR_FIRST_NS;
-    bool lonely = wish->zone == NULL && group->links_near == 0 && forwards;
-    bool far_too = waited || lonely || (best != NULL && cost >= OTHER_ZONE_COST);
+    bool delay_over =
+        best == NULL && forwards && now >= group->unreached_since + OTHER_ZONE_DELAY_NS;
+    bool no_near_owner = preference->zone == NULL && group->links_near == 0 && forwards;
+    bool other_zones = delay_over || no_near_owner || (best != NULL && cost >= OTHER_ZONE_COST);
     for (guint i = 0; i < group->links->len; i++) {
         link_t *link = g_ptr_array_index(group->links, i);
-        if (link->doubted && (far_too || is_near(group, i, wish))) {
-            link_try_again(link, now);
+        if (link->unconfirmed && (other_zones || is_near(group, i, preference))) {
+            link_reconnect(link, now);
         }
     }
     return best;
 }
 
-/* An owner leaves statements of its own clients to the tenant's owner too, if that is another one,
- * as that one has the tenant's connections: an owner of this zone for what any database may serve,
- * one in the primary's zone for what only the primary may. This pooler may have only one connection
- * to a database of another zone, which tenants would take from each other. */
+/* An owner, too, forwards statements of its own clients to the tenant's preferred owner, which has
+ * the tenant's connections: to one of this zone if any database may serve the statement, to one in
+ * the primary's zone if only the primary may. This pooler may be allowed only one connection to a
+ * database of another zone, which tenants would keep replacing. */
 link_t *
 owner_choose_elsewhere(const struct session *session, time_ns now)
 {
     const struct group *group = session->route.group;
     bool owns = group->own_address != NULL && session->forwarded.caller == NULL;
-    const wish_t wish = owns ? wish_of(session) : (wish_t){0};
-    link_t *best = wish.tenant == NULL ? NULL : owner_choose(session, now);
-    guint place = 0;
-    if (best == NULL || !g_ptr_array_find(group->links, best, &place) ||
-        !is_near(group, place, &wish)) {
+    const owner_preference_t preference = owns ? preference_of(session) : (owner_preference_t){0};
+    link_t *best = preference.tenant == NULL ? NULL : owner_choose(session, now);
+    guint index = 0;
+    if (best == NULL || !g_ptr_array_find(group->links, best, &index) ||
+        !is_near(group, index, &preference)) {
         return NULL;
     }
-    bool near_here = wish.zone == NULL || group->primary->same_zone;
-    bool ranks_here = rank_for(wish.tenant, group->own_address) > rank_of(group, place, &wish);
-    return near_here && ranks_here ? NULL : best;
+    bool zone_is_own = preference.zone == NULL || group->primary->same_zone;
+    bool ranks_first =
+        rank_for(preference.tenant, group->own_address) > rank_of(group, index, &preference);
+    return zone_is_own && ranks_first ? NULL : best;
 }
