--- a/src/pooler/client/session_answer.c
+++ b/src/pooler/client/session_answer.c
@@ -125,7 +125,7 @@
     time_ns now = backend_now();
     time_ns recovery_time = session->request.recovery_time;
     if (recovery_time == 0 && route->group != NULL) {
-        recovery_time = router_recovery_time(session, now);
+        recovery_time = router_retry_after(session, now);
     }
     const retry_case_t refused = {recovery_time, route->timeout_ms * NANOSECONDS_PER_MILLISECOND,
                                   route->priority};
--- a/src/pooler/routing/refusal.c
+++ b/src/pooler/routing/refusal.c
@@ -239,7 +239,7 @@
 }
 
 time_ns
-router_recovery_time(struct session *session, time_ns now)
+router_retry_after(struct session *session, time_ns now)
 {
     const struct group *group = session->route.group;
     struct need need;
--- a/src/pooler/worker/worker_internal.h
+++ b/src/pooler/worker/worker_internal.h
@@ -467,7 +467,7 @@
 /* True if only the primary can serve the session's statement, whatever else is known. */
 bool router_wants_primary(const struct session *session);
 /* In how long a request that is refused now could be served here; 0: not known. */
-time_ns router_recovery_time(struct session *session, time_ns now);
+time_ns router_retry_after(struct session *session, time_ns now);
 /* True if other poolers hold the connections to the group's databases. */
 bool router_forwards(const struct group *group);
 
