--- a/tests/pooler/test_worker.c
+++ b/tests/pooler/test_worker.c
@@ -1,5 +1,5 @@
-/* A worker with its sessions, connections and routing. The scenarios that know nothing of the
- * worker's inside are played a second time by one that forwards to an owner. */
+/* Tests of a worker: sessions, connections and routing. Tests that do not depend on the worker's
+ * own connections also run with a worker that forwards to an owner. */
 #include "worker_fixture.h"
 
 #include <arpa/inet.h>
@@ -7,9 +7,9 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Until the worker has applied what was published last. */
+/* Waits until the worker has applied the view that was published last. */
 static void
-wait_until_followed(const struct fixture *fixture)
+wait_until_applied(const struct fixture *fixture)
 {
     while (atomic_load(&fixture->figures->workers[0].epoch) != fixture->epoch) {
         g_usleep(1000);
@@ -47,8 +47,8 @@
     good(client, "WRITE hut 4", 'T');
     fixture->with_route = false;
     publish(fixture);
-    wait_until_followed(fixture);
-    good(client, "COMMIT", 'I'); /* a route binds for the whole transaction */
+    wait_until_applied(fixture);
+    good(client, "COMMIT", 'I'); /* a transaction keeps the route that it began with */
     bad(client, "READ hut", "NODB", 'I');
     client_close(client);
 }
@@ -66,7 +66,7 @@
 }
 
 static void
-test_input_in_pieces_and_ahead(struct fixture *fixture, gconstpointer unused)
+test_fragmented_and_pipelined_input(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "strict");
     send_line(client, "QUERY a1 WRITE hut 1\r\nQUERY a2 READ hut\r\nQUERY a3 RE");
@@ -80,7 +80,7 @@
     client_close(client);
 }
 
-/* Names clash between sessions, and one connection serves both. */
+/* Two sessions use the same name for different prepared statements, on the same connections. */
 static void
 test_prepared_names_and_values(struct fixture *fixture, gconstpointer unused)
 {
@@ -120,7 +120,7 @@
 }
 
 static void
-test_transaction_stays_on_its_connection(struct fixture *fixture, gconstpointer unused)
+test_transaction_keeps_its_connection(struct fixture *fixture, gconstpointer unused)
 {
     struct client *a = client_open(fixture, "strict");
     struct client *b = client_open(fixture, "strict");
@@ -142,7 +142,7 @@
 }
 
 static void
-test_rollback_and_client_gone(struct fixture *fixture, gconstpointer unused)
+test_rollback_and_disconnect(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "strict");
     good(client, "BEGIN", 'T');
@@ -172,7 +172,7 @@
     client_close(client);
 }
 
-/* The write was run once and its answer lost: the client is told that its end is not known. */
+/* A write ran once and its answer was lost: the client is answered that the outcome is unknown. */
 static void
 test_lost_answer_of_a_write(struct fixture *fixture, gconstpointer unused)
 {
@@ -188,7 +188,7 @@
 }
 
 static void
-test_read_moves_away_from_a_silent_database(struct fixture *fixture, gconstpointer unused)
+test_read_leaves_an_unresponsive_database(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "stale");
     struct client *writer = client_open(fixture, "strict");
@@ -203,9 +203,10 @@
     client_close(writer);
 }
 
-/* A write whose answer is lost, and whose client leaves: the connection is not held for ever. */
+/* The answer of a write is lost and its client disconnects: the database connection must not stay
+ * reserved for ever. */
 static void
-test_lost_answer_without_a_client(struct fixture *fixture, gconstpointer unused)
+test_lost_answer_after_a_disconnect(struct fixture *fixture, gconstpointer unused)
 {
     fixture->connections = 1;
     publish(fixture);
@@ -235,7 +236,7 @@
     good(writer, "WRITE hut 4", 'I');
     good(client, "READ hut", 'I');
     for (int i = 0; i < 10; i++) {
-        g_usleep(20000); /* a connection is opened, and the replica can have caught up */
+        g_usleep(20000); /* time for opening a connection and for the replica to catch up */
         good(client, "READ hut replica", 'I');
     }
     g_autoptr(GPtrArray) runs = line_group_runs(fixture->group);
@@ -262,10 +263,10 @@
     client_close(client);
 }
 
-/* The primary has a queue, and a replica will have applied the session's write within its usual
- * lag: the read waits for that one. */
+/* The primary is slow, and a replica will have applied the session's write within its baseline lag:
+ * the read is deferred until that replica is fresh enough. */
 static void
-test_own_write_is_awaited_at_a_replica(struct fixture *fixture, gconstpointer unused)
+test_read_is_deferred_for_an_own_write(struct fixture *fixture, gconstpointer unused)
 {
     const unsigned rounds = 12;
     unsigned at_replica = 0;
@@ -306,7 +307,7 @@
     client_close(client);
 }
 
-/* Without a permit the databases themselves are asked whether the primary still leads. */
+/* Without a read permit, the worker queries the databases whether the primary still leads. */
 static void
 test_leadership_without_a_coordinator(struct fixture *fixture, gconstpointer unused)
 {
@@ -318,9 +319,10 @@
     client_close(client);
 }
 
-/* The replicas are paused: another may lead by now, whatever the old primary says of itself. */
+/* The replicas follow another primary, though the old one still reports that it leads: reads at the
+ * old primary must be refused. */
 static void
-test_no_read_where_another_may_lead(struct fixture *fixture, gconstpointer unused)
+test_no_read_without_proof_of_leadership(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "strict");
     good(client, "WRITE hut 4", 'I');
@@ -333,8 +335,9 @@
     client_close(client);
 }
 
-/* A commit that wrote nothing asked no replica: it does not show that the primary still leads, and
- * its position is no sample for bounded reads. */
+/* The commit of a transaction without writes needs no acknowledgement of a replica. So it is no
+ * proof that the primary still leads, and its position is not a sample of the primary's log for
+ * reads with a staleness bound. */
 static void
 assert_empty_commit_proves_nothing(struct fixture *fixture, bool after_a_write)
 {
@@ -351,7 +354,7 @@
     permit(fixture, 0);
     line_group_set_faults(fixture->group, 0, &(struct line_faults){.deaf = true});
     g_assert_true(line_group_promote(fixture->group, line_group_id(fixture->group, 1)));
-    g_usleep(300000); /* the samples of the transaction are too old by now */
+    g_usleep(300000); /* longer than the staleness bound: earlier samples are too old */
     good(client, "COMMIT", 'I');
     bad(client, "READ hut", "BUSY", 'I');
     client_close(client);
@@ -363,14 +366,14 @@
     assert_empty_commit_proves_nothing(fixture, false);
 }
 
-/* Nor does it where the same connection has served a write before. */
+/* The same on a connection that has run a write before. */
 static void
 test_empty_commit_after_a_write(struct fixture *fixture, gconstpointer unused)
 {
     assert_empty_commit_proves_nothing(fixture, true);
 }
 
-/* Connections are there before the first client asks. */
+/* Connections are opened before the first statement. */
 static void
 test_ready_connections(struct fixture *fixture, gconstpointer unused)
 {
@@ -409,7 +412,7 @@
 {
     fixture->evacuated = databases;
     publish(fixture);
-    wait_until_followed(fixture);
+    wait_until_applied(fixture);
     for (unsigned i = 0; i < DATABASES; i++) {
         bool closed = (databases & 1U << i) != 0;
         for (int k = 0; closed && line_group_connections(fixture->group, i) > 0; k++) {
@@ -419,42 +422,42 @@
     }
 }
 
-/* Nothing reaches databases of a zone that was evacuated: reads go elsewhere, open transactions
- * there end with a promise, and what only a primary could serve that is inside is refused, until
- * the zone is taken back. */
+/* Nothing is sent to databases of an evacuated zone. Reads go to other databases, open transactions
+ * there are aborted, and statements that need the primary are refused while it is in that zone,
+ * until the evacuation ends. */
 static void
 test_evacuated(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "strict");
-    struct client *resting = client_open(fixture, "strict");
+    struct client *in_transaction = client_open(fixture, "strict");
     struct client *reading = client_open(fixture, "stale");
     fixture->timeout_ms = 400;
     evacuate(fixture, 1U << 1 | 1U << 2);
     good(client, "WRITE hut 4", 'I');
     good(reading, "READ hut", 'I');
-    good(resting, "BEGIN", 'T');
-    good(resting, "WRITE hut 5", 'T');
+    good(in_transaction, "BEGIN", 'T');
+    good(in_transaction, "WRITE hut 5", 'T');
     evacuate(fixture, 1U << 0); /* the primary */
     bad(client, "WRITE hut 6", "BUSY", 'I');
-    bad(resting, "COMMIT", "ABORTED", 'I');
+    bad(in_transaction, "COMMIT", "ABORTED", 'I');
     g_assert_cmpuint(line_group_committed(fixture->group, "hut", "5"), ==, 0);
     g_assert_cmpuint(line_group_committed(fixture->group, "hut", "6"), ==, 0);
     evacuate(fixture, 0);
     good(client, "WRITE hut 7", 'I');
     client_close(reading);
-    client_close(resting);
+    client_close(in_transaction);
     client_close(client);
 }
 
-/* A primary that has started again without its log gets no work, whatever it says of itself: reads
- * there would miss acknowledged commits. */
+/* A primary that restarted without its log and still reports that it leads gets no statements:
+ * reads there would miss acknowledged commits. */
 static void
 test_primary_without_its_log(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "strict");
     fixture->timeout_ms = 400;
     publish(fixture);
-    wait_until_followed(fixture);
+    wait_until_applied(fixture);
     good(client, "WRITE hut 4", 'I');
     const struct line_faults deaf = {.deaf = true};
     line_group_set_faults(fixture->group, 1, &deaf);
@@ -468,7 +471,8 @@
     client_close(client);
 }
 
-/* A group that is closed refuses in time, says when to come back, and has run nothing. */
+/* Statements for a closed group are refused within their timeout, with a time to retry, and do not
+ * run. */
 static void
 test_refusal_while_closed(struct fixture *fixture, gconstpointer unused)
 {
@@ -476,7 +480,7 @@
     fixture->timeout_ms = 300;
     fixture->phase = GROUP_PHASE_CLOSED;
     publish(fixture);
-    wait_until_followed(fixture);
+    wait_until_applied(fixture);
     bad(client, "WRITE hut 5", "BUSY", 'I');
     g_assert_nonnull(strstr(client->result, "retry in"));
     good(client, "BEGIN", 'T');
@@ -486,19 +490,19 @@
     client_close(client);
 }
 
-/* Once a group has been closed for longer than a change takes, its statements are refused as they
- * come, so that their clients can ask another pooler in time. */
+/* If a group has been closed for longer than a change of primary takes, its statements are refused
+ * at once, so that their clients can try another pooler in time. */
 static void
-test_refusal_once_lost(struct fixture *fixture, gconstpointer unused)
+test_refusal_after_a_long_closure(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "strict");
     fixture->timeout_ms = 20000; /* the wait in the queue would be 9 s */
     fixture->phase = GROUP_PHASE_CLOSED;
     publish(fixture);
     g_usleep(900 * 1000);
-    time_ns asked = backend_now();
+    time_ns sent = backend_now();
     bad(client, "WRITE hut 5", "BUSY", 'I');
-    g_assert_cmpuint(backend_now() - asked, <, 5000 * MS);
+    g_assert_cmpuint(backend_now() - sent, <, 5000 * MS);
     g_assert_nonnull(strstr(client->result, "retry in"));
     fixture->phase = GROUP_PHASE_OPEN;
     publish(fixture);
@@ -514,21 +518,21 @@
 }
 
 static void
-test_transaction_cut_by_a_change(struct fixture *fixture, gconstpointer unused)
+test_transaction_aborted_by_a_change(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "strict");
     good(client, "BEGIN", 'T');
     good(client, "WRITE hut 5", 'T');
     fixture->phase = GROUP_PHASE_CLOSED;
     publish(fixture);
-    wait_until_followed(fixture);
+    wait_until_applied(fixture);
     bad(client, "COMMIT", "ABORTED", 'I');
     g_assert_cmpuint(line_group_committed(fixture->group, "hut", "5"), ==, 0);
     client_close(client);
 }
 
 static void
-test_busy_database_is_asked_again(struct fixture *fixture, gconstpointer unused)
+test_retry_at_a_busy_database(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "strict");
     line_group_set_faults(fixture->group, 0, &(struct line_faults){.busy = true});
@@ -550,36 +554,37 @@
     return index;
 }
 
-/* Of two routes that are as urgent, the statement goes first whose objective ends first, however
- * late it came. */
+/* Of two queued statements with the same priority, the one whose objective ends first goes first,
+ * even if it came later. */
 static void
-test_first_objective_first(struct fixture *fixture, gconstpointer unused)
+test_earliest_objective_first(struct fixture *fixture, gconstpointer unused)
 {
-    struct client *patient = client_open(fixture, "strict");
-    struct client *pressed = client_open(fixture, "own");
+    struct client *late_objective = client_open(fixture, "strict");
+    struct client *early_objective = client_open(fixture, "own");
     fixture->own_target_ms = 40;
     fixture->connections = 1;
     fixture->phase = GROUP_PHASE_CLOSED;
     publish(fixture);
-    wait_until_followed(fixture);
-    client_send(patient, "WRITE hut patient");
+    wait_until_applied(fixture);
+    client_send(late_objective, "WRITE hut late_objective");
     g_usleep(20 * 1000);
-    client_send(pressed, "WRITE hut pressed");
+    client_send(early_objective, "WRITE hut early_objective");
     g_usleep(20 * 1000);
     fixture->phase = GROUP_PHASE_OPEN;
     publish(fixture);
-    client_read(patient);
-    client_read(pressed);
+    client_read(late_objective);
+    client_read(early_objective);
     g_autoptr(GPtrArray) runs = line_group_runs(fixture->group);
-    g_assert_cmpuint(index_of(runs, "hut pressed"), <, index_of(runs, "hut patient"));
-    client_close(patient);
-    client_close(pressed);
+    g_assert_cmpuint(index_of(runs, "hut early_objective"), <,
+                     index_of(runs, "hut late_objective"));
+    client_close(late_objective);
+    client_close(early_objective);
 }
 
-/* A statement that would wait longer than its objective, by the pace at which the queue moves, is
- * refused as it comes. */
+/* A statement that would miss its objective, by the rate at which the queue moves, is refused at
+ * once. */
 static void
-test_refusal_by_pace(struct fixture *fixture, gconstpointer unused)
+test_refusal_by_queue_rate(struct fixture *fixture, gconstpointer unused)
 {
     struct client *clients[24];
     unsigned refused = 0;
@@ -589,7 +594,8 @@
     line_group_set_faults(fixture->group, 0, &(struct line_faults){.slow_ms = 40});
     for (size_t i = 0; i < G_N_ELEMENTS(clients); i++) {
         clients[i] = client_open(fixture, "strict");
-        good(clients[0], "WRITE hut warm", 'I'); /* teaches how long a statement takes */
+        good(clients[0], "WRITE hut warm",
+             'I'); /* so that the worker knows how long a statement takes */
     }
     for (size_t i = 0; i < G_N_ELEMENTS(clients); i++) {
         client_send(clients[i], "WRITE hut crowd");
@@ -606,50 +612,53 @@
     }
 }
 
-/* Three statements wait, and would be in time; four more urgent ones come. Those that wait are told
- * at once that they would be late, in place of being served so, and the urgent ones are in time. */
+/* Queued statements of low priority would meet their objective until four statements of high
+ * priority come. Those that would now be late are refused at once, and all of high priority are
+ * served. */
 static void
-test_least_urgent_are_refused_first(struct fixture *fixture, gconstpointer unused)
+test_low_priority_is_refused_first(struct fixture *fixture, gconstpointer unused)
 {
     struct client *waiting[4];
-    struct client *urgent[4];
+    struct client *high[4];
     unsigned refused = 0;
     fixture->connections = 1;
     fixture->timeout_ms = 20000;
     fixture->strict_priority = 2;
     publish(fixture);
-    wait_until_followed(fixture);
+    wait_until_applied(fixture);
     line_group_set_faults(fixture->group, 0, &(struct line_faults){.slow_ms = 40});
     for (size_t i = 0; i < G_N_ELEMENTS(waiting); i++) {
         waiting[i] = client_open(fixture, "strict");
-        urgent[i] = client_open(fixture, "own");
+        high[i] = client_open(fixture, "own");
     }
     for (size_t i = 0; i < 16; i++) {
-        good(waiting[0], "WRITE hut warm", 'I'); /* teaches how long a statement takes */
+        good(waiting[0], "WRITE hut warm",
+             'I'); /* so that the worker knows how long a statement takes */
     }
     for (size_t i = 0; i < G_N_ELEMENTS(waiting); i++) {
         client_send(waiting[i], "WRITE hut waiting");
     }
     g_usleep(10 * 1000);
-    for (size_t i = 0; i < G_N_ELEMENTS(urgent); i++) {
-        client_send(urgent[i], "WRITE hut urgent");
+    for (size_t i = 0; i < G_N_ELEMENTS(high); i++) {
+        client_send(high[i], "WRITE hut high");
     }
-    for (size_t i = 0; i < G_N_ELEMENTS(urgent); i++) {
-        client_read(urgent[i]);
-        g_assert_true(g_str_has_prefix(urgent[i]->result, "COMPLETE"));
+    for (size_t i = 0; i < G_N_ELEMENTS(high); i++) {
+        client_read(high[i]);
+        g_assert_true(g_str_has_prefix(high[i]->result, "COMPLETE"));
         client_read(waiting[i]);
         refused += g_str_has_prefix(waiting[i]->result, "ERROR BUSY");
     }
     g_test_message("%u refused", refused);
     g_assert_cmpuint(refused, >, 0);
-    g_assert_cmpuint(refused, <, G_N_ELEMENTS(waiting)); /* one ran already */
-    for (size_t i = 0; i < G_N_ELEMENTS(urgent); i++) {
+    g_assert_cmpuint(refused, <, G_N_ELEMENTS(waiting)); /* one of them was already running */
+    for (size_t i = 0; i < G_N_ELEMENTS(high); i++) {
         client_close(waiting[i]);
-        client_close(urgent[i]);
+        client_close(high[i]);
     }
 }
 
-/* Never more connections to a database than the share; what waits is served all the same. */
+/* A worker never opens more connections to a database than its share, and all queued statements are
+ * served. */
 static void
 test_connections_are_bounded(struct fixture *fixture, gconstpointer unused)
 {
@@ -681,8 +690,8 @@
     return atomic_load(&worker_metrics(fixture->worker)->counters[METRICS_CONNECTIONS_OPENED]);
 }
 
-/* A database that has no room for more connections is asked for one ever more seldom, though it
- * answers on those that it has, and is not taken for lost. */
+/* A database that refuses further connections is retried with increasing delays, although it
+ * answers on its open connections, and no fault is reported for it. */
 static void
 test_full_databases(struct fixture *fixture, gconstpointer unused)
 {
@@ -705,15 +714,16 @@
         }
         g_assert_cmpuint(atomic_load(&fixture->members[0]->fault), ==, DATABASE_FAULT_NONE);
     }
-    /* Six within 2 s at each database: after 75, 150, 300, 600 and 1200 ms, all waits at their
-     * shortest, and two at once. */
+    /* Six attempts within 2 s at each database, after 75, 150, 300, 600 and 1200 ms, which are the
+     * shortest delays, and two attempts at a time. */
     g_assert_cmpuint(count_opened(fixture), <=, 12 * DATABASES);
     for (size_t i = 0; i < G_N_ELEMENTS(clients); i++) {
         client_close(clients[i]);
     }
 }
 
-/* What would wait past its objective is refused at once, while those before it are still served. */
+/* Statements that would miss their objective are refused at once, while those before them are still
+ * served. */
 static void
 test_overload_is_refused_at_once(struct fixture *fixture, gconstpointer unused)
 {
@@ -734,14 +744,14 @@
     client_read(last);
     g_assert_true(g_str_has_prefix(last->result, "ERROR BUSY"));
     g_assert_nonnull(strstr(last->result, "retry in"));
-    unsigned done_by_then = line_group_committed(fixture->group, "hut", "1");
+    unsigned done_at_refusal = line_group_committed(fixture->group, "hut", "1");
     unsigned done = 0;
     for (size_t i = 0; i < G_N_ELEMENTS(clients) - 1; i++) {
         client_read(clients[i]);
         done += g_str_has_prefix(clients[i]->result, "COMPLETE");
     }
     g_assert_cmpuint(done, >, 0);
-    g_assert_cmpuint(done_by_then, <, done);
+    g_assert_cmpuint(done_at_refusal, <, done);
     g_assert_cmpuint(line_group_committed(fixture->group, "hut", "1"), ==, done);
     for (size_t i = 0; i < G_N_ELEMENTS(clients); i++) {
         client_close(clients[i]);
@@ -779,24 +789,24 @@
 
 static _Atomic unsigned late_lines;
 
-/* Counts lines of late operations, and checks what each must tell. */
+/* Counts log lines about late operations, and asserts the fields of each. */
 static GLogWriterOutput
 count_late_lines(GLogLevelFlags level, const GLogField *fields, gsize count, gpointer unused)
 {
-    bool operation = false;
-    unsigned told = 0;
-    static const char *const wanted[] = {"SW_REQUEST",   "SW_ROUTE_KIND", "SW_PRIORITY",
-                                         "SW_SERVICE",   "SW_STAGES_MS",  "SW_STATEMENTS",
-                                         "SW_AT_PRIMARY"};
+    bool is_operation = false;
+    unsigned found = 0;
+    static const char *const required[] = {"SW_REQUEST",   "SW_ROUTE_KIND", "SW_PRIORITY",
+                                           "SW_SERVICE",   "SW_STAGES_MS",  "SW_STATEMENTS",
+                                           "SW_AT_PRIMARY"};
     for (gsize i = 0; i < count; i++) {
-        operation = operation || (strcmp(fields[i].key, "GLIB_DOMAIN") == 0 &&
-                                  strcmp(fields[i].value, "operation") == 0);
-        for (size_t j = 0; j < G_N_ELEMENTS(wanted); j++) {
-            told += strcmp(fields[i].key, wanted[j]) == 0;
+        is_operation = is_operation || (strcmp(fields[i].key, "GLIB_DOMAIN") == 0 &&
+                                        strcmp(fields[i].value, "operation") == 0);
+        for (size_t j = 0; j < G_N_ELEMENTS(required); j++) {
+            found += strcmp(fields[i].key, required[j]) == 0;
         }
     }
-    if (operation) {
-        g_assert_cmpuint(told, ==, G_N_ELEMENTS(wanted));
+    if (is_operation) {
+        g_assert_cmpuint(found, ==, G_N_ELEMENTS(required));
         atomic_fetch_add(&late_lines, 1);
     }
     return G_LOG_WRITER_HANDLED;
@@ -808,10 +818,11 @@
     return atomic_load(&worker_metrics(fixture->worker)->counters[METRICS_OPERATIONS_LATE]);
 }
 
-/* A transaction whose every statement is in time is late as a whole, which one line tells; what the
- * client rests in between is not the pooler's. Many late ones write a bounded number of lines. */
+/* A transaction of which each statement meets the objective, but not all together, is counted and
+ * logged as late. The client's pauses between statements do not count. The number of log lines
+ * about late operations is limited. */
 static void
-test_late_as_a_whole(struct fixture *fixture, gconstpointer unused)
+test_late_transaction(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "strict");
     atomic_store(&late_lines, 0);
@@ -831,16 +842,16 @@
     fixture->own_target_ms = 1;
     publish(fixture);
     line_group_set_faults(fixture->group, 0, &(struct line_faults){.slow_ms = 2});
-    struct client *strained = client_open(fixture, "own");
+    struct client *late = client_open(fixture, "own");
     time_ns began = backend_now();
     for (int i = 0; i < 60; i++) {
-        good(strained, "WRITE hut 1", 'I');
+        good(late, "WRITE hut 1", 'I');
     }
     uint64_t seconds = (backend_now() - began) / NANOSECONDS_PER_SECOND + 1;
     g_assert_cmpuint(count_late(fixture), ==, 61);
     g_assert_cmpuint(atomic_load(&late_lines), >=, 4);
     g_assert_cmpuint(atomic_load(&late_lines), <=, 1 + 4 + 2 * seconds);
-    client_close(strained);
+    client_close(late);
     client_close(client);
 }
 
@@ -848,32 +859,32 @@
     g_test_add("/pooler/worker/" name, struct fixture, NULL, set_up_function, test, tear_down)
 
 static uint64_t
-count_let_go(const struct fixture *fixture)
+count_closed_idle(const struct fixture *fixture)
 {
     return atomic_load(
         &worker_metrics(fixture->worker)->counters[METRICS_SESSIONS_CLOSED_PARTITIONED]);
 }
 
 static void
-wait_for_let_go(const struct fixture *fixture, uint64_t count)
+wait_for_closed_idle(const struct fixture *fixture, uint64_t count)
 {
-    for (unsigned i = 0; count_let_go(fixture) < count; i++) {
+    for (unsigned i = 0; count_closed_idle(fixture) < count; i++) {
         g_assert_cmpuint(i, <, ANSWER_WAIT_S * 1000);
         g_usleep(1000);
     }
 }
 
-#define AT_REST 12
+#define IDLE_CLIENTS 12
 
-/* A zone that is cut off lets its clients at rest go: not before the entry sends them elsewhere,
- * and a few each TICK_MS, however often the worker is woken. Who is in a transaction ends it first.
- */
+/* During a network partition of the zone, idle sessions are closed: not before the load balancer
+ * sends their clients to other zones, and only a few each TICK_MS, however often the worker is
+ * woken. A session with an open transaction is closed after its end. */
 static void
-test_cut_off_lets_clients_go(struct fixture *fixture, gconstpointer unused)
+test_partition_closes_idle_sessions(struct fixture *fixture, gconstpointer unused)
 {
-    struct client *clients[AT_REST];
+    struct client *clients[IDLE_CLIENTS];
     struct client *open = client_open(fixture, "strict");
-    for (unsigned i = 0; i < AT_REST; i++) {
+    for (unsigned i = 0; i < IDLE_CLIENTS; i++) {
         clients[i] = client_open(fixture, "strict");
         good(clients[i], "READ hut", 'I');
     }
@@ -882,23 +893,23 @@
     atomic_store(&fixture->shared.partitioned_since, backend_now());
     worker_wake(fixture->worker);
     g_usleep(200 * 1000);
-    g_assert_cmpuint(count_let_go(fixture), ==, 0);
+    g_assert_cmpuint(count_closed_idle(fixture), ==, 0);
     time_ns before = backend_now();
     atomic_store(&fixture->shared.partitioned_since, before - 3 * NANOSECONDS_PER_SECOND);
     for (unsigned i = 0; i < 20; i++) {
         worker_wake(fixture->worker);
         g_usleep(1000);
     }
-    uint64_t gone = count_let_go(fixture);
+    uint64_t closed = count_closed_idle(fixture);
     time_ns ticks = (backend_now() - before) / (50 * NANOSECONDS_PER_MILLISECOND);
-    g_assert_cmpuint(gone, <=, 4 * (ticks + 1));
-    wait_for_let_go(fixture, AT_REST);
+    g_assert_cmpuint(closed, <=, 4 * (ticks + 1));
+    wait_for_closed_idle(fixture, IDLE_CLIENTS);
     good(open, "WRITE hut still-open", 'T');
     good(open, "COMMIT", 'I');
-    wait_for_let_go(fixture, AT_REST + 1);
+    wait_for_closed_idle(fixture, IDLE_CLIENTS + 1);
     atomic_store(&fixture->shared.partitioned_since, 0);
     g_assert_cmpuint(line_group_committed(fixture->group, "hut", "still-open"), ==, 1);
-    for (unsigned i = 0; i < AT_REST; i++) {
+    for (unsigned i = 0; i < IDLE_CLIENTS; i++) {
         client_close(clients[i]);
     }
     client_close(open);
@@ -909,40 +920,40 @@
 {
     g_test_init(&argc, &argv, NULL);
     g_log_set_writer_func(count_late_lines, NULL, NULL);
-    ADD("late-as-a-whole", set_up, test_late_as_a_whole);
-    ADD("cut-off", set_up, test_cut_off_lets_clients_go);
-    ADD("forwarding/cut-off", set_up_forwarding, test_cut_off_lets_clients_go);
+    ADD("late-transaction", set_up, test_late_transaction);
+    ADD("partition", set_up, test_partition_closes_idle_sessions);
+    ADD("forwarding/partition", set_up_forwarding, test_partition_closes_idle_sessions);
     ADD("first-view", set_up_unpublished, test_start_waits_for_the_first_view);
     ADD("unknown-database", set_up, test_unknown_database);
     ADD("removed-route", set_up, test_removed_route);
     ADD("reads-see-writes", set_up, test_reads_see_writes);
-    ADD("input-in-pieces", set_up, test_input_in_pieces_and_ahead);
+    ADD("fragmented-input", set_up, test_fragmented_and_pipelined_input);
     ADD("prepared-and-values", set_up, test_prepared_names_and_values);
     ADD("unknown-prepared", set_up, test_unknown_prepared_name);
-    ADD("pinned", set_up, test_transaction_stays_on_its_connection);
-    ADD("rollback-and-gone", set_up, test_rollback_and_client_gone);
+    ADD("transaction-connection", set_up, test_transaction_keeps_its_connection);
+    ADD("rollback-and-disconnect", set_up, test_rollback_and_disconnect);
     ADD("transaction-errors", set_up, test_transaction_errors);
     ADD("lost-answer-of-write", set_up, test_lost_answer_of_a_write);
-    ADD("silent-database", set_up, test_read_moves_away_from_a_silent_database);
-    ADD("orphan", set_up, test_lost_answer_without_a_client);
+    ADD("unresponsive-database", set_up, test_read_leaves_an_unresponsive_database);
+    ADD("lost-answer-after-disconnect", set_up, test_lost_answer_after_a_disconnect);
     ADD("bounded-at-replicas", set_up, test_bounded_reads_use_replicas);
     ADD("own-writes", set_up, test_session_sees_its_own_write);
-    ADD("own-write-awaited", set_up, test_own_write_is_awaited_at_a_replica);
+    ADD("own-write-deferred-read", set_up, test_read_is_deferred_for_an_own_write);
     ADD("own-writes-transaction", set_up, test_own_write_in_a_transaction);
     ADD("leadership", set_up, test_leadership_without_a_coordinator);
-    ADD("another-may-lead", set_up, test_no_read_where_another_may_lead);
+    ADD("no-proof-of-leadership", set_up, test_no_read_without_proof_of_leadership);
     ADD("ready-connections", set_up, test_ready_connections);
     ADD("empty-commit", set_up, test_empty_commit_proves_nothing);
     ADD("empty-commit-after-a-write", set_up, test_empty_commit_after_a_write);
     ADD("change-of-primary", set_up, test_change_of_primary);
     ADD("primary-without-its-log", set_up, test_primary_without_its_log);
     ADD("refusal-while-closed", set_up, test_refusal_while_closed);
-    ADD("refusal-once-lost", set_up, test_refusal_once_lost);
-    ADD("first-objective-first", set_up, test_first_objective_first);
-    ADD("refusal-by-pace", set_up, test_refusal_by_pace);
-    ADD("least-urgent-first", set_up, test_least_urgent_are_refused_first);
-    ADD("cut-by-a-change", set_up, test_transaction_cut_by_a_change);
-    ADD("busy", set_up, test_busy_database_is_asked_again);
+    ADD("refusal-after-long-closure", set_up, test_refusal_after_a_long_closure);
+    ADD("earliest-objective-first", set_up, test_earliest_objective_first);
+    ADD("refusal-by-queue-rate", set_up, test_refusal_by_queue_rate);
+    ADD("low-priority-refused-first", set_up, test_low_priority_is_refused_first);
+    ADD("aborted-by-a-change", set_up, test_transaction_aborted_by_a_change);
+    ADD("busy", set_up, test_retry_at_a_busy_database);
     ADD("connections-bounded", set_up, test_connections_are_bounded);
     ADD("overload", set_up, test_overload_is_refused_at_once);
     ADD("too-large", set_up, test_too_large);
@@ -951,34 +962,38 @@
     ADD("forwarding/unknown-database", set_up_forwarding, test_unknown_database);
     ADD("forwarding/removed-route", set_up_forwarding, test_removed_route);
     ADD("forwarding/reads-see-writes", set_up_forwarding, test_reads_see_writes);
-    ADD("forwarding/input-in-pieces", set_up_forwarding, test_input_in_pieces_and_ahead);
+    ADD("forwarding/fragmented-input", set_up_forwarding, test_fragmented_and_pipelined_input);
     ADD("forwarding/prepared-and-values", set_up_forwarding, test_prepared_names_and_values);
     ADD("forwarding/unknown-prepared", set_up_forwarding, test_unknown_prepared_name);
-    ADD("forwarding/pinned", set_up_forwarding, test_transaction_stays_on_its_connection);
-    ADD("forwarding/rollback-and-gone", set_up_forwarding, test_rollback_and_client_gone);
+    ADD("forwarding/transaction-connection", set_up_forwarding,
+        test_transaction_keeps_its_connection);
+    ADD("forwarding/rollback-and-disconnect", set_up_forwarding, test_rollback_and_disconnect);
     ADD("forwarding/transaction-errors", set_up_forwarding, test_transaction_errors);
     ADD("forwarding/lost-answer-of-write", set_up_forwarding, test_lost_answer_of_a_write);
-    ADD("forwarding/silent-database", set_up_forwarding,
-        test_read_moves_away_from_a_silent_database);
-    ADD("forwarding/orphan", set_up_forwarding, test_lost_answer_without_a_client);
+    ADD("forwarding/unresponsive-database", set_up_forwarding,
+        test_read_leaves_an_unresponsive_database);
+    ADD("forwarding/lost-answer-after-disconnect", set_up_forwarding,
+        test_lost_answer_after_a_disconnect);
     ADD("forwarding/bounded-at-replicas", set_up_forwarding, test_bounded_reads_use_replicas);
     ADD("forwarding/own-writes", set_up_forwarding, test_session_sees_its_own_write);
     ADD("forwarding/own-writes-transaction", set_up_forwarding, test_own_write_in_a_transaction);
     ADD("forwarding/leadership", set_up_forwarding, test_leadership_without_a_coordinator);
-    ADD("forwarding/another-may-lead", set_up_forwarding, test_no_read_where_another_may_lead);
+    ADD("forwarding/no-proof-of-leadership", set_up_forwarding,
+        test_no_read_without_proof_of_leadership);
     ADD("forwarding/empty-commit-after-a-write", set_up_forwarding,
         test_empty_commit_after_a_write);
     ADD("forwarding/empty-commit", set_up_forwarding, test_empty_commit_proves_nothing);
     ADD("forwarding/change-of-primary", set_up_forwarding, test_change_of_primary);
     ADD("forwarding/refusal-while-closed", set_up_forwarding, test_refusal_while_closed);
-    ADD("forwarding/refusal-once-lost", set_up_forwarding, test_refusal_once_lost);
-    ADD("forwarding/cut-by-a-change", set_up_forwarding, test_transaction_cut_by_a_change);
-    ADD("forwarding/busy", set_up_forwarding, test_busy_database_is_asked_again);
+    ADD("forwarding/refusal-after-long-closure", set_up_forwarding,
+        test_refusal_after_a_long_closure);
+    ADD("forwarding/aborted-by-a-change", set_up_forwarding, test_transaction_aborted_by_a_change);
+    ADD("forwarding/busy", set_up_forwarding, test_retry_at_a_busy_database);
     ADD("full-databases", set_up, test_full_databases);
     ADD("forwarding/connections-bounded", set_up_forwarding, test_connections_are_bounded);
     ADD("forwarding/overload", set_up_forwarding, test_overload_is_refused_at_once);
     ADD("forwarding/too-large", set_up_forwarding, test_too_large);
-    ADD("forwarding/late-as-a-whole", set_up_forwarding, test_late_as_a_whole);
+    ADD("forwarding/late-transaction", set_up_forwarding, test_late_transaction);
     ADD("forwarding/planned-stop", set_up_forwarding, test_planned_stop);
     return g_test_run();
 }
--- a/tests/pooler/worker_fixture.c
+++ b/tests/pooler/worker_fixture.c
@@ -1,4 +1,4 @@
-/* A worker before stand-in databases, and its clients; see the header. */
+/* A worker with stand-in databases, and its clients; see the header. */
 #include "worker_fixture.h"
 
 #include <arpa/inet.h>
@@ -115,9 +115,9 @@
     view_free(old);
 }
 
-/* Names the owners that run. Returns how many. */
+/* Adds the running owners to the view. Returns their number. */
 static unsigned
-name_owners(const struct fixture *fixture, struct pooled_group *group)
+add_owners(const struct fixture *fixture, struct pooled_group *group)
 {
     group->owners = g_new0(owner_view_t, OWNERS + 1);
     for (unsigned i = 0; i < OWNERS; i++) {
@@ -132,7 +132,7 @@
     }
     if (fixture->owns) {
         owner_view_t *view = &group->owners[group->owners_count++];
-        view->text = g_strdup("the worker's own");
+        view->text = g_strdup("this worker");
         view->same_zone = true;
         view->self = true;
     }
@@ -156,7 +156,7 @@
     }
     struct view *view = make_view(fixture, fixture->figures, fixture->members, fixture->connections,
                                   fixture->version, fixture->keys);
-    if (name_owners(fixture, view->groups[0]) > 0 && !fixture->owns) {
+    if (add_owners(fixture, view->groups[0]) > 0 && !fixture->owns) {
         view->groups[0]->connections = 0;
         view->groups[0]->alone_connections = fixture->alone_connections;
     }
@@ -297,7 +297,7 @@
     free_figures(fixture->figures, fixture->members);
 }
 
-/* ---- a client ---- */
+/* Clients */
 
 void
 send_line(struct client *client, const char *line)
@@ -306,17 +306,16 @@
     g_assert_cmpint(send(fileno(client->stream), line, length, MSG_NOSIGNAL), ==, (ssize_t)length);
 }
 
-/* Connects without waiting for an answer. */
 struct client *
 client_begin_as(const struct fixture *fixture, const char *database, const char *key)
 {
     struct client *client = g_new0(struct client, 1);
-    struct timeval patience = {ANSWER_WAIT_S, 0};
+    struct timeval timeout = {ANSWER_WAIT_S, 0};
     int handle = socket(AF_INET, SOCK_STREAM, 0);
     g_assert_cmpint(connect(handle, (const struct sockaddr *)&fixture->shared.listen,
                             sizeof fixture->shared.listen),
                     ==, 0);
-    setsockopt(handle, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+    setsockopt(handle, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
     client->stream = fdopen(handle, "r");
     g_autofree char *start = g_strdup_printf("STARTUP %s %s\r\n", database, key);
     send_line(client, start);
@@ -329,7 +328,6 @@
     return client_begin_as(fixture, database, "user");
 }
 
-/* Reads one answer up to READY, or up to a final error. */
 void
 client_read(struct client *client)
 {
@@ -386,7 +384,6 @@
     client_read(client);
 }
 
-/* Asks and expects success in this state. */
 void
 good(struct client *client, const char *text, char state)
 {
--- a/tests/pooler/worker_fixture.h
+++ b/tests/pooler/worker_fixture.h
@@ -1,8 +1,8 @@
 /**
  * @file
- * @brief A worker before stand-in databases, and clients that speak the line format to it over
- * loopback. The test publishes the views that the control thread would. With an owner, the worker
- * holds no connections to the databases, and forwards to a second worker that does.
+ * @brief A worker with stand-in databases, and clients of it that speak the line protocol over
+ * loopback. The test publishes the views in place of a control thread. If owners are started, the
+ * worker opens no connections to the databases and forwards to these workers.
  */
 #ifndef SW_TESTS_POOLER_WORKER_FIXTURE_H
 #define SW_TESTS_POOLER_WORKER_FIXTURE_H
@@ -27,10 +27,10 @@
     struct worker *worker; /* NULL: not started */
     struct group_shared *figures;
     struct member_shared *members[DATABASES];
-    bool declines; /* it has no connections either */
+    bool declines; /* it has no connections, so it declines statements */
 } owner_t;
 
-/* Of a limit that never has a token. */
+/* Value of rate_per_s for a limit that never has a token. */
 #define RATE_NONE (-1.0)
 
 struct fixture {
@@ -44,53 +44,55 @@
     uint64_t term;
     enum group_phase phase;
     uint32_t connections;
-    uint32_t alone_connections; /* of the worker, while it reaches no owner */
+    uint32_t alone_connections; /* direct fallback of the worker while it can't reach any owner */
     uint32_t staleness_ms;
     uint32_t timeout_ms;
     uint32_t own_target_ms;   /* objective of the route "own"; the others have 250 ms */
-    uint32_t strict_priority; /* of the route "strict"; the others have 0, the most urgent */
+    uint32_t strict_priority; /* of the route "strict"; the others have 0, the highest */
     bool with_route;
     uint64_t version;        /* of the configuration */
-    uint64_t owners_behind;  /* by so many versions the owners' configuration is older */
-    const char *const *keys; /* "tenant key" each, NULL at the end; NULL: clients need no keys */
-    const char *const *owners_keys; /* the same, as the owners know them; NULL: as all */
-    double rate_per_s;              /* of each tenant; 0: not limited, RATE_NONE: limited to none */
+    uint64_t owners_behind;  /* number of versions by which the owners' configuration is older */
+    const char *const *keys; /* each "tenant key", ended by NULL; NULL: clients need no keys */
+    const char *const *owners_keys; /* the owners' keys; NULL: the same as `keys` */
+    double
+        rate_per_s; /* rate limit of each tenant; 0: no limit, RATE_NONE: no operation is allowed */
     double burst;
-    roster_t *roster; /* of the pooler itself, where operations are counted */
+    roster_t *roster; /* roster with this pooler, if operations are counted; else NULL */
     owner_t owners[OWNERS];
-    bool owns;                /* the worker is an owner as well, beside those that run */
-    unsigned evacuated;       /* of the databases, as bits: nothing may be sent to them */
+    bool owns;                /* the worker is an owner, too */
+    unsigned evacuated;       /* bit set of databases that nothing may be sent to */
     const char *primary_zone; /* interned; NULL: not known */
-    const char *owners_zone;  /* the same; NULL: not known, the first is in the worker's */
+    const char
+        *owners_zone; /* interned; NULL: not known, and the first owner is in the worker's zone */
 };
 
 struct client {
     FILE *stream;
     unsigned next_id;
     char line[4096];
-    char row[4096];    /* of the last answer */
-    char result[4096]; /* its COMPLETE or ERROR line */
-    char state;        /* of its READY */
+    char row[4096];    /* row of the last answer */
+    char result[4096]; /* COMPLETE or ERROR line of the last answer */
+    char state;        /* state of the last answer's READY line */
 };
 
-/** @brief Starts a worker that has no view yet. */
+/** @brief Starts a worker without publishing a view. */
 void set_up_unpublished(struct fixture *fixture, gconstpointer unused);
-/** @brief Starts a worker that holds connections. */
+/** @brief Starts a worker with connections of its own, and publishes a view. */
 void set_up(struct fixture *fixture, gconstpointer unused);
-/** @brief Starts a worker that forwards to one owner. */
+/** @brief Starts a worker and an owner that it forwards to, and publishes a view. */
 void set_up_forwarding(struct fixture *fixture, gconstpointer unused);
 void tear_down(struct fixture *fixture, gconstpointer unused);
-/** @brief Starts an owner; the next view names it. */
+/** @brief Starts an owner. It is part of the next view that is published. */
 void start_owner(struct fixture *fixture, unsigned index);
-/** @brief Ends an owner at once: its connections close. */
+/** @brief Stops an owner at once and closes its connections. */
 void stop_owner(struct fixture *fixture, unsigned index);
 
-/** @brief Publishes what the fixture says to all workers. */
+/** @brief Publishes a view of the fixture's fields to all workers. */
 void publish(struct fixture *fixture);
-/** @brief Permits reads at the primary until then, at all workers. */
+/** @brief Sets the end of the read permit at all workers. */
 void permit(struct fixture *fixture, time_ns until);
 
-/** @brief Connects without waiting for an answer. */
+/** @brief Connects a client without waiting for the answer. */
 struct client *client_begin(const struct fixture *fixture, const char *database);
 /** @brief The same with a key. */
 struct client *client_begin_as(const struct fixture *fixture, const char *database,
@@ -100,14 +102,16 @@
 void client_close(struct client *client);
 void send_line(struct client *client, const char *line);
 void client_send(struct client *client, const char *text);
-/** @brief Reads one answer up to READY, or up to a final error. */
+/** @brief Reads one answer up to READY or the end of the connection. */
 void client_read(struct client *client);
+/** @brief Executes a statement: sends it and reads the answer. */
 void ask(struct client *client, const char *text);
-/** @brief Asks and expects success in this state. */
+/** @brief Executes a statement and asserts success and this transaction state. */
 void good(struct client *client, const char *text, char state);
-/** @brief Asks and expects this error in this state. */
+/** @brief Executes a statement and asserts this error and this transaction state. */
 void bad(struct client *client, const char *text, const char *code, char state);
-/** @return the newest run of a text that holds this one; the test fails if there is none. */
+/** @return the last statement that a database ran and whose text contains `text`; the test fails if
+ * there is none. */
 const struct line_run *find_run(GPtrArray *runs, const char *text);
 
 #endif
