--- a/tests/pooler/test_forward.c
+++ b/tests/pooler/test_forward.c
@@ -1,6 +1,7 @@
 /**
  * @file
- * @brief What becomes of forwarded statements when owners are lost, silent or unwilling.
+ * @brief Tests of forwarding: choice of the owner, and forwarded statements when owners are lost,
+ * unresponsive or decline.
  */
 #include "worker_fixture.h"
 
@@ -16,9 +17,10 @@
         &worker_metrics(fixture->owners[owner].worker)->counters[METRICS_SERVED_FOR_OTHERS]);
 }
 
-/* Two owners, of which the near one has given a sign: before that the other one may be asked. */
+/* Two owners, one of them in the worker's zone. Waits until the link to that near one is confirmed:
+ * before that, the worker may use the far one. */
 static void
-set_up_two(struct fixture *fixture, gconstpointer unused)
+set_up_near_and_far_owner(struct fixture *fixture, gconstpointer unused)
 {
     set_up_unpublished(fixture, unused);
     start_owner(fixture, 0);
@@ -52,7 +54,7 @@
     }
 }
 
-/* The near owner does the work, as long as it can. */
+/* All statements are forwarded to the near owner while it is reachable. */
 static void
 test_near_owner(struct fixture *fixture, gconstpointer unused)
 {
@@ -67,9 +69,9 @@
     client_close(client);
 }
 
-/* An open transaction is over with its owner, and keeps nothing. */
+/* The loss of the owner aborts an open transaction, and nothing of it is committed. */
 static void
-test_lost_in_a_transaction(struct fixture *fixture, gconstpointer unused)
+test_loss_in_a_transaction(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "strict");
     good(client, "BEGIN", 'T');
@@ -83,9 +85,9 @@
     client_close(client);
 }
 
-/* A write under way may have run: nothing is promised, and it is not sent again. */
+/* A write in progress may have run: it is answered as in doubt, and is not sent again. */
 static void
-test_lost_in_a_write(struct fixture *fixture, gconstpointer unused)
+test_loss_in_a_write(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "strict");
     good(client, "READ warm", 'I');
@@ -99,9 +101,9 @@
     client_close(client);
 }
 
-/* A read under way goes to the other owner. */
+/* A read in progress is retried at the other owner. */
 static void
-test_lost_in_a_read(struct fixture *fixture, gconstpointer unused)
+test_loss_in_a_read(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "strict");
     good(client, "WRITE hut 4", 'I');
@@ -115,7 +117,7 @@
     client_close(client);
 }
 
-/* An owner that has lost the group declines; the other one takes the statement. */
+/* An owner without connections to the group declines, and the statement goes to the other one. */
 static void
 test_declined(struct fixture *fixture, gconstpointer unused)
 {
@@ -130,7 +132,7 @@
     client_close(client);
 }
 
-/* An owner that stops lets open transactions end, and takes no new ones. */
+/* An owner that stops completes open transactions and accepts no new ones. */
 static void
 test_stopping_owner(struct fixture *fixture, gconstpointer unused)
 {
@@ -152,7 +154,7 @@
 }
 
 static int
-listen_in_silence(const struct sockaddr_in *address)
+listen_without_answering(const struct sockaddr_in *address)
 {
     int one = 1;
     int handle = socket(AF_INET, SOCK_STREAM, 0);
@@ -162,30 +164,31 @@
     return handle;
 }
 
-/* An owner that takes connections and says nothing is given up, and reads go elsewhere. */
+/* The link to an owner that accepts connections and never answers is closed, and reads go to the
+ * other owner. */
 static void
-test_silent_owner(struct fixture *fixture, gconstpointer unused)
+test_unresponsive_owner(struct fixture *fixture, gconstpointer unused)
 {
     struct sockaddr_in address = fixture->owners[0].shared.forward_listen;
     struct client *client = client_open(fixture, "strict");
     good(client, "WRITE hut 4", 'I');
     stop_owner(fixture, 0);
-    int silent = listen_in_silence(&address);
+    int listener = listen_without_answering(&address);
     good(client, "READ hut", 'I');
     g_assert_cmpstr(client->row, ==, "4");
-    /* It is asked for a sign from now on, and gets no statement. */
-    const _Atomic uint64_t *moved = &worker_metrics(fixture->worker)->counters[METRICS_RETRIES];
-    uint64_t before = atomic_load(moved);
+    /* From now on it is only pinged, and no statement is sent to it. */
+    const _Atomic uint64_t *retries = &worker_metrics(fixture->worker)->counters[METRICS_RETRIES];
+    uint64_t before = atomic_load(retries);
     for (unsigned i = 0; i < 60; i++) {
         good(client, "READ hut", 'I');
         g_usleep(20000);
     }
-    g_assert_cmpuint(atomic_load(moved), ==, before);
+    g_assert_cmpuint(atomic_load(retries), ==, before);
     client_close(client);
-    close(silent);
+    close(listener);
 }
 
-/* Without any owner a statement is refused as not run, and the session goes on. */
+/* Without any owner a statement is refused as not run, and the session stays open. */
 static void
 test_no_owner(struct fixture *fixture, gconstpointer unused)
 {
@@ -207,10 +210,10 @@
     return atomic_load(&worker_metrics(fixture->worker)->counters[METRICS_FORWARDED]);
 }
 
-/* Out of reach of all owners, a worker serves by a few connections of its own, until an owner gives
- * a sign again. */
+/* While no owner can be reached, the worker uses a few connections of its own (direct fallback),
+ * until an owner responds again. */
 static void
-test_alone(struct fixture *fixture, gconstpointer unused)
+test_direct_fallback(struct fixture *fixture, gconstpointer unused)
 {
     fixture->alone_connections = 1;
     publish(fixture);
@@ -240,8 +243,8 @@
     return atomic_load(&worker_metrics(fixture->worker)->counters[METRICS_CONNECTIONS_OPENED]);
 }
 
-/* Owners that come back within a moment, as after the loss of all poolers, are waited for: what a
- * forwarder opens meanwhile would be lacking to them, and it would do so each time. */
+/* The worker opens no connections of its own if the owners return within a short time, as after a
+ * restart of all poolers: connections that it opened would be missing from the owners' share. */
 static void
 test_short_loss(struct fixture *fixture, gconstpointer unused)
 {
@@ -264,9 +267,10 @@
     client_close(client);
 }
 
-/* The owner rolls back what a client leaves behind, and its connection serves others. */
+/* When a client disconnects, the owner rolls back its transaction and reuses the database
+ * connection. */
 static void
-test_client_gone(struct fixture *fixture, gconstpointer unused)
+test_disconnect(struct fixture *fixture, gconstpointer unused)
 {
     fixture->connections = 1;
     publish(fixture);
@@ -296,10 +300,10 @@
     return count;
 }
 
-/* The client's pooler knows what the owner's time went to, and counts the operation; the owner,
- * which sees statements alone, does not. */
+/* The client's pooler receives the owner's times by stage and counts the operation. The owner,
+ * which sees only single statements, does not count it. */
 static void
-test_owner_tells_its_stages(struct fixture *fixture, gconstpointer unused)
+test_stages_of_the_owner(struct fixture *fixture, gconstpointer unused)
 {
     const struct metrics *here = worker_metrics(fixture->worker);
     const struct metrics *there = worker_metrics(fixture->owners[0].worker);
@@ -316,15 +320,15 @@
     g_assert_cmpuint(count_operations(there), ==, 0);
     uint64_t at_database = atomic_load(&stages_of(here)[STAGE_DATABASE].sum_us) - database_before;
     g_assert_cmpuint(at_database, >=, 3 * 20000);
-    uint64_t on_the_way = atomic_load(&stages_of(here)[STAGE_HOP].sum_us) - hop_before;
-    g_assert_cmpuint(on_the_way, >, 0);
-    g_assert_cmpuint(on_the_way, <, at_database);
+    uint64_t hop = atomic_load(&stages_of(here)[STAGE_HOP].sum_us) - hop_before;
+    g_assert_cmpuint(hop, >, 0);
+    g_assert_cmpuint(hop, <, at_database);
     client_close(client);
 }
 
 #define TENANTS 24
 
-/* The worker and one other pooler own the group; clients have the keys of many tenants. */
+/* The worker and another pooler are owners of the group. Clients have keys of many tenants. */
 static void
 set_up_two_owners(struct fixture *fixture)
 {
@@ -340,13 +344,13 @@
 }
 
 static void
-set_up_owner_beside(struct fixture *fixture, gconstpointer unused)
+set_up_owner_in_the_same_zone(struct fixture *fixture, gconstpointer unused)
 {
     set_up_unpublished(fixture, unused);
     set_up_two_owners(fixture);
 }
 
-/* The other owner stands where the primary does, the worker does not. */
+/* The other owner is in the primary's zone, the worker is not. */
 static void
 set_up_owner_at_the_primary(struct fixture *fixture, gconstpointer unused)
 {
@@ -356,9 +360,9 @@
     set_up_two_owners(fixture);
 }
 
-/* One read of each tenant. */
+/* Executes one read as each tenant. */
 static void
-read_of_each(const struct fixture *fixture, const char *database)
+read_as_each_tenant(const struct fixture *fixture, const char *database)
 {
     for (unsigned i = 0; i < TENANTS; i++) {
         g_autofree char *key = g_strdup_printf("key-%u", i);
@@ -368,56 +372,56 @@
     }
 }
 
-/* Until the link to the other owner has given a sign. */
+/* Reads until the link to the other owner is confirmed. */
 static void
 warm_up(const struct fixture *fixture, const char *database)
 {
     for (unsigned i = 0; count_served(fixture, 0) == 0; i++) {
         g_assert_cmpint(i, <, 100);
-        read_of_each(fixture, database);
+        read_as_each_tenant(fixture, database);
     }
 }
 
-/* An owner's own clients: each tenant is served by one owner, this or the other one, so that its
- * statements meet the connection that is open for it. */
+/* Clients of an owner: each tenant is always served by the same owner, this or the other one, so
+ * that its statements find its open connection. */
 static void
 test_own_clients_of_tenants(struct fixture *fixture, gconstpointer unused)
 {
     warm_up(fixture, "stale");
-    read_of_each(fixture, "stale");
+    read_as_each_tenant(fixture, "stale");
     uint64_t before = count_served(fixture, 0);
-    read_of_each(fixture, "stale");
+    read_as_each_tenant(fixture, "stale");
     uint64_t once = count_served(fixture, 0) - before;
     g_assert_cmpuint(once, >, 0);
     g_assert_cmpuint(once, <, TENANTS);
-    read_of_each(fixture, "stale");
+    read_as_each_tenant(fixture, "stale");
     g_assert_cmpuint(count_served(fixture, 0) - before, ==, 2 * once);
 }
 
-/* What only the primary serves goes to the owner near it, not through the one connection that an
- * owner of another zone has. */
+/* Statements that only the primary can serve go to the owner in its zone, as an owner of another
+ * zone may have only one connection to it. */
 static void
 test_own_clients_of_the_primary(struct fixture *fixture, gconstpointer unused)
 {
     warm_up(fixture, "strict");
-    read_of_each(fixture, "strict");
+    read_as_each_tenant(fixture, "strict");
     uint64_t before = count_served(fixture, 0);
-    uint64_t here =
+    uint64_t reused =
         atomic_load(&worker_metrics(fixture->worker)->counters[METRICS_CONNECTIONS_REUSED]);
-    read_of_each(fixture, "strict");
+    read_as_each_tenant(fixture, "strict");
     g_assert_cmpuint(count_served(fixture, 0) - before, ==, TENANTS);
     g_assert_cmpuint(
         atomic_load(&worker_metrics(fixture->worker)->counters[METRICS_CONNECTIONS_REUSED]), ==,
-        here);
+        reused);
 }
 
-/* The other owner is lost: this one serves all. */
+/* After the loss of the other owner, this one serves all statements. */
 static void
-test_own_clients_without_the_other(struct fixture *fixture, gconstpointer unused)
+test_own_clients_after_loss_of_the_owner(struct fixture *fixture, gconstpointer unused)
 {
     warm_up(fixture, "strict");
     stop_owner(fixture, 0);
-    read_of_each(fixture, "strict");
+    read_as_each_tenant(fixture, "strict");
     g_assert_cmpuint(
         atomic_load(&worker_metrics(fixture->worker)->counters[METRICS_CONNECTIONS_REUSED]), >=,
         TENANTS);
@@ -426,9 +430,9 @@
 #define ADD_OWNER(name, set_up_by, test)                                                           \
     g_test_add("/pooler/forward/" name, struct fixture, NULL, set_up_by, test, tear_down)
 
-/* What a newer pooler asks, whose kind of route is not known here, as one message. */
+/* A frame with a statement of a newer pooler, whose route kind is not known here. */
 static GByteArray *
-ask_of_unknown_kind(uint64_t channel, const char *message)
+make_request_of_unknown_kind(uint64_t channel, const char *message)
 {
     struct forward_ask ask;
     forward_ask_init(&ask);
@@ -448,7 +452,7 @@
     return body;
 }
 
-/* Reads the owner's answer. True if a primary ran the statement. */
+/* Reads the owner's answer. True if the primary ran the statement. */
 static bool
 is_answered_by_primary(int handle)
 {
@@ -469,7 +473,7 @@
     return at_primary;
 }
 
-/* It is served as the strictest. */
+/* An unknown route kind is treated as the strictest one: the primary serves it. */
 static void
 test_unknown_kind_of_route(struct fixture *fixture, gconstpointer unused)
 {
@@ -477,7 +481,8 @@
     int handle = socket(AF_INET, SOCK_STREAM, 0);
     g_assert_cmpint(connect(handle, (const struct sockaddr *)address, sizeof *address), ==, 0);
     for (unsigned i = 0; i < 20; i++) {
-        g_autoptr(GByteArray) bytes = ask_of_unknown_kind(i + 1, "QUERY q1 READ first\r\n");
+        g_autoptr(GByteArray) bytes =
+            make_request_of_unknown_kind(i + 1, "QUERY q1 READ first\r\n");
         g_assert_cmpint(send(handle, bytes->data, bytes->len, 0), ==, (ssize_t)bytes->len);
         g_assert_true(is_answered_by_primary(handle));
     }
@@ -485,7 +490,8 @@
 }
 
 #define ADD(name, test)                                                                            \
-    g_test_add("/pooler/forward/" name, struct fixture, NULL, set_up_two, test, tear_down)
+    g_test_add("/pooler/forward/" name, struct fixture, NULL, set_up_near_and_far_owner, test,     \
+               tear_down)
 
 int
 main(int argc, char **argv)
@@ -493,21 +499,21 @@
     g_test_init(&argc, &argv, NULL);
     ADD("unknown-kind", test_unknown_kind_of_route);
     ADD("near-owner", test_near_owner);
-    ADD("lost-in-a-transaction", test_lost_in_a_transaction);
-    ADD("lost-in-a-write", test_lost_in_a_write);
-    ADD("lost-in-a-read", test_lost_in_a_read);
+    ADD("loss-in-a-transaction", test_loss_in_a_transaction);
+    ADD("loss-in-a-write", test_loss_in_a_write);
+    ADD("loss-in-a-read", test_loss_in_a_read);
     ADD("declined", test_declined);
     ADD("stopping-owner", test_stopping_owner);
-    ADD("silent-owner", test_silent_owner);
+    ADD("unresponsive-owner", test_unresponsive_owner);
     ADD("no-owner", test_no_owner);
-    ADD("client-gone", test_client_gone);
-    ADD("alone", test_alone);
+    ADD("disconnect", test_disconnect);
+    ADD("direct-fallback", test_direct_fallback);
     ADD("short-loss", test_short_loss);
-    ADD("stages", test_owner_tells_its_stages);
-    ADD_OWNER("own-clients-of-tenants", set_up_owner_beside, test_own_clients_of_tenants);
+    ADD("stages", test_stages_of_the_owner);
+    ADD_OWNER("own-clients-of-tenants", set_up_owner_in_the_same_zone, test_own_clients_of_tenants);
     ADD_OWNER("own-clients-of-the-primary", set_up_owner_at_the_primary,
               test_own_clients_of_the_primary);
-    ADD_OWNER("own-clients-without-the-other", set_up_owner_at_the_primary,
-              test_own_clients_without_the_other);
+    ADD_OWNER("own-clients-after-loss-of-the-owner", set_up_owner_at_the_primary,
+              test_own_clients_after_loss_of_the_owner);
     return g_test_run();
 }
