--- a/tests/pooler/test_flat_json.c
+++ b/tests/pooler/test_flat_json.c
@@ -1,13 +1,13 @@
 /**
  * @file
- * @brief JSON read object by object: which objects are told, what their fields hold, and texts that
- * are refused.
+ * @brief Tests of the streaming JSON reader: the reported objects and their fields, and rejected
+ * texts.
  */
 #include "platform/flat_json.h"
 
 #include <string.h>
 
-/* What was told, one line an object. */
+/* Writes one line per reported object. */
 static void
 note(void *user, const char *section, const flat_object_t *object)
 {
@@ -26,9 +26,9 @@
 read_all(const char *text, GString *out)
 {
     g_autoptr(GError) error = NULL;
-    bool good = flat_json_read(text, strlen(text), note, out, &error);
-    g_assert_true(good == (error == NULL));
-    return good;
+    bool ok = flat_json_read(text, strlen(text), note, out, &error);
+    g_assert_true(ok == (error == NULL));
+    return ok;
 }
 
 static void
@@ -60,7 +60,7 @@
 }
 
 static void
-note_keys(void *user, const char *section, const flat_object_t *object)
+write_keys(void *user, const char *section, const flat_object_t *object)
 {
     flat_each_text(object, "keys", add_text, user);
     g_string_append_printf(user, "%s;", section);
@@ -72,12 +72,12 @@
     static const char text[] =
         "{\"t\":[{\"keys\":[\"k1\",\"k2\",3]},{\"keys\":[]},{\"keys\":\"k\"}]}";
     g_autoptr(GString) out = g_string_new(NULL);
-    g_assert_true(flat_json_read(text, strlen(text), note_keys, out, NULL));
+    g_assert_true(flat_json_read(text, strlen(text), write_keys, out, NULL));
     g_assert_cmpstr(out->str, ==, "k1,k2,t;t;t;;");
 }
 
 static void
-test_refused(void)
+test_rejected(void)
 {
     static const char *const texts[] = {"",
                                         "[]",
@@ -113,6 +113,6 @@
     g_test_add_func("/pooler/flat_json/objects", test_objects);
     g_test_add_func("/pooler/flat_json/last-of-a-name", test_last_of_a_name);
     g_test_add_func("/pooler/flat_json/lists-of-texts", test_lists_of_texts);
-    g_test_add_func("/pooler/flat_json/refused", test_refused);
+    g_test_add_func("/pooler/flat_json/rejected", test_rejected);
     return g_test_run();
 }
--- a/tests/pooler/test_line_wire.c
+++ b/tests/pooler/test_line_wire.c
@@ -1,4 +1,4 @@
-/* The line format of clients and databases: every statement, and malformed input. */
+/* Tests of the line protocol of clients and databases: all statements, and malformed input. */
 #include "pooler/shared/wire.h"
 
 #include <glib.h>
@@ -72,7 +72,7 @@
     assert_span(message.statement.value, "q2c");
 }
 
-/* The id of our own statements may not be smuggled in. */
+/* A client may not use the id of the pooler's own statements. */
 static void
 test_malformed(void)
 {
@@ -153,7 +153,7 @@
     assert_written(&out, "ERROR INDOUBT why\r\n");
 }
 
-/* Every code that a client may be told has a word, and comes back as itself. */
+/* Every answer code to clients has a name and is decoded to the same code. */
 static void
 test_codes_round_trip(void)
 {
--- a/tests/pooler/test_log.c
+++ b/tests/pooler/test_log.c
@@ -1,22 +1,22 @@
 /**
  * @file
- * @brief The pooler's log before a reader that does not read: lines are lost, nobody waits. A
- * control thread that waits for the log's reader learns of no configuration, while the workers go
- * on serving by the old one.
+ * @brief Test of the log with a reader that does not read: lines are dropped and no thread blocks.
+ * If the control thread blocked on the log, it would receive no new configuration while the workers
+ * kept serving with the old one.
  */
 #include "pooler/shared/log.h"
 
 #include <glib.h>
 #include <unistd.h>
 
-#define LINES      5000 /* several times what a pipe holds */
-#define PATIENCE_S 20
+#define LINES     5000 /* several times the capacity of a pipe */
+#define TIMEOUT_S 20
 
 static gpointer
 write_lines(gpointer user)
 {
     for (unsigned i = 0; i < LINES; i++) {
-        g_message("A line of the usual length, number %u, that nobody ever reads.", i);
+        g_message("Log line %u of typical length, which no process ever reads.", i);
     }
     g_atomic_int_set((gint *)user, 1);
     return NULL;
@@ -32,7 +32,7 @@
     dup2(ends[1], STDOUT_FILENO);
     pooler_log_start(1000000);
     GThread *writer = g_thread_new("writer", write_lines, &done);
-    gint64 end = g_get_monotonic_time() + PATIENCE_S * G_USEC_PER_SEC;
+    gint64 end = g_get_monotonic_time() + TIMEOUT_S * G_USEC_PER_SEC;
     while (g_atomic_int_get(&done) == 0 && g_get_monotonic_time() < end) {
         g_usleep(1000);
     }
--- a/tests/pooler/test_operation_timing.c
+++ b/tests/pooler/test_operation_timing.c
@@ -1,5 +1,5 @@
-/* Where an operation's time goes: every moment is in one stage, the client's pauses are none of the
- * pooler's, and what an owner spent is told apart from the way to it. No network, no clock. */
+/* Tests of operation timing: all time is in exactly one stage, the client's pauses are not counted,
+ * and the owner's times are separated from the network's round trip. No network, no clock. */
 #include <glib.h>
 
 #include <string.h>
@@ -19,7 +19,7 @@
     operation_timing_begin(&timing, STAGE_OWN, start);
     operation_timing_enter(&timing, STAGE_QUEUE, start + 1 * MS);
     operation_timing_enter(&timing, STAGE_OPENING, start + 4 * MS);
-    operation_timing_enter(&timing, STAGE_OPENING, start + 10 * MS); /* looked at again */
+    operation_timing_enter(&timing, STAGE_OPENING, start + 10 * MS); /* entered again */
     operation_timing_enter(&timing, STAGE_DATABASE, start + 16 * MS);
     operation_timing_enter(&timing, STAGE_PAUSE, start + 20 * MS);
     g_assert_cmpuint(timing.spent[STAGE_OWN], ==, 1 * MS);
@@ -43,34 +43,34 @@
 }
 
 static void
-owner_tells_its_time_and_the_rest_is_the_way(void)
+time_beyond_the_owners_report_is_the_hop(void)
 {
-    operation_timing_t here;
-    operation_timing_t there;
+    operation_timing_t at_client;
+    operation_timing_t at_owner;
     uint32_t report[STAGE_COUNT];
-    operation_timing_begin(&there, STAGE_OWN, start);
-    operation_timing_enter(&there, STAGE_QUEUE, start);
-    operation_timing_enter(&there, STAGE_BEGIN, start + 7 * MS);
-    operation_timing_enter(&there, STAGE_DATABASE, start + 9 * MS);
-    operation_timing_enter(&there, STAGE_PAUSE, start + 14 * MS);
-    size_t count = operation_timing_report(&there, report);
-    g_assert_cmpuint(count, ==, STAGE_BEGIN + 1); /* zeros at the end are not sent */
-
-    operation_timing_begin(&here, STAGE_OWN, start);
-    operation_timing_enter(&here, STAGE_HOP, start + 1 * MS);
-    operation_timing_merge(&here, report, count, start + 19 * MS);
-    operation_timing_enter(&here, STAGE_PAUSE, start + 20 * MS);
-    g_assert_cmpuint(here.spent[STAGE_OWNER_QUEUE], ==, 7 * MS);
-    g_assert_cmpuint(here.spent[STAGE_QUEUE], ==, 0);
-    g_assert_cmpuint(here.spent[STAGE_BEGIN], ==, 2 * MS);
-    g_assert_cmpuint(here.spent[STAGE_DATABASE], ==, 5 * MS);
-    g_assert_cmpuint(here.spent[STAGE_HOP], ==, 4 * MS);
-    g_assert_cmpuint(here.spent[STAGE_OWN], ==, 2 * MS);
-    g_assert_cmpuint(operation_timing_total(&here), ==, 20 * MS);
+    operation_timing_begin(&at_owner, STAGE_OWN, start);
+    operation_timing_enter(&at_owner, STAGE_QUEUE, start);
+    operation_timing_enter(&at_owner, STAGE_BEGIN, start + 7 * MS);
+    operation_timing_enter(&at_owner, STAGE_DATABASE, start + 9 * MS);
+    operation_timing_enter(&at_owner, STAGE_PAUSE, start + 14 * MS);
+    size_t count = operation_timing_report(&at_owner, report);
+    g_assert_cmpuint(count, ==, STAGE_BEGIN + 1); /* trailing zeros are not sent */
+
+    operation_timing_begin(&at_client, STAGE_OWN, start);
+    operation_timing_enter(&at_client, STAGE_HOP, start + 1 * MS);
+    operation_timing_merge(&at_client, report, count, start + 19 * MS);
+    operation_timing_enter(&at_client, STAGE_PAUSE, start + 20 * MS);
+    g_assert_cmpuint(at_client.spent[STAGE_OWNER_QUEUE], ==, 7 * MS);
+    g_assert_cmpuint(at_client.spent[STAGE_QUEUE], ==, 0);
+    g_assert_cmpuint(at_client.spent[STAGE_BEGIN], ==, 2 * MS);
+    g_assert_cmpuint(at_client.spent[STAGE_DATABASE], ==, 5 * MS);
+    g_assert_cmpuint(at_client.spent[STAGE_HOP], ==, 4 * MS);
+    g_assert_cmpuint(at_client.spent[STAGE_OWN], ==, 2 * MS);
+    g_assert_cmpuint(operation_timing_total(&at_client), ==, 20 * MS);
 }
 
 static void
-older_owner_tells_nothing_and_all_is_the_way(void)
+without_a_report_all_time_is_the_hop(void)
 {
     operation_timing_t timing;
     operation_timing_begin(&timing, STAGE_HOP, start);
@@ -79,7 +79,7 @@
 }
 
 static void
-newer_owner_tells_of_a_stage_not_known_here(void)
+unknown_stages_count_as_the_hop(void)
 {
     operation_timing_t timing;
     uint32_t report[STAGE_COUNT + 3] = {[STAGE_DATABASE] = 3000, [STAGE_COUNT + 2] = 4000};
@@ -91,7 +91,7 @@
 }
 
 static void
-owner_whose_clock_runs_fast_never_makes_the_total_longer(void)
+report_longer_than_the_wait_does_not_extend_the_total(void)
 {
     operation_timing_t timing;
     uint32_t report[STAGE_COUNT] = {[STAGE_QUEUE] = 8000, [STAGE_DATABASE] = 8000};
@@ -102,7 +102,7 @@
 }
 
 static void
-refused_attempt_and_its_rest_are_a_retry(void)
+refused_attempt_and_backoff_count_as_retry(void)
 {
     operation_timing_t timing;
     operation_timing_begin(&timing, STAGE_DATABASE, start);
@@ -114,7 +114,7 @@
 }
 
 static void
-mark_before_the_last_one_takes_nothing_back(void)
+earlier_time_does_not_subtract(void)
 {
     operation_timing_t timing;
     operation_timing_begin(&timing, STAGE_OWN, start);
@@ -132,7 +132,7 @@
 }
 
 static void
-operators_see_stages_by_kind_and_priority(void)
+metrics_show_stages_by_kind_and_priority(void)
 {
     struct metrics metrics = {0};
     struct metrics sum = {0};
@@ -151,12 +151,12 @@
                                        "priority=\"0\",stage=\"database\"} 0.06\n"));
     g_assert_nonnull(strstr(text->str, "swiftworks_operation_seconds_count{route="
                                        "\"read_your_writes\",priority=\"3\"} 1\n"));
-    g_assert_null(strstr(text->str, "stage=\"proof\"")); /* none took any time */
+    g_assert_null(strstr(text->str, "stage=\"proof\"")); /* no time was spent in it */
     g_assert_null(strstr(text->str, "priority=\"1\""));
 }
 
 static void
-operators_see_what_a_busy_primary_is_used_for(void)
+metrics_show_uses_of_databases(void)
 {
     database_uses_t uses = {0};
     database_use_count(&uses, true, DATABASE_USE_READ, 250 * MS);
@@ -181,15 +181,15 @@
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/operation timing/opening", single_statement_waits_for_an_opening);
     g_test_add_func("/operation timing/pauses", pauses_inside_a_transaction_do_not_count);
-    g_test_add_func("/operation timing/owner", owner_tells_its_time_and_the_rest_is_the_way);
-    g_test_add_func("/operation timing/older owner", older_owner_tells_nothing_and_all_is_the_way);
-    g_test_add_func("/operation timing/newer owner", newer_owner_tells_of_a_stage_not_known_here);
+    g_test_add_func("/operation timing/owner", time_beyond_the_owners_report_is_the_hop);
+    g_test_add_func("/operation timing/older owner", without_a_report_all_time_is_the_hop);
+    g_test_add_func("/operation timing/newer owner", unknown_stages_count_as_the_hop);
     g_test_add_func("/operation timing/fast clock",
-                    owner_whose_clock_runs_fast_never_makes_the_total_longer);
-    g_test_add_func("/operation timing/retry", refused_attempt_and_its_rest_are_a_retry);
-    g_test_add_func("/operation timing/order", mark_before_the_last_one_takes_nothing_back);
+                    report_longer_than_the_wait_does_not_extend_the_total);
+    g_test_add_func("/operation timing/retry", refused_attempt_and_backoff_count_as_retry);
+    g_test_add_func("/operation timing/earlier time", earlier_time_does_not_subtract);
     g_test_add_func("/operation timing/names", each_stage_has_a_name);
-    g_test_add_func("/operation timing/metrics", operators_see_stages_by_kind_and_priority);
-    g_test_add_func("/operation timing/uses", operators_see_what_a_busy_primary_is_used_for);
+    g_test_add_func("/operation timing/metrics", metrics_show_stages_by_kind_and_priority);
+    g_test_add_func("/operation timing/uses", metrics_show_uses_of_databases);
     return g_test_run();
 }
--- a/tests/pooler/test_records.c
+++ b/tests/pooler/test_records.c
@@ -1,19 +1,19 @@
 /**
  * @file
- * @brief Records of databases as the platform's store holds them: others may write there as well,
- * so a record is used only if every field of it is as a database writes it.
+ * @brief Tests of decoding the databases' records from the platform's store. Others can write
+ * there, too, so a record is used only if all its fields are as a database writes them.
  */
 #include "control_fixture.h"
 
 #include <string.h>
 
-#define GOOD                                                                                       \
+#define VALID_RECORD                                                                               \
     "{\"service\":\"ledger\",\"address\":\"10.0.0.1:5000\",\"zone\":\"z1\","                       \
     "\"version\":\"v1\",\"slots\":3,\"state\":\"ready\",\"coldRemainingMs\":0,"                    \
     "\"sequence\":4,\"born\":1789289246147,\"dbRole\":\"primary\"}"
 
-/* Random changes of a good record, and random bytes, each so many. */
-#define SPOILT_RECORDS 20000
+/* Number of random changes of a valid record, and of records of random bytes. */
+#define CORRUPT_RECORDS 20000
 
 static struct directory_entry *
 decode(const char *text, size_t length)
@@ -34,9 +34,9 @@
 }
 
 static void
-test_good(void)
+test_valid(void)
 {
-    struct directory_entry *entry = decode(GOOD, strlen(GOOD));
+    struct directory_entry *entry = decode(VALID_RECORD, strlen(VALID_RECORD));
     g_assert_cmpstr(entry->service, ==, "ledger");
     g_assert_cmpstr(entry->zone, ==, "z1");
     g_assert_cmpuint(entry->slots, ==, 3);
@@ -46,13 +46,13 @@
     directory_entry_free(entry);
 }
 
-/* The good record with this field in its place; NULL: without it. */
+/* The valid record with this value of the field; NULL: without the field. */
 static char *
 with_field(const char *name, const char *value)
 {
     g_autofree char *pattern = g_strdup_printf("\"%s\":(\"[^\"]*\"|[0-9]+),?", name);
     g_autoptr(GRegex) regex = g_regex_new(pattern, 0, 0, NULL);
-    g_autofree char *without = g_regex_replace(regex, GOOD, -1, 0, "", 0, NULL);
+    g_autofree char *without = g_regex_replace(regex, VALID_RECORD, -1, 0, "", 0, NULL);
     return value == NULL ? g_steal_pointer(&without)
                          : g_strdup_printf("{\"%s\":%s,%s", name, value, without + 1);
 }
@@ -61,7 +61,7 @@
 is_usable_with(const char *name, const char *value)
 {
     g_autofree char *text = with_field(name, value);
-    g_autofree char *comma = g_strrstr(text, ",}"); /* of a last field that was left out */
+    g_autofree char *comma = g_strrstr(text, ",}"); /* after the last field was removed */
     if (comma != NULL) {
         g_autofree char *head = g_strndup(text, (gsize)(comma - text));
         g_autofree char *whole = g_strconcat(head, "}", NULL);
@@ -71,7 +71,7 @@
     return is_usable(text);
 }
 
-/* Each field missing, and with values of each other type. */
+/* Each field missing, with valid values, and with values of other types. */
 static void
 test_every_field(void)
 {
@@ -91,8 +91,8 @@
         {"born", true, {"0", "1789289246147"}},
         {"dbRole", false, {"\"primary\"", "\"replica\""}},
     };
-    static const char *const others[] = {"null", "true",  "[]",      "{}",  "\"\"",
-                                         "-1",   "1e300", "\"mad\"", "0.5", "[\"ready\"]"};
+    static const char *const others[] = {"null", "true",  "[]",        "{}",  "\"\"",
+                                         "-1",   "1e300", "\"other\"", "0.5", "[\"ready\"]"};
     for (size_t i = 0; i < G_N_ELEMENTS(fields); i++) {
         bool number = strchr("0123456789", fields[i].good[0][0]) != NULL;
         bool word =
@@ -103,7 +103,7 @@
             g_assert_true(is_usable_with(fields[i].name, fields[i].good[j]));
         }
         for (size_t j = 0; j < G_N_ELEMENTS(others); j++) {
-            bool fits = !number && !word && g_str_equal(others[j], "\"mad\"");
+            bool fits = !number && !word && g_str_equal(others[j], "\"other\"");
             bool duration = g_str_equal(fields[i].name, "coldRemainingMs") &&
                             (g_str_equal(others[j], "0.5") || g_str_equal(others[j], "1e300"));
             g_assert_true(is_usable_with(fields[i].name, others[j]) == (fits || duration));
@@ -116,9 +116,17 @@
 static void
 test_not_a_record(void)
 {
-    static const char *const texts[] = {"",      "null",     "[]",          "3",
-                                        "\"a\"", "{",        "{}",          "{\"service\":\"s\"}",
-                                        "\xff",  (GOOD "x"), ("[" GOOD "]")};
+    static const char *const texts[] = {"",
+                                        "null",
+                                        "[]",
+                                        "3",
+                                        "\"a\"",
+                                        "{",
+                                        "{}",
+                                        "{\"service\":\"s\"}",
+                                        "\xff",
+                                        (VALID_RECORD "x"),
+                                        ("[" VALID_RECORD "]")};
     for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
         g_assert_false(is_usable(texts[i]));
     }
@@ -128,13 +136,13 @@
     g_assert_true(is_usable_with("colour", "\"red\""));
 }
 
-/* Whatever the bytes, decoding ends, and tells a reason or a whole record. */
+/* For any bytes, decoding ends with either an error or a complete record. */
 static void
 test_random_bytes(void)
 {
-    for (unsigned i = 0; i < SPOILT_RECORDS; i++) {
-        size_t length = strlen(GOOD);
-        g_autofree char *text = g_strdup(GOOD);
+    for (unsigned i = 0; i < CORRUPT_RECORDS; i++) {
+        size_t length = strlen(VALID_RECORD);
+        g_autofree char *text = g_strdup(VALID_RECORD);
         gint32 changes = g_test_rand_int_range(1, 5);
         for (gint32 change = 0; change < changes; change++) {
             text[g_test_rand_int_range(0, (gint32)length)] = (char)g_test_rand_int_range(0, 256);
@@ -161,18 +169,18 @@
     return g_hash_table_lookup(control->directory.entries, id);
 }
 
-/* A record that can't be used counts as none, also in place of a good one: the database takes no
- * new work once a missing record would have meant so, and stays a member of its group. The others
- * hold, and so does the next good record. */
+/* An invalid record counts as missing, even if it replaces a valid one: after the delay for missing
+ * records the database gets no new statements, and it stays a member of its group. Records of other
+ * databases are not affected, and the next valid record is used again. */
 static void
-test_in_place_of_a_good_one(void)
+test_invalid_after_valid(void)
 {
     const struct pooler_settings settings = {0};
     struct control *control = control_fixture_new(&settings);
     take(control, "b", 1, "{\"service\":7}");
     g_assert_null(find(control, "b"));
-    take(control, "a", 2, GOOD);
-    take(control, "c", 3, GOOD);
+    take(control, "a", 2, VALID_RECORD);
+    take(control, "c", 3, VALID_RECORD);
     take(control, "a", 4, "no record");
     g_assert_cmpuint(find(control, "a")->gone_at, !=, 0);
     g_assert_true(directory_entry_leaves(find(control, "a"),
@@ -180,9 +188,9 @@
     g_assert_cmpuint(directory_group(&control->directory, "ledger")->len, ==, 2);
     g_assert_cmpuint(find(control, "c")->gone_at, ==, 0);
     g_assert_cmpuint(control->counts.records_unusable, ==, 2);
-    take(control, "a", 3, GOOD); /* an older one does not bring it back */
+    take(control, "a", 3, VALID_RECORD); /* an older version is ignored */
     g_assert_cmpuint(find(control, "a")->gone_at, !=, 0);
-    take(control, "a", 5, GOOD);
+    take(control, "a", 5, VALID_RECORD);
     g_assert_cmpuint(find(control, "a")->gone_at, ==, 0);
     control_fixture_free(control);
 }
@@ -191,11 +199,11 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_log_set_always_fatal(G_LOG_LEVEL_ERROR); /* unusable records are warned of */
-    g_test_add_func("/pooler/records/good", test_good);
+    g_log_set_always_fatal(G_LOG_LEVEL_ERROR); /* invalid records are logged as warnings */
+    g_test_add_func("/pooler/records/valid", test_valid);
     g_test_add_func("/pooler/records/every-field", test_every_field);
     g_test_add_func("/pooler/records/not-a-record", test_not_a_record);
     g_test_add_func("/pooler/records/random-bytes", test_random_bytes);
-    g_test_add_func("/pooler/records/in-place-of-a-good-one", test_in_place_of_a_good_one);
+    g_test_add_func("/pooler/records/invalid-after-valid", test_invalid_after_valid);
     return g_test_run();
 }
--- a/tests/pooler/test_retry_advice.c
+++ b/tests/pooler/test_retry_advice.c
@@ -1,4 +1,4 @@
-/* What refused clients are told about coming back. */
+/* Tests of the delay that refused clients are advised to wait before a retry. */
 #include <glib.h>
 
 #include "backend/clock.h"
@@ -6,7 +6,7 @@
 
 #define MS NANOSECONDS_PER_MILLISECOND
 
-/* A queue that is short enough again in 40 ms: nobody is told less, or much more. */
+/* A queue that is short enough again in 40 ms: no delay is shorter, or much longer. */
 static void
 test_queue(void)
 {
@@ -16,22 +16,22 @@
     g_assert_cmpuint(retry_advice_ms(&refused, 1), <=, 51);
 }
 
-/* A change of primary with 600 ms left refuses all kinds at once: the urgent are all told to come
- * before the others. */
+/* During a change of primary that takes 600 ms more, all priorities are refused at once: every
+ * delay of a higher priority is shorter than any of a lower one. */
 static void
-test_urgent_first(void)
+test_priority_order(void)
 {
-    const retry_case_t urgent = {600 * MS, 10000 * MS, 0};
-    const retry_case_t usual = {600 * MS, 10000 * MS, 1};
-    const retry_case_t patient = {600 * MS, 10000 * MS, 2};
-    const retry_case_t more_patient = {600 * MS, 10000 * MS, 9};
-    g_assert_cmpuint(retry_advice_ms(&urgent, 1), <=, retry_advice_ms(&usual, 0));
-    g_assert_cmpuint(retry_advice_ms(&usual, 1), <=, retry_advice_ms(&patient, 0));
-    g_assert_cmpuint(retry_advice_ms(&patient, 0.5), ==, retry_advice_ms(&more_patient, 0.5));
+    const retry_case_t high = {600 * MS, 10000 * MS, 0};
+    const retry_case_t middle = {600 * MS, 10000 * MS, 1};
+    const retry_case_t low = {600 * MS, 10000 * MS, 2};
+    const retry_case_t lowest = {600 * MS, 10000 * MS, 9};
+    g_assert_cmpuint(retry_advice_ms(&high, 1), <=, retry_advice_ms(&middle, 0));
+    g_assert_cmpuint(retry_advice_ms(&middle, 1), <=, retry_advice_ms(&low, 0));
+    g_assert_cmpuint(retry_advice_ms(&low, 0.5), ==, retry_advice_ms(&lowest, 0.5));
 }
 
-/* A thousand refused in one moment don't come back in one: at most a fifth in any tenth of the
- * spread. */
+/* The delays of a thousand clients refused at once are spread: at most a fifth of them fall into
+ * any tenth of the range. */
 static void
 test_spread(void)
 {
@@ -50,9 +50,9 @@
     g_rand_free(random);
 }
 
-/* A group whose change hangs: nobody is told a time that it does not have. */
+/* The expected time exceeds the route's timeout: the delay is limited by the timeout. */
 static void
-test_patience(void)
+test_timeout_limit(void)
 {
     for (uint32_t priority = 0; priority < 4; priority++) {
         const retry_case_t refused = {5000 * MS, 800 * MS, priority};
@@ -60,7 +60,7 @@
     }
 }
 
-/* Nothing is known: neither at once nor never. */
+/* Nothing is known: the default delay. */
 static void
 test_unknown(void)
 {
@@ -74,9 +74,9 @@
 {
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/retry-advice/queue", test_queue);
-    g_test_add_func("/retry-advice/urgent-first", test_urgent_first);
+    g_test_add_func("/retry-advice/priority-order", test_priority_order);
     g_test_add_func("/retry-advice/spread", test_spread);
-    g_test_add_func("/retry-advice/patience", test_patience);
+    g_test_add_func("/retry-advice/timeout-limit", test_timeout_limit);
     g_test_add_func("/retry-advice/unknown", test_unknown);
     return g_test_run();
 }
