--- a/tests/pooler/free_port.c
+++ b/tests/pooler/free_port.c
@@ -1,4 +1,4 @@
-/* Ports for programs under test; see the header. */
+/* Free ports for programs under test; see the header. */
 #include "free_port.h"
 
 #include <glib.h>
@@ -7,11 +7,11 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Below those that the kernel gives to outgoing connections: a client's own port would otherwise
- * take the place of a listener that has not started yet. */
+/* Below the kernel's range for outgoing connections: a client's local port could otherwise be the
+ * port of a listener that has not started yet. */
 #define PORT_FIRST 12000
 #define PORT_AFTER 32000
-#define TRIES      1000
+#define ATTEMPTS   1000
 
 static bool
 is_free(uint16_t port)
@@ -24,9 +24,9 @@
     return free;
 }
 
-/* Drawn anew by each process, so that tests that run at once seldom meet. */
+/* A random port, so that tests that run at the same time seldom use the same one. */
 static uint16_t
-draw(void)
+random_port(void)
 {
     static GRand *random;
     if (random == NULL) {
@@ -38,13 +38,13 @@
 uint16_t
 free_port(void)
 {
-    static bool given[PORT_AFTER];
-    for (int i = 0; i < TRIES; i++) {
-        uint16_t port = draw();
-        if (!given[port] && is_free(port)) {
-            given[port] = true;
+    static bool used[PORT_AFTER];
+    for (int i = 0; i < ATTEMPTS; i++) {
+        uint16_t port = random_port();
+        if (!used[port] && is_free(port)) {
+            used[port] = true;
             return port;
         }
     }
-    g_error("no port is free");
+    g_error("no free port found in %d attempts", ATTEMPTS);
 }
--- a/tests/pooler/test_experiments.py
+++ b/tests/pooler/test_experiments.py
@@ -1,6 +1,6 @@
 #!/usr/bin/env python3
-"""The experiment tools: figures out of a bench report, paired differences, sign test, tables, and that each text
-that the ablation replaces stands in the sources once. Needs no bench. Usage: test_experiments.py ROOT"""
+"""Tests of the experiment tools: figures from a bench report, paired differences, sign test and tables, and a check
+that each source text that the ablation replaces occurs exactly once. Needs no bench. Usage: test_experiments.py ROOT"""
 
 import contextlib
 import io
@@ -29,7 +29,7 @@
 
 
 def row(day, seed, base, changed, broken=()):
-    """A pair of plays whose worth is given."""
+    """A pair of runs with the given scores."""
     def side(worth, rules):
         return {"figures": {"worth": worth, "price: cloud calls": -0.004}, "broken": list(rules), "snapshot": "ab12"}
     return {"site": "site", "day": day, "seed": seed, "base": side(base, ()), "with": side(changed, broken)}
@@ -38,8 +38,8 @@
 ROWS = [row("one", 0, 0.5, 0.6), row("one", 1, 0.5, 0.55), row("two", 0, 0.7, 0.65, ["STALE"])]
 
 
-def printed(function, *arguments):
-    """What the function prints."""
+def output_of(function, *arguments):
+    """The function's standard output."""
     text = io.StringIO()
     with contextlib.redirect_stdout(text):
         function(*arguments)
@@ -60,7 +60,7 @@
     def test_parts_and_prices_make_the_worth(self):
         figures, _ = compare.figures_of(REPORT)
         total = sum(value for name, value in figures.items() if name != "worth")
-        self.assertAlmostEqual(total, figures["worth"], delta=0.01)  # small prices are left out of the sample
+        self.assertAlmostEqual(total, figures["worth"], delta=0.01)  # the sample omits small prices
 
     def test_command(self):
         self.assertEqual(compare.command_of("b", "s", "d", 0, False, "r"),
@@ -97,26 +97,26 @@
         self.assertAlmostEqual(compare.sign_test([0.1] * 5 + [-0.1]), 2 * 7 / 64)
 
     def test_tables(self):
-        worths = printed(compare.print_worths, ROWS)
+        worths = output_of(compare.print_worths, ROWS)
         self.assertIn("+0.075  +0.050..+0.100", worths)
         self.assertIn("BROKEN STALE", worths)
-        parts = printed(compare.print_parts, ROWS)
+        parts = output_of(compare.print_parts, ROWS)
         self.assertIn("+0.0500  -0.0500  +0.1000   1.000", parts)
         self.assertNotIn("cloud calls", parts)
-        self.assertIn("snapshots base: ab12 ab12 ab12", printed(compare.print_snapshots, ROWS))
+        self.assertIn("snapshots base: ab12 ab12 ab12", output_of(compare.print_snapshots, ROWS))
 
     def test_saved_figures_are_shown_again(self):
         with tempfile.NamedTemporaryFile("w", suffix=".json") as saved, \
                 tempfile.NamedTemporaryFile("r", suffix=".svg") as plot:
             json.dump(ROWS, saved)
             saved.flush()
-            text = printed(compare.main, ["--load", saved.name, "--plot", plot.name])
+            text = output_of(compare.main, ["--load", saved.name, "--plot", plot.name])
             self.assertIn("all days", text)
             self.assertEqual(plot.read().count("<line"), len(ROWS))
 
 
 class AblateTest(unittest.TestCase):
-    """Mechanisms switched off."""
+    """Ablation: single mechanisms switched off."""
 
     def test_each_text_stands_once(self):
         self.assertEqual({name: 1 for name, *_ in ablate.MECHANISMS}, ablate.count_texts(ROOT))
@@ -126,7 +126,7 @@
         changes = ablate.changes_of(ROWS, without)["site"]
         self.assertAlmostEqual(changes["mean"], 0.1 / 3)
         self.assertEqual(changes["broken"], ["STALE"])
-        self.assertIn("**STALE**", printed(ablate.print_table, {"owners": {"site": changes}}))
+        self.assertIn("**STALE**", output_of(ablate.print_table, {"owners": {"site": changes}}))
 
 
 if __name__ == "__main__":
--- a/tests/pooler/test_explain.py
+++ b/tests/pooler/test_explain.py
@@ -1,6 +1,6 @@
 #!/usr/bin/env python3
-"""Holds that each of four kinds of failed or late request leads from its id to its cause, by the logs of
-recorded days and the tool that docs/OPERATIONS.md names. Prints TAP. Usage: test_explain.py ROOT"""
+"""Tests tools/explain.py, which docs/OPERATIONS.md describes: for four kinds of failed or late requests in recorded
+logs, the output for the request's id contains the cause. Prints TAP. Usage: test_explain.py ROOT"""
 
 import pathlib
 import subprocess
@@ -9,12 +9,12 @@
 DAY = "traces/pooler-kitakaze-scale-2.jsonl"
 LATE_DAY = "traces/pooler-late-operation.jsonl"
 
-# What was asked, and what the explanation must hold, in that order.
+# Name, request, and the texts that the explanation must contain.
 CASES = [
     ("refused while its group had no primary", "REFUSED", ["answer=busy", "phase=closed", "nobody leads"]),
-    ("unknown end of a commit", "IN_DOUBT", ["answer=in_doubt", "kind=commit", "sent_to=i-"]),
-    ("late for want of a primary", "LATE", ["slow,", "before it was sent", "changes its primary"]),
-    ("late as a whole, waiting for tokens", "WHOLE",
+    ("unknown outcome of a commit", "IN_DOUBT", ["answer=in_doubt", "kind=commit", "sent_to=i-"]),
+    ("late because there was no primary", "LATE", ["slow,", "before it was sent", "changes its primary"]),
+    ("late operation, waiting for tokens", "WHOLE",
      ["priority=0", "statements=5", "token          129.2 ms  71%", "database", "hop"]),
 ]
 IDS = {
@@ -32,20 +32,20 @@
     return subprocess.run(command, capture_output=True, text=True, check=False).stdout
 
 
-def holds(text, parts):
-    """Whether all parts stand in the text."""
+def contains_all(text, parts):
+    """Whether the text contains all parts."""
     return all(part in text for part in parts)
 
 
 def main():
     root = pathlib.Path(sys.argv[1])
-    good = True
+    passed = True
     print(f"1..{len(CASES)}")
     for number, (name, key, parts) in enumerate(CASES, 1):
-        found = holds(explain(root, key), parts)
-        good &= found
+        found = contains_all(explain(root, key), parts)
+        passed &= found
         print(f"{'ok' if found else 'not ok'} {number} {name}")
-    sys.exit(0 if good else 1)
+    sys.exit(0 if passed else 1)
 
 
 if __name__ == "__main__":
--- a/tests/pooler/test_platform_names.py
+++ b/tests/pooler/test_platform_names.py
@@ -1,12 +1,12 @@
 #!/usr/bin/env python3
-"""Holds that no name of the platform stands outside platform/, deploy/ and the stand-ins, and that
-platform/ stays small. Prints TAP. Usage: test_platform_names.py ROOT"""
+"""Checks that names of the platform occur only in platform/, deploy/ and the stand-ins, and that platform/ stays
+small. Prints TAP. Usage: test_platform_names.py ROOT"""
 
 import pathlib
 import re
 import sys
 
-# Paths, headers, fields and words that the platform speaks, and that mean nothing to the product.
+# Paths, headers, fields and words of the platform's interfaces, which the product does not use.
 NAMES = [
     r"/swiftworks/(readiness|rows-|blob-)", r"rows-(tx|get|feed|parts)", r"blob-(put|get|drop|list)",
     r"Swiftworks-(Duty-Holder|Fencing-Token|Target-Instance|Instance-Id)", r"\bSTARTUP\b",
@@ -16,17 +16,18 @@
     r"\bheartbeatMs\b", r"\bsyncReplicas\b", r"\bmaxConns\b", r"\btxIdleMs\b",
 ]
 
-# platform/ holds names, formats and calls; what decides is in src/.
+# Largest size of platform/ relative to src/: platform/ is limited to names, formats and calls, and decisions are made
+# in src/.
 SHARE_MAX = 1 / 8
 
 
 def sources(root, folder):
-    """The C sources below a folder, generated ones left out."""
+    """The C sources below a folder, except generated ones."""
     return [path for path in sorted((root / folder).rglob("*.[ch]")) if "generated" not in path.parts]
 
 
 def find_leaks(root):
-    """Places outside the adapter that speak the platform's names."""
+    """Lines in src/ that contain names of the platform."""
     pattern = re.compile("|".join(NAMES))
     leaks = []
     for path in sources(root, "src"):
@@ -37,16 +38,16 @@
 
 
 def count_lines(paths):
-    """Lines of all files together."""
+    """Total number of lines of the files."""
     return sum(len(path.read_text().splitlines()) for path in paths)
 
 
-def report(number, good, name, details):
-    """Prints one line of TAP and what was found."""
-    print(f"{'ok' if good else 'not ok'} {number} {name}")
+def report(number, passed, name, details):
+    """Prints one line of TAP, and the details as comments."""
+    print(f"{'ok' if passed else 'not ok'} {number} {name}")
     for detail in details:
         print(f"# {detail}")
-    return good
+    return passed
 
 
 def main():
@@ -55,10 +56,10 @@
     adapter = count_lines(sources(root, "platform"))
     product = count_lines(sources(root, "src"))
     print("1..2")
-    good = report(1, not leaks, "no name of the platform stands in src", leaks)
-    good &= report(2, adapter <= product * SHARE_MAX, "platform is small",
+    passed = report(1, not leaks, "no name of the platform occurs in src", leaks)
+    passed &= report(2, adapter <= product * SHARE_MAX, "platform is small",
                    [f"{adapter} lines against {product} of src"])
-    sys.exit(0 if good else 1)
+    sys.exit(0 if passed else 1)
 
 
 if __name__ == "__main__":
--- a/tests/pooler/try_twice.sh
+++ b/tests/pooler/try_twice.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Two copies of the example at once do not meet at a port, as when the tests of two working copies run.
+# Runs two copies of the example at once: they must not use the same port, as when the tests of two working copies run at the same time.
 # Usage: try_twice.sh TRY_POOLER BUILD_DIRECTORY
 set -euo pipefail
 
