--- a/tests/pooler/test_owners.c
+++ b/tests/pooler/test_owners.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * @brief Which poolers own a group's connections: when, how many, spread over zones, and how little
- * changes when poolers come and go.
+ * @brief Tests of the choice of a group's owners, the poolers that open connections to its
+ * databases: when there are owners, how many, their distribution over zones, and how few change
+ * when poolers join or leave. Tests of the fleet's member list that the coordinator sends.
  */
 #include "pooler/control/control_internal.h"
 
@@ -71,7 +72,7 @@
     pooler->name = g_strdup_printf("front-%u", index);
     pooler->zone = g_strdup_printf("zone-%u", index % ZONES);
     pooler->forward_address = g_strdup_printf("10.0.%u.%u:7440", index / 200, index % 200 + 1);
-    pooler->peer = (struct peer *)fixture; /* compared with NULL only */
+    pooler->peer = (struct peer *)fixture; /* only compared with NULL */
     pooler->contact.heard_at = fixture->now;
     pooler->workers = 1;
     pooler->millicores = 120;
@@ -133,7 +134,7 @@
     return count;
 }
 
-/* The addresses of the owners, in their order. */
+/* The owners' addresses, in order. */
 static char *
 print_owners(const fleet_owners_t *owners)
 {
@@ -144,7 +145,7 @@
     return g_string_free(text, FALSE);
 }
 
-/* Where connections are enough, nobody owns. */
+/* If there are enough connections for all poolers, a group has no owners. */
 static void
 test_direct(fixture_t *fixture, gconstpointer unused)
 {
@@ -158,10 +159,10 @@
     g_assert_cmpuint(owners(fixture, 0)->members->len, ==, 0);
 }
 
-/* A fleet that loses one pooler, and gets it back, does not move between connections of its own and
- * owners': seven can't have four connections each of 27, six can. */
+/* A fleet that loses a pooler and gets it back does not switch between direct connections and
+ * owners: seven poolers can't have four of 27 connections each, six can. */
 static void
-test_damped(fixture_t *fixture, gconstpointer unused)
+test_hysteresis(fixture_t *fixture, gconstpointer unused)
 {
     configure(fixture, 30);
     for (unsigned i = 0; i < 7; i++) {
@@ -191,7 +192,7 @@
     g_assert_true(owners(fixture, 0)->direct);
 }
 
-/* The owners' connections, and one more owner's, stay within the database's. */
+/* The connections of all owners and of one more stay within the database's limit. */
 static void
 test_budget(fixture_t *fixture, gconstpointer unused)
 {
@@ -226,7 +227,7 @@
             g_hash_table_add(used, owner_at(owned, i)->address);
         }
     }
-    /* Groups do not all choose the same poolers. */
+    /* Different groups have different owners. */
     g_assert_cmpuint(g_hash_table_size(used), >, 24);
 }
 
@@ -240,7 +241,7 @@
     return kept;
 }
 
-/* A pooler that leaves is replaced, and the others stay; without a change nothing is told anew. */
+/* An owner that leaves is replaced and the others stay. Without a change nothing is sent again. */
 static void
 test_leaving_owner(fixture_t *fixture, gconstpointer unused)
 {
@@ -255,18 +256,18 @@
         before[i] = print_owners(owners(fixture, i));
     }
     pooler_fleet_init(&message);
-    uint64_t told = control_fleet_fill(fixture->control, 0, &message);
+    uint64_t sent = control_fleet_fill(fixture->control, 0, &message);
     g_assert_cmpuint(message.members_count, ==, 67);
     pooler_fleet_clear(&message);
     decide(fixture);
     pooler_fleet_init(&message);
-    g_assert_cmpuint(control_fleet_fill(fixture->control, told, &message), ==, told);
+    g_assert_cmpuint(control_fleet_fill(fixture->control, sent, &message), ==, sent);
     g_assert_cmpuint(message.version, ==, 0);
     pooler_fleet_clear(&message);
     g_hash_table_remove(fixture->control->poolers, "front-11");
     decide(fixture);
     pooler_fleet_init(&message);
-    control_fleet_fill(fixture->control, told, &message);
+    control_fleet_fill(fixture->control, sent, &message);
     g_assert_cmpuint(message.members_count, ==, 1);
     g_assert_true(message.members[0].gone);
     pooler_fleet_clear(&message);
@@ -281,7 +282,7 @@
 }
 
 static void
-tell(const fixture_t *fixture, struct control *other)
+send_fleet(const fixture_t *fixture, struct control *other)
 {
     struct pooler_fleet message;
     pooler_fleet_init(&message);
@@ -300,9 +301,10 @@
     }
 }
 
-/* Whoever is told each change works out the same owners as one who is told the whole. */
+/* A pooler that receives each change computes the same owners as one that receives the complete
+ * list. */
 static void
-test_told(fixture_t *fixture, gconstpointer unused)
+test_incremental_updates(fixture_t *fixture, gconstpointer unused)
 {
     struct control *other = control_new(&fixture->settings);
     struct control *late = control_new(&fixture->settings);
@@ -315,21 +317,22 @@
             add_pooler(fixture, index);
         }
         decide(fixture);
-        tell(fixture, other);
+        send_fleet(fixture, other);
         if (fleet_size(fixture->control->fleet) > 0) {
             assert_same_owners(fixture, other);
         }
     }
-    tell(fixture, late);
+    send_fleet(fixture, late);
     assert_same_owners(fixture, late);
     g_rand_free(random);
     control_free(other);
     control_free(late);
 }
 
-/* What is older than what is known is passed over, and so are changes of what is not known. */
+/* A list that is older than the known one is ignored, and so is a change relative to an unknown
+ * list. */
 static void
-test_older(fixture_t *fixture, gconstpointer unused)
+test_outdated_updates(fixture_t *fixture, gconstpointer unused)
 {
     struct control *other = control_new(&fixture->settings);
     struct pooler_fleet old;
@@ -338,14 +341,14 @@
     add_pooler(fixture, 0);
     decide(fixture);
     pooler_fleet_init(&old);
-    uint64_t told = control_fleet_fill(fixture->control, 0, &old);
+    uint64_t sent = control_fleet_fill(fixture->control, 0, &old);
     add_pooler(fixture, 1);
     decide(fixture);
     pooler_fleet_init(&change);
-    control_fleet_fill(fixture->control, told, &change);
+    control_fleet_fill(fixture->control, sent, &change);
     control_fleet_take(other, &change);
     g_assert_cmpuint(fleet_size(other->fleet), ==, 0);
-    tell(fixture, other);
+    send_fleet(fixture, other);
     control_fleet_take(other, &old);
     g_assert_cmpuint(fleet_size(other->fleet), ==, 2);
     pooler_fleet_clear(&old);
@@ -353,7 +356,7 @@
     control_free(other);
 }
 
-/* A new coordinator, which may not know what the last one told, tells the whole. */
+/* A new coordinator sends the complete list, as it may not know what the previous one sent. */
 static void
 test_new_coordinator(fixture_t *fixture, gconstpointer unused)
 {
@@ -363,18 +366,19 @@
         add_pooler(fixture, i);
     }
     decide(fixture);
-    tell(fixture, other);
-    fleet_leave(fixture->control->fleet, "10.0.0.5:7440", 1); /* it had not heard of this one */
+    send_fleet(fixture, other);
+    fleet_leave(fixture->control->fleet, "10.0.0.5:7440",
+                1); /* the new coordinator does not know this member */
     fixture->control->lease.held = true;
     fixture->control->lease.token++;
-    tell(fixture, other);
+    send_fleet(fixture, other);
     g_assert_cmpuint(fleet_size(other->fleet), ==, 11);
     assert_same_owners(fixture, other);
     control_free(other);
 }
 
 static void
-silence(const fixture_t *fixture, unsigned from, unsigned to)
+make_unresponsive(const fixture_t *fixture, unsigned from, unsigned to)
 {
     for (unsigned i = from; i < to; i++) {
         g_autofree char *name = g_strdup_printf("front-%u", i);
@@ -383,8 +387,8 @@
     }
 }
 
-/* Where many are silent at once, it is the coordinator that is slow: the fleet stays. A few that
- * are silent, and whoever has lost its connection, are left out. */
+/* If many poolers are unresponsive at once, the cause is a slow coordinator, and the fleet is kept.
+ * A few unresponsive poolers, and poolers whose process has ended, are removed. */
 static void
 test_slow_coordinator(fixture_t *fixture, gconstpointer unused)
 {
@@ -394,10 +398,10 @@
         add_pooler(fixture, i);
     }
     decide(fixture);
-    silence(fixture, 0, 30);
+    make_unresponsive(fixture, 0, 30);
     control_fleet_decide(control, fixture->now);
     g_assert_cmpuint(fleet_size(control->fleet), ==, 40);
-    for (unsigned i = 10; i < 30; i++) { /* cut off: forgotten, or the connection timed out */
+    for (unsigned i = 10; i < 30; i++) { /* partitioned: removed, or the connection timed out */
         g_autofree char *name = g_strdup_printf("front-%u", i);
         if (i < 20) {
             g_hash_table_remove(control->poolers, name);
@@ -414,11 +418,11 @@
     }
     decide(fixture);
     g_assert_cmpuint(fleet_size(control->fleet), ==, 40);
-    silence(fixture, 0, 5);
+    make_unresponsive(fixture, 0, 5);
     control_fleet_decide(control, fixture->now);
     g_assert_cmpuint(fleet_size(control->fleet), ==, 35);
     decide(fixture);
-    for (unsigned i = 7; i < 37; i++) { /* processes that ended, however many */
+    for (unsigned i = 7; i < 37; i++) { /* ended processes, any number */
         g_autofree char *name = g_strdup_printf("front-%u", i);
         struct pooler_peer *pooler = g_hash_table_lookup(control->poolers, name);
         pooler->peer = NULL;
@@ -428,7 +432,7 @@
     g_assert_cmpuint(fleet_size(control->fleet), ==, 10);
 }
 
-/* A new coordinator keeps the fleet that it has not heard yet, for some seconds. */
+/* A new coordinator keeps members that have not contacted it yet for some seconds. */
 static void
 test_inherited_fleet(fixture_t *fixture, gconstpointer unused)
 {
@@ -453,7 +457,7 @@
     g_assert_cmpuint(fleet_size(control->fleet), ==, 35);
 }
 
-/* A machine of four times the processor owns about four times the groups. */
+/* A pooler with four times the processor capacity owns about four times as many groups. */
 static void
 test_weights(fixture_t *fixture, gconstpointer unused)
 {
@@ -478,7 +482,8 @@
     fleet_free(fleet);
 }
 
-/* Which of a zone's members has the highest score by the formula alone: the first owner there. */
+/* The member of a zone with the highest score by the full formula, which is the zone's first owner.
+ */
 static const char *
 best_of_zone(const GPtrArray *addresses, const char *service, unsigned zone)
 {
@@ -498,9 +503,9 @@
     return best;
 }
 
-/* A pooler that starts works out the owners of all groups among all members, most of whom can be
- * passed over by a bound on their scores. The owners are those of the full scores, as poolers of
- * every version must find the same ones. */
+/* A starting pooler computes the owners of all groups, and skips most members by a bound on their
+ * scores. The result must be that of the full scores, as poolers of all versions have to compute
+ * the same owners. */
 static void
 test_bounded_scores(fixture_t *fixture, gconstpointer unused)
 {
@@ -522,10 +527,10 @@
     fleet_free(fleet);
 }
 
-/* A pooler that starts after the loss of all knows from the lease's row how many share the
- * connections, until a coordinator tells. */
+/* After the loss of all poolers, a starting one takes the number of poolers that share the
+ * connections from the lease row, until a coordinator sends it. */
 static void
-test_share_by_the_row(fixture_t *fixture, gconstpointer unused)
+test_share_from_the_lease_row(fixture_t *fixture, gconstpointer unused)
 {
     struct control *control = fixture->control;
     control->workers_count = 1;
@@ -540,8 +545,9 @@
     g_assert_cmpuint(control_direct_share(control, service), ==, 4);
 }
 
-/* A coordinator that comes back at the address that is known: a pooler that stays with another one
- * hears of its orders, and goes to it; not where it is already, nor over and over. */
+/* A coordinator that returns at its known address: a pooler that is connected to another pooler
+ * receives newer orders and reconnects to that address, but not if it is connected there already,
+ * and not repeatedly. */
 static void
 test_coordinator_at_its_old_address(fixture_t *fixture, gconstpointer unused)
 {
@@ -564,8 +570,8 @@
     g_clear_pointer(&control->coordinator_address, g_free);
 }
 
-/* A coordinator that was found among those that follow the store, after the one before had left its
- * lease to it: who asks this pooler is told where it is. */
+/* A follower of the store turns out to be the new coordinator, as the previous one handed its lease
+ * over: its address is recorded, so that this pooler can redirect others to it. */
 static void
 test_coordinator_found(fixture_t *fixture, gconstpointer unused)
 {
@@ -576,16 +582,17 @@
     control_member_found_coordinator(control);
     g_assert_cmpstr(control->coordinator_address, ==, "10.0.0.2:8082");
     g_assert_true(control->at_coordinator);
-    g_clear_pointer(&control->coordinator_address, g_free); /* it had been the coordinator itself */
+    g_clear_pointer(&control->coordinator_address,
+                    g_free); /* this pooler was the coordinator before */
     control->at_coordinator = false;
     control_member_found_coordinator(control);
     g_assert_cmpstr(control->coordinator_address, ==, "10.0.0.2:8082");
 }
 
-/* The coordinator's old address is no longer one, and the first of the followers still tells it, as
- * does the second: the third is reached all the same. */
+/* The coordinator's known address is outdated, and the first two followers still redirect to it:
+ * the third is tried nevertheless. */
 static void
-test_sent_to_and_fro(fixture_t *fixture, gconstpointer unused)
+test_outdated_redirects(fixture_t *fixture, gconstpointer unused)
 {
     struct control *control = fixture->control;
     unsigned reached = 0;
@@ -601,14 +608,14 @@
             bool same = g_str_equal(address, g_ptr_array_index(control->followers, i));
             reached |= same ? 1U << i : 0;
         }
-        control->connect_now = true; /* sent back */
+        control->connect_now = true; /* redirected to the outdated address */
         g_assert_cmpstr(control_member_next_address(control), ==, "10.0.0.1:8082");
         control->connect_now = false;
     }
     g_assert_cmpuint(reached, ==, 7);
 }
 
-/* All poolers but one tell in their heartbeats that they know this list, as of now. */
+/* All poolers except one report in their heartbeats that they have this list. */
 static void
 confirm(fixture_t *fixture, uint64_t version, const char *all_but)
 {
@@ -635,11 +642,11 @@
     return member->entering;
 }
 
-/* A pooler that joins counts operations a second later, once all others know that it has its
- * places, and none can learn otherwise from the store's row; not while a single one does not know.
- */
+/* A pooler that joins starts to count operations a second later, and only once all others have
+ * confirmed the list with its places and the store's row has it, too, so that no pooler reads an
+ * older list. */
 static void
-test_joiner_counts_once_all_know(fixture_t *fixture, gconstpointer unused)
+test_joiner_waits_for_confirmation(fixture_t *fixture, gconstpointer unused)
 {
     struct control *control = fixture->control;
     const char *address = "10.0.0.5:7440";
@@ -654,13 +661,13 @@
     uint64_t version = control_fleet_version(control);
     confirm(fixture, version, NULL);
     bool entering = is_entering_after(fixture, address, 250);
-    g_assert_true(entering); /* the row may tell an older list */
+    g_assert_true(entering); /* the row may have an older list */
     control_fleet_row_told(control, version - 1, fixture->now);
     entering = is_entering_after(fixture, address, 10);
     g_assert_true(entering);
     control_fleet_row_told(control, version, fixture->now);
     entering = is_entering_after(fixture, address, 250);
-    g_assert_true(entering); /* they were heard before that */
+    g_assert_true(entering); /* their heartbeats are older than that */
     confirm(fixture, version, "front-2");
     entering = is_entering_after(fixture, address, 250);
     g_assert_true(entering);
@@ -669,10 +676,10 @@
     g_assert_false(entering);
 }
 
-/* A new coordinator names owners once it hears as many poolers as there were; it waits longer for
- * the rest where all can serve meanwhile. */
+/* A new coordinator chooses owners once as many poolers have contacted it as the fleet had. It
+ * waits longer for the others if all can serve directly meanwhile. */
 static void
-test_gathers(fixture_t *fixture, gconstpointer unused)
+test_gathering_after_a_handover(fixture_t *fixture, gconstpointer unused)
 {
     struct control *control = fixture->control;
     control->workers_count = 1;
@@ -685,7 +692,7 @@
     }
     g_assert_true(control_fleet_early(control, fixture->now + 500 * MS));
     g_assert_false(control_fleet_early(control, fixture->now + 2000 * MS));
-    configure(fixture, 6); /* too few for each */
+    configure(fixture, 6); /* too few connections for all poolers */
     g_assert_true(control_fleet_early(control, fixture->now + 300 * MS));
     g_assert_false(control_fleet_early(control, fixture->now + 500 * MS));
     add_pooler(fixture, 5);
@@ -694,10 +701,11 @@
 
 #define ADD(name, test) g_test_add("/pooler/owners/" name, fixture_t, NULL, set_up, test, tear_down)
 
-/* A coordinator in a zone that is cut off takes the others out of the fleet: its zone still knows
- * that most of the fleet is outside, for as long as they may come back. */
+/* A coordinator in a partitioned zone removes the other zones' poolers from the fleet. They still
+ * count as members in other zones for as long as they may return, so its zone still detects that it
+ * is separated from most of the fleet. */
 static void
-test_cut_off_with_the_coordinator(fixture_t *fixture, gconstpointer unused)
+test_partition_with_the_coordinator(fixture_t *fixture, gconstpointer unused)
 {
     fixture->settings.pooler.zone = "zone-0";
     configure(fixture, 30);
@@ -727,20 +735,20 @@
     ADD("budget", test_budget);
     ADD("spread", test_spread);
     ADD("leaving-owner", test_leaving_owner);
-    ADD("damped", test_damped);
-    ADD("told", test_told);
-    ADD("older", test_older);
+    ADD("hysteresis", test_hysteresis);
+    ADD("incremental-updates", test_incremental_updates);
+    ADD("outdated-updates", test_outdated_updates);
     ADD("new-coordinator", test_new_coordinator);
     ADD("weights", test_weights);
     ADD("bounded-scores", test_bounded_scores);
     ADD("slow-coordinator", test_slow_coordinator);
     ADD("inherited-fleet", test_inherited_fleet);
-    ADD("share-by-the-row", test_share_by_the_row);
-    ADD("gathers", test_gathers);
+    ADD("share-from-the-lease-row", test_share_from_the_lease_row);
+    ADD("gathering-after-a-handover", test_gathering_after_a_handover);
     ADD("coordinator-at-its-old-address", test_coordinator_at_its_old_address);
     ADD("coordinator-found", test_coordinator_found);
-    ADD("sent-to-and-fro", test_sent_to_and_fro);
-    ADD("joiner-counts-once-all-know", test_joiner_counts_once_all_know);
-    ADD("cut-off-with-the-coordinator", test_cut_off_with_the_coordinator);
+    ADD("outdated-redirects", test_outdated_redirects);
+    ADD("joiner-waits-for-confirmation", test_joiner_waits_for_confirmation);
+    ADD("partition-with-the-coordinator", test_partition_with_the_coordinator);
     return g_test_run();
 }
