--- a/src/pooler/forwarding/forward.h
+++ b/src/pooler/forwarding/forward.h
@@ -47,7 +47,8 @@
  */
 bool forward_start(struct session *session);
 
-/* forward_token.c: requests for rate-limit tokens */
+/* forward_token.c: requests for rate-limit tokens. The home of a share of a tenant's limit is the
+ * pooler that grants the tokens of that share. */
 
 /** @brief A request for a token. Owned by its link. */
 typedef struct token_request token_request_t;
--- a/src/pooler/shared/view.h
+++ b/src/pooler/shared/view.h
@@ -56,7 +56,7 @@
     uint32_t slots;       /* number of statements that it runs concurrently; 0: not known */
 };
 
-/** @brief A pooler that holds connections to a group's databases. */
+/** @brief An owner of a group: a pooler that opens connections to its databases. */
 typedef struct owner_view {
     char *text; /* address as text */
     struct sockaddr_in address;
@@ -77,8 +77,7 @@
     uint32_t sync_replicas;
     uint32_t connections; /* connections that each worker may open to one database; 0: only the
                              owners open any */
-    owner_view_t
-        *owners; /* poolers that open connections, this zone's first; none if every pooler does */
+    owner_view_t *owners; /* this zone's first; none if every pooler opens connections */
     size_t owners_count;
     uint32_t sharers; /* number of workers, over all poolers, that open connections to it; 0: not
                          known */
--- a/src/pooler/worker/worker.h
+++ b/src/pooler/worker/worker.h
@@ -28,17 +28,16 @@
     _Atomic uint64_t urgent_updates;   /* incremented with each change that is reported to the
                                           coordinator without waiting for the next heartbeat */
     struct sockaddr_in listen;
-    struct sockaddr_in
-        forward_listen; /* for statements forwarded by other poolers; port 0: not accepted */
+    struct sockaddr_in forward_listen; /* for poolers that forward statements; port 0: none */
     uint32_t sessions_max;
     /* Latest time at which the newest view's configuration was known to be the store's newest; 0:
      * never. */
     _Atomic time_ns configuration_proven_at;
     time_ns proof_lifetime; /* how long that time admits keys; 0: no proof is required */
-    time_ns
-        unacknowledged_max; /* a statement whose bytes the database's host has not acknowledged
-                               after this time is cancelled by closing its connection; 0: never */
-    counting_t *counting;   /* counts the tenants' operations; NULL: not counted */
+    /* A statement whose bytes the database's host has not acknowledged after this time is cancelled
+     * by closing its connection; 0: never. */
+    time_ns unacknowledged_max;
+    counting_t *counting; /* counts the tenants' operations; NULL: not counted */
 };
 
 /* Starts the thread. NULL with `error` if the worker can't listen. `index` counts from 0. */
--- a/src/pooler/worker/worker_internal.h
+++ b/src/pooler/worker/worker_internal.h
@@ -1,6 +1,9 @@
 /* The structs of one worker: client sessions, groups of databases, and connections to databases.
- * All belong to the worker's thread, so none is locked. A group is a set of databases with one
- * replicated log: one primary and its replicas. */
+ * All belong to the worker's thread, so none is locked.
+ *
+ * A group is a set of databases with one replicated log: one primary and its replicas. The owners
+ * of a group are the poolers that open connections to its databases. A home of a tenant's rate
+ * limit is a pooler that grants the tokens of one share of it. */
 #ifndef SW_POOLER_WORKER_INTERNAL_H
 #define SW_POOLER_WORKER_INTERNAL_H
 
@@ -84,7 +87,7 @@
                               refused */
     uint64_t homes_revision; /* revision of the roster that the homes were taken from */
     uint32_t attempts;
-    bool may_have_run;     /* it was sent to a database */
+    bool may_have_run;     /* it was sent to a database or an owner */
     bool at_primary;       /* it was last sent to its group's primary, as far as known */
     const char *refusal;   /* why it was refused before it was sent; NULL: not refused */
     time_ns recovery_time; /* expected time until the cause of its refusal is over; 0: not known */
@@ -140,10 +143,8 @@
     GHashTable *prepared; /* name -> struct prepared; NULL while there is none */
     struct session_route route;
     struct session_request request;
-    operation_timing_t
-        timing; /* of its operation; of a forwarded session, of its current statement */
-    struct server
-        *server; /* connection that runs its statement or holds its transaction; NULL: none */
+    operation_timing_t timing; /* of its operation; of a forwarded session, of its statement */
+    struct server *server;     /* runs its statement or holds its transaction; NULL: none */
     bool has_own_commit;
     struct log_position own_commit; /* last acknowledged commit of the session */
     time_ns own_commit_at;
@@ -300,19 +301,17 @@
     struct event *tick;
     bool tick_armed;
     struct event *deferral_timer; /* expires at next_deferred_at */
-    time_ns next_deferred_at; /* earliest time at which a deferred statement may be sent; 0: none is
-                                 deferred */
+    time_ns next_deferred_at;     /* when the first deferred statement may be sent; 0: none is */
     _Atomic uint64_t view_number; /* number of the view that was applied last; 0: none yet */
-    time_ns
-        refreshed_at; /* when group_refresh() last ran for the groups that no view had changed */
-    bool has_tenants; /* clients are identified by keys */
-    time_ns transaction_idle; /* an open transaction that is idle for longer is rolled back */
-    GHashTable *groups;       /* service -> struct group */
-    usual_times_t usual;      /* baseline statement times of lightly loaded databases, all groups */
-    GHashTable *links;        /* address as text -> link_t */
-    GHashTable *homes;        /* tenant, interned -> homes of its limit, as last requested */
-    GPtrArray *callers;       /* caller_t */
-    int forward_listener;     /* -1: none */
+    time_ns refreshed_at;         /* when groups without a newer view were last refreshed */
+    bool has_tenants;             /* clients are identified by keys */
+    time_ns transaction_idle;     /* an open transaction that is idle for longer is rolled back */
+    GHashTable *groups;           /* service -> struct group */
+    usual_times_t usual;  /* baseline statement times of lightly loaded databases, all groups */
+    GHashTable *links;    /* address as text -> link_t */
+    GHashTable *homes;    /* tenant, interned -> homes of its limit, as last requested */
+    GPtrArray *callers;   /* caller_t */
+    int forward_listener; /* -1: none */
     struct event *forward_acceptable;
     GQueue sessions;
     GPtrArray *ended;         /* sessions to free after the callback */
--- a/tests/pooler/worker_fixture.h
+++ b/tests/pooler/worker_fixture.h
@@ -51,19 +51,17 @@
     uint32_t strict_priority; /* of the route "strict"; the others have 0, the highest */
     bool with_route;
     uint64_t version;        /* of the configuration */
-    uint64_t owners_behind;  /* number of versions by which the owners' configuration is older */
+    uint64_t owners_behind;  /* versions by which the owners' configuration is older */
     const char *const *keys; /* each "tenant key", ended by NULL; NULL: clients need no keys */
     const char *const *owners_keys; /* the owners' keys; NULL: the same as `keys` */
-    double
-        rate_per_s; /* rate limit of each tenant; 0: no limit, RATE_NONE: no operation is allowed */
+    double rate_per_s; /* limit of each tenant; 0: none, RATE_NONE: no operation is allowed */
     double burst;
     roster_t *roster; /* roster with this pooler, if operations are counted; else NULL */
     owner_t owners[OWNERS];
     bool owns;                /* the worker is an owner, too */
     unsigned evacuated;       /* bit set of databases that nothing may be sent to */
     const char *primary_zone; /* interned; NULL: not known */
-    const char
-        *owners_zone; /* interned; NULL: not known, and the first owner is in the worker's zone */
+    const char *owners_zone;  /* interned; NULL: not known, the first is in the worker's zone */
 };
 
 struct client {
