--- a/src/pooler/forwarding/forward.h
+++ b/src/pooler/forwarding/forward.h
@@ -62,12 +62,12 @@
 
 /** @brief Abandons a request: no callback follows. A token that is still granted counts against the
  * tenant's limit, unused, and is counted as METRICS_TOKENS_LATE. */
-void forward_abandon_token(token_request_t *question);
+void forward_abandon_token(token_request_t *request);
 
 /** @return when the token was requested. */
-time_ns token_requested_at(const token_request_t *question);
+time_ns token_requested_at(const token_request_t *request);
 /** @return the link that the request was sent on. */
-link_t *token_link(const token_request_t *question);
+link_t *token_link(const token_request_t *request);
 
 /** @return the peer's address as text. */
 const char *link_address(const link_t *link);
