--- a/src/pooler/client/session_answer.c
+++ b/src/pooler/client/session_answer.c
@@ -69,7 +69,7 @@
     if (advised != 0 && session->request.arrived >= advised &&
         session->request.arrived < advised + RETRY_WINDOW_NS) {
         metrics_count(&session->worker->metrics,
-                      code == ANSWER_NONE ? METRICS_BACK_SERVED : METRICS_BACK_REFUSED);
+                      code == ANSWER_NONE ? METRICS_RETURNS_SERVED : METRICS_RETURNS_REFUSED);
     }
 }
 
--- a/src/pooler/shared/log.c
+++ b/src/pooler/shared/log.c
@@ -46,7 +46,7 @@
 
 /* True if the budget of this second allows another line. Called with the lock held. */
 static bool
-take_budget(bool severe, uint32_t *left_out_before)
+consume_budget(bool severe, uint32_t *left_out_before)
 {
     gint64 second = g_get_monotonic_time() / G_USEC_PER_SEC;
     *left_out_before = 0;
@@ -131,7 +131,7 @@
     bool severe = level & (G_LOG_LEVEL_ERROR | G_LOG_LEVEL_CRITICAL | G_LOG_LEVEL_WARNING);
     uint32_t left_out = 0;
     pthread_mutex_lock(&state.lock);
-    bool wanted = take_budget(severe, &left_out);
+    bool wanted = consume_budget(severe, &left_out);
     pthread_mutex_unlock(&state.lock);
     if (wanted) {
         write_line(level, fields, count, left_out);
--- a/src/pooler/shared/metrics.c
+++ b/src/pooler/shared/metrics.c
@@ -45,8 +45,8 @@
     [METRICS_REFUSED_UNPROVEN] = "refused_without_proof",
     [METRICS_OPERATIONS_LATE] = "operations_late",
     [METRICS_SESSIONS_CLOSED_PARTITIONED] = "clients_let_go",
-    [METRICS_BACK_SERVED] = "returns_served",
-    [METRICS_BACK_REFUSED] = "returns_refused",
+    [METRICS_RETURNS_SERVED] = "returns_served",
+    [METRICS_RETURNS_REFUSED] = "returns_refused",
 };
 
 static const char *const refusal_names[METRICS_REFUSAL_COUNT] = {
--- a/src/pooler/shared/metrics.h
+++ b/src/pooler/shared/metrics.h
@@ -58,8 +58,8 @@
     METRICS_TOKENS_HEDGED,     /* tokens requested from a second home, the first being slow */
     METRICS_TOKENS_LATE,       /* tokens granted after the request was abandoned: unused */
     METRICS_OPERATIONS_LATE,   /* operations over their route's latency objective */
-    METRICS_BACK_SERVED,       /* requests that followed the advised retry time and were served */
-    METRICS_BACK_REFUSED,      /* the same, refused again or failed */
+    METRICS_RETURNS_SERVED,    /* requests that followed the advised retry time and were served */
+    METRICS_RETURNS_REFUSED,   /* the same, refused again or failed */
     METRICS_SESSIONS_CLOSED_PARTITIONED, /* idle sessions closed in a network partition */
     METRICS_WINDOWS_NARROWED,            /* times that a slow database's window was narrowed */
     METRICS_COUNTER_COUNT,
--- a/src/pooler/shared/peer.c
+++ b/src/pooler/shared/peer.c
@@ -74,7 +74,7 @@
 
 /* Passes complete frames to the callback. False if the connection is to be closed. */
 static bool
-take_frames(struct peer *peer)
+process_frames(struct peer *peer)
 {
     for (;;) {
         struct span content = buffer_content(&peer->in);
@@ -104,7 +104,7 @@
     struct peer *peer = user;
     enum transfer transfer = buffer_receive(&peer->in, peer->socket);
     bool ok = transfer != TRANSFER_ENDED && !peer->failed;
-    ok = ok && (transfer == TRANSFER_BLOCKED || take_frames(peer));
+    ok = ok && (transfer == TRANSFER_BLOCKED || process_frames(peer));
     if (!ok) {
         close_peer(peer);
     }
--- a/tests/pooler/test_records.c
+++ b/tests/pooler/test_records.c
@@ -157,7 +157,7 @@
 }
 
 static void
-take(struct control *control, const char *id, uint64_t version, const char *text)
+apply_row(struct control *control, const char *id, uint64_t version, const char *text)
 {
     g_autoptr(GBytes) value = g_bytes_new(text, strlen(text));
     control_take_row(control, STORE_TABLE_DIRECTORY, id, version, value);
@@ -177,20 +177,20 @@
 {
     const struct pooler_settings settings = {0};
     struct control *control = control_fixture_new(&settings);
-    take(control, "b", 1, "{\"service\":7}");
+    apply_row(control, "b", 1, "{\"service\":7}");
     g_assert_null(find(control, "b"));
-    take(control, "a", 2, VALID_RECORD);
-    take(control, "c", 3, VALID_RECORD);
-    take(control, "a", 4, "no record");
+    apply_row(control, "a", 2, VALID_RECORD);
+    apply_row(control, "c", 3, VALID_RECORD);
+    apply_row(control, "a", 4, "no record");
     g_assert_cmpuint(find(control, "a")->gone_at, !=, 0);
     g_assert_true(directory_entry_leaves(find(control, "a"),
                                          find(control, "a")->gone_at + 6000 * MS, 3000 * MS));
     g_assert_cmpuint(directory_group(&control->directory, "ledger")->len, ==, 2);
     g_assert_cmpuint(find(control, "c")->gone_at, ==, 0);
     g_assert_cmpuint(control->counts.records_unusable, ==, 2);
-    take(control, "a", 3, VALID_RECORD); /* an older version is ignored */
+    apply_row(control, "a", 3, VALID_RECORD); /* an older version is ignored */
     g_assert_cmpuint(find(control, "a")->gone_at, !=, 0);
-    take(control, "a", 5, VALID_RECORD);
+    apply_row(control, "a", 5, VALID_RECORD);
     g_assert_cmpuint(find(control, "a")->gone_at, ==, 0);
     control_fixture_free(control);
 }
