--- a/src/pooler/access/access.c
+++ b/src/pooler/access/access.c
@@ -2,7 +2,7 @@
 #define G_LOG_DOMAIN "access"
 #include "pooler/access/access.h"
 
-#include "pooler/access/evidence.h"
+#include "pooler/access/proof.h"
 #include "pooler/client/session_internal.h"
 
 #include <string.h>
@@ -23,7 +23,7 @@
 }
 
 const char *
-access_nobody(void)
+access_public_tenant(void)
 {
     return g_intern_static_string(NOBODY);
 }
@@ -39,7 +39,7 @@
         const tenant_t *holder = configuration_holder(view->configuration, session->key);
         bool keys = view->configuration->keys != NULL;
         bool open = !keys || session->route.is_public;
-        name = holder != NULL ? holder->name : (open ? access_nobody() : NULL);
+        name = holder != NULL ? holder->name : (open ? access_public_tenant() : NULL);
     }
     rcu_read_unlock();
     return name;
@@ -63,7 +63,7 @@
         return ACCESS_UNKNOWN_KEY;
     }
     session->tenant = holder;
-    if (needs_key(session) && !evidence_holds(proven_at, shared->proof_lifetime, backend_now())) {
+    if (needs_key(session) && !proof_is_valid(proven_at, shared->proof_lifetime, backend_now())) {
         return ACCESS_UNPROVEN;
     }
     return ACCESS_GRANTED;
--- a/src/pooler/access/access.h
+++ b/src/pooler/access/access.h
@@ -42,7 +42,7 @@
 
 /** @return the interned word that names nobody in particular to databases: on routes that need no
  *  key, and on connections for questions of our own. */
-const char *access_nobody(void);
+const char *access_public_tenant(void);
 
 /** @return a short name of the session's key for logs, which tells nothing of the key and differs
  *  from process to process. Freed by g_free. */
--- a/src/pooler/access/evidence.c
+++ b/src/pooler/access/proof.c
@@ -1,5 +1,5 @@
 /* Proof that the configuration in force here was the store's newest; see the header. */
-#include "pooler/access/evidence.h"
+#include "pooler/access/proof.h"
 
 #define MS_NS INT64_C(1000000)
 
@@ -48,14 +48,14 @@
 }
 
 time_ns
-evidence_from_age(time_ns asked, uint32_t age_ms)
+proof_from_age(time_ns asked, uint32_t age_ms)
 {
     time_ns age = (time_ns)age_ms * (time_ns)MS_NS;
     return age_ms == 0 || age >= asked ? 0 : asked - age;
 }
 
 uint32_t
-evidence_age_ms(time_ns proven_at, time_ns now)
+proof_age_ms(time_ns proven_at, time_ns now)
 {
     if (proven_at == 0 || proven_at > now) {
         return 0;
@@ -65,13 +65,13 @@
 }
 
 time_ns
-evidence_lifetime(uint32_t revoke_ms)
+proof_lifetime_ns(uint32_t revoke_ms)
 {
     return (time_ns)(revoke_ms - revoke_ms / MARGIN_PARTS) * (time_ns)MS_NS;
 }
 
 bool
-evidence_holds(time_ns proven_at, time_ns lifetime, time_ns now)
+proof_is_valid(time_ns proven_at, time_ns lifetime, time_ns now)
 {
     return lifetime == 0 || (proven_at != 0 && now < proven_at + lifetime);
 }
--- a/src/pooler/access/evidence.h
+++ b/src/pooler/access/proof.h
@@ -9,8 +9,8 @@
  * been, never for later: answers count from their asking, as they may have been delayed, and a
  * machine may have been frozen, on the way.
  */
-#ifndef SW_POOLER_ACCESS_EVIDENCE_H
-#define SW_POOLER_ACCESS_EVIDENCE_H
+#ifndef SW_POOLER_ACCESS_PROOF_H
+#define SW_POOLER_ACCESS_PROOF_H
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -37,16 +37,16 @@
  *  @param asked when that was sent, by our clock: the age was told later than that.
  *  @param age_ms as told; 0: none was.
  *  @return 0 if there is none. */
-time_ns evidence_from_age(time_ns asked, uint32_t age_ms);
+time_ns proof_from_age(time_ns asked, uint32_t age_ms);
 
 /** @return the age to tell others of a moment, rounded up; 0 if there is none. */
-uint32_t evidence_age_ms(time_ns proven_at, time_ns now);
+uint32_t proof_age_ms(time_ns proven_at, time_ns now);
 
 /** @return for how long proof is good where keys must be gone after `revoke_ms` everywhere; 0: no
  *  proof is asked for. */
-time_ns evidence_lifetime(uint32_t revoke_ms);
+time_ns proof_lifetime_ns(uint32_t revoke_ms);
 
 /** @return true if what was proven at that moment may be relied on now. */
-bool evidence_holds(time_ns proven_at, time_ns lifetime, time_ns now);
+bool proof_is_valid(time_ns proven_at, time_ns lifetime, time_ns now);
 
 #endif
--- a/src/pooler/client/session.c
+++ b/src/pooler/client/session.c
@@ -77,7 +77,7 @@
     struct session *session = user;
     struct worker *worker = session->worker;
     if (session->state == SESSION_ADMITTING) {
-        admission_waited(session);
+        admission_timer_expired(session);
     } else if (session->state == SESSION_QUEUED) {
         router_leave_queue(session);
         if (session->request.refusal == NULL) {
@@ -150,7 +150,7 @@
         worker->busy--;
     }
     router_leave_queue(session);
-    admission_drop(session);
+    admission_abandon(session);
     session->state = SESSION_ENDED;
     event_del(session->timer);
     session->client->close(session);
--- a/src/pooler/client/session_answer.c
+++ b/src/pooler/client/session_answer.c
@@ -124,7 +124,7 @@
     time_ns now = backend_now();
     time_ns over_in = session->request.over_in;
     if (over_in == 0 && route->group != NULL) {
-        over_in = router_over_in(session, now);
+        over_in = router_retry_after(session, now);
     }
     const retry_case_t refused = {over_in, route->timeout_ms * NANOSECONDS_PER_MILLISECOND,
                                   route->priority};
--- a/src/pooler/control/control.c
+++ b/src/pooler/control/control.c
@@ -349,8 +349,8 @@
                                   settings->rate.slack};
     control->shared.counting = counting_new(&bounds, backend_now());
     control->shared.held_max =
-        settings->access.revoke_ms * MS - evidence_lifetime(settings->access.revoke_ms);
-    control->shared.proof_lifetime = evidence_lifetime(settings->access.revoke_ms);
+        settings->access.revoke_ms * MS - proof_lifetime_ns(settings->access.revoke_ms);
+    control->shared.proof_lifetime = proof_lifetime_ns(settings->access.revoke_ms);
     control->shared.stop_grace = (time_ns)(settings->stop.grace_s * (double)NANOSECONDS_PER_SECOND);
     uint32_t own = MIN(DESCRIPTORS_OWN, settings->pooler.descriptors / 2);
     control->shared.sessions_max = (settings->pooler.descriptors - own) / control->workers_count;
--- a/src/pooler/control/control_fleet.c
+++ b/src/pooler/control/control_fleet.c
@@ -127,7 +127,7 @@
 void
 control_fleet_rely(struct control *control, time_ns moment)
 {
-    control->roster_until = MAX(control->roster_until, moment + ROSTER_CURRENT_NS);
+    control->roster_until = MAX(control->roster_until, moment + ROSTER_VALID_NS);
 }
 
 static bool
@@ -351,12 +351,12 @@
     }
 }
 
-static roster_standing_t
+static roster_member_state_t
 standing_of(struct control *control, const hearing_t *hearing, fleet_member_t *member, time_ns now)
 {
     const struct pooler_peer *pooler = g_hash_table_lookup(hearing->known, member->address);
-    roster_standing_t standing = {.away = member->gone,
-                                  .away_since = settled_since(control, member, now)};
+    roster_member_state_t standing = {.away = member->gone,
+                                      .away_since = settled_since(control, member, now)};
     if (pooler != NULL) {
         standing.confirmed = pooler->fleet_known;
         standing.confirmed_as_of = pooler->fleet_known_as_of;
@@ -376,9 +376,9 @@
     g_hash_table_iter_init(&iterator, fleet_members(control->fleet));
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         fleet_member_t *member = value;
-        const roster_standing_t standing = standing_of(control, hearing, member, now);
+        const roster_member_state_t standing = standing_of(control, hearing, member, now);
         if (is_listed(member) &&
-            !roster_has_heard(&standing, version, entering->row_told_at, now)) {
+            !roster_member_is_up_to_date(&standing, version, entering->row_told_at, now)) {
             return false;
         }
     }
--- a/src/pooler/control/control_internal.h
+++ b/src/pooler/control/control_internal.h
@@ -10,7 +10,7 @@
 #include "backend/clock.h"
 #include "generated/messages.h"
 #include "generated/pooler_settings.h"
-#include "pooler/access/evidence.h"
+#include "pooler/access/proof.h"
 #include "pooler/control/control.h"
 #include "pooler/control/control_counts.h"
 #include "pooler/control/database_control.h"
@@ -145,7 +145,7 @@
     uint64_t members; /* digest of the directory's entries */
     uint64_t sharers; /* see pooled_group */
     uint32_t connections;
-    uint32_t alone_connections;
+    uint32_t fallback_connections;
     uint32_t sync_replicas;
     uint32_t keyed; /* clients have keys; also in place of padding, whose content is not certain */
 } view_inputs_t;
--- a/src/pooler/control/control_relay.c
+++ b/src/pooler/control/control_relay.c
@@ -194,7 +194,7 @@
 age_to_tell(const struct feed *feed, uint64_t told, time_ns now)
 {
     bool comparable = feed->changed_version <= told && store_era(told) == store_era(feed->version);
-    return comparable ? evidence_age_ms(feed->as_of, now) : 0;
+    return comparable ? proof_age_ms(feed->as_of, now) : 0;
 }
 
 static void
--- a/src/pooler/control/control_reliance.c
+++ b/src/pooler/control/control_reliance.c
@@ -35,7 +35,7 @@
 moment_told(const struct feed *feed, uint64_t told, uint32_t age_ms, time_ns asked)
 {
     bool comparable = feed->version >= told && store_era(feed->version) == store_era(told);
-    return asked != 0 && comparable ? evidence_from_age(asked, age_ms) : 0;
+    return asked != 0 && comparable ? proof_from_age(asked, age_ms) : 0;
 }
 
 time_ns
--- a/src/pooler/control/control_store.c
+++ b/src/pooler/control/control_store.c
@@ -285,7 +285,7 @@
     uint64_t version = control->configuration == NULL ? 0 : control->configuration->version;
     g_autofree char *configuration = g_strdup_printf("%" PRIu64, version);
     g_autofree char *known_to = g_strdup_printf("%" PRIu64, feed->version);
-    g_autofree char *age = g_strdup_printf("%" PRIu32, evidence_age_ms(feed->as_of, now));
+    g_autofree char *age = g_strdup_printf("%" PRIu32, proof_age_ms(feed->as_of, now));
     g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_INFO, "SW_CONFIGURATION", configuration,
                      "SW_KNOWN_TO", known_to, "SW_AGE_MS", age, "SW_TELLER",
                      control->coordinator_address == NULL ? "" : control->coordinator_address,
--- a/src/pooler/control/control_view.c
+++ b/src/pooler/control/control_view.c
@@ -214,7 +214,7 @@
     } else if (is_owner(control, owners)) {
         out->connections = owners->connections;
     } else {
-        out->alone_connections = control_direct_share(control, service);
+        out->fallback_connections = control_direct_share(control, service);
     }
 }
 
@@ -250,7 +250,7 @@
     out->primary = -1;
     out->sync_replicas = inputs->sync_replicas;
     out->connections = inputs->connections;
-    out->alone_connections = inputs->alone_connections;
+    out->fallback_connections = inputs->fallback_connections;
     out->sharers = (uint32_t)inputs->sharers;
     const fleet_owners_t *owners = control_fleet_owners(control, service);
     if (owners != NULL && !owners->direct) {
@@ -312,7 +312,7 @@
     /* After the view: a worker that sees this moment sees the configuration that it is told of. */
     atomic_store(&control->shared.configuration_proven_at, control->proven_at);
     if (control->shared.counting != NULL) {
-        counting_rely_until(control->shared.counting, control->roster_until);
+        counting_set_valid_until(control->shared.counting, control->roster_until);
     }
 }
 
@@ -338,7 +338,7 @@
 may_serve_keys(const struct control *control)
 {
     return control->configuration->keys == NULL ||
-           evidence_holds(control->proven_at, control->shared.proof_lifetime, backend_now());
+           proof_is_valid(control->proven_at, control->shared.proof_lifetime, backend_now());
 }
 
 bool
--- a/src/pooler/databases/database.c
+++ b/src/pooler/databases/database.c
@@ -96,7 +96,7 @@
 }
 
 void
-database_answered(struct database *database, time_ns now)
+database_note_answer(struct database *database, time_ns now)
 {
     atomic_store_explicit(&database->shared->answered_at, now, memory_order_relaxed);
     enum database_fault fault = database_fault(database);
@@ -124,7 +124,7 @@
 }
 
 void
-database_open_failed(struct database *database, enum answer_code code)
+database_note_open_failure(struct database *database, enum answer_code code)
 {
     time_ns now = backend_now();
     metrics_count(&database->group->worker->metrics, METRICS_CONNECTIONS_FAILED);
@@ -138,7 +138,7 @@
 }
 
 void
-database_opened(struct database *database, time_ns took)
+database_note_opening(struct database *database, time_ns took)
 {
     double ms = (double)took / (double)NANOSECONDS_PER_MILLISECOND;
     double *known = &database->group->opening_ms;
@@ -147,10 +147,10 @@
 }
 
 void
-database_reached(struct database *database, time_ns took)
+database_note_rtt(struct database *database, time_ns took)
 {
     database->way_ms =
-        placement_learn_way(database->way_ms, (double)took / (double)NANOSECONDS_PER_MILLISECOND);
+        placement_update_rtt(database->way_ms, (double)took / (double)NANOSECONDS_PER_MILLISECOND);
 }
 
 /* How much must be set up before the connection suits the session; lower is better. */
@@ -208,15 +208,15 @@
 }
 
 bool
-database_has_window(const struct database *database, uint32_t priority, time_ns now)
+database_has_capacity(const struct database *database, uint32_t priority, time_ns now)
 {
-    return window_has_room(&database->window, count_running(database), priority, now);
+    return window_has_capacity(&database->window, count_running(database), priority, now);
 }
 
 void
-database_narrow(struct database *database, time_ns now)
+database_narrow_window(struct database *database, time_ns now)
 {
-    window_refused(&database->window, count_running(database), now);
+    window_note_refusal(&database->window, count_running(database), now);
 }
 
 /* Tells that the window has come down to the database's share of the slots, or is wider again. */
@@ -234,11 +234,11 @@
 }
 
 void
-database_answered_statement(struct database *database, double slowness, time_ns now)
+database_note_statement_answer(struct database *database, double slowness, time_ns now)
 {
     window_t *window = &database->window;
     bool was_at_share = window->at_share;
-    window_answered(window, slowness, count_running(database), now);
+    window_note_answer(window, slowness, count_running(database), now);
     if (window->at_share != was_at_share) {
         if (window->at_share) {
             metrics_count(&database->group->worker->metrics, METRICS_WINDOWS_NARROWED);
@@ -298,7 +298,7 @@
 }
 
 bool
-database_make_room(struct database *database)
+database_free_connection(struct database *database)
 {
     if (database->servers->len < MAX(database_connections(database), 1)) {
         return true;
@@ -459,7 +459,7 @@
 }
 
 void
-database_make_ready(struct database *database, time_ns now)
+database_open_ready(struct database *database, time_ns now)
 {
     if (database->group->worker->has_tenants) {
         return; /* whose statements come next is not known */
@@ -467,7 +467,7 @@
     bool wanted = database->takes_work && database_fault(database) == DATABASE_FAULT_NONE;
     while (wanted && database->servers->len < READY_CONNECTIONS &&
            database_may_open(database, now) &&
-           server_open(database, access_nobody(), METRICS_OPENED_READY) != NULL) {
+           server_open(database, access_public_tenant(), METRICS_OPENED_READY) != NULL) {
     }
 }
 
@@ -515,6 +515,6 @@
     bool probe = database->takes_work && database_fault(database) != DATABASE_FAULT_NONE &&
                  count_pool(database).opening == 0;
     if (probe && database_may_open(database, now)) {
-        server_open(database, access_nobody(), METRICS_OPENED_PROBE);
+        server_open(database, access_public_tenant(), METRICS_OPENED_PROBE);
     }
 }
--- a/src/pooler/databases/server.c
+++ b/src/pooler/databases/server.c
@@ -77,7 +77,7 @@
         return;
     }
     server->state = SERVER_STARTING;
-    database_reached(server->database, backend_now() - server->sent_at);
+    database_note_rtt(server->database, backend_now() - server->sent_at);
     event_add(server->readable, NULL);
     server_flush(server);
 }
@@ -108,12 +108,12 @@
 server_open(struct database *database, const char *tenant, enum metrics_counter why)
 {
     struct worker *worker = database->group->worker;
-    if (!database_make_room(database)) {
+    if (!database_free_connection(database)) {
         return NULL;
     }
     int handle = socket_connect(&database->address, DARK_TIMEOUT_MS);
     if (handle < 0) {
-        database_open_failed(database, ANSWER_NONE);
+        database_note_open_failure(database, ANSWER_NONE);
         return NULL;
     }
     struct server *server = g_new0(struct server, 1);
@@ -204,7 +204,7 @@
     g_ptr_array_add(worker->closed, server);
     g_ptr_array_add(worker->groups_to_run, database->group);
     if (former == SERVER_CONNECTING || former == SERVER_STARTING) {
-        database_open_failed(database, server->code);
+        database_note_open_failure(database, server->code);
     } else if (reason != ANSWER_NONE) {
         metrics_count(&worker->metrics, METRICS_CONNECTIONS_BROKEN);
     }
@@ -227,7 +227,7 @@
     server->idle_since = backend_now();
     server->state = SERVER_IDLE;
     server->in_transaction = false;
-    uint32_t most = MAX(database_connections(database), database->group->alone_connections);
+    uint32_t most = MAX(database_connections(database), database->group->fallback_connections);
     if (!database->takes_work || database->servers->len > most) {
         server_close(server, ANSWER_NONE);
         return;
--- a/src/pooler/databases/server_answer.c
+++ b/src/pooler/databases/server_answer.c
@@ -77,7 +77,7 @@
         return;
     }
     count_use(server, DATABASE_USE_OPENING);
-    database_opened(server->database, backend_now() - server->sent_at);
+    database_note_opening(server->database, backend_now() - server->sent_at);
     server_become_idle(server);
 }
 
@@ -92,7 +92,7 @@
         server->database->lacking_at = backend_now();
     }
     if (server->code == ANSWER_BUSY) {
-        database_narrow(server->database, backend_now());
+        database_narrow_window(server->database, backend_now());
     }
     if (session == NULL) {
         server->state = SERVER_RESERVED;
@@ -128,7 +128,7 @@
 note_lag(struct database *database, time_ns now)
 {
     const struct freshness *freshness = &database->group->freshness;
-    const struct freshness_sample *sample = freshness_reached(freshness, database->position);
+    const struct freshness_sample *sample = freshness_newest_covered(freshness, database->position);
     if (sample == NULL) {
         sample = freshness_oldest(freshness); /* it is behind by more than is known */
     }
@@ -140,12 +140,12 @@
     }
 }
 
-/* The kind by which the running statement's time is averaged; see usual_times_t. */
+/* The kind by which the running statement's time is averaged; see baseline_times_t. */
 static unsigned
 kind_of(const struct server *server)
 {
-    return usual_kind((unsigned)server->session->route.kind, server->writes,
-                      server->running_writes);
+    return statement_time_kind((unsigned)server->session->route.kind, server->writes,
+                               server->running_writes);
 }
 
 /* What an answer tells of the database and of the group's log. */
@@ -164,14 +164,14 @@
         group->latency_ms += LATENCY_WEIGHT * (latency - group->latency_ms);
         slowness = server->session == NULL
                        ? 0
-                       : usual_times_learn(&group->worker->usual, &group->usual, &database->lately,
-                                           kind_of(server), latency, now);
+                       : baseline_times_update(&group->worker->usual, &group->usual,
+                                               &database->lately, kind_of(server), latency, now);
     }
     server->wrote = server->wrote || (server->writes && server->code == ANSWER_NONE);
     if (server->code == ANSWER_BUSY) {
-        database_narrow(database, now);
+        database_narrow_window(database, now);
     } else if (server->code == ANSWER_NONE) {
-        database_answered_statement(database, slowness, now);
+        database_note_statement_answer(database, slowness, now);
     }
     if (!ready->has_position) {
         return;
@@ -192,7 +192,7 @@
         freshness_add(&group->freshness, server->sent_at, ready->position);
     }
     if (leads && committed) {
-        leadership_note(group, server->sent_at);
+        leadership_note_proven(group, server->sent_at);
         database->written_at = now;
     }
 }
@@ -286,7 +286,7 @@
 void
 server_process(struct server *server)
 {
-    database_answered(server->database, backend_now());
+    database_note_answer(server->database, backend_now());
     while (server->state != SERVER_CLOSED) {
         struct span content = buffer_content(&server->in);
         size_t length = wire_message_length(content);
--- a/src/pooler/databases/server_run.c
+++ b/src/pooler/databases/server_run.c
@@ -147,7 +147,7 @@
 }
 
 void
-server_ask_status(struct server *server)
+server_query_status(struct server *server)
 {
     server->state = SERVER_RUNNING;
     server_count_in_flight(server, true);
--- a/src/pooler/databases/window.c
+++ b/src/pooler/databases/window.c
@@ -49,14 +49,14 @@
 #define USUAL_LEAST_MS    0.1
 
 unsigned
-usual_kind(unsigned route, bool writes, bool commits)
+statement_time_kind(unsigned route, bool writes, bool commits)
 {
     unsigned what = writes ? 1 : commits ? 2 : 0;
     return route * 3 + what;
 }
 
 double
-lately_ms(const lately_times_t *lately, unsigned kind, double otherwise)
+recent_times_ms(const recent_times_t *lately, unsigned kind, double otherwise)
 {
     return lately->answers[kind] < LATELY_KNOWN ? otherwise : lately->ms[kind];
 }
@@ -83,7 +83,7 @@
 }
 
 void
-window_came(window_t *window, uint32_t priority, time_ns now)
+window_note_arrival(window_t *window, uint32_t priority, time_ns now)
 {
     bool gone = window->urgent_at == 0 || now >= window->urgent_at + KEPT_NS;
     if (gone || priority <= window->urgent) {
@@ -93,7 +93,7 @@
 }
 
 bool
-window_has_room(const window_t *window, uint32_t running, uint32_t priority, time_ns now)
+window_has_capacity(const window_t *window, uint32_t running, uint32_t priority, time_ns now)
 {
     bool keeps = window->size >= KEPT_FROM && window->urgent_at != 0 && priority > window->urgent &&
                  now < window->urgent_at + KEPT_NS;
@@ -101,7 +101,7 @@
 }
 
 void
-window_refused(window_t *window, uint32_t running, time_ns now)
+window_note_refusal(window_t *window, uint32_t running, time_ns now)
 {
     if (now < window->refused_at + REFUSED_EVERY_NS) {
         return;
@@ -126,7 +126,7 @@
 }
 
 void
-window_answered(window_t *window, double slowness, uint32_t running, time_ns now)
+window_note_answer(window_t *window, double slowness, uint32_t running, time_ns now)
 {
     if (slowness > 0) {
         double before = window->slowness == 0 ? 1 : window->slowness;
@@ -151,7 +151,7 @@
 
 /* The average of a kind at the database; 0 while too few answers are known. */
 static double
-average(lately_times_t *lately, unsigned kind, double ms)
+average(recent_times_t *lately, unsigned kind, double ms)
 {
     double *known = &lately->ms[kind];
     uint32_t *answers = &lately->answers[kind];
@@ -162,7 +162,7 @@
 
 /* Follows the average of a kind, quickly down and slowly up. */
 static void
-follow(usual_times_t *usual, unsigned kind, double recent, time_ns now)
+follow(baseline_times_t *usual, unsigned kind, double recent, time_ns now)
 {
     double *known = &usual->ms[kind];
     time_ns since = MIN(now - usual->at[kind], USUAL_PAUSE_NS);
@@ -178,8 +178,8 @@
 }
 
 double
-usual_times_learn(usual_times_t *general, usual_times_t *usual, lately_times_t *lately,
-                  unsigned kind, double ms, time_ns now)
+baseline_times_update(baseline_times_t *general, baseline_times_t *usual, recent_times_t *lately,
+                      unsigned kind, double ms, time_ns now)
 {
     double recent = average(lately, kind, ms);
     if (recent > 0) {
--- a/src/pooler/databases/window.h
+++ b/src/pooler/databases/window.h
@@ -13,22 +13,23 @@
 #include "core/types.h"
 
 /** @brief Kinds of statements whose usual times are kept apart: three route kinds, each with reads,
- * writes and commits; see usual_kind(). */
-#define USUAL_KINDS 9
+ * writes and commits; see statement_time_kind(). */
+#define STATEMENT_TIME_KINDS 9
 
 /** @brief What each kind of statement takes at an idle database, in ms; 0: not known. Kept for each
  * group, as one database that is slow from the start can only be told by the others; and for all
  * groups of a worker, which stands in for a group that was never seen idle. Start from zeros. */
-typedef struct usual_times {
-    double ms[USUAL_KINDS];
-    time_ns at[USUAL_KINDS]; /**< when it was last learned */
-} usual_times_t;
+typedef struct baseline_times {
+    double ms[STATEMENT_TIME_KINDS];
+    time_ns at[STATEMENT_TIME_KINDS]; /**< when it was last learned */
+} baseline_times_t;
 
 /** @brief Moving average of what each kind takes at one database, in ms. Start from zeros. */
-typedef struct lately_times {
-    double ms[USUAL_KINDS];
-    uint32_t answers[USUAL_KINDS]; /**< answers averaged so far; counting stops at some twenty */
-} lately_times_t;
+typedef struct recent_times {
+    double ms[STATEMENT_TIME_KINDS];
+    uint32_t answers[STATEMENT_TIME_KINDS]; /**< answers averaged so far; counting stops at some
+                                               twenty */
+} recent_times_t;
 
 /** @brief The window of one database. Belongs to the database's worker. */
 typedef struct window {
@@ -50,11 +51,11 @@
  * @param writes a write
  * @param commits the end of a transaction, or of one that writes alone
  */
-unsigned usual_kind(unsigned route, bool writes, bool commits);
+unsigned statement_time_kind(unsigned route, bool writes, bool commits);
 
 /** @return what a kind has taken at a database lately, in ms; `otherwise` while it has had too few
  * answers for an average. */
-double lately_ms(const lately_times_t *lately, unsigned kind, double otherwise);
+double recent_times_ms(const recent_times_t *lately, unsigned kind, double otherwise);
 
 /** @brief Opens the window wide: nothing is known of the database yet. */
 void window_init(window_t *window);
@@ -68,7 +69,7 @@
 void window_set_slots(window_t *window, uint32_t slots, uint32_t sharers);
 
 /** @brief A statement that the database could run has come, whether or not it is sent there. */
-void window_came(window_t *window, uint32_t priority, time_ns now);
+void window_note_arrival(window_t *window, uint32_t priority, time_ns now);
 
 /**
  * @brief Whether the database may be given one more statement now.
@@ -76,19 +77,20 @@
  * @param running statements of this worker that it runs already
  * @param priority of the new one: the last place is kept for more urgent ones if such came lately
  */
-bool window_has_room(const window_t *window, uint32_t running, uint32_t priority, time_ns now);
+bool window_has_capacity(const window_t *window, uint32_t running, uint32_t priority, time_ns now);
 
 /** @brief The database refused a statement for want of a slot. Narrows the window.
  * @param running statements of this worker that it runs */
-void window_refused(window_t *window, uint32_t running, time_ns now);
+void window_note_refusal(window_t *window, uint32_t running, time_ns now);
 
 /**
  * @brief The database answered a statement. Widens the window, or narrows it if answers are slow.
  *
- * @param slowness the answer's time divided by the usual one (usual_times_learn()); 0: not known
+ * @param slowness the answer's time divided by the usual one (baseline_times_update()); 0: not
+ * known
  * @param running statements of this worker that it runs, this one among them
  */
-void window_answered(window_t *window, double slowness, uint32_t running, time_ns now);
+void window_note_answer(window_t *window, double slowness, uint32_t running, time_ns now);
 
 /** @return true if answers take so long that statements must be waiting at the database. */
 bool window_is_slow(const window_t *window);
@@ -99,11 +101,11 @@
  * @param general usual times of all groups of the worker
  * @param usual those of the database's group
  * @param lately those of the database
- * @param kind of the statement, below USUAL_KINDS
+ * @param kind of the statement, below STATEMENT_TIME_KINDS
  * @param ms time from sending to answer
  * @return `ms` divided by the kind's usual time; 0 while that is not known
  */
-double usual_times_learn(usual_times_t *general, usual_times_t *usual, lately_times_t *lately,
-                         unsigned kind, double ms, time_ns now);
+double baseline_times_update(baseline_times_t *general, baseline_times_t *usual,
+                             recent_times_t *lately, unsigned kind, double ms, time_ns now);
 
 #endif
--- a/src/pooler/forwarding/forward.c
+++ b/src/pooler/forwarding/forward.c
@@ -129,7 +129,7 @@
     link->doubted = false;
     g_hash_table_iter_init(&iterator, link->worker->groups);
     while (g_hash_table_iter_next(&iterator, NULL, &group)) {
-        group_rejoin(group);
+        group_end_direct_fallback(group);
         g_ptr_array_add(link->worker->groups_to_run, group);
     }
 }
--- a/src/pooler/forwarding/forward.h
+++ b/src/pooler/forwarding/forward.h
@@ -19,7 +19,7 @@
 #include <stdint.h>
 
 #include "core/types.h"
-#include "pooler/rate/home_belief.h"
+#include "pooler/rate/home_health.h"
 #include "pooler/shared/wire.h"
 
 struct group;
@@ -51,7 +51,7 @@
 
 /** @brief Asks the pooler at the other end for a token to begin one operation of the tenant.
  *  @param home its place in the tenant's list of homes. Passed to admission_answered() or
- *         admission_lost(), one of which is called unless the question is abandoned.
+ *         admission_home_unreachable(), one of which is called unless the question is abandoned.
  *  @return the question; NULL if the pooler can't be asked now. */
 token_question_t *forward_ask_token(struct session *session, link_t *link, const char *tenant,
                                     unsigned home);
@@ -69,7 +69,7 @@
 const char *link_text(const link_t *link);
 
 /** @return what is believed of the pooler at the other end, as a home of limits. */
-home_belief_t *link_belief(link_t *link);
+home_health_t *link_home_health(link_t *link);
 
 /** @return when the pooler at the other end is likely to be of use again; `now` or earlier: it is.
  */
--- a/src/pooler/forwarding/forward_internal.h
+++ b/src/pooler/forwarding/forward_internal.h
@@ -9,7 +9,7 @@
 #include "pooler/forwarding/forward.h"
 
 #include "generated/messages.h"
-#include "pooler/rate/home_belief.h"
+#include "pooler/rate/home_health.h"
 #include "pooler/shared/peer.h"
 
 /** @brief A question for a token. It lasts until it is answered or the link is lost, also if it is
@@ -31,7 +31,7 @@
     struct peer_callbacks callbacks;
     GHashTable *channels;  /* number -> session */
     GHashTable *questions; /* number -> token_question_t, owned */
-    home_belief_t belief;  /* of the pooler there, as a home of limits */
+    home_health_t belief;  /* of the pooler there, as a home of limits */
     uint64_t last_channel;
     uint32_t running;    /* statements without an answer */
     time_ns quiet_since; /* the owner was last heard, or first asked after a rest */
--- a/src/pooler/forwarding/forward_serve.c
+++ b/src/pooler/forwarding/forward_serve.c
@@ -256,7 +256,7 @@
 static void
 give_token(caller_t *caller, const struct forward_ask *ask)
 {
-    admission_answer_t token = admission_give(caller->worker, ask->admits, ask->priority);
+    admission_answer_t token = admission_answer_request(caller->worker, ask->admits, ask->priority);
     struct forward_answer answer;
     forward_answer_init(&answer);
     answer.channel = ask->channel;
--- a/src/pooler/forwarding/forward_token.c
+++ b/src/pooler/forwarding/forward_token.c
@@ -80,8 +80,8 @@
     return link->text;
 }
 
-home_belief_t *
-link_belief(link_t *link)
+home_health_t *
+link_home_health(link_t *link)
 {
     return &link->belief;
 }
@@ -89,7 +89,7 @@
 void
 link_note_heard(link_t *link)
 {
-    if (home_belief_heard(&link->belief)) {
+    if (home_health_message_received(&link->belief)) {
         g_info("The home at %s is heard again.", link->text);
     }
 }
@@ -104,7 +104,7 @@
     const admission_answer_t token = {answer->declined, answer->refused, answer->retry_ms};
     struct session *session = question->session;
     unsigned home = question->home;
-    home_belief_answered(&link->belief, now - question->asked_at);
+    home_health_answered(&link->belief, now - question->asked_at);
     g_hash_table_remove(link->questions, &answer->channel); /* frees it */
     if (session != NULL) {
         admission_answered(session, home, &token);
@@ -130,7 +130,7 @@
     for (guint i = 0; i < lost->len; i++) {
         const token_question_t *question = g_ptr_array_index(lost, i);
         if (question->session != NULL) {
-            admission_lost(question->session, question->home);
+            admission_home_unreachable(question->session, question->home);
         }
     }
 }
--- a/src/pooler/forwarding/owner_choice.c
+++ b/src/pooler/forwarding/owner_choice.c
@@ -44,7 +44,7 @@
 is_near(const struct group *group, guint place, const wish_t *wish)
 {
     const link_t *link = g_ptr_array_index(group->links, place);
-    return wish->zone == NULL ? place < group->links_near : link->zone == wish->zone;
+    return wish->zone == NULL ? place < group->links_same_zone : link->zone == wish->zone;
 }
 
 /* Where only the primary can serve a statement, its zone has to be reached in any case: there the
@@ -53,10 +53,10 @@
 wish_of(const struct session *session)
 {
     const struct group *group = session->route.group;
-    bool keyed = session->worker->has_tenants && session->tenant != access_nobody();
+    bool keyed = session->worker->has_tenants && session->tenant != access_public_tenant();
     wish_t wish = {keyed ? session->tenant : NULL,
                    group->primary == NULL ? NULL : group->primary->zone};
-    bool zoned = wish.zone != NULL && session->worker->has_tenants && router_wants_primary(session);
+    bool zoned = wish.zone != NULL && session->worker->has_tenants && router_needs_primary(session);
     for (guint i = 0; zoned && i < group->links->len; i++) {
         if (is_near(group, i, &wish)) {
             return wish;
@@ -133,12 +133,12 @@
     link_t *best = choose_reachable(group, wish, now, &cost);
     bool forwards = router_forwards(group);
     if (best != NULL || !forwards) {
-        group->unreached_since = 0;
-    } else if (group->unreached_since == 0) {
-        group->unreached_since = now;
+        group->unreachable_since = 0;
+    } else if (group->unreachable_since == 0) {
+        group->unreachable_since = now;
     }
-    bool waited = best == NULL && forwards && now >= group->unreached_since + NEAR_FIRST_NS;
-    bool lonely = wish->zone == NULL && group->links_near == 0 && forwards;
+    bool waited = best == NULL && forwards && now >= group->unreachable_since + NEAR_FIRST_NS;
+    bool lonely = wish->zone == NULL && group->links_same_zone == 0 && forwards;
     bool far_too = waited || lonely || (best != NULL && cost >= OTHER_ZONE_COST);
     for (guint i = 0; i < group->links->len; i++) {
         link_t *link = g_ptr_array_index(group->links, i);
--- a/src/pooler/rate/admission.c
+++ b/src/pooler/rate/admission.c
@@ -116,7 +116,7 @@
 static bool
 is_avoided(const home_t *home, time_ns now)
 {
-    bool slow = home->link != NULL && home_belief_avoided(link_belief(home->link), now);
+    bool slow = home->link != NULL && home_health_is_avoided(link_home_health(home->link), now);
     return slow || now < home->declined_until;
 }
 
@@ -125,7 +125,8 @@
 static bool
 is_quiet(const home_t *home, time_ns now)
 {
-    bool silent = home->link != NULL && home_belief_is_silent(link_belief(home->link), now);
+    bool silent =
+        home->link != NULL && home_health_is_unresponsive(link_home_health(home->link), now);
     return silent || now < home->declined_until;
 }
 
@@ -258,7 +259,7 @@
 }
 
 void
-admission_drop(struct session *session)
+admission_abandon(struct session *session)
 {
     for (unsigned i = 0; i < ROSTER_SHARES; i++) {
         if (session->request.questions[i] != NULL) {
@@ -276,7 +277,7 @@
     if (homes->revision != session->request.homes_revision) {
         session->request.homes_revision = homes->revision;
         session->request.homes_asked = 0;
-        admission_drop(session);
+        admission_abandon(session);
     }
     return homes;
 }
@@ -289,7 +290,7 @@
     for (unsigned i = 0; i < ROSTER_SHARES; i++) {
         const token_question_t *question = session->request.questions[i];
         if (question != NULL) {
-            time_ns until = token_asked_at(question) + HOME_SILENT_NS;
+            time_ns until = token_asked_at(question) + HOME_TIMEOUT_NS;
             first = first == 0 ? until : MIN(first, until);
         }
     }
@@ -313,7 +314,7 @@
         metrics_count(&session->worker->metrics, METRICS_TOKENS_HEDGED);
     }
     operation_timing_enter(&session->timing, STAGE_TOKEN, now);
-    time_ns hedge_at = now + home_belief_patience(link_belief(link));
+    time_ns hedge_at = now + home_health_hedge_delay(link_home_health(link));
     session_set_timer(session, MIN(hedge_at, given_up_at(session)));
     return true;
 }
@@ -321,7 +322,7 @@
 static void
 granted(struct session *session)
 {
-    admission_drop(session);
+    admission_abandon(session);
     session_route(session);
 }
 
@@ -355,7 +356,7 @@
     tenant_t tenant;
     session->state = SESSION_ADMITTING;
     session->request.homes_asked = 0;
-    admission_drop(session);
+    admission_abandon(session);
     bool counted = session->worker->shared->counting != NULL && session->forwarded.caller == NULL;
     if (!counted || !find_limit(session->worker, session->tenant, &tenant)) {
         session_route(session);
@@ -407,7 +408,7 @@
 }
 
 void
-admission_lost(struct session *session, unsigned place)
+admission_home_unreachable(struct session *session, unsigned place)
 {
     session->request.questions[place] = NULL;
     metrics_count(&session->worker->metrics, METRICS_TOKENS_UNANSWERED);
@@ -419,12 +420,12 @@
 note_waiting(struct session *session, unsigned place, time_ns now)
 {
     token_question_t *question = session->request.questions[place];
-    home_belief_t *belief = link_belief(token_link(question));
-    if (now < token_asked_at(question) + HOME_SILENT_NS) {
-        home_belief_slow(belief, now);
+    home_health_t *belief = link_home_health(token_link(question));
+    if (now < token_asked_at(question) + HOME_TIMEOUT_NS) {
+        home_health_note_slow(belief, now);
         return;
     }
-    if (home_belief_silent(belief, now)) {
+    if (home_health_note_timeout(belief, now)) {
         g_info("The home at %s does not answer; others are asked first.",
                link_text(token_link(question)));
     }
@@ -434,7 +435,7 @@
 }
 
 void
-admission_waited(struct session *session)
+admission_timer_expired(struct session *session)
 {
     time_ns now = backend_now();
     for (unsigned i = 0; i < ROSTER_SHARES; i++) {
@@ -446,7 +447,7 @@
 }
 
 admission_answer_t
-admission_give(struct worker *worker, const char *name, uint32_t priority)
+admission_answer_request(struct worker *worker, const char *name, uint32_t priority)
 {
     tenant_t tenant;
     time_ns wait = 0;
--- a/src/pooler/rate/admission.h
+++ b/src/pooler/rate/admission.h
@@ -37,19 +37,20 @@
 void admission_answered(struct session *session, unsigned place, const admission_answer_t *answer);
 
 /** @brief A home that was asked can't be reached: another one is asked. */
-void admission_lost(struct session *session, unsigned place);
+void admission_home_unreachable(struct session *session, unsigned place);
 
 /** @brief The session's timer went off while questions are open: they take longer than usual, or
  * too long. Another home is asked as well, and the first that grants a token counts. */
-void admission_waited(struct session *session);
+void admission_timer_expired(struct session *session);
 
 /** @brief Abandons the session's open questions for tokens, if there are any. */
-void admission_drop(struct session *session);
+void admission_abandon(struct session *session);
 
 /** @brief Answers another pooler's question, as a home.
  *  @param name of the tenant.
  *  @param priority of the operation's route; 0 from a pooler that does not tell it: such a one gets
  *         any token. */
-admission_answer_t admission_give(struct worker *worker, const char *name, uint32_t priority);
+admission_answer_t admission_answer_request(struct worker *worker, const char *name,
+                                            uint32_t priority);
 
 #endif
--- a/src/pooler/rate/counting.c
+++ b/src/pooler/rate/counting.c
@@ -126,7 +126,7 @@
 }
 
 void
-counting_rely_until(counting_t *counting, time_ns until)
+counting_set_valid_until(counting_t *counting, time_ns until)
 {
     pthread_mutex_lock(&counting->lock);
     counting->until = MAX(counting->until, until);
--- a/src/pooler/rate/counting.h
+++ b/src/pooler/rate/counting.h
@@ -40,7 +40,7 @@
 void counting_set_roster(counting_t *counting, const roster_t *roster, time_ns now);
 
 /** @brief The list of members is relied on until then. */
-void counting_rely_until(counting_t *counting, time_ns until);
+void counting_set_valid_until(counting_t *counting, time_ns until);
 
 /** @brief Asks for a token to begin one operation, of all shares that this pooler counts.
  *  @param priority of its route, 0: the most urgent.
--- a/src/pooler/rate/home_belief.c
+++ b/src/pooler/rate/home_health.c
@@ -1,5 +1,5 @@
 /* What is believed of a home of limits; see the header. */
-#include "pooler/rate/home_belief.h"
+#include "pooler/rate/home_health.h"
 
 #include <glib.h>
 
@@ -30,7 +30,7 @@
 #define PATIENCE_UNKNOWN_NS (20 * NANOSECONDS_PER_MILLISECOND)
 
 void
-home_belief_answered(home_belief_t *belief, time_ns took)
+home_health_answered(home_health_t *belief, time_ns took)
 {
     time_ns off = took > belief->usual ? took - belief->usual : belief->usual - took;
     if (belief->usual == 0) {
@@ -43,7 +43,7 @@
 }
 
 bool
-home_belief_heard(home_belief_t *belief)
+home_health_message_received(home_health_t *belief)
 {
     bool silent = belief->silences > 0;
     belief->silences = 0;
@@ -52,13 +52,13 @@
 }
 
 void
-home_belief_slow(home_belief_t *belief, time_ns now)
+home_health_note_slow(home_health_t *belief, time_ns now)
 {
     belief->avoid_until = MAX(belief->avoid_until, now + SLOW_NS);
 }
 
 bool
-home_belief_silent(home_belief_t *belief, time_ns now)
+home_health_note_timeout(home_health_t *belief, time_ns now)
 {
     if (belief->silences > 0 && now < belief->avoid_until) {
         return false; /* asked before it was taken for silent: one silence */
@@ -69,22 +69,22 @@
 }
 
 bool
-home_belief_avoided(const home_belief_t *belief, time_ns now)
+home_health_is_avoided(const home_health_t *belief, time_ns now)
 {
     return now < belief->avoid_until;
 }
 
 bool
-home_belief_is_silent(const home_belief_t *belief, time_ns now)
+home_health_is_unresponsive(const home_health_t *belief, time_ns now)
 {
     return belief->silences > 0 && now < belief->avoid_until;
 }
 
 time_ns
-home_belief_patience(const home_belief_t *belief)
+home_health_hedge_delay(const home_health_t *belief)
 {
     if (belief->usual == 0) {
         return PATIENCE_UNKNOWN_NS;
     }
-    return CLAMP(belief->usual + belief->spread * SPREADS, PATIENCE_LEAST_NS, HOME_SILENT_NS);
+    return CLAMP(belief->usual + belief->spread * SPREADS, PATIENCE_LEAST_NS, HOME_TIMEOUT_NS);
 }
--- a/src/pooler/rate/home_belief.h
+++ b/src/pooler/rate/home_health.h
@@ -3,11 +3,11 @@
  * @brief What a pooler believes of another one that it asks for tokens: how long it usually takes
  * to answer, and whether it is asked at all. Pure; time comes in.
  *
- * Without it each operation would wait for HOME_SILENT_NS for a machine that is cut off, and the
+ * Without it each operation would wait for HOME_TIMEOUT_NS for a machine that is cut off, and the
  * next ones again a quarter of a second later. What it is worth stands in docs/design/tenants.md.
  */
-#ifndef SW_POOLER_RATE_HOME_BELIEF_H
-#define SW_POOLER_RATE_HOME_BELIEF_H
+#ifndef SW_POOLER_RATE_HOME_HEALTH_H
+#define SW_POOLER_RATE_HOME_HEALTH_H
 
 #include <stdbool.h>
 
@@ -19,34 +19,34 @@
     time_ns spread;      /* moving average of their distance from it */
     unsigned silences;   /* times in a row that it was found silent, without a sign since */
     time_ns avoid_until; /* other homes are asked first until then */
-} home_belief_t;
+} home_health_t;
 
 /** @brief It answered a question, in time or not. */
-void home_belief_answered(home_belief_t *belief, time_ns took);
+void home_health_answered(home_health_t *belief, time_ns took);
 
 /** @brief Something came from it, an answer or any other message.
  *  @return true if it was taken for silent until now. */
-bool home_belief_heard(home_belief_t *belief);
+bool home_health_message_received(home_health_t *belief);
 
 /** @brief An answer takes longer than usual: others are asked first for a while, or until something
  *  comes from it. */
-void home_belief_slow(home_belief_t *belief, time_ns now);
+void home_health_note_slow(home_health_t *belief, time_ns now);
 
-/** @brief A question had no answer within HOME_SILENT_NS.
+/** @brief A question had no answer within HOME_TIMEOUT_NS.
  *  @return true if it was not taken for silent before. */
-bool home_belief_silent(home_belief_t *belief, time_ns now);
+bool home_health_note_timeout(home_health_t *belief, time_ns now);
 
 /** @return true if others are asked first. */
-bool home_belief_avoided(const home_belief_t *belief, time_ns now);
+bool home_health_is_avoided(const home_health_t *belief, time_ns now);
 
 /** @return true if others are asked first because it is silent, and not only slow. */
-bool home_belief_is_silent(const home_belief_t *belief, time_ns now);
+bool home_health_is_unresponsive(const home_health_t *belief, time_ns now);
 
 /** @return how long an answer is waited for alone. Then another home is asked as well. */
-time_ns home_belief_patience(const home_belief_t *belief);
+time_ns home_health_hedge_delay(const home_health_t *belief);
 
 /** A question without an answer for so long is given up: some times the way to another zone and
  *  back (4 ms), on a machine whose quota of a tenth of a second is spent. */
-#define HOME_SILENT_NS (60 * NANOSECONDS_PER_MILLISECOND)
+#define HOME_TIMEOUT_NS (60 * NANOSECONDS_PER_MILLISECOND)
 
 #endif
--- a/src/pooler/rate/roster.c
+++ b/src/pooler/rate/roster.c
@@ -18,8 +18,8 @@
 }
 
 bool
-roster_has_heard(const roster_standing_t *standing, uint64_t version, time_ns written_at,
-                 time_ns now)
+roster_member_is_up_to_date(const roster_member_state_t *standing, uint64_t version,
+                            time_ns written_at, time_ns now)
 {
     bool confirmed = written_at != 0 && standing->confirmed >= version &&
                      standing->confirmed_as_of >= written_at;
--- a/src/pooler/rate/roster.h
+++ b/src/pooler/rate/roster.h
@@ -11,14 +11,14 @@
  *
  * No two poolers may count one share at the same time. So
  * - a home counts only while its list of members is current: a coordinator answered a heartbeat
- * that was sent less than ROSTER_CURRENT_NS ago, or the store told the list;
+ * that was sent less than ROSTER_VALID_NS ago, or the store told the list;
  * - a member that leaves keeps its places for ROSTER_AWAY_NS, in which most come back (a process
  *   that was killed is back in 1 to 4 s), and it has stopped counting long before they are over;
  * - a member that joins takes its places at once, so that whoever had them stops. It counts once
- *   every other member has confirmed a list in which it has them (roster_has_heard()), mostly
- * within a second; otherwise ROSTER_ENTERING_NS later, when those that did not hear of it have
- * stopped. Meanwhile such a share gives no tokens. The other shares do, so that a tenant has the
- * greater part of its limit.
+ *   every other member has confirmed a list in which it has them (roster_member_is_up_to_date()),
+ * mostly within a second; otherwise ROSTER_ENTERING_NS later, when those that did not hear of it
+ * have stopped. Meanwhile such a share gives no tokens. The other shares do, so that a tenant has
+ * the greater part of its limit.
  *
  * A process that starts has forgotten the tokens that it gave. Its buckets begin with a part of
  * what the limit may be exceeded by (rate_start_tokens), so that this can happen some times in a
@@ -40,7 +40,7 @@
 
 /** A list of members is relied on for so long: longer than a fleet of 300 goes without a
  * coordinator after one was lost, 6.1 s. With 4 s, tenants were refused from then on. */
-#define ROSTER_CURRENT_NS (UINT64_C(7000) * 1000 * 1000)
+#define ROSTER_VALID_NS (UINT64_C(7000) * 1000 * 1000)
 
 /** Longer than that by what a heartbeat may take. */
 #define ROSTER_ENTERING_NS (UINT64_C(8000) * 1000 * 1000)
@@ -61,15 +61,15 @@
     time_ns confirmed_as_of; /* a moment before that heartbeat was sent; 0: not known */
     bool away;               /* the list has it as away */
     time_ns away_since;      /* since then */
-} roster_standing_t;
+} roster_member_state_t;
 
 /** @return true if the member certainly counts by the list of `version` or a later one, or not at
  * all. A confirmation only counts if it was sent after the store's row held the list: before, the
  * member's process could have been restarted and learn an earlier list from the row. A member that
  * is away has stopped counting after ROSTER_ENTERING_NS.
  *  @param written_at when the row held the list, at the latest; 0: not yet. */
-bool roster_has_heard(const roster_standing_t *standing, uint64_t version, time_ns written_at,
-                      time_ns now);
+bool roster_member_is_up_to_date(const roster_member_state_t *standing, uint64_t version,
+                                 time_ns written_at, time_ns now);
 
 /** @brief A pooler that has a place in counting operations. */
 typedef struct roster_member {
--- a/src/pooler/routing/choice.c
+++ b/src/pooler/routing/choice.c
@@ -88,7 +88,7 @@
 }
 
 bool
-choice_lacks(const struct database *database, const struct need *need, time_ns now)
+choice_is_behind(const struct database *database, const struct need *need, time_ns now)
 {
     return fresh_at(database, need, now) != 0;
 }
@@ -102,7 +102,7 @@
 }
 
 void
-choice_note_try(struct database *database, time_ns now)
+choice_note_probe(struct database *database, time_ns now)
 {
     if (may_try(database, now)) {
         database->lag_at = now;
@@ -121,7 +121,7 @@
 {
     const struct group *group = database->group;
     double ms =
-        placement_faded_ms(database->latency_ms, group->latency_ms, now - database->latency_at);
+        placement_decayed_ms(database->latency_ms, group->latency_ms, now - database->latency_at);
     double opening_ms = group->opening_ms == 0 ? OPENING_TYPICAL_MS : group->opening_ms;
     place_t place = {
         .way_ms = database->way_ms,
@@ -140,7 +140,7 @@
 static void
 weigh(struct database *database, const struct session *session, time_ns now, struct choice *choice)
 {
-    if (!database_has_window(database, session->route.priority, now)) {
+    if (!database_has_capacity(database, session->route.priority, now)) {
         return;
     }
     struct server *server = database_idle_server(database, session);
@@ -175,7 +175,7 @@
 }
 
 void
-choice_make(const struct session *session, const struct need *need, time_ns now,
+choice_find(const struct session *session, const struct need *need, time_ns now,
             struct choice *choice)
 {
     const struct group *group = session->route.group;
--- a/src/pooler/routing/freshness.c
+++ b/src/pooler/routing/freshness.c
@@ -50,7 +50,7 @@
 }
 
 const struct freshness_sample *
-freshness_reached(const struct freshness *freshness, struct log_position position)
+freshness_newest_covered(const struct freshness *freshness, struct log_position position)
 {
     for (size_t i = freshness->count; i > 0; i--) {
         const struct freshness_sample *sample = sample_at(freshness, i - 1);
--- a/src/pooler/routing/freshness.h
+++ b/src/pooler/routing/freshness.h
@@ -38,7 +38,7 @@
 const struct freshness_sample *freshness_oldest(const struct freshness *freshness);
 
 /* The newest sample at or below a position: the primary had got there by then. NULL if none is. */
-const struct freshness_sample *freshness_reached(const struct freshness *freshness,
-                                                 struct log_position position);
+const struct freshness_sample *freshness_newest_covered(const struct freshness *freshness,
+                                                        struct log_position position);
 
 #endif
--- a/src/pooler/routing/group.c
+++ b/src/pooler/routing/group.c
@@ -105,7 +105,7 @@
     group->epoch = view->epoch;
     bool open = primary != NULL && view->phase == GROUP_PHASE_OPEN;
     if (open && group->closed_since != 0) {
-        pace_restart(&group->pace[PACE_LINE_PRIMARY], backend_now());
+        queue_rate_restart(&group->pace[QUEUE_LINE_PRIMARY], backend_now());
         group->closed_since = 0;
     } else if (!open && group->closed_since == 0) {
         group->closed_since = backend_now();
@@ -124,7 +124,7 @@
 apply_owners(struct group *group, const struct pooled_group *view)
 {
     g_ptr_array_set_size(group->links, 0);
-    group->links_near = 0;
+    group->links_same_zone = 0;
     group->own_address = NULL;
     for (size_t i = 0; i < view->owners_count; i++) {
         const owner_view_t *owner = &view->owners[i];
@@ -135,7 +135,7 @@
         link_t *link = link_of(group->worker, owner->text, &owner->address);
         link_set_zone(link, owner->zone);
         g_ptr_array_add(group->links, link);
-        group->links_near += owner->same_zone;
+        group->links_same_zone += owner->same_zone;
     }
 }
 
@@ -157,7 +157,7 @@
         return; /* what it opens may be lacking to the owners: only what a statement needs */
     }
     for (guint i = 0; group->primary != NULL && i < group->databases->len; i++) {
-        database_make_ready(g_ptr_array_index(group->databases, i), now);
+        database_open_ready(g_ptr_array_index(group->databases, i), now);
     }
 }
 
@@ -167,11 +167,11 @@
     struct database *primary = NULL;
     group->sync_replicas = view->sync_replicas;
     group->connections = view->connections;
-    group->alone_connections = view->alone_connections;
+    group->fallback_connections = view->fallback_connections;
     apply_owners(group, view);
     group->alone = group->alone && group->connections == 0 && forward_none_left(group);
     if (group->alone) {
-        group->connections = group->alone_connections;
+        group->connections = group->fallback_connections;
     }
     if (group->connections == 0) {
         close_connections(group);
@@ -201,7 +201,7 @@
     if (group->alone || (router_forwards(group) && group->queue.length > 0)) {
         forward_try_again(group);
     } else {
-        group->unreached_since = 0; /* nobody waits: the next statement tries anew */
+        group->unreachable_since = 0; /* nobody waits: the next statement tries anew */
     }
     make_ready(group);
     for (guint i = 0; i < group->databases->len; i++) {
@@ -214,32 +214,32 @@
 is_left_alone(struct group *group)
 {
     time_ns now = backend_now();
-    return forward_none_left(group) && group->unreached_since != 0 &&
-           now >= group->unreached_since + ALONE_AFTER_NS;
+    return forward_none_left(group) && group->unreachable_since != 0 &&
+           now >= group->unreachable_since + ALONE_AFTER_NS;
 }
 
 bool
-group_go_alone(struct group *group)
+group_start_direct_fallback(struct group *group)
 {
-    if (group->alone_connections == 0 || !is_left_alone(group)) {
+    if (group->fallback_connections == 0 || !is_left_alone(group)) {
         return false;
     }
     g_log_structured("router", G_LOG_LEVEL_MESSAGE, "SW_SERVICE", group->shared->service, "MESSAGE",
                      "Group %s: none of its %u owners can be reached, served by %u connections of "
                      "its own.",
-                     group->shared->service, group->links->len, group->alone_connections);
+                     group->shared->service, group->links->len, group->fallback_connections);
     group->alone = true;
-    group->connections = group->alone_connections;
+    group->connections = group->fallback_connections;
     return true;
 }
 
 void
-group_rejoin(struct group *group)
+group_end_direct_fallback(struct group *group)
 {
     if (forward_none_left(group)) {
         return;
     }
-    group->unreached_since = 0;
+    group->unreachable_since = 0;
     if (!group->alone) {
         return;
     }
--- a/src/pooler/routing/leadership.c
+++ b/src/pooler/routing/leadership.c
@@ -21,7 +21,7 @@
 #define HELD_MAX_NS (80 * NANOSECONDS_PER_MILLISECOND)
 
 void
-leadership_note(struct group *group, time_ns at)
+leadership_note_proven(struct group *group, time_ns at)
 {
     group->led_at = MAX(group->led_at, at);
 }
@@ -47,7 +47,7 @@
         return;
     }
     group->checks_failed = 0;
-    leadership_note(group, check->started);
+    leadership_note_proven(group, check->started);
     freshness_add(&group->freshness, check->started, check->position);
     g_ptr_array_add(group->worker->groups_to_run, group);
 }
@@ -60,7 +60,7 @@
         return true;
     }
     if (database_may_open(database, now)) {
-        server_open(database, access_nobody(), METRICS_OPENED_PROOF);
+        server_open(database, access_public_tenant(), METRICS_OPENED_PROOF);
     }
     return false;
 }
@@ -103,7 +103,7 @@
         return false;
     }
     database->group->check.waiting++;
-    server_ask_status(server);
+    server_query_status(server);
     return true;
 }
 
--- a/src/pooler/routing/placement.c
+++ b/src/pooler/routing/placement.c
@@ -56,7 +56,7 @@
 }
 
 double
-placement_learn_way(double known_ms, double seen_ms)
+placement_update_rtt(double known_ms, double seen_ms)
 {
     if (known_ms == 0) {
         return seen_ms;
@@ -65,7 +65,7 @@
 }
 
 double
-placement_faded_ms(double own_ms, double group_ms, time_ns unused)
+placement_decayed_ms(double own_ms, double group_ms, time_ns unused)
 {
     double halves = (double)unused / (double)FADED_HALF_NS;
     double weight = 1 / (1 + halves);
--- a/src/pooler/routing/placement.h
+++ b/src/pooler/routing/placement.h
@@ -37,7 +37,7 @@
  * round trip.
  * @param known_ms the estimate so far; 0: none
  * @return the new estimate, in ms */
-double placement_learn_way(double known_ms, double seen_ms);
+double placement_update_rtt(double known_ms, double seen_ms);
 
 /**
  * @brief What a database takes usually, after it has not been used for a while.
@@ -46,6 +46,6 @@
  * @param group_ms the same of all databases of its group
  * @param unused time since its last answer
  */
-double placement_faded_ms(double own_ms, double group_ms, time_ns unused);
+double placement_decayed_ms(double own_ms, double group_ms, time_ns unused);
 
 #endif
--- a/src/pooler/routing/pace.c
+++ b/src/pooler/routing/queue_rate.c
@@ -1,5 +1,5 @@
 /* How fast a line moves; see the header. */
-#include "pooler/routing/pace.h"
+#include "pooler/routing/queue_rate.h"
 
 #include <glib.h>
 
@@ -12,7 +12,7 @@
 #define ADMIT_SHARE 0.9
 
 void
-pace_came(pace_t *pace, uint32_t waiting, time_ns now)
+queue_rate_note_arrival(queue_rate_t *pace, uint32_t waiting, time_ns now)
 {
     if (waiting == 0) {
         pace->moved_at = now;
@@ -20,7 +20,7 @@
 }
 
 void
-pace_left(pace_t *pace, time_ns now)
+queue_rate_note_departure(queue_rate_t *pace, time_ns now)
 {
     /* `now` may have been read before the line last moved. */
     time_ns interval = now > pace->moved_at ? now - pace->moved_at : 0;
@@ -30,13 +30,13 @@
 }
 
 void
-pace_restart(pace_t *pace, time_ns now)
+queue_rate_restart(queue_rate_t *pace, time_ns now)
 {
     pace->moved_at = now;
 }
 
 double
-pace_wait_ms(const pace_t *pace, const prospect_t *prospect)
+queue_rate_wait_ms(const queue_rate_t *pace, const wait_forecast_t *prospect)
 {
     if (prospect->room == 0) {
         return 0;
@@ -46,17 +46,18 @@
 }
 
 double
-pace_late_by_ms(const pace_t *pace, const prospect_t *prospect)
+queue_rate_late_by_ms(const queue_rate_t *pace, const wait_forecast_t *prospect)
 {
     if (prospect->room == 0 || prospect->ahead == 0) {
         return 0; /* nothing is known, or nobody would gain */
     }
-    double answered_ms = prospect->waited_ms + pace_wait_ms(pace, prospect) + prospect->run_ms;
+    double answered_ms =
+        prospect->waited_ms + queue_rate_wait_ms(pace, prospect) + prospect->run_ms;
     return MAX(answered_ms - prospect->objective_ms * ADMIT_SHARE, 0);
 }
 
 bool
-pace_is_late(const pace_t *pace, const prospect_t *prospect)
+queue_rate_is_late(const queue_rate_t *pace, const wait_forecast_t *prospect)
 {
-    return pace_late_by_ms(pace, prospect) > 0;
+    return queue_rate_late_by_ms(pace, prospect) > 0;
 }
--- a/src/pooler/routing/refusal.c
+++ b/src/pooler/routing/refusal.c
@@ -28,13 +28,13 @@
     const struct group *group = database->group;
     bool closed = database == group->primary && group->phase != GROUP_PHASE_OPEN;
     return database->takes_work && !closed && database_fault(database) <= DATABASE_FAULT_NONE &&
-           !choice_lacks(database, need, now);
+           !choice_is_behind(database, need, now);
 }
 
 /* Which line a statement would wait in, and what is known of its databases. Times are averages over
  * the databases that may run it, weighted by their room. `out->ahead` is left to the caller. */
-static pace_line_t
-find_prospect(const struct session *session, time_ns now, prospect_t *out)
+static queue_line_t
+find_prospect(const struct session *session, time_ns now, wait_forecast_t *out)
 {
     const struct group *group = session->route.group;
     const struct database *primary = group->primary;
@@ -43,14 +43,16 @@
     double sum_ms = 0;
     double own_ms = 0;
     bool commits = session->request.statement.kind == STATEMENT_COMMIT;
-    unsigned kind = usual_kind((unsigned)session->route.kind, session->request.writes, commits);
+    unsigned kind =
+        statement_time_kind((unsigned)session->route.kind, session->request.writes, commits);
     choice_find_need(session, &need);
     for (guint i = 0; !need.primary && i < group->databases->len; i++) {
         const struct database *database = g_ptr_array_index(group->databases, i);
         if (database != primary && takes_reads(database, &need, now)) {
             room += room_of(database);
             sum_ms += room_of(database) * database->latency_ms;
-            own_ms += room_of(database) * lately_ms(&database->lately, kind, database->latency_ms);
+            own_ms +=
+                room_of(database) * recent_times_ms(&database->lately, kind, database->latency_ms);
         }
     }
     bool any = room > 0;
@@ -58,14 +60,14 @@
     if (primary != NULL) {
         room = any || here > 0 ? room + here : 0;
         sum_ms += here * primary->latency_ms;
-        own_ms += here * lately_ms(&primary->lately, kind, primary->latency_ms);
+        own_ms += here * recent_times_ms(&primary->lately, kind, primary->latency_ms);
     }
     out->room = room;
     out->run_ms = room == 0 ? 0 : own_ms / room;
     out->each_ms = room == 0 ? 0 : sum_ms / room;
     out->waited_ms = (double)(now - session->request.arrived) / (double)NANOSECONDS_PER_MILLISECOND;
     out->objective_ms = session->route.target_ms;
-    return any ? PACE_LINE_ANY : PACE_LINE_PRIMARY;
+    return any ? QUEUE_LINE_ANY : QUEUE_LINE_PRIMARY;
 }
 
 /* How many statements in its line go before this one. */
@@ -87,10 +89,10 @@
 static bool
 would_be_late(struct session *session)
 {
-    prospect_t prospect;
+    wait_forecast_t prospect;
     session->request.line = find_prospect(session, backend_now(), &prospect);
     prospect.ahead = count_ahead(session);
-    return pace_is_late(&session->route.group->pace[session->request.line], &prospect);
+    return queue_rate_is_late(&session->route.group->pace[session->request.line], &prospect);
 }
 
 /* How many were refused since the shortage began, by priority, as "0:3 2:40". */
@@ -107,20 +109,20 @@
     return g_string_free(text, FALSE);
 }
 
-static const char *const line_names[PACE_LINE_COUNT] = {
-    [PACE_LINE_PRIMARY] = "the primary",
-    [PACE_LINE_ANY] = "any database",
+static const char *const line_names[QUEUE_LINE_COUNT] = {
+    [QUEUE_LINE_PRIMARY] = "the primary",
+    [QUEUE_LINE_ANY] = "any database",
 };
 
 /* Two lines for each shortage, which lasts for seconds. */
 static void
-log_shortage(const struct group *group, pace_line_t line, bool short_of)
+log_shortage(const struct group *group, queue_line_t line, bool short_of)
 {
     g_autofree char *waiting = g_strdup_printf("%u", group->waiting[line]);
     g_autofree char *refused = refused_text(&group->shortage[line]);
     g_autofree char *interval = g_strdup_printf("%.1f", group->pace[line].interval_ms);
     g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_MESSAGE, "SW_SERVICE", group->shared->service,
-                     "SW_ROLE", line == PACE_LINE_PRIMARY ? "primary" : "any", "SW_QUEUE", waiting,
+                     "SW_ROLE", line == QUEUE_LINE_PRIMARY ? "primary" : "any", "SW_QUEUE", waiting,
                      "SW_REFUSED", refused, "SW_INTERVAL_MS", interval, "MESSAGE",
                      short_of
                          ? "Group %s is short of room at %s: statements that would be late are "
@@ -133,7 +135,7 @@
 note_shortage(const struct session *session, time_ns now)
 {
     struct group *group = session->route.group;
-    pace_line_t line = session->request.line;
+    queue_line_t line = session->request.line;
     if (shortage_refused(&group->shortage[line], session->route.priority, now)) {
         log_shortage(group, line, true);
     }
@@ -143,7 +145,7 @@
 router_check_shortage(struct group *group, time_ns now)
 {
     bool any = false;
-    for (pace_line_t line = 0; line < PACE_LINE_COUNT; line++) {
+    for (queue_line_t line = 0; line < QUEUE_LINE_COUNT; line++) {
         if (shortage_over(&group->shortage[line], now)) {
             log_shortage(group, line, false);
         }
@@ -164,12 +166,12 @@
     time_ns now = backend_now();
     for (unsigned i = 0; i < RECHECKED_MAX && link != NULL && link->data != session; i++) {
         struct session *later = link->data;
-        prospect_t prospect;
+        wait_forecast_t prospect;
         bool same = later->request.line == session->request.line;
         if (same && later->request.refusal == NULL &&
             find_prospect(later, now, &prospect) == later->request.line) {
             prospect.ahead = count_ahead(later);
-            if (pace_is_late(&group->pace[later->request.line], &prospect)) {
+            if (queue_rate_is_late(&group->pace[later->request.line], &prospect)) {
                 session_end_wait(later, METRICS_REFUSAL_URGENT);
                 note_shortage(later, now);
             }
@@ -239,11 +241,11 @@
 }
 
 time_ns
-router_over_in(struct session *session, time_ns now)
+router_retry_after(struct session *session, time_ns now)
 {
     const struct group *group = session->route.group;
     struct need need;
-    prospect_t prospect;
+    wait_forecast_t prospect;
     if (router_forwards(group)) {
         return 0; /* its owners know */
     }
@@ -257,6 +259,6 @@
     session->request.line = find_prospect(session, now, &prospect);
     prospect.ahead = count_ahead(session);
     prospect.waited_ms = 0; /* who comes back has waited for nothing yet */
-    return (time_ns)(pace_late_by_ms(&group->pace[session->request.line], &prospect) *
+    return (time_ns)(queue_rate_late_by_ms(&group->pace[session->request.line], &prospect) *
                      (double)NANOSECONDS_PER_MILLISECOND);
 }
--- a/src/pooler/routing/router.c
+++ b/src/pooler/routing/router.c
@@ -53,7 +53,7 @@
 }
 
 bool
-router_wants_primary(const struct session *session)
+router_needs_primary(const struct session *session)
 {
     bool plain = session->transaction != SESSION_TRANSACTION_NONE && !session->read_only;
     bool writes = session->transaction == SESSION_TRANSACTION_NONE && session->request.writes;
@@ -91,7 +91,7 @@
 note_departure(const struct session *session, time_ns now)
 {
     if (session->queue_link != NULL) {
-        pace_left(&session->route.group->pace[session->request.line], now);
+        queue_rate_note_departure(&session->route.group->pace[session->request.line], now);
     }
 }
 
@@ -110,14 +110,14 @@
         return false;
     }
     bool forwards = router_forwards(session->route.group);
-    if (forwards && !group_go_alone(session->route.group)) {
+    if (forwards && !group_start_direct_fallback(session->route.group)) {
         return try_forward(session);
     }
     if (!forwards && session->forwarded.caller == NULL && try_forward(session)) {
         return true;
     }
     choice_find_need(session, &need);
-    choice_make(session, &need, now, &choice);
+    choice_find(session, &need, now, &choice);
     if (choice.check) {
         operation_timing_enter(&session->timing, STAGE_PROOF, now);
         leadership_check_start(session->route.group);
@@ -153,7 +153,7 @@
     router_leave_queue(session);
     session->request.attempts++;
     session_sent(session);
-    choice_note_try(choice.server->database, now);
+    choice_note_probe(choice.server->database, now);
     count_read(session, choice.server->database);
     note_led(&need, choice.server->database);
     metrics_count(&session->worker->metrics, METRICS_FOUND_OPEN);
@@ -176,7 +176,7 @@
     }
     choice_find_need(session, &need);
     time_ns now = backend_now();
-    choice_make(session, &need, now, &choice);
+    choice_find(session, &need, now, &choice);
     if (choice.server == NULL && choice.to_open != NULL &&
         database_may_open_ahead(choice.to_open, now)) {
         server_open(choice.to_open, session->tenant, METRICS_OPENED_AHEAD);
@@ -199,7 +199,8 @@
     GQueue *queue = &session->route.group->queue;
     GList *place = queue->tail;
     uint32_t *waiting = &session->route.group->waiting[session->request.line];
-    pace_came(&session->route.group->pace[session->request.line], (*waiting)++, backend_now());
+    queue_rate_note_arrival(&session->route.group->pace[session->request.line], (*waiting)++,
+                            backend_now());
     while (place != NULL && router_is_before(session, place->data)) {
         place = place->prev;
     }
@@ -223,12 +224,12 @@
 note_coming(const struct session *session)
 {
     const struct group *group = session->route.group;
-    bool led = router_wants_primary(session);
+    bool led = router_needs_primary(session);
     time_ns now = backend_now();
     for (guint i = 0; i < group->databases->len; i++) {
         struct database *database = g_ptr_array_index(group->databases, i);
         if (!led || database == group->primary) {
-            window_came(&database->window, session->route.priority, now);
+            window_note_arrival(&database->window, session->route.priority, now);
         }
     }
 }
--- a/src/pooler/routing/router_internal.h
+++ b/src/pooler/routing/router_internal.h
@@ -39,15 +39,15 @@
 void choice_find_need(const struct session *session, struct need *out);
 
 /** @brief Chooses where it is best served now. */
-void choice_make(const struct session *session, const struct need *need, time_ns now,
+void choice_find(const struct session *session, const struct need *need, time_ns now,
                  struct choice *choice);
 
 /** @return true if the database has not got as far as the statement must see, by what is known of
  *  its lag. */
-bool choice_lacks(const struct database *database, const struct need *need, time_ns now);
+bool choice_is_behind(const struct database *database, const struct need *need, time_ns now);
 
 /** @brief A statement is sent to it: a replica that was far behind is tried by one at a time. */
-void choice_note_try(struct database *database, time_ns now);
+void choice_note_probe(struct database *database, time_ns now);
 
 /** @return when the statement should be answered by its route's objective. */
 time_ns choice_objective(const struct session *session);
--- a/src/pooler/shared/view.h
+++ b/src/pooler/shared/view.h
@@ -75,8 +75,9 @@
     uint32_t connections; /* that each worker may open to one database; 0: others own them */
     owner_view_t *owners; /* who opens them, this zone's first; none where every pooler does */
     size_t owners_count;
-    uint32_t sharers;           /* workers of poolers that open connections to it; 0: not known */
-    uint32_t alone_connections; /* of this pooler's workers while they reach none of the owners */
+    uint32_t sharers; /* workers of poolers that open connections to it; 0: not known */
+    uint32_t
+        fallback_connections; /* of this pooler's workers while they reach none of the owners */
     struct member_view *members;
     size_t members_count;
 };
--- a/src/pooler/worker/worker_internal.h
+++ b/src/pooler/worker/worker_internal.h
@@ -15,7 +15,7 @@
 #include "pooler/databases/window.h"
 #include "pooler/forwarding/forward.h"
 #include "pooler/routing/freshness.h"
-#include "pooler/routing/pace.h"
+#include "pooler/routing/queue_rate.h"
 #include "pooler/routing/placement.h"
 #include "pooler/routing/shortage.h"
 #include "pooler/shared/metrics.h"
@@ -74,7 +74,7 @@
     time_ns not_before;   /* it is not sent again before */
     time_ns opened_at;    /* a connection was last opened for it */
     bool held;            /* it has waited for a replica to be fresh enough; only once */
-    pace_line_t line;     /* in which it waits, or would */
+    queue_line_t line;    /* in which it waits, or would */
     uint32_t homes_asked; /* bit set: homes of the tenant's limit asked for a token */
     token_question_t *questions[ROSTER_SHARES]; /* open ones, by home; NULL: none */
     time_ns token_at; /* when the first home that refused has a token again; 0: none refused */
@@ -214,7 +214,7 @@
     GPtrArray *servers;           /* of struct server */
     uint32_t in_flight;           /* servers reserved or running */
     window_t window;              /* statements that it is given at once */
-    lately_times_t lately;        /* what they took, by kind */
+    recent_times_t lately;        /* what they took, by kind */
     uint32_t failures;            /* in a row, of opening a connection; answers on others don't end
                                      the row */
     time_ns retry_at;             /* no connection is opened before */
@@ -250,25 +250,25 @@
     enum group_phase phase;
     uint64_t term;
     uint32_t sync_replicas;
-    uint32_t connections;       /* to each database; 0: statements go to the group's owners */
-    uint32_t alone_connections; /* the same while none of the owners can be reached */
-    bool alone;                 /* which is so now */
-    time_ns unreached_since; /* none of the owners could be reached since then, as statements came;
-                                0: one can */
-    GPtrArray *databases;    /* of struct database, owned */
-    GPtrArray *links;        /* link_t to the group's other owners, near ones first */
-    const char *own_address; /* this pooler's if it is an owner, interned; NULL: it is none */
-    guint links_near;        /* how many of them are in this zone */
+    uint32_t connections;          /* to each database; 0: statements go to the group's owners */
+    uint32_t fallback_connections; /* the same while none of the owners can be reached */
+    bool alone;                    /* which is so now */
+    time_ns unreachable_since;     /* none of the owners could be reached since then, as statements
+                                    came;     0: one can */
+    GPtrArray *databases;          /* of struct database, owned */
+    GPtrArray *links;              /* link_t to the group's other owners, near ones first */
+    const char *own_address;       /* this pooler's if it is an owner, interned; NULL: it is none */
+    guint links_same_zone;         /* how many of them are in this zone */
     struct database *primary;
     double latency_ms; /* moving average of the answers of all its databases */
     double opening_ms; /* moving average of what opening a connection takes; 0: not known */
     double led_share;  /* part of the primary's statements that no replica could run: 0 to 1 */
     GQueue queue;      /* of struct session, most urgent first */
-    uint32_t waiting[PACE_LINE_COUNT]; /* how many of the queue are in each line */
-    pace_t pace[PACE_LINE_COUNT];
-    shortage_t shortage[PACE_LINE_COUNT];
+    uint32_t waiting[QUEUE_LINE_COUNT]; /* how many of the queue are in each line */
+    queue_rate_t pace[QUEUE_LINE_COUNT];
+    shortage_t shortage[QUEUE_LINE_COUNT];
     struct freshness freshness;
-    usual_times_t usual; /* what statements take at its databases at rest */
+    baseline_times_t usual; /* what statements take at its databases at rest */
     struct leadership_check check;
     time_ns check_again_at;
     time_ns check_held_since; /* the check waits for connections since then; 0: it does not */
@@ -295,7 +295,7 @@
     bool has_tenants;             /* clients are known by keys */
     time_ns transaction_idle;     /* an open transaction that rests longer is rolled back */
     GHashTable *groups;           /* service -> struct group */
-    usual_times_t usual;          /* what statements take at databases of any group at rest */
+    baseline_times_t usual;       /* what statements take at databases of any group at rest */
     GHashTable *links;            /* address as text -> link_t */
     GHashTable *homes;            /* tenant, interned -> homes of its limit, as asked last */
     GPtrArray *callers;           /* caller_t */
@@ -357,8 +357,8 @@
 void session_check_stop(struct session *session, time_ns now);
 
 /* server.c */
-/* Opens a connection for a tenant, or, for questions of our own, as nobody's (access_nobody). `why`
- * is one of METRICS_OPENED_*. NULL if no socket could be had. */
+/* Opens a connection for a tenant, or, for questions of our own, as nobody's
+ * (access_public_tenant). `why` is one of METRICS_OPENED_*. NULL if no socket could be had. */
 struct server *server_open(struct database *database, const char *tenant, enum metrics_counter why);
 void server_free(struct server *server);
 /* Gives the connection up; a session that it serves is told with the reason. */
@@ -369,7 +369,7 @@
 void server_release(struct server *server);
 
 /* Asks the database for its status, for a check of leadership. The server is idle. */
-void server_ask_status(struct server *server);
+void server_query_status(struct server *server);
 
 /* leadership.c */
 /* Asks the primary and its replicas whether it still leads, unless that is under way. */
@@ -378,7 +378,7 @@
 void leadership_check_answer(struct group *group, const struct database *database,
                              const struct database_report *report);
 /* The primary has shown that it led at this moment. */
-void leadership_note(struct group *group, time_ns at);
+void leadership_note_proven(struct group *group, time_ns at);
 
 /* database.c */
 struct database *database_new(struct group *group, struct member_shared *shared);
@@ -399,26 +399,26 @@
 uint32_t database_connections(const struct database *database);
 /* Makes room for a connection, where there is none, by closing the idle one unused for longest.
  * False if none is idle. */
-bool database_make_room(struct database *database);
+bool database_free_connection(struct database *database);
 /* Opens what the next statements are likely to need. */
-void database_make_ready(struct database *database, time_ns now);
+void database_open_ready(struct database *database, time_ns now);
 void database_set_fault(struct database *database, enum database_fault fault, time_ns now);
 enum database_fault database_fault(const struct database *database);
 /* True if the database is given another statement of this priority now. */
-bool database_has_window(const struct database *database, uint32_t priority, time_ns now);
+bool database_has_capacity(const struct database *database, uint32_t priority, time_ns now);
 /* A statement was refused for want of a slot: it is given fewer at once. */
-void database_narrow(struct database *database, time_ns now);
+void database_narrow_window(struct database *database, time_ns now);
 /* A statement was run: the window may widen, or narrow if it was slow. `slowness`: its time divided
  * by the usual one; 0: not known. */
-void database_answered_statement(struct database *database, double slowness, time_ns now);
+void database_note_statement_answer(struct database *database, double slowness, time_ns now);
 /* Notes an answer. */
-void database_answered(struct database *database, time_ns now);
+void database_note_answer(struct database *database, time_ns now);
 /* Notes that a connection could not be opened, and waits longer each time. */
-void database_open_failed(struct database *database, enum answer_code code);
+void database_note_open_failure(struct database *database, enum answer_code code);
 /* Notes that one was opened, and how long it took. */
-void database_opened(struct database *database, time_ns took);
+void database_note_opening(struct database *database, time_ns took);
 /* Notes how long the first round trip of an opening took. */
-void database_reached(struct database *database, time_ns took);
+void database_note_rtt(struct database *database, time_ns took);
 /* Closes connections that have not been used for a while, beside those kept ready. */
 void database_close_unused(struct database *database, time_ns now);
 /* Looks for silence and stalls, and opens connections anew where they failed. */
@@ -448,9 +448,9 @@
 /* Logs the end of each shortage that is over. True while a line of the group is short of room. */
 bool router_check_shortage(struct group *group, time_ns now);
 /* True if only the primary can serve the session's statement, whatever else is known. */
-bool router_wants_primary(const struct session *session);
+bool router_needs_primary(const struct session *session);
 /* In how long a request that is refused now could be served here; 0: not known. */
-time_ns router_over_in(struct session *session, time_ns now);
+time_ns router_retry_after(struct session *session, time_ns now);
 /* True if other poolers hold the connections to the group's databases. */
 bool router_forwards(const struct group *group);
 
@@ -461,9 +461,9 @@
 void group_refresh(struct group *group);
 /** @brief Serves the group by connections of its own, if none of its owners can be reached.
  *  @return false if it has none to open, or an owner may be reached. */
-bool group_go_alone(struct group *group);
+bool group_start_direct_fallback(struct group *group);
 /** @brief Leaves the group to its owners again, as one of them has given a sign. */
-void group_rejoin(struct group *group);
+void group_end_direct_fallback(struct group *group);
 /* Looks at what waits or is silent. True while a database in use has a fault: only a look at it
  * takes that back. */
 bool group_tick(struct group *group, time_ns now);
--- a/tests/pooler/test_access.c
+++ b/tests/pooler/test_access.c
@@ -354,7 +354,7 @@
     fixture->burst = tokens - ROSTER_SHARES; /* a share holds one more than its part */
     fixture->shared.counting = counting_new(&bounds, backend_now());
     counting_set_roster(fixture->shared.counting, roster, backend_now());
-    counting_rely_until(fixture->shared.counting, in_an_hour());
+    counting_set_valid_until(fixture->shared.counting, in_an_hour());
     set_keys(fixture, two_tenants);
 }
 
--- a/tests/pooler/test_database.c
+++ b/tests/pooler/test_database.c
@@ -43,11 +43,11 @@
 test_open(fixture_t *fixture, gconstpointer unused)
 {
     run(fixture, SERVERS);
-    g_assert_true(database_has_window(fixture->database, 0, fixture->now));
-    database_narrow(fixture->database, fixture->now);
-    g_assert_false(database_has_window(fixture->database, 0, fixture->now));
+    g_assert_true(database_has_capacity(fixture->database, 0, fixture->now));
+    database_narrow_window(fixture->database, fixture->now);
+    g_assert_false(database_has_capacity(fixture->database, 0, fixture->now));
     run(fixture, 0);
-    g_assert_true(database_has_window(fixture->database, 0, fixture->now));
+    g_assert_true(database_has_capacity(fixture->database, 0, fixture->now));
 }
 
 /* Refusals of one moment count once; one statement always goes. */
@@ -55,19 +55,19 @@
 test_narrows(fixture_t *fixture, gconstpointer unused)
 {
     run(fixture, 10);
-    database_narrow(fixture->database, fixture->now);
-    database_narrow(fixture->database, fixture->now + 10 * MS);
+    database_narrow_window(fixture->database, fixture->now);
+    database_narrow_window(fixture->database, fixture->now + 10 * MS);
     run(fixture, 6);
-    g_assert_true(database_has_window(fixture->database, 0, fixture->now));
+    g_assert_true(database_has_capacity(fixture->database, 0, fixture->now));
     run(fixture, 7);
-    g_assert_false(database_has_window(fixture->database, 0, fixture->now));
+    g_assert_false(database_has_capacity(fixture->database, 0, fixture->now));
     for (unsigned i = 1; i < 20; i++) {
-        database_narrow(fixture->database, fixture->now + i * 100 * MS);
+        database_narrow_window(fixture->database, fixture->now + i * 100 * MS);
     }
     run(fixture, 0);
-    g_assert_true(database_has_window(fixture->database, 0, fixture->now));
+    g_assert_true(database_has_capacity(fixture->database, 0, fixture->now));
     run(fixture, 1);
-    g_assert_false(database_has_window(fixture->database, 0, fixture->now));
+    g_assert_false(database_has_capacity(fixture->database, 0, fixture->now));
 }
 
 /* It grows with what is run, about one statement for each two rounds, without end. */
@@ -75,20 +75,20 @@
 test_widens(fixture_t *fixture, gconstpointer unused)
 {
     run(fixture, 4);
-    database_narrow(fixture->database, fixture->now);
+    database_narrow_window(fixture->database, fixture->now);
     run(fixture, 5);
-    g_assert_false(database_has_window(fixture->database, 0, fixture->now));
+    g_assert_false(database_has_capacity(fixture->database, 0, fixture->now));
     for (unsigned i = 0; i < 40; i++) {
-        database_answered_statement(fixture->database, 0, fixture->now);
+        database_note_statement_answer(fixture->database, 0, fixture->now);
     }
-    g_assert_true(database_has_window(fixture->database, 0, fixture->now));
+    g_assert_true(database_has_capacity(fixture->database, 0, fixture->now));
     run(fixture, 10);
-    g_assert_false(database_has_window(fixture->database, 0, fixture->now));
+    g_assert_false(database_has_capacity(fixture->database, 0, fixture->now));
     for (unsigned i = 0; i < 10000; i++) {
-        database_answered_statement(fixture->database, 0, fixture->now);
+        database_note_statement_answer(fixture->database, 0, fixture->now);
     }
     run(fixture, SERVERS);
-    g_assert_true(database_has_window(fixture->database, 0, fixture->now));
+    g_assert_true(database_has_capacity(fixture->database, 0, fixture->now));
 }
 
 #define ADD(name, test)                                                                            \
--- a/tests/pooler/test_forward.c
+++ b/tests/pooler/test_forward.c
@@ -212,7 +212,7 @@
 static void
 test_alone(struct fixture *fixture, gconstpointer unused)
 {
-    fixture->alone_connections = 1;
+    fixture->fallback_connections = 1;
     publish(fixture);
     struct client *client = client_open(fixture, "strict");
     good(client, "WRITE hut 4", 'I');
@@ -245,7 +245,7 @@
 static void
 test_short_loss(struct fixture *fixture, gconstpointer unused)
 {
-    fixture->alone_connections = 2;
+    fixture->fallback_connections = 2;
     publish(fixture);
     struct client *client = client_open(fixture, "strict");
     good(client, "WRITE hut 4", 'I');
--- a/tests/pooler/test_freshness.c
+++ b/tests/pooler/test_freshness.c
@@ -59,9 +59,9 @@
     struct freshness freshness = {0};
     freshness_add(&freshness, 100 * MS, at(10));
     freshness_add(&freshness, 200 * MS, at(20));
-    g_assert_null(freshness_reached(&freshness, at(9)));
-    g_assert_cmpuint(freshness_reached(&freshness, at(19))->at, ==, 100 * MS);
-    g_assert_cmpuint(freshness_reached(&freshness, at(25))->at, ==, 200 * MS);
+    g_assert_null(freshness_newest_covered(&freshness, at(9)));
+    g_assert_cmpuint(freshness_newest_covered(&freshness, at(19))->at, ==, 100 * MS);
+    g_assert_cmpuint(freshness_newest_covered(&freshness, at(25))->at, ==, 200 * MS);
 }
 
 static void
--- a/tests/pooler/test_placement.c
+++ b/tests/pooler/test_placement.c
@@ -68,8 +68,8 @@
 static void
 test_a_slow_spell_fades(void)
 {
-    double slow = placement_faded_ms(90, 10, 0);
-    double later = placement_faded_ms(90, 10, 10 * NANOSECONDS_PER_SECOND);
+    double slow = placement_decayed_ms(90, 10, 0);
+    double later = placement_decayed_ms(90, 10, 10 * NANOSECONDS_PER_SECOND);
     g_assert_cmpfloat(slow, ==, 90);
     g_assert_cmpfloat(later, <, 25);
     g_assert_cmpfloat(later, >, 10);
@@ -79,13 +79,13 @@
 static void
 test_way(void)
 {
-    double way = placement_learn_way(0, 5);
+    double way = placement_update_rtt(0, 5);
     g_assert_cmpfloat(way, ==, 5);
     for (unsigned i = 0; i < 8; i++) {
-        way = placement_learn_way(way, 1);
+        way = placement_update_rtt(way, 1);
     }
     g_assert_cmpfloat(way, <, 1.1);
-    way = placement_learn_way(way, 20);
+    way = placement_update_rtt(way, 20);
     g_assert_cmpfloat(way, <, 2.1);
 }
 
--- a/tests/pooler/test_evidence.c
+++ b/tests/pooler/test_proof.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 
 #include "backend/clock.h"
-#include "pooler/access/evidence.h"
+#include "pooler/access/proof.h"
 
 #define MS       NANOSECONDS_PER_MILLISECOND
 #define START    (10 * NANOSECONDS_PER_SECOND)
@@ -66,13 +66,13 @@
 {
     time_ns proven = START;
     time_ns told = START + 700 * MS;
-    uint32_t age = evidence_age_ms(proven, told);
+    uint32_t age = proof_age_ms(proven, told);
     g_assert_cmpuint(age, >=, 700);
-    g_assert_cmpuint(evidence_from_age(told - 5 * MS, age), <, proven);
-    g_assert_cmpuint(evidence_from_age(told, 0), ==, 0);
-    g_assert_cmpuint(evidence_age_ms(0, told), ==, 0);
-    g_assert_cmpuint(evidence_age_ms(told + 1, told), ==, 0);
-    g_assert_cmpuint(evidence_from_age(3 * MS, 9), ==, 0); /* older than our clock */
+    g_assert_cmpuint(proof_from_age(told - 5 * MS, age), <, proven);
+    g_assert_cmpuint(proof_from_age(told, 0), ==, 0);
+    g_assert_cmpuint(proof_age_ms(0, told), ==, 0);
+    g_assert_cmpuint(proof_age_ms(told + 1, told), ==, 0);
+    g_assert_cmpuint(proof_from_age(3 * MS, 9), ==, 0); /* older than our clock */
 }
 
 /* Passed on over any number of poolers with any delay between, proof only grows older. */
@@ -87,9 +87,9 @@
         for (unsigned hop = 0; hop < 4 && known != 0; hop++) {
             time_ns asked = now;
             now += (time_ns)g_rand_int_range(rand, 0, 400) * MS;
-            uint32_t age = evidence_age_ms(known, now);
+            uint32_t age = proof_age_ms(known, now);
             now += (time_ns)g_rand_int_range(rand, 0, 4000) * MS; /* a freeze */
-            known = evidence_from_age(asked, age);
+            known = proof_from_age(asked, age);
             g_assert_cmpuint(known, <=, real);
         }
     }
@@ -98,12 +98,12 @@
 static void
 test_lifetime(void)
 {
-    time_ns lifetime = evidence_lifetime(5000);
+    time_ns lifetime = proof_lifetime_ns(5000);
     g_assert_cmpuint(lifetime, ==, 4000 * MS);
-    g_assert_true(evidence_holds(START, lifetime, START + lifetime - 1));
-    g_assert_false(evidence_holds(START, lifetime, START + lifetime));
-    g_assert_false(evidence_holds(0, lifetime, START));
-    g_assert_true(evidence_holds(0, 0, START)); /* not asked for */
+    g_assert_true(proof_is_valid(START, lifetime, START + lifetime - 1));
+    g_assert_false(proof_is_valid(START, lifetime, START + lifetime));
+    g_assert_false(proof_is_valid(0, lifetime, START));
+    g_assert_true(proof_is_valid(0, 0, START)); /* not asked for */
 }
 
 int
--- a/tests/pooler/test_pace.c
+++ b/tests/pooler/test_queue_rate.c
@@ -3,7 +3,7 @@
  * @brief Which waiting statements are in time: those of a hot group's only primary, behind which
  * nothing else can serve them, and those that replicas serve as well.
  */
-#include "pooler/routing/pace.h"
+#include "pooler/routing/queue_rate.h"
 
 #include <glib.h>
 
@@ -11,15 +11,15 @@
 #define START (100 * NANOSECONDS_PER_SECOND)
 
 /* A statement leaves each `ms`, for long. */
-static pace_t
+static queue_rate_t
 paced(double ms)
 {
-    pace_t pace = {0};
+    queue_rate_t pace = {0};
     time_ns now = START;
-    pace_came(&pace, 0, now);
+    queue_rate_note_arrival(&pace, 0, now);
     for (unsigned i = 0; i < 200; i++) {
         now += (time_ns)(ms * (double)MS);
-        pace_left(&pace, now);
+        queue_rate_note_departure(&pace, now);
     }
     return pace;
 }
@@ -29,84 +29,86 @@
 static void
 test_time_at_a_hot_primary_counts(void)
 {
-    pace_t pace = paced(45);
-    prospect_t prospect = {
+    queue_rate_t pace = paced(45);
+    wait_forecast_t prospect = {
         .ahead = 6, .room = 5, .run_ms = 190, .each_ms = 190, .objective_ms = 400};
-    g_assert_cmpfloat(pace_wait_ms(&pace, &prospect), <, 0.7 * 400);
-    g_assert_true(pace_is_late(&pace, &prospect));
+    g_assert_cmpfloat(queue_rate_wait_ms(&pace, &prospect), <, 0.7 * 400);
+    g_assert_true(queue_rate_is_late(&pace, &prospect));
     prospect.run_ms = 45;
-    g_assert_false(pace_is_late(&pace, &prospect));
+    g_assert_false(queue_rate_is_late(&pace, &prospect));
 }
 
 /* Writes of 9 ms behind reads of 47: by the mean of all at the database they would be refused. */
 static void
 test_a_quick_kind_is_taken_by_its_own_time(void)
 {
-    pace_t pace = paced(40);
-    prospect_t prospect = {.ahead = 1, .room = 1, .run_ms = 9, .each_ms = 47, .objective_ms = 100};
-    g_assert_false(pace_is_late(&pace, &prospect));
+    queue_rate_t pace = paced(40);
+    wait_forecast_t prospect = {
+        .ahead = 1, .room = 1, .run_ms = 9, .each_ms = 47, .objective_ms = 100};
+    g_assert_false(queue_rate_is_late(&pace, &prospect));
     prospect.run_ms = 47;
-    g_assert_true(pace_is_late(&pace, &prospect));
+    g_assert_true(queue_rate_is_late(&pace, &prospect));
 }
 
 /* What was spent at another pooler and on the way is gone. */
 static void
 test_time_since_it_arrived_counts(void)
 {
-    pace_t pace = paced(20);
-    prospect_t prospect = {.ahead = 3, .room = 2, .run_ms = 20, .each_ms = 20, .objective_ms = 100};
-    g_assert_false(pace_is_late(&pace, &prospect));
+    queue_rate_t pace = paced(20);
+    wait_forecast_t prospect = {
+        .ahead = 3, .room = 2, .run_ms = 20, .each_ms = 20, .objective_ms = 100};
+    g_assert_false(queue_rate_is_late(&pace, &prospect));
     prospect.waited_ms = 40;
-    g_assert_true(pace_is_late(&pace, &prospect));
+    g_assert_true(queue_rate_is_late(&pace, &prospect));
 }
 
 /* Reads that three databases serve move at their pace, while the primary's line is full. */
 static void
 test_reads_go_by_the_pace_of_all_their_databases(void)
 {
-    pace_t line[PACE_LINE_COUNT] = {paced(45), paced(5)};
-    prospect_t prospect = {
+    queue_rate_t line[QUEUE_LINE_COUNT] = {paced(45), paced(5)};
+    wait_forecast_t prospect = {
         .ahead = 8, .room = 12, .run_ms = 30, .each_ms = 30, .objective_ms = 300};
-    g_assert_true(pace_is_late(&line[PACE_LINE_PRIMARY], &prospect));
-    g_assert_false(pace_is_late(&line[PACE_LINE_ANY], &prospect));
+    g_assert_true(queue_rate_is_late(&line[QUEUE_LINE_PRIMARY], &prospect));
+    g_assert_false(queue_rate_is_late(&line[QUEUE_LINE_ANY], &prospect));
 }
 
 /* While nobody leads, nothing is known of a pace, and it is not load that holds the line up. */
 static void
 test_a_change_of_primary_is_no_pace(void)
 {
-    pace_t pace = paced(10);
-    prospect_t prospect = {
+    queue_rate_t pace = paced(10);
+    wait_forecast_t prospect = {
         .ahead = 50, .room = 0, .run_ms = 10, .each_ms = 10, .objective_ms = 200};
-    g_assert_false(pace_is_late(&pace, &prospect));
+    g_assert_false(queue_rate_is_late(&pace, &prospect));
     prospect =
-        (prospect_t){.ahead = 10, .room = 4, .run_ms = 10, .each_ms = 10, .objective_ms = 200};
+        (wait_forecast_t){.ahead = 10, .room = 4, .run_ms = 10, .each_ms = 10, .objective_ms = 200};
     time_ns after = pace.moved_at + 2 * NANOSECONDS_PER_SECOND;
-    pace_restart(&pace, after);
-    pace_left(&pace, after + 10 * MS);
-    g_assert_false(pace_is_late(&pace, &prospect));
+    queue_rate_restart(&pace, after);
+    queue_rate_note_departure(&pace, after + 10 * MS);
+    g_assert_false(queue_rate_is_late(&pace, &prospect));
 }
 
 /* Who is next is never refused: nobody would gain, and a database that was slow has to be tried. */
 static void
 test_the_first_is_never_late(void)
 {
-    pace_t pace = paced(500);
-    prospect_t prospect = {
+    queue_rate_t pace = paced(500);
+    wait_forecast_t prospect = {
         .ahead = 0, .room = 1, .run_ms = 900, .each_ms = 900, .objective_ms = 200};
-    g_assert_false(pace_is_late(&pace, &prospect));
+    g_assert_false(queue_rate_is_late(&pace, &prospect));
 }
 
 /* The time may have been read before the line last moved: it moved at once, then. */
 static void
 test_a_time_from_before(void)
 {
-    pace_t pace = paced(10);
-    prospect_t prospect = {.ahead = 5, .room = 4, .run_ms = 10, .objective_ms = 200};
+    queue_rate_t pace = paced(10);
+    wait_forecast_t prospect = {.ahead = 5, .room = 4, .run_ms = 10, .objective_ms = 200};
     time_ns moved_at = pace.moved_at;
-    pace_left(&pace, moved_at - 1);
+    queue_rate_note_departure(&pace, moved_at - 1);
     g_assert_cmpuint(pace.moved_at, ==, moved_at);
-    g_assert_false(pace_is_late(&pace, &prospect));
+    g_assert_false(queue_rate_is_late(&pace, &prospect));
 }
 
 int
--- a/tests/pooler/test_rate.c
+++ b/tests/pooler/test_rate.c
@@ -8,7 +8,7 @@
 
 #include "backend/clock.h"
 #include "pooler/rate/counting.h"
-#include "pooler/rate/home_belief.h"
+#include "pooler/rate/home_health.h"
 
 #define MS     NANOSECONDS_PER_MILLISECOND
 #define SECOND NANOSECONDS_PER_SECOND
@@ -164,32 +164,32 @@
 static void
 test_silent_home_is_left_alone(void)
 {
-    home_belief_t belief = {0};
+    home_health_t belief = {0};
     unsigned asked = 0;
     time_ns now = SECOND;
     for (; now < 11 * SECOND; now += MS) {
-        if (!home_belief_avoided(&belief, now)) {
+        if (!home_health_is_avoided(&belief, now)) {
             asked++;
-            home_belief_silent(&belief, now + HOME_SILENT_NS);
+            home_health_note_timeout(&belief, now + HOME_TIMEOUT_NS);
         }
     }
     g_assert_cmpuint(asked, >=, 4);
     g_assert_cmpuint(asked, <=, 7); /* 40 at a quarter of a second each */
-    g_assert_true(home_belief_is_silent(&belief, now));
-    g_assert_true(home_belief_heard(&belief));
-    g_assert_false(home_belief_avoided(&belief, now));
-    g_assert_false(home_belief_heard(&belief));
+    g_assert_true(home_health_is_unresponsive(&belief, now));
+    g_assert_true(home_health_message_received(&belief));
+    g_assert_false(home_health_is_avoided(&belief, now));
+    g_assert_false(home_health_message_received(&belief));
 }
 
 /* Many operations that wait for the same home in one moment are one silence. */
 static void
 test_many_waiters_are_one_silence(void)
 {
-    home_belief_t belief = {0};
+    home_health_t belief = {0};
     for (unsigned i = 0; i < 100; i++) {
-        home_belief_silent(&belief, SECOND + i * MS);
+        home_health_note_timeout(&belief, SECOND + i * MS);
     }
-    g_assert_false(home_belief_avoided(&belief, SECOND + 400 * MS));
+    g_assert_false(home_health_is_avoided(&belief, SECOND + 400 * MS));
 }
 
 /* Answers of 2 ms, now and then 6: another home is asked long before one is given up. A home whose
@@ -197,17 +197,17 @@
 static void
 test_patience_is_learned(void)
 {
-    home_belief_t quick = {0};
-    home_belief_t slow = {0};
-    g_assert_cmpuint(home_belief_patience(&quick), <, HOME_SILENT_NS / 2);
+    home_health_t quick = {0};
+    home_health_t slow = {0};
+    g_assert_cmpuint(home_health_hedge_delay(&quick), <, HOME_TIMEOUT_NS / 2);
     for (unsigned i = 0; i < 100; i++) {
-        home_belief_answered(&quick, (i % 10 == 0 ? 6 : 2) * MS);
-        home_belief_answered(&slow, 50 * MS);
+        home_health_answered(&quick, (i % 10 == 0 ? 6 : 2) * MS);
+        home_health_answered(&slow, 50 * MS);
     }
-    g_assert_cmpuint(home_belief_patience(&quick), >=, 6 * MS);
-    g_assert_cmpuint(home_belief_patience(&quick), <=, 20 * MS);
-    g_assert_cmpuint(home_belief_patience(&slow), >=, 50 * MS);
-    g_assert_cmpuint(home_belief_patience(&slow), <=, HOME_SILENT_NS);
+    g_assert_cmpuint(home_health_hedge_delay(&quick), >=, 6 * MS);
+    g_assert_cmpuint(home_health_hedge_delay(&quick), <=, 20 * MS);
+    g_assert_cmpuint(home_health_hedge_delay(&slow), >=, 50 * MS);
+    g_assert_cmpuint(home_health_hedge_delay(&slow), <=, HOME_TIMEOUT_NS);
 }
 
 /* ---- roster ---- */
@@ -281,7 +281,7 @@
     g_assert_cmpint(counting_take(counting, tenant, 0, SECOND, &wait), ==, TOKEN_DECLINED);
     counting_set_roster(counting, roster, SECOND);
     g_assert_cmpint(counting_take(counting, tenant, 0, SECOND, &wait), ==, TOKEN_DECLINED);
-    counting_rely_until(counting, 100 * SECOND);
+    counting_set_valid_until(counting, 100 * SECOND);
     unsigned first = take_all(counting, tenant, SECOND);
     g_assert_cmpuint(first, <=, (unsigned)((50 * 5 + 20) * 0.1 + 20) / 3);
     g_assert_cmpuint(take_all(counting, tenant, 60 * SECOND), ==, 20 + ROSTER_SHARES);
@@ -302,7 +302,7 @@
     roster_t *roster = make_roster(1, 1);
     roster->members[0].self = true;
     counting_set_roster(counting, roster, 0);
-    counting_rely_until(counting, 100 * SECOND);
+    counting_set_valid_until(counting, 100 * SECOND);
     g_assert_cmpuint(take_all(counting, tenant, 10 * SECOND), >, 0);
     roster_unref(roster);
     counting_free(counting);
@@ -321,7 +321,7 @@
         counting_t *counting = counting_new(&bounds, SECOND);
         roster_t *roster = make_roster(1, 1);
         roster->members[0].self = true;
-        counting_rely_until(counting, 100 * SECOND);
+        counting_set_valid_until(counting, 100 * SECOND);
         if (later) {
             roster->members[0].entering = true;
             counting_set_roster(counting, roster, listed);
@@ -346,7 +346,7 @@
     roster->members[0].self = true;
     roster->members[0].entering = true;
     counting_set_roster(counting, roster, 0);
-    counting_rely_until(counting, 100 * SECOND);
+    counting_set_valid_until(counting, 100 * SECOND);
     g_assert_cmpint(counting_take(counting, tenant, 0, SECOND, &wait), ==, TOKEN_DECLINED);
     roster->members[0].entering = false;
     roster->members[0].away = true;
@@ -459,7 +459,8 @@
 rely(rig_t *rig, machine_t *machine, time_ns moment)
 {
     bool forever = rig->mutation == MUTATION_NOT_CURRENT;
-    counting_rely_until(machine->counting, forever ? UINT64_MAX / 2 : moment + ROSTER_CURRENT_NS);
+    counting_set_valid_until(machine->counting,
+                             forever ? UINT64_MAX / 2 : moment + ROSTER_VALID_NS);
 }
 
 static bool
@@ -514,11 +515,12 @@
         const listed_t *listed = &rig->list[i];
         bool heard = is_heard(rig, listed);
         bool out = !listed->present || (!heard && rig->mutation == MUTATION_SILENT_OUT);
-        const roster_standing_t standing = {listed->confirmed, listed->confirmed_as_of,
-                                            heard && !listed->away, MAX(listed->since, rig->since)};
+        const roster_member_state_t standing = {listed->confirmed, listed->confirmed_as_of,
+                                                heard && !listed->away,
+                                                MAX(listed->since, rig->since)};
         time_ns written_at = rig->mutation == MUTATION_ROW_BEHIND ? 1 : entering->written_at;
         if (!out && rig->mutation != MUTATION_UNCONFIRMED &&
-            !roster_has_heard(&standing, entering->version, written_at, rig->now)) {
+            !roster_member_is_up_to_date(&standing, entering->version, written_at, rig->now)) {
             return false;
         }
     }
--- a/tests/pooler/test_window.c
+++ b/tests/pooler/test_window.c
@@ -34,16 +34,16 @@
 {
     g_autoptr(GRand) rand = g_rand_new_with_seed(7);
     window_t windows[16];
-    usual_times_t general = {0};
-    usual_times_t usual = {0};
-    lately_times_t lately[16] = {0};
+    baseline_times_t general = {0};
+    baseline_times_t usual = {0};
+    recent_times_t lately[16] = {0};
     double work_ms = 45;
     for (unsigned i = 0; i < owners; i++) {
         window_init(&windows[i]);
         window_set_slots(&windows[i], slots, owners);
     }
     for (unsigned i = 0; i < 50; i++) {
-        usual_times_learn(&general, &usual, &lately[0], 0, work_ms * draw_work(rand), START);
+        baseline_times_update(&general, &usual, &lately[0], 0, work_ms * draw_work(rand), START);
     }
     double sum = 0;
     unsigned samples = 0;
@@ -57,8 +57,8 @@
         unsigned owner = g_rand_int_range(rand, 0, (gint32)owners);
         double took = work_ms * slow * (draw_work(rand) + queued);
         time_ns now = START + (time_ns)(ms * (double)MS);
-        double slowness = usual_times_learn(&general, &usual, &lately[owner], 0, took, now);
-        window_answered(&windows[owner], slowness, (uint32_t)windows[owner].size, now);
+        double slowness = baseline_times_update(&general, &usual, &lately[owner], 0, took, now);
+        window_note_answer(&windows[owner], slowness, (uint32_t)windows[owner].size, now);
         ms += work_ms * slow / MIN(running, slots);
         if (ms > seconds * 500) {
             sum += running;
@@ -83,15 +83,15 @@
 static void
 test_a_group_never_seen_at_rest_goes_by_the_others(void)
 {
-    usual_times_t general = {0};
-    usual_times_t usual[2] = {0};
-    lately_times_t lately[2] = {0};
+    baseline_times_t general = {0};
+    baseline_times_t usual[2] = {0};
+    recent_times_t lately[2] = {0};
     time_ns now = START;
     double slowness = 0;
     for (unsigned i = 0; i < 40; i++) {
         now += 10 * MS;
-        usual_times_learn(&general, &usual[0], &lately[0], 1, 10, now);
-        slowness = usual_times_learn(&general, &usual[1], &lately[1], 1, 80, now);
+        baseline_times_update(&general, &usual[0], &lately[0], 1, 10, now);
+        slowness = baseline_times_update(&general, &usual[1], &lately[1], 1, 80, now);
     }
     g_assert_cmpfloat(slowness, >, 6);
 }
@@ -110,17 +110,17 @@
 {
     g_autoptr(GRand) rand = g_rand_new_with_seed(11);
     window_t window;
-    usual_times_t general = {0};
-    usual_times_t usual = {0};
-    lately_times_t lately = {0};
+    baseline_times_t general = {0};
+    baseline_times_t usual = {0};
+    recent_times_t lately = {0};
     unsigned narrowed = 0;
     window_init(&window);
     window_set_slots(&window, 6, 9);
     for (unsigned i = 0; i < 20000; i++) {
         time_ns now = START + i * 20 * MS;
         double slowness =
-            usual_times_learn(&general, &usual, &lately, 0, 10 * draw_work(rand), now);
-        window_answered(&window, slowness, 3, now);
+            baseline_times_update(&general, &usual, &lately, 0, 10 * draw_work(rand), now);
+        window_note_answer(&window, slowness, 3, now);
         narrowed += window.size < 6;
     }
     g_test_message("narrowed %u of 20000", narrowed);
@@ -134,19 +134,19 @@
 {
     window_t window;
     window_init(&window);
-    g_assert_true(window_has_room(&window, 100, 0, START));
+    g_assert_true(window_has_capacity(&window, 100, 0, START));
     window_set_slots(&window, 4, 2);
-    g_assert_true(window_has_room(&window, 4, 0, START));
-    g_assert_false(window_has_room(&window, 5, 0, START));
+    g_assert_true(window_has_capacity(&window, 4, 0, START));
+    g_assert_false(window_has_capacity(&window, 5, 0, START));
     for (unsigned i = 0; i < 100; i++) {
-        window_answered(&window, 1, 5, START + i * MS);
+        window_note_answer(&window, 1, 5, START + i * MS);
     }
-    g_assert_false(window_has_room(&window, 5, 0, START));
+    g_assert_false(window_has_capacity(&window, 5, 0, START));
     window_set_slots(&window, 0, 0);
     for (unsigned i = 0; i < 100000; i++) {
-        window_answered(&window, 9, 5, START + i * MS);
+        window_note_answer(&window, 9, 5, START + i * MS);
     }
-    g_assert_true(window_has_room(&window, 4, 0, START));
+    g_assert_true(window_has_capacity(&window, 4, 0, START));
 }
 
 /* Dashboards fill a window; setpoints have come within the last second: one place is theirs. It is
@@ -158,19 +158,19 @@
     time_ns later = START + NANOSECONDS_PER_SECOND;
     window_init(&window);
     window_set_slots(&window, 4, 1);
-    window_came(&window, 2, START);
-    g_assert_true(window_has_room(&window, 4, 2, START));
-    window_came(&window, 0, START);
-    window_came(&window, 2, START);
-    g_assert_true(window_has_room(&window, 3, 2, START));
-    g_assert_false(window_has_room(&window, 4, 2, START));
-    g_assert_true(window_has_room(&window, 4, 0, START));
-    g_assert_true(window_has_room(&window, 4, 2, later));
+    window_note_arrival(&window, 2, START);
+    g_assert_true(window_has_capacity(&window, 4, 2, START));
+    window_note_arrival(&window, 0, START);
+    window_note_arrival(&window, 2, START);
+    g_assert_true(window_has_capacity(&window, 3, 2, START));
+    g_assert_false(window_has_capacity(&window, 4, 2, START));
+    g_assert_true(window_has_capacity(&window, 4, 0, START));
+    g_assert_true(window_has_capacity(&window, 4, 2, later));
     for (unsigned i = 0; i < 40; i++) {
-        window_refused(&window, 2, START + i * 100 * MS);
+        window_note_refusal(&window, 2, START + i * 100 * MS);
     }
-    window_came(&window, 0, later);
-    g_assert_true(window_has_room(&window, 0, 2, later)); /* a window of one keeps nothing */
+    window_note_arrival(&window, 0, later);
+    g_assert_true(window_has_capacity(&window, 0, 2, later)); /* a window of one keeps nothing */
 }
 
 /* After a slow while it is as wide again within seconds. */
@@ -181,16 +181,16 @@
     window_init(&window);
     window_set_slots(&window, 4, 4);
     for (unsigned i = 0; i < 100; i++) {
-        window_answered(&window, 8, 5, START + i * 50 * MS);
+        window_note_answer(&window, 8, 5, START + i * 50 * MS);
     }
     g_assert_true(window.at_share);
-    g_assert_true(window_has_room(&window, 0, 0, START));
-    g_assert_false(window_has_room(&window, 1, 0, START));
+    g_assert_true(window_has_capacity(&window, 0, 0, START));
+    g_assert_false(window_has_capacity(&window, 1, 0, START));
     for (unsigned i = 0; i < 100; i++) {
-        window_answered(&window, 1.8, 1, START + 5 * NANOSECONDS_PER_SECOND + i * 20 * MS);
+        window_note_answer(&window, 1.8, 1, START + 5 * NANOSECONDS_PER_SECOND + i * 20 * MS);
     }
     g_assert_false(window.at_share);
-    g_assert_true(window_has_room(&window, 4, 0, START));
+    g_assert_true(window_has_capacity(&window, 4, 0, START));
 }
 
 int
--- a/tests/pooler/worker_fixture.c
+++ b/tests/pooler/worker_fixture.c
@@ -158,7 +158,7 @@
                                   fixture->version, fixture->keys);
     if (name_owners(fixture, view->groups[0]) > 0 && !fixture->owns) {
         view->groups[0]->connections = 0;
-        view->groups[0]->alone_connections = fixture->alone_connections;
+        view->groups[0]->fallback_connections = fixture->fallback_connections;
     }
     exchange_view(&fixture->shared, fixture->worker, view);
 }
--- a/tests/pooler/worker_fixture.h
+++ b/tests/pooler/worker_fixture.h
@@ -44,7 +44,7 @@
     uint64_t term;
     enum group_phase phase;
     uint32_t connections;
-    uint32_t alone_connections; /* of the worker, while it reaches no owner */
+    uint32_t fallback_connections; /* of the worker, while it reaches no owner */
     uint32_t staleness_ms;
     uint32_t timeout_ms;
     uint32_t own_target_ms;   /* objective of the route "own"; the others have 250 ms */
