--- a/src/pooler/access/access.c
+++ b/src/pooler/access/access.c
@@ -1,4 +1,4 @@
-/* Whose a session is, and whether it may ask a database now; see the header. */
+/* Authentication of sessions and authorization of their statements; see the header. */
 #define G_LOG_DOMAIN "access"
 #include "pooler/access/access.h"
 
@@ -8,12 +8,12 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Who is named to databases on routes that need no key. */
-#define NOBODY "public"
+/* Tenant name sent to databases for routes that need no key. */
+#define PUBLIC_TENANT "public"
 
-/* What a client is told where the proof that its key still stands is missing: by its second
- * heartbeat from now, each 250 ms, a pooler has proof again if any pooler reaches the store. */
-#define NEXT_WORD_NS (500 * NANOSECONDS_PER_MILLISECOND)
+/* Retry time sent to a client when the proof is missing or expired. Two heartbeat intervals of
+ * 250 ms: by then this pooler has a new proof if any pooler reaches the store. */
+#define PROOF_RETRY_NS (500 * NANOSECONDS_PER_MILLISECOND)
 
 const char *
 access_verdict_name(access_verdict_t verdict)
@@ -25,21 +25,22 @@
 const char *
 access_public_tenant(void)
 {
-    return g_intern_static_string(NOBODY);
+    return g_intern_static_string(PUBLIC_TENANT);
 }
 
-/* Whose the key is by the newest configuration; NULL if nobody's. */
+/* The tenant that has the session's key in the newest configuration, or the public tenant where no
+ * key is needed; NULL if the key is unknown. */
 static const char *
-find_holder(const struct session *session)
+find_tenant(const struct session *session)
 {
     const char *name = NULL;
     rcu_read_lock();
     const struct view *view = rcu_dereference(session->worker->shared->view);
     if (view != NULL && view->configuration != NULL) {
-        const tenant_t *holder = configuration_holder(view->configuration, session->key);
+        const tenant_t *tenant = configuration_holder(view->configuration, session->key);
         bool keys = view->configuration->keys != NULL;
         bool open = !keys || session->route.is_public;
-        name = holder != NULL ? holder->name : (open ? access_public_tenant() : NULL);
+        name = tenant != NULL ? tenant->name : (open ? access_public_tenant() : NULL);
     }
     rcu_read_unlock();
     return name;
@@ -55,14 +56,14 @@
 access_check(struct session *session)
 {
     const struct worker_shared *shared = session->worker->shared;
-    /* Read before the configuration: that one is as new as the proof, or newer. */
+    /* Read before the configuration, which is then at least as new as the proof. */
     time_ns proven_at = atomic_load(&shared->configuration_proven_at);
-    const char *holder = find_holder(session);
+    const char *tenant = find_tenant(session);
     bool open = session->transaction == SESSION_TRANSACTION_OPEN;
-    if (holder == NULL || (open && session->tenant != NULL && holder != session->tenant)) {
+    if (tenant == NULL || (open && session->tenant != NULL && tenant != session->tenant)) {
         return ACCESS_UNKNOWN_KEY;
     }
-    session->tenant = holder;
+    session->tenant = tenant;
     if (needs_key(session) && !proof_is_valid(proven_at, shared->proof_lifetime, backend_now())) {
         return ACCESS_UNPROVEN;
     }
@@ -86,7 +87,7 @@
     metrics_count(&session->worker->metrics,
                   verdict == ACCESS_UNPROVEN ? METRICS_REFUSED_UNPROVEN : METRICS_REFUSED_KEYS);
     session->request.refusal = access_verdict_name(verdict);
-    session->request.over_in = NEXT_WORD_NS;
+    session->request.over_in = PROOF_RETRY_NS;
     session->request.may_have_run = false;
     if (session->transaction != SESSION_TRANSACTION_NONE) {
         session_answer_lost(session, ANSWER_ABORTED);
@@ -105,8 +106,9 @@
     if (verdict == ACCESS_GRANTED && !matches) {
         g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_WARNING, "SW_TENANT", session->tenant,
                          "SW_DATABASE", server->database->shared->id, "MESSAGE",
-                         "A statement of %s met a connection of %s at %s: it is not sent.",
-                         session->tenant, server->tenant == NULL ? "nobody" : server->tenant,
+                         "Bug: statement of tenant %s was assigned a connection of tenant %s to "
+                         "database %s; the statement is not sent.",
+                         session->tenant, server->tenant == NULL ? "(none)" : server->tenant,
                          server->database->shared->id);
         return ACCESS_UNKNOWN_KEY;
     }
--- a/src/pooler/access/access.h
+++ b/src/pooler/access/access.h
@@ -1,12 +1,12 @@
 /**
  * @file
- * @brief Whose a session is, and whether a statement of it may go to a database now. All functions
- * belong to the session's worker.
+ * @brief Authentication of sessions by key, and authorization of each statement. Call the functions
+ * from the thread of the session's worker only.
  *
- * A session is known by the key that its client named at the start. Whose key that is stands in the
- * configuration, and is looked up anew for each statement, right before its bytes go out, so that
- * nothing runs on a key that was taken away meanwhile, in the queue or on the way from another
- * pooler. The key itself is a secret: it goes into no log, metric or answer.
+ * A client names its key when the session starts. The configuration maps keys to tenants. The key
+ * is looked up again for each statement immediately before the statement is sent, so that no
+ * statement runs with a key that was revoked while the statement was queued or was being forwarded
+ * by another pooler. The key is a secret: it must not appear in a log, metric or answer.
  */
 #ifndef SW_POOLER_ACCESS_ACCESS_H
 #define SW_POOLER_ACCESS_ACCESS_H
@@ -17,35 +17,37 @@
 struct server;
 struct session;
 
-/** @brief Whether a session may ask a database now. */
+/** @brief Result of an access check. */
 typedef enum access_verdict {
     ACCESS_GRANTED,
-    ACCESS_UNKNOWN_KEY, /* nobody holds it, or another tenant than the open transaction's */
-    ACCESS_UNPROVEN,    /* it may have been taken away: there is no proof that is young enough */
+    ACCESS_UNKNOWN_KEY, /* no tenant has the key, or not the tenant of the open transaction */
+    ACCESS_UNPROVEN,    /* the key may have been revoked: the proof (proof.h) has expired */
 } access_verdict_t;
 
-/** @return the verdict's name for logs. */
+/** @return the name of the verdict, for logs. */
 const char *access_verdict_name(access_verdict_t verdict);
 
-/** @brief Looks the session's key up, and notes whose it is. */
+/** @brief Looks up the session's key and stores its tenant in the session. */
 access_verdict_t access_check(struct session *session);
 
-/** @return the version of the configuration in force; 0: none is known. */
+/** @return the version of the configuration in force; 0: there is none yet. */
 uint64_t access_configuration(const struct session *session);
 
-/** @brief The session's statement is not run; its transaction, if any, is rolled back. */
+/** @brief Rejects the session's statement; its transaction, if any, is rolled back. */
 void access_refuse(struct session *session, access_verdict_t verdict);
 
-/** @brief The check right before a statement's bytes go out. The connection must be the tenant's
- * and the group's: if it is not, that is a fault of this program, and the connection is closed. */
+/** @brief Repeats the access check immediately before a statement is sent, and checks that the
+ * connection belongs to the session's tenant and group. A mismatch is a bug of this program: it is
+ * logged, and the statement is not sent.
+ *  @return ACCESS_UNKNOWN_KEY after a mismatch. */
 access_verdict_t access_check_at(struct session *session, struct server *server);
 
-/** @return the interned word that names nobody in particular to databases: on routes that need no
- *  key, and on connections for questions of our own. */
+/** @return the interned tenant name that databases receive for routes that need no key, and for
+ *  connections that the pooler opens for its own requests. */
 const char *access_public_tenant(void);
 
-/** @return a short name of the session's key for logs, which tells nothing of the key and differs
- *  from process to process. Freed by g_free. */
+/** @return a short tag that stands for a key in logs: a salted hash with a salt of this process, so
+ *  that it neither reveals the key nor compares between processes. Free with g_free(). */
 char *access_key_tag(const char *key);
 
 #endif
--- a/src/pooler/access/proof.c
+++ b/src/pooler/access/proof.c
@@ -1,36 +1,37 @@
-/* Proof that the configuration in force here was the store's newest; see the header. */
+/* Proof that the configuration in force here was recently the store's newest; see the header. */
 #include "pooler/access/proof.h"
 
 #define MS_NS INT64_C(1000000)
 
-/* Steady clocks of two machines part by this much at most: a stated choice, some times what a
- * quartz clock drifts. In parts of the time passed. */
+/* Monotonic clocks of two machines are assumed to drift apart by at most 1 / DRIFT_PARTS of the
+ * elapsed time: 200 ppm, several times the drift of a quartz clock. */
 #define DRIFT_PARTS 5000
 
-/* The store tells whole milliseconds: its clock may have stood almost one further. */
+/* The store reports its clock in whole milliseconds, rounded down by up to one millisecond. */
 #define ROUNDING_NS MS_NS
 
-/* Of the bound, so much is kept for what happens between the proof's check and the database's start
- * on the statement: a turn of the processor (100 ms where the share of a core is a quota), the way,
- * and a lost packet that is sent again (0.2 to 0.6 s). At half of it the second retransmission is
- * late; at twice of it, proof runs out 1 s sooner where the store is away. */
+/* 1 / MARGIN_PARTS of the revocation bound is reserved for the time between the check of the proof
+ * and the database's start on the statement: scheduling (100 ms where the processor share is a
+ * quota), network latency, and retransmission of a lost packet (0.2 to 0.6 s). Half this margin
+ * does not cover a second retransmission. Twice this margin makes proofs expire 1 s earlier when
+ * the store is unreachable. */
 #define MARGIN_PARTS 5
 
 static int64_t
 drift(const store_clock_t *clock, time_ns now)
 {
-    return (int64_t)(now - clock->noted_at) / DRIFT_PARTS;
+    return (int64_t)(now - clock->measured_at) / DRIFT_PARTS;
 }
 
 void
 store_clock_note(store_clock_t *clock, time_ns sent, time_ns now, uint64_t clock_ms)
 {
-    int64_t behind = (int64_t)sent - (int64_t)clock_ms * MS_NS - ROUNDING_NS;
+    int64_t offset = (int64_t)sent - (int64_t)clock_ms * MS_NS - ROUNDING_NS;
     if (clock_ms == 0) {
         return;
     }
-    if (!clock->known || behind > clock->behind_ns - drift(clock, now)) {
-        *clock = (store_clock_t){true, behind, now};
+    if (!clock->known || offset > clock->offset_ns - drift(clock, now)) {
+        *clock = (store_clock_t){true, offset, now};
     }
 }
 
@@ -40,18 +41,18 @@
     if (!clock->known || clock_ms == 0) {
         return sent;
     }
-    int64_t moment = (int64_t)clock_ms * MS_NS + clock->behind_ns - drift(clock, now);
-    if (moment < (int64_t)sent) {
+    int64_t earliest = (int64_t)clock_ms * MS_NS + clock->offset_ns - drift(clock, now);
+    if (earliest < (int64_t)sent) {
         return sent;
     }
-    return moment > (int64_t)now ? now : (time_ns)moment;
+    return earliest > (int64_t)now ? now : (time_ns)earliest;
 }
 
 time_ns
-proof_from_age(time_ns asked, uint32_t age_ms)
+proof_from_age(time_ns requested, uint32_t age_ms)
 {
     time_ns age = (time_ns)age_ms * (time_ns)MS_NS;
-    return age_ms == 0 || age >= asked ? 0 : asked - age;
+    return age_ms == 0 || age >= requested ? 0 : requested - age;
 }
 
 uint32_t
