--- a/src/pooler/client/operation_report.c
+++ b/src/pooler/client/operation_report.c
@@ -5,7 +5,7 @@
 
 /* Limits each worker's lines of late operations, per second and at once. Enough to see which stage
  * is to blame, and few beside the lines of changes, which share the log's budget. */
-static const bucket_limit_t late_lines_limit = {.rate_per_s = 2, .room = 4};
+static const bucket_limit_t late_lines_limit = {.rate_per_s = 2, .capacity = 4};
 
 /* True if the client's message is part of an operation: what only prepares the session is not. */
 static bool
--- a/src/pooler/rate/admission.c
+++ b/src/pooler/rate/admission.c
@@ -1,39 +1,40 @@
-/* Tokens to begin operations; see the header. */
+/* Admission of operations by tokens of rate limits; see the header. */
 #define G_LOG_DOMAIN "rate"
 #include "pooler/rate/admission.h"
 
 #include "pooler/rate/counting.h"
 #include "pooler/client/session_internal.h"
 
-/* A home that declined, as it does not count now, is asked last for so long: by then it has had the
- * coordinator's next answer to its heartbeat, which may let it count again. */
+/* How long a home is avoided after it declined because it may not count at present: by then it has
+ * had the coordinator's next reply to its heartbeat, which may allow it to count again. */
 #define DECLINED_NS (250 * NANOSECONDS_PER_MILLISECOND)
 
-/* A home that refused is asked again after so long at the latest, also if it told a longer wait.
- * That wait leaves out the tokens promised to others, some of whom don't come back for them. */
+/* Longest time for which a home that refused is not asked again, also if it returned a longer wait.
+ * That wait leaves out tokens whose times were returned to other refused clients, not all of which
+ * retry. */
 #define EMPTY_NS (10 * NANOSECONDS_PER_MILLISECOND)
 
-/* A client whose operation no home can decide on is told to come back when the first home is asked
- * again: after NO_HOME_LEAST_NS at least, as a connection to it takes that long to open, and after
- * NO_HOME_MOST_NS at most, as few callers wait longer. */
-#define NO_HOME_LEAST_NS (20 * NANOSECONDS_PER_MILLISECOND)
-#define NO_HOME_MOST_NS  (1000 * NANOSECONDS_PER_MILLISECOND)
-#define NO_HOME_NS       (300 * NANOSECONDS_PER_MILLISECOND) /* where no home is known */
+/* Retry time for a client if no home could decide on its operation: the time until the first home
+ * is tried again. At least NO_HOME_MIN_NS, which a connection to a home takes to open, and at most
+ * NO_HOME_MAX_NS, because few callers wait longer. */
+#define NO_HOME_MIN_NS (20 * NANOSECONDS_PER_MILLISECOND)
+#define NO_HOME_MAX_NS (1000 * NANOSECONDS_PER_MILLISECOND)
+#define NO_HOME_NS     (300 * NANOSECONDS_PER_MILLISECOND) /* if no home is known */
 
-/* The wait that is told where a limit never has a token (a rate of 0): it may have been changed by
- * then. A shorter one would make clients ask in vain all the time. */
+/* Retry time for a limit with a rate of 0, which never has a token again unless it is changed. With
+ * a shorter time clients would retry in vain all the time. */
 #define NEVER_RETRY_NS (1000 * NANOSECONDS_PER_MILLISECOND)
 
 /** @brief One home of a tenant's limit. */
 typedef struct home {
     link_t *link; /* NULL: this pooler */
-    bool near;
-    time_ns empty_until[SHARE_PRIORITIES]; /* not asked before, as it refused this priority */
-    time_ns token_at[SHARE_PRIORITIES];    /* when it may have a token for it, as it told */
-    time_ns declined_until;                /* asked last until then, as it declined */
+    bool same_zone;
+    time_ns empty_until[SHARE_PRIORITIES]; /* not asked before then: it refused this priority */
+    time_ns token_at[SHARE_PRIORITIES];    /* when it may have a token, by its last refusal */
+    time_ns declined_until;                /* avoided until then: it declined */
 } home_t;
 
-/** @brief The homes of one tenant's limit, as of one roster. */
+/** @brief The homes of one tenant's limit, without duplicates, as of one roster. */
 typedef struct homes {
     uint64_t revision;
     unsigned count;
@@ -57,7 +58,7 @@
     return false;
 }
 
-/* Members that don't count are left out. */
+/* Leaves out members that may not count. */
 static void
 find_homes(struct worker *worker, const roster_t *roster, const char *tenant, homes_t *out)
 {
@@ -73,7 +74,7 @@
         link_t *link =
             member->self ? NULL : link_of(worker, member->address, &member->socket_address);
         if (!member->away && !member->entering && !has_home(out, link)) {
-            out->homes[out->count++] = (home_t){.link = link, .near = member->same_zone};
+            out->homes[out->count++] = (home_t){.link = link, .same_zone = member->same_zone};
         }
     }
 }
@@ -96,7 +97,7 @@
     return homes;
 }
 
-/* False if the tenant is not limited, or not known. */
+/* Returns false if the tenant is unknown or has no limit. */
 static bool
 find_limit(const struct worker *worker, const char *name, tenant_t *out)
 {
@@ -120,25 +121,25 @@
     return slow || now < home->declined_until;
 }
 
-/* True if the home is not asked at all once another home has refused the operation: waiting for it
- * would only delay the refusal. */
+/* True if the home is not asked once another home has refused the operation: it probably won't
+ * answer or will decline, and waiting for it would only delay the refusal. */
 static bool
-is_quiet(const home_t *home, time_ns now)
+is_skipped_at_limit(const home_t *home, time_ns now)
 {
-    bool silent =
+    bool unresponsive =
         home->link != NULL && home_health_is_unresponsive(link_home_health(home->link), now);
-    return silent || now < home->declined_until;
+    return unresponsive || now < home->declined_until;
 }
 
-/* Low is better: this pooler, then homes of this zone, then those of others; last, those that did
- * not answer. */
+/* Order of preference, lowest first: this pooler, homes of this zone, homes of other zones, avoided
+ * homes. */
 static unsigned
 cost_of(const home_t *home, time_ns now)
 {
     if (is_avoided(home, now)) {
         return 3;
     }
-    return home->link == NULL ? 0 : (home->near ? 1 : 2);
+    return home->link == NULL ? 0 : (home->same_zone ? 1 : 2);
 }
 
 static bool
@@ -147,8 +148,9 @@
     return now < home->empty_until[share_priority(session->route.priority)];
 }
 
-/* When the first home has a token again; 0 if none has refused. What refused this operation may
- * have one by now, as the others were asked meanwhile: it still was refused. */
+/* When the first home that refused has a token again; 0 if none refused. The result may be in the
+ * past: the home that refused this operation may have a token by now, after other homes were asked.
+ */
 static time_ns
 first_token(const struct session *session, const homes_t *homes, time_ns now)
 {
@@ -162,18 +164,19 @@
     return first;
 }
 
-/* The home to ask next; -1 if there is none. Once one has refused, those that lately did not answer
- * are not waited for: the tenant is near its limit, and is to hear so at once. */
+/* Index of the home to ask next; -1 if there is none. Once a home has refused, the tenant is
+ * same_zone its limit: unresponsive homes are skipped, so that the client gets the refusal without
+ * delay. */
 static int
-choose(const struct session *session, const homes_t *homes, time_ns now)
+choose_home(const struct session *session, const homes_t *homes, time_ns now)
 {
     int best = -1;
     bool at_limit = first_token(session, homes, now) != 0;
     for (unsigned i = 0; i < homes->count; i++) {
         const home_t *home = &homes->homes[i];
         bool asked = (session->request.homes_asked & (1U << i)) != 0;
-        bool quiet = at_limit && is_quiet(home, now);
-        if (asked || quiet || is_empty(session, home, now)) {
+        bool skipped = at_limit && is_skipped_at_limit(home, now);
+        if (asked || skipped || is_empty(session, home, now)) {
             continue;
         }
         if (best < 0 || cost_of(home, now) < cost_of(&homes->homes[best], now)) {
@@ -183,18 +186,18 @@
     return best;
 }
 
-/* The wait in ms, lengthened by up to a half by chance, so that clients refused together don't come
- * back together. */
+/* The wait in ms, with up to 50% of random jitter added, so that clients that were refused together
+ * do not retry together. */
 static uint32_t
-spread_ms(time_ns wait)
+jittered_ms(time_ns wait)
 {
-    double spread = (double)wait * (1 + g_random_double() / 2);
-    return (uint32_t)(spread / (double)NANOSECONDS_PER_MILLISECOND) + 1;
+    double jittered = (double)wait * (1 + g_random_double() / 2);
+    return (uint32_t)(jittered / (double)NANOSECONDS_PER_MILLISECOND) + 1;
 }
 
-/* The time until the first home is asked again. */
+/* The time until the first home is tried again. */
 static time_ns
-next_home(const homes_t *homes, time_ns now)
+next_home_wait(const homes_t *homes, time_ns now)
 {
     time_ns first = 0;
     for (unsigned i = 0; i < homes->count; i++) {
@@ -203,16 +206,16 @@
         until = MAX(until, home->declined_until);
         first = first == 0 ? MAX(until, now) : MIN(first, MAX(until, now));
     }
-    return first == 0 ? NO_HOME_NS : CLAMP(first - now, NO_HOME_LEAST_NS, NO_HOME_MOST_NS);
+    return first == 0 ? NO_HOME_NS : CLAMP(first - now, NO_HOME_MIN_NS, NO_HOME_MAX_NS);
 }
 
 static void
 refuse(struct session *session, const homes_t *homes, time_ns now)
 {
     time_ns first = first_token(session, homes, now);
-    uint32_t wait_ms = first == 0 ? spread_ms(next_home(homes, now)) : 0;
+    uint32_t wait_ms = first == 0 ? jittered_ms(next_home_wait(homes, now)) : 0;
     if (first != 0) {
-        wait_ms = first > now ? spread_ms(first - now) : 1;
+        wait_ms = first > now ? jittered_ms(first - now) : 1;
     }
     metrics_count(&session->worker->metrics,
                   first != 0 ? METRICS_REFUSED_RATE : METRICS_REFUSED_NO_HOME);
@@ -227,21 +230,23 @@
     time_ns until = now + wait;
     time_ns ask_at = now + MIN(wait, EMPTY_NS);
     for (unsigned i = share_priority(session->route.priority); i < SHARE_PRIORITIES; i++) {
-        home->empty_until[i] = MAX(home->empty_until[i], ask_at); /* the less urgent, as well */
+        home->empty_until[i] = MAX(home->empty_until[i], ask_at); /* lower priorities as well */
         home->token_at[i] = MAX(home->token_at[i], until);
     }
     session->request.token_at = first == 0 ? until : MIN(first, until);
 }
 
+/* The wait to report for the wait of a refusal, in which 0 means that there never will be a token.
+ */
 static time_ns
-told_wait(time_ns wait)
+reported_wait(time_ns wait)
 {
     return wait == 0 ? NEVER_RETRY_NS : wait;
 }
 
-/* Asks this pooler's own shares. True if a token was granted. */
+/* Takes a token from the shares that this pooler counts. Returns true if one was granted. */
 static bool
-ask_here(struct session *session, const tenant_t *tenant, home_t *home, time_ns now)
+request_local(struct session *session, const tenant_t *tenant, home_t *home, time_ns now)
 {
     time_ns wait = 0;
     switch (counting_take(session->worker->shared->counting, tenant, session->route.priority, now,
@@ -249,7 +254,7 @@
     case TOKEN_GRANTED:
         return true;
     case TOKEN_REFUSED:
-        note_refusal(session, home, now, told_wait(wait));
+        note_refusal(session, home, now, reported_wait(wait));
         break;
     case TOKEN_DECLINED:
         home->declined_until = now + DECLINED_NS;
@@ -269,7 +274,7 @@
     }
 }
 
-/* The homes as they are now; those of an earlier list are no longer waited for. */
+/* The homes by the newest roster. Requests to homes of an earlier roster are abandoned. */
 static homes_t *
 current_homes(struct session *session)
 {
@@ -282,9 +287,9 @@
     return homes;
 }
 
-/* When the first of the open questions is given up; 0 if there is none. */
+/* When the first of the pending requests times out; 0 if there is none. */
 static time_ns
-given_up_at(const struct session *session)
+first_timeout(const struct session *session)
 {
     time_ns first = 0;
     for (unsigned i = 0; i < ROSTER_SHARES; i++) {
@@ -297,54 +302,55 @@
     return first;
 }
 
-/* Asks another pooler, beside those that were asked and have not answered. */
+/* Requests a token from another pooler, in addition to pending requests. Returns false if no
+ * request could be sent. */
 static bool
-ask_there(struct session *session, const tenant_t *tenant, homes_t *homes, unsigned place,
-          time_ns now)
+request_remote(struct session *session, const tenant_t *tenant, homes_t *homes, unsigned place,
+               time_ns now)
 {
     link_t *link = homes->homes[place].link;
-    bool beside = given_up_at(session) != 0;
+    bool hedged = first_timeout(session) != 0;
     token_question_t *question = forward_ask_token(session, link, tenant->name, place);
     if (question == NULL) {
         return false;
     }
     session->request.questions[place] = question;
     metrics_count(&session->worker->metrics, METRICS_TOKENS_ASKED);
-    if (beside) {
+    if (hedged) {
         metrics_count(&session->worker->metrics, METRICS_TOKENS_HEDGED);
     }
     operation_timing_enter(&session->timing, STAGE_TOKEN, now);
     time_ns hedge_at = now + home_health_hedge_delay(link_home_health(link));
-    session_set_timer(session, MIN(hedge_at, given_up_at(session)));
+    session_set_timer(session, MIN(hedge_at, first_timeout(session)));
     return true;
 }
 
 static void
-granted(struct session *session)
+proceed(struct session *session)
 {
     admission_abandon(session);
     session_route(session);
 }
 
 static void
-ask_next(struct session *session, const tenant_t *tenant)
+request_next(struct session *session, const tenant_t *tenant)
 {
     homes_t *homes = current_homes(session);
     time_ns now = backend_now();
-    for (int i = choose(session, homes, now); i >= 0; i = choose(session, homes, now)) {
+    for (int i = choose_home(session, homes, now); i >= 0; i = choose_home(session, homes, now)) {
         home_t *home = &homes->homes[i];
         session->request.homes_asked |= 1U << i;
         if (home->link == NULL) {
-            if (ask_here(session, tenant, home, now)) {
-                granted(session);
+            if (request_local(session, tenant, home, now)) {
+                proceed(session);
                 return;
             }
-        } else if (ask_there(session, tenant, homes, (unsigned)i, now)) {
+        } else if (request_remote(session, tenant, homes, (unsigned)i, now)) {
             return;
         }
     }
-    if (given_up_at(session) != 0) {
-        session_set_timer(session, given_up_at(session));
+    if (first_timeout(session) != 0) {
+        session_set_timer(session, first_timeout(session));
         return;
     }
     refuse(session, homes, now);
@@ -362,27 +368,29 @@
         session_route(session);
         return;
     }
-    ask_next(session, &tenant);
+    request_next(session, &tenant);
 }
 
+/* Processes further messages of the client if the operation has ended. */
 static void
-process_rest(struct session *session)
+process_buffered(struct session *session)
 {
     if (session->state == SESSION_IDLE) {
         session_process(session);
     }
 }
 
+/* Asks the next home, or admits the operation if the tenant's limit was removed meanwhile. */
 static void
-go_on(struct session *session)
+try_next_home(struct session *session)
 {
     tenant_t tenant;
     if (find_limit(session->worker, session->tenant, &tenant)) {
-        ask_next(session, &tenant);
+        request_next(session, &tenant);
     } else {
-        granted(session);
+        proceed(session);
     }
-    process_rest(session);
+    process_buffered(session);
 }
 
 void
@@ -391,8 +399,8 @@
     time_ns now = backend_now();
     session->request.questions[place] = NULL;
     if (!answer->declined && !answer->refused) {
-        granted(session);
-        process_rest(session);
+        proceed(session);
+        process_buffered(session);
         return;
     }
     homes_t *homes = homes_of(session->worker, session->tenant);
@@ -404,7 +412,7 @@
             home->declined_until = now + DECLINED_NS;
         }
     }
-    go_on(session);
+    try_next_home(session);
 }
 
 void
@@ -412,21 +420,21 @@
 {
     session->request.questions[place] = NULL;
     metrics_count(&session->worker->metrics, METRICS_TOKENS_UNANSWERED);
-    go_on(session);
+    try_next_home(session);
 }
 
-/* A question that is open for longer than usual, or for too long. */
+/* Handles a pending request that has passed its hedge delay or its time-out. */
 static void
-note_waiting(struct session *session, unsigned place, time_ns now)
+check_pending(struct session *session, unsigned place, time_ns now)
 {
     token_question_t *question = session->request.questions[place];
-    home_health_t *belief = link_home_health(token_link(question));
+    home_health_t *health = link_home_health(token_link(question));
     if (now < token_asked_at(question) + HOME_TIMEOUT_NS) {
-        home_health_note_slow(belief, now);
+        home_health_note_slow(health, now);
         return;
     }
-    if (home_health_note_timeout(belief, now)) {
-        g_info("The home at %s does not answer; others are asked first.",
+    if (home_health_note_timeout(health, now)) {
+        g_info("The home at %s does not answer token requests; other homes are preferred.",
                link_text(token_link(question)));
     }
     metrics_count(&session->worker->metrics, METRICS_TOKENS_UNANSWERED);
@@ -440,10 +448,10 @@
     time_ns now = backend_now();
     for (unsigned i = 0; i < ROSTER_SHARES; i++) {
         if (session->request.questions[i] != NULL) {
-            note_waiting(session, i, now);
+            check_pending(session, i, now);
         }
     }
-    go_on(session);
+    try_next_home(session);
 }
 
 admission_answer_t
@@ -460,7 +468,7 @@
     case TOKEN_REFUSED:
         return (admission_answer_t){
             .refused = true,
-            .retry_ms = (uint32_t)(told_wait(wait) / NANOSECONDS_PER_MILLISECOND) + 1};
+            .retry_ms = (uint32_t)(reported_wait(wait) / NANOSECONDS_PER_MILLISECOND) + 1};
     default:
         return (admission_answer_t){.declined = true};
     }
--- a/src/pooler/rate/admission.h
+++ b/src/pooler/rate/admission.h
@@ -1,11 +1,11 @@
 /**
  * @file
- * @brief Tokens to begin operations, asked for a session at the homes of its tenant's limit
- * (roster.h). All functions belong to the session's worker.
+ * @brief Admission of operations: requests a token for each operation from a home of the tenant's
+ * rate limit (roster.h). Call the functions from the thread of the session's worker only.
  *
- * A single statement, or a transaction with its first statement, is one operation. Its token is
- * asked for where the client is, before the statement is routed or forwarded, so that what is above
- * a limit takes no connection, slot or place in a queue.
+ * A single statement is one operation, and so is a transaction together with its first statement.
+ * The pooler that has the client's connection requests the token before it routes or forwards the
+ * statement, so that operations above the limit take no database connection, slot or queue entry.
  */
 #ifndef SW_POOLER_RATE_ADMISSION_H
 #define SW_POOLER_RATE_ADMISSION_H
@@ -19,37 +19,40 @@
 struct session;
 struct worker;
 
-/** @brief What came of asking a home, as it tells. */
+/** @brief A home's answer to a token request; granted if neither flag is set. */
 typedef struct admission_answer {
-    bool declined; /* it does not count the tenant's operations now */
-    bool refused;
-    uint32_t retry_ms;
+    bool declined;     /* the pooler counts no share of the tenant's limit at present */
+    bool refused;      /* no token is left */
+    uint32_t retry_ms; /* if refused: time until a token is available */
 } admission_answer_t;
 
-/** @return an empty table of the homes that a worker knows, by tenant. */
+/** @return an empty table of a worker's known homes, keyed by tenant name. */
 GHashTable *admission_homes_new(void);
 
-/** @brief Asks for a token; the statement goes on to the router once it is granted. */
+/** @brief Requests a token for the session's operation; its statement goes to the router as soon as
+ * the token is granted. */
 void admission_begin(struct session *session);
 
-/** @brief A home that was asked has answered.
- *  @param place of the home in the tenant's list, as given to forward_ask_token(). */
+/** @brief Handles a home's answer to a token request.
+ *  @param place index of the home in the tenant's list, as passed to forward_ask_token(). */
 void admission_answered(struct session *session, unsigned place, const admission_answer_t *answer);
 
-/** @brief A home that was asked can't be reached: another one is asked. */
+/** @brief Handles the loss of the link to a home with a pending request: requests the token from
+ * another home. */
 void admission_home_unreachable(struct session *session, unsigned place);
 
-/** @brief The session's timer went off while questions are open: they take longer than usual, or
- * too long. Another home is asked as well, and the first that grants a token counts. */
+/** @brief Handles the session's timer while token requests are pending: they have passed their
+ * hedge delay or their time-out. Requests the token from another home as well; the first home that
+ * grants one wins. */
 void admission_timer_expired(struct session *session);
 
-/** @brief Abandons the session's open questions for tokens, if there are any. */
+/** @brief Abandons the session's pending token requests, if any. */
 void admission_abandon(struct session *session);
 
-/** @brief Answers another pooler's question, as a home.
+/** @brief Answers a token request of another pooler, as a home of the tenant's limit.
  *  @param name of the tenant.
- *  @param priority of the operation's route; 0 from a pooler that does not tell it: such a one gets
- *         any token. */
+ *  @param priority of the operation's route; 0 if the requester does not send one, in which case
+ *         any token may be granted. */
 admission_answer_t admission_answer_request(struct worker *worker, const char *name,
                                             uint32_t priority);
 
--- a/src/pooler/rate/bucket.h
+++ b/src/pooler/rate/bucket.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * @brief A token bucket: so many operations a second, and some more at once. Pure; time comes in.
+ * @brief A token bucket. Pure functions of the time that is passed in.
  */
 #ifndef SW_POOLER_RATE_BUCKET_H
 #define SW_POOLER_RATE_BUCKET_H
@@ -11,22 +11,22 @@
 
 /** @brief A token bucket. */
 typedef struct bucket {
-    double tokens;     /* that it held at filled_at */
-    time_ns filled_at; /* no tokens that came later are in it yet */
+    double tokens;     /* level at filled_at */
+    time_ns filled_at; /* last refill */
 } bucket_t;
 
-/** @brief How a bucket fills. */
+/** @brief Refill rate and capacity of a bucket. */
 typedef struct bucket_limit {
     double rate_per_s;
-    double room; /* tokens that it holds at most */
+    double capacity; /* in tokens */
 } bucket_limit_t;
 
-/** @brief Takes one token. Over any span of time no more are given than it had at its start, or
- * `room` of them, and `rate_per_s` for each second.
- *  @param leaves so many tokens must remain after it; 0: any may be taken.
- *  @param wait when there is none: how long until there is one; 0 if there never will be.
- *  @return false if there is none. */
-bool bucket_take(bucket_t *bucket, const bucket_limit_t *limit, double leaves, time_ns now,
+/** @brief Takes one token. Over any interval, the number of tokens taken is at most the level at
+ * its start (at most `capacity`) plus `rate_per_s` for each second.
+ *  @param reserve number of tokens that must remain in the bucket afterwards.
+ *  @param wait set if no token was taken: time until one can be; 0 if the rate is 0.
+ *  @return true if a token was taken. */
+bool bucket_take(bucket_t *bucket, const bucket_limit_t *limit, double reserve, time_ns now,
                  time_ns *wait);
 
 #endif
--- a/src/pooler/rate/counting.c
+++ b/src/pooler/rate/counting.c
@@ -1,4 +1,4 @@
-/* The shares of tenants' limits that this pooler counts; see the header. */
+/* Token buckets of the shares that this pooler counts; see the header. */
 #define G_LOG_DOMAIN "rate"
 #include "pooler/rate/counting.h"
 
@@ -7,36 +7,36 @@
 #include <pthread.h>
 #include <string.h>
 
-/* Buckets may begin anew so often in a window: a machine that is killed again right after it has
- * come back, once more. */
+/* Number of starts of a bucket within a window that the limit must allow for: a process that is
+ * killed again right after its restart starts the bucket a third time. */
 #define STARTS_IN_WINDOW 3
 
-/* Of the operations by which a limit may be exceeded, so many make up for fractions. */
+/* Part of the slack that is used to make up for fractions of tokens (rate_share()). */
 #define FRACTIONS_PART 0.25
 
-/* A tenant's shares that are counted here. */
-typedef struct counted {
-    bool mine[ROSTER_SHARES];
-    bool started[ROSTER_SHARES];
+/* The shares of one tenant's limit. */
+typedef struct tenant_shares {
+    bool counted[ROSTER_SHARES]; /* this pooler is the share's home */
+    bool started[ROSTER_SHARES]; /* `shares` is initialized */
     share_t shares[ROSTER_SHARES];
-} counted_t;
+} tenant_shares_t;
 
 struct counting {
     rate_bounds_t bounds;
-    pthread_mutex_t lock; /* of all below */
-    roster_t *roster;     /* a copy of what is needed of it; NULL: none is known */
-    bool entering;        /* this pooler does not count yet */
-    time_ns begun_at;     /* when this process began; it gave no token before */
-    time_ns changed_at;   /* what it counts has been as it is since then, or longer */
-    time_ns until;
-    GHashTable *tenants; /* interned name -> counted_t */
+    pthread_mutex_t lock; /* protects the fields below */
+    roster_t *roster;     /* private copy; NULL: none was received yet */
+    bool entering;        /* the roster has this pooler as entering or away: it must not count */
+    time_ns started_at;   /* start time of the process, which granted no token before */
+    time_ns changed_at;   /* buckets that start now fill from this time on */
+    time_ns valid_until;  /* of the roster */
+    GHashTable *tenants;  /* interned name -> tenant_shares_t */
 };
 
 counting_t *
 counting_new(const rate_bounds_t *bounds, time_ns now)
 {
     counting_t *counting = g_new0(counting_t, 1);
-    counting->begun_at = now;
+    counting->started_at = now;
     counting->bounds = *bounds;
     pthread_mutex_init(&counting->lock, NULL);
     counting->tenants = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
@@ -52,25 +52,25 @@
     g_free(counting);
 }
 
-/* Which of the tenant's shares are counted here. A bucket that is not is forgotten: another home
- * has gone on with it. */
+/* Finds the tenant's shares that are counted here. The bucket of a share that is not is
+ * discarded, because another home counts the share meanwhile. */
 static void
-find_shares(const roster_t *roster, const char *tenant, counted_t *counted)
+find_shares(const roster_t *roster, const char *tenant, tenant_shares_t *tenant_shares)
 {
     size_t homes[ROSTER_SHARES];
     roster_homes(roster, tenant, homes);
     for (unsigned i = 0; i < ROSTER_SHARES; i++) {
-        counted->mine[i] = roster->count > 0 && roster->members[homes[i]].self;
-        counted->started[i] = counted->started[i] && counted->mine[i];
+        tenant_shares->counted[i] = roster->count > 0 && roster->members[homes[i]].self;
+        tenant_shares->started[i] = tenant_shares->started[i] && tenant_shares->counted[i];
     }
 }
 
 static bool
-counts_any(const counted_t *counted)
+counts_any(const tenant_shares_t *tenant_shares)
 {
     bool any = false;
     for (unsigned i = 0; i < ROSTER_SHARES; i++) {
-        any = any || counted->mine[i];
+        any = any || tenant_shares->counted[i];
     }
     return any;
 }
@@ -86,8 +86,8 @@
     return true;
 }
 
-/* References to the published list are counted by the control thread alone: workers use this copy,
- * under the lock. */
+/* Only the control thread may change the reference count of the published roster. Workers use this
+ * copy, under the lock. */
 static roster_t *
 copy_of(const roster_t *roster)
 {
@@ -110,11 +110,11 @@
     g_clear_pointer(&counting->roster, roster_unref);
     counting->roster = copy_of(roster);
     counting->entering = is_entering(roster);
-    /* A pooler that the first list it hears of lets count had its places before: nobody else gave
-     * tokens of these shares, and this process none since it began. So they may fill from then on,
-     * and not only from the list's coming, a third of a second later after a loss of all poolers.
-     */
-    counting->changed_at = first && !counting->entering ? counting->begun_at : now;
+    /* If the first roster of this process allows it to count, the pooler was a home of its shares
+     * before its restart: no other pooler has granted tokens of them, and this process has granted
+     * none yet. Their buckets therefore fill from the start of the process on, and not only from
+     * the receipt of the roster, which is a third of a second later after a loss of all poolers. */
+    counting->changed_at = first && !counting->entering ? counting->started_at : now;
     g_hash_table_iter_init(&iterator, counting->tenants);
     while (g_hash_table_iter_next(&iterator, &name, &value)) {
         find_shares(roster, name, value);
@@ -129,59 +129,59 @@
 counting_set_valid_until(counting_t *counting, time_ns until)
 {
     pthread_mutex_lock(&counting->lock);
-    counting->until = MAX(counting->until, until);
+    counting->valid_until = MAX(counting->valid_until, until);
     pthread_mutex_unlock(&counting->lock);
 }
 
-static counted_t *
-counted_of(counting_t *counting, const tenant_t *tenant)
+static tenant_shares_t *
+shares_of(counting_t *counting, const tenant_t *tenant)
 {
-    counted_t *counted = g_hash_table_lookup(counting->tenants, tenant->name);
-    if (counted == NULL) {
-        counted = g_new0(counted_t, 1);
-        find_shares(counting->roster, tenant->name, counted);
-        g_hash_table_insert(counting->tenants, (gpointer)tenant->name, counted);
+    tenant_shares_t *tenant_shares = g_hash_table_lookup(counting->tenants, tenant->name);
+    if (tenant_shares == NULL) {
+        tenant_shares = g_new0(tenant_shares_t, 1);
+        find_shares(counting->roster, tenant->name, tenant_shares);
+        g_hash_table_insert(counting->tenants, (gpointer)tenant->name, tenant_shares);
     }
-    return counted;
+    return tenant_shares;
 }
 
 bucket_limit_t
 rate_share(const rate_bounds_t *bounds, const tenant_t *tenant)
 {
-    double more = fmin(bounds->slack * FRACTIONS_PART / ROSTER_SHARES, 1);
+    double extra = fmin(bounds->slack * FRACTIONS_PART / ROSTER_SHARES, 1);
     return (bucket_limit_t){tenant->rate_per_s / ROSTER_SHARES,
-                            fmax(tenant->burst / ROSTER_SHARES + more, 1)};
+                            fmax(tenant->burst / ROSTER_SHARES + extra, 1)};
 }
 
 double
 rate_start_tokens(const rate_bounds_t *bounds, const tenant_t *tenant)
 {
     double limit = tenant->rate_per_s * bounds->window_s + tenant->burst;
-    double more = rate_share(bounds, tenant).room * ROSTER_SHARES - tenant->burst;
-    double exceeded = limit * bounds->overage + bounds->slack - more;
-    double tokens = fmax(exceeded, 0) / (STARTS_IN_WINDOW * ROSTER_SHARES);
-    return fmin(tokens, rate_share(bounds, tenant).room);
+    double extra = rate_share(bounds, tenant).capacity * ROSTER_SHARES - tenant->burst;
+    double permitted = limit * bounds->overage + bounds->slack - extra;
+    double tokens = fmax(permitted, 0) / (STARTS_IN_WINDOW * ROSTER_SHARES);
+    return fmin(tokens, rate_share(bounds, tenant).capacity);
 }
 
 static token_answer_t
 take_any(counting_t *counting, const tenant_t *tenant, uint32_t priority, time_ns now,
          time_ns *wait)
 {
-    counted_t *counted = counted_of(counting, tenant);
+    tenant_shares_t *tenant_shares = shares_of(counting, tenant);
     const bucket_limit_t limit = rate_share(&counting->bounds, tenant);
     token_answer_t result = TOKEN_DECLINED;
     *wait = 0;
     for (unsigned i = 0; i < ROSTER_SHARES; i++) {
         time_ns share_wait = 0;
-        if (!counted->mine[i]) {
+        if (!tenant_shares->counted[i]) {
             continue;
         }
-        if (!counted->started[i]) {
-            counted->started[i] = true;
-            share_start(&counted->shares[i], rate_start_tokens(&counting->bounds, tenant),
+        if (!tenant_shares->started[i]) {
+            tenant_shares->started[i] = true;
+            share_start(&tenant_shares->shares[i], rate_start_tokens(&counting->bounds, tenant),
                         counting->changed_at);
         }
-        if (share_take(&counted->shares[i], &limit, priority, now, &share_wait)) {
+        if (share_take(&tenant_shares->shares[i], &limit, priority, now, &share_wait)) {
             return TOKEN_GRANTED;
         }
         result = TOKEN_REFUSED;
@@ -196,7 +196,7 @@
 {
     token_answer_t result = TOKEN_DECLINED;
     pthread_mutex_lock(&counting->lock);
-    if (counting->roster != NULL && !counting->entering && now < counting->until) {
+    if (counting->roster != NULL && !counting->entering && now < counting->valid_until) {
         result = take_any(counting, tenant, priority, now, wait);
     }
     pthread_mutex_unlock(&counting->lock);
--- a/src/pooler/rate/home_health.c
+++ b/src/pooler/rate/home_health.c
@@ -1,90 +1,92 @@
-/* What is believed of a home of limits; see the header. */
+/* Health of a home of rate limits; see the header. */
 #include "pooler/rate/home_health.h"
 
 #include <glib.h>
 
-/* A home whose answer takes longer than usual is asked last for so long, or until something comes
- * from it. */
+/* How long a home is avoided after an answer passed its hedge delay. */
 #define SLOW_NS (250 * NANOSECONDS_PER_MILLISECOND)
 
-/* A silent home is asked last for AVOID_FIRST_NS, and for twice as long after each further question
- * in vain: a machine that is cut off stays so for seconds, and each question costs an operation
- * some milliseconds. AVOID_LAST_NS is the most, as the next question may be the only way to learn
- * that the machine is back. */
-#define AVOID_FIRST_NS (250 * NANOSECONDS_PER_MILLISECOND)
-#define AVOID_LAST_NS  (4000 * NANOSECONDS_PER_MILLISECOND)
-#define DOUBLED_MOST   4U
+/* How long a home is avoided after a time-out: AVOID_MIN_NS, doubled with each further time-out. A
+ * partition lasts for seconds, and each further request delays an operation by some milliseconds.
+ * The maximum is AVOID_MAX_NS, because the next request may be the only way to find out that the
+ * machine is back. */
+#define AVOID_MIN_NS  (250 * NANOSECONDS_PER_MILLISECOND)
+#define AVOID_MAX_NS  (4000 * NANOSECONDS_PER_MILLISECOND)
+#define DOUBLINGS_MAX 4U
 
-/* The newest answer's weight in the averages of time and spread: an eighth and a fourth, as in
- * TCP's retransmission timer. They follow some ten answers. */
-#define USUAL_PART  8
-#define SPREAD_PART 4
+/* Weight of the newest answer in the averages of response time and deviation: 1/8 and 1/4, as in
+ * TCP's retransmission timer. The averages follow about ten answers. */
+#define AVERAGE_PART   8
+#define DEVIATION_PART 4
 
-/* Another home is asked beside this one after the usual time and so many times its spread, by which
- * all but a few in a hundred answers have come. If both grant, the tenant loses a token. */
-#define SPREADS 4
+/* The hedge delay is the average plus this many deviations, by which all but a few percent of the
+ * answers have come. If both homes grant a token, the tenant loses one. */
+#define HEDGE_DEVIATIONS 4
 
-/* That wait is at least so long, as a machine that shares its processor needs to get its turn; and
- * so long where no answer has come yet. */
-#define PATIENCE_LEAST_NS   (8 * NANOSECONDS_PER_MILLISECOND)
-#define PATIENCE_UNKNOWN_NS (20 * NANOSECONDS_PER_MILLISECOND)
+/* Minimum of the hedge delay, which a machine with a shared processor needs to be scheduled, and
+ * its value before the first answer. */
+#define HEDGE_MIN_NS     (8 * NANOSECONDS_PER_MILLISECOND)
+#define HEDGE_UNKNOWN_NS (20 * NANOSECONDS_PER_MILLISECOND)
 
 void
-home_health_answered(home_health_t *belief, time_ns took)
+home_health_answered(home_health_t *health, time_ns took)
 {
-    time_ns off = took > belief->usual ? took - belief->usual : belief->usual - took;
-    if (belief->usual == 0) {
-        belief->usual = MAX(took, 1);
-        belief->spread = took / 2;
+    time_ns error = took > health->average ? took - health->average : health->average - took;
+    if (health->average == 0) {
+        health->average = MAX(took, 1);
+        health->deviation = took / 2;
     } else {
-        belief->spread = belief->spread - belief->spread / SPREAD_PART + off / SPREAD_PART;
-        belief->usual = MAX(belief->usual - belief->usual / USUAL_PART + took / USUAL_PART, 1);
+        health->deviation =
+            health->deviation - health->deviation / DEVIATION_PART + error / DEVIATION_PART;
+        health->average =
+            MAX(health->average - health->average / AVERAGE_PART + took / AVERAGE_PART, 1);
     }
 }
 
 bool
-home_health_message_received(home_health_t *belief)
+home_health_message_received(home_health_t *health)
 {
-    bool silent = belief->silences > 0;
-    belief->silences = 0;
-    belief->avoid_until = 0;
-    return silent;
+    bool unresponsive = health->timeouts > 0;
+    health->timeouts = 0;
+    health->avoid_until = 0;
+    return unresponsive;
 }
 
 void
-home_health_note_slow(home_health_t *belief, time_ns now)
+home_health_note_slow(home_health_t *health, time_ns now)
 {
-    belief->avoid_until = MAX(belief->avoid_until, now + SLOW_NS);
+    health->avoid_until = MAX(health->avoid_until, now + SLOW_NS);
 }
 
 bool
-home_health_note_timeout(home_health_t *belief, time_ns now)
+home_health_note_timeout(home_health_t *health, time_ns now)
 {
-    if (belief->silences > 0 && now < belief->avoid_until) {
-        return false; /* asked before it was taken for silent: one silence */
+    if (health->timeouts > 0 && now < health->avoid_until) {
+        return false; /* requested before the previous time-out: counts as the same one */
     }
-    time_ns avoid = AVOID_FIRST_NS << MIN(belief->silences, DOUBLED_MOST);
-    belief->avoid_until = now + MIN(avoid, AVOID_LAST_NS);
-    return belief->silences++ == 0;
+    time_ns avoid = AVOID_MIN_NS << MIN(health->timeouts, DOUBLINGS_MAX);
+    health->avoid_until = now + MIN(avoid, AVOID_MAX_NS);
+    return health->timeouts++ == 0;
 }
 
 bool
-home_health_is_avoided(const home_health_t *belief, time_ns now)
+home_health_is_avoided(const home_health_t *health, time_ns now)
 {
-    return now < belief->avoid_until;
+    return now < health->avoid_until;
 }
 
 bool
-home_health_is_unresponsive(const home_health_t *belief, time_ns now)
+home_health_is_unresponsive(const home_health_t *health, time_ns now)
 {
-    return belief->silences > 0 && now < belief->avoid_until;
+    return health->timeouts > 0 && now < health->avoid_until;
 }
 
 time_ns
-home_health_hedge_delay(const home_health_t *belief)
+home_health_hedge_delay(const home_health_t *health)
 {
-    if (belief->usual == 0) {
-        return PATIENCE_UNKNOWN_NS;
+    if (health->average == 0) {
+        return HEDGE_UNKNOWN_NS;
     }
-    return CLAMP(belief->usual + belief->spread * SPREADS, PATIENCE_LEAST_NS, HOME_TIMEOUT_NS);
+    return CLAMP(health->average + health->deviation * HEDGE_DEVIATIONS, HEDGE_MIN_NS,
+                 HOME_TIMEOUT_NS);
 }
--- a/src/pooler/rate/roster.c
+++ b/src/pooler/rate/roster.c
@@ -1,4 +1,4 @@
-/* Which poolers count the operations of each tenant; see the header. */
+/* Assignment of shares of rate limits to poolers; see the header. */
 #include "pooler/rate/roster.h"
 
 #include <math.h>
@@ -18,16 +18,16 @@
 }
 
 bool
-roster_member_is_up_to_date(const roster_member_state_t *standing, uint64_t version,
+roster_member_is_up_to_date(const roster_member_state_t *state, uint64_t version,
                             time_ns written_at, time_ns now)
 {
-    bool confirmed = written_at != 0 && standing->confirmed >= version &&
-                     standing->confirmed_as_of >= written_at;
-    return confirmed || (standing->away && now >= standing->away_since + ROSTER_ENTERING_NS);
+    bool confirmed =
+        written_at != 0 && state->confirmed >= version && state->confirmed_as_of >= written_at;
+    return confirmed || (state->away && now >= state->away_since + ROSTER_ENTERING_NS);
 }
 
 static void
-clear(gpointer data)
+free_members(gpointer data)
 {
     roster_t *roster = data;
     for (size_t i = 0; i < roster->count; i++) {
@@ -55,10 +55,11 @@
 void
 roster_unref(roster_t *roster)
 {
-    g_rc_box_release_full(roster, clear);
+    g_rc_box_release_full(roster, free_members);
 }
 
-/* Weighted rendezvous hashing: the highest score wins, in proportion to the weights. */
+/* Score of weighted rendezvous hashing. The member with the highest score is the home; the chance
+ * of that is proportional to the weight. */
 static double
 score_of(const roster_member_t *member, uint64_t seed)
 {
--- a/src/pooler/rate/roster.h
+++ b/src/pooler/rate/roster.h
@@ -1,28 +1,29 @@
 /**
  * @file
- * @brief Which poolers count the operations of each tenant. Pure: members come in, places go out.
+ * @brief The roster: the list of poolers that count the operations of rate-limited tenants, and the
+ * assignment of shares to them. Pure functions of rosters and times.
  *
- * A tenant's limit holds over all poolers together, cut off or not. It is divided into shares of
- * equal size, once and for all. Each share is counted by one pooler at a time, its home: the member
- * that comes first by weighted rendezvous hashing of tenant, share and member. A pooler that takes
- * an operation asks a home for a token; a home that has none left sends it to the tenant's other
- * ones. Because the token is asked for after the client has sent its request, and before a database
- * gets it, what runs in any span of time is no more than the tokens that homes gave in it.
+ * A tenant's limit applies to all poolers together, even when they are partitioned from each other.
+ * It is divided into ROSTER_SHARES shares of equal size. Each share is counted by one pooler at a
+ * time, its home: the member with the highest score in weighted rendezvous hashing of tenant, share
+ * and member. A pooler that accepts an operation requests a token from one home, and from the next
+ * if that one has no token left. The token is requested after the client has sent its request and
+ * before the request reaches a database, so that over any interval no more operations run than
+ * tokens were granted.
  *
- * No two poolers may count one share at the same time. So
- * - a home counts only while its list of members is current: a coordinator answered a heartbeat
- * that was sent less than ROSTER_VALID_NS ago, or the store told the list;
- * - a member that leaves keeps its places for ROSTER_AWAY_NS, in which most come back (a process
- *   that was killed is back in 1 to 4 s), and it has stopped counting long before they are over;
- * - a member that joins takes its places at once, so that whoever had them stops. It counts once
- *   every other member has confirmed a list in which it has them (roster_member_is_up_to_date()),
- * mostly within a second; otherwise ROSTER_ENTERING_NS later, when those that did not hear of it
- * have stopped. Meanwhile such a share gives no tokens. The other shares do, so that a tenant has
- * the greater part of its limit.
+ * No two poolers may count the same share at the same time. Therefore:
+ * - A home counts only while its roster is valid: a coordinator answered a heartbeat that was sent
+ *   less than ROSTER_VALID_NS ago, or the roster was read from the store within that time.
+ * - A member that leaves keeps its shares for ROSTER_AWAY_NS. Most return within that time (a
+ * killed process restarts in 1 to 4 s), and the member has stopped counting long before its end.
+ * - A member that joins is assigned its shares at once, so that their previous homes stop counting
+ *   them. It counts once every other member has confirmed a roster with the new assignment
+ *   (roster_member_is_up_to_date()), usually within a second, or else after ROSTER_ENTERING_NS,
+ * when the rosters of members that did not receive it have expired. Until then no tokens are
+ * granted from these shares; the tenant still has its other shares, the greater part of its limit.
  *
- * A process that starts has forgotten the tokens that it gave. Its buckets begin with a part of
- * what the limit may be exceeded by (rate_start_tokens), so that this can happen some times in a
- * window.
+ * A restarted process has lost its record of granted tokens. Its buckets start with a part of the
+ * permitted overage (rate_start_tokens()), so that several restarts within a window stay within it.
  */
 #ifndef SW_POOLER_RATE_ROSTER_H
 #define SW_POOLER_RATE_ROSTER_H
@@ -34,57 +35,59 @@
 
 #include "core/types.h"
 
-/** Shares of a tenant's limit. With fewer, more of a limit is lost with one machine; with more, a
- *  tenant near its limit asks more homes in vain, one round trip each. */
+/** Number of shares of a tenant's limit. With fewer, the loss of one machine takes more of a limit;
+ *  with more, a tenant near its limit requests tokens from more homes in vain, each for one round
+ *  trip. */
 #define ROSTER_SHARES 5
 
-/** A list of members is relied on for so long: longer than a fleet of 300 goes without a
- * coordinator after one was lost, 6.1 s. With 4 s, tenants were refused from then on. */
+/** Validity of a roster. Longer than the time for which a fleet of 300 poolers is without a
+ * coordinator after its loss, 6.1 s. With a validity of 4 s, tenants were refused in that time. */
 #define ROSTER_VALID_NS (UINT64_C(7000) * 1000 * 1000)
 
-/** Longer than that by what a heartbeat may take. */
+/** ROSTER_VALID_NS plus the time that a heartbeat may take. */
 #define ROSTER_ENTERING_NS (UINT64_C(8000) * 1000 * 1000)
 
-/** Twice as long: a machine that lost power or was cut off is mostly back by then. */
+/** Twice ROSTER_ENTERING_NS: by then most machines are back after a power loss or a partition. */
 #define ROSTER_AWAY_NS (UINT64_C(16000) * 1000 * 1000)
 
-/** @return true if a member that has been away since then loses its places. */
+/** @return true if a member that has been away since `since` loses its shares. */
 bool roster_loses_place(bool away, time_ns since, time_ns now);
 
-/** @return true if a member that has been entering since then counts from now on, whatever others
- * have heard. */
+/** @return true if a member that has been entering since `since` may count, whether or not the
+ *  other members have confirmed the roster. */
 bool roster_may_count(bool entering, time_ns since, time_ns now);
 
-/** @brief What a coordinator knows of a member that may still count by an earlier list. */
-typedef struct roster_standing {
-    uint64_t confirmed;      /* version of the list that its last heartbeat told */
-    time_ns confirmed_as_of; /* a moment before that heartbeat was sent; 0: not known */
-    bool away;               /* the list has it as away */
-    time_ns away_since;      /* since then */
+/** @brief A coordinator's knowledge of the roster that a member uses. */
+typedef struct roster_member_state {
+    uint64_t confirmed;      /* version of the roster in the member's last heartbeat */
+    time_ns confirmed_as_of; /* a time before that heartbeat was sent; 0: not known */
+    bool away;               /* as in the coordinator's roster */
+    time_ns away_since;
 } roster_member_state_t;
 
-/** @return true if the member certainly counts by the list of `version` or a later one, or not at
- * all. A confirmation only counts if it was sent after the store's row held the list: before, the
- * member's process could have been restarted and learn an earlier list from the row. A member that
- * is away has stopped counting after ROSTER_ENTERING_NS.
- *  @param written_at when the row held the list, at the latest; 0: not yet. */
+/** @return true if the member is known either to use the roster of `version` or a later one, or not
+ * to count at all. A confirmation is accepted only if it was sent after the store's row had the
+ * roster: before that, the member's process could be restarted and read an earlier roster from the
+ * row. A member that is away has stopped counting after ROSTER_ENTERING_NS.
+ *  @param written_at a time by which the row had the roster; 0: not yet. */
 bool roster_member_is_up_to_date(const roster_member_state_t *standing, uint64_t version,
                                  time_ns written_at, time_ns now);
 
-/** @brief A pooler that has a place in counting operations. */
+/** @brief A pooler to which shares are assigned. */
 typedef struct roster_member {
-    char *address; /* where it takes questions, as text */
+    char *address; /* for token requests, as text */
     struct sockaddr_in socket_address;
-    uint32_t weight; /* twice the weight, twice the shares; above 0 */
+    uint32_t weight; /* number of shares is proportional to it; above 0 */
     bool same_zone;
     bool self;
-    bool away;     /* it is gone, and nobody counts in its place */
-    bool entering; /* it does not count yet */
+    bool away;     /* temporarily absent: no pooler counts its shares */
+    bool entering; /* joined, and must not count yet */
 } roster_member_t;
 
-/** @brief All members, immutable once published. References are counted by the control thread. */
+/** @brief All members; immutable once published. Only the control thread takes and releases
+ * references. */
 typedef struct roster {
-    uint64_t revision; /* differs after each change */
+    uint64_t revision; /* unique for each change */
     size_t count;
     roster_member_t *members;
 } roster_t;
@@ -94,7 +97,7 @@
 void roster_unref(roster_t *roster);
 
 /** @brief Finds the homes of a tenant's shares.
- *  @param out places of the members, one for each share; not written if there are no members. */
+ *  @param out index of the home of each share in `members`; not written if there are no members. */
 void roster_homes(const roster_t *roster, const char *tenant, size_t out[ROSTER_SHARES]);
 
 #endif
--- a/src/pooler/rate/share.c
+++ b/src/pooler/rate/share.c
@@ -6,34 +6,34 @@
 
 #define SECOND_NS 1e9
 
-/* Tokens are kept for the more urgent operations of so many seconds to come: above the pause
- * between two bursts of a client's own statements (a tenth of a second), below the objective of
- * most, after which a token comes too late. */
-#define KEPT_FOR_S 0.25
+/* Tokens are reserved for the higher-priority operations that are expected within this time. It is
+ * longer than the pause between two bursts of statements of one client (0.1 s) and shorter than
+ * most latency objectives, after which a token would come too late. */
+#define RESERVE_S 0.25
 
-/* At most this part of a bucket's depth is kept, so that the rest has a burst of its own. */
-#define KEPT_MOST 0.5
+/* At most this part of a bucket's capacity is reserved, so that low priorities can have bursts. */
+#define RESERVE_MAX_PART 0.5
 
-/* The average of operations asked for fades with this time constant. */
-#define ASKED_FOR_S 1.0
+/* Time constant of the decaying average of requests. */
+#define DEMAND_DECAY_S 1.0
 
-/* Once so many tokens went to more urgent operations since one of a priority was refused, the next
- * token is kept for that priority: it gets one in ten at least. */
-#define TURNS 9U
+/* Once a priority's `passed_over` reaches this value, the next token is reserved for that priority,
+ * so that it gets at least one token in ten and does not starve. */
+#define PASSED_OVER_MAX 9U
 
-/* Operations a second, by the fading average. A priority below it has had no operation for one to
- * two seconds, and no token is kept for its turn. */
-#define ASKED_LEAST 0.2
+/* A priority with fewer requests a second, by the decaying average, has had no request for one to
+ * two seconds. No token is reserved to keep it from starving. */
+#define DEMAND_MIN_PER_S 0.2
 
-/* Each refused operation is told the moment of a token of its own, up to so far ahead. After that
- * the promises begin again with the next token: few callers wait for longer than a second, and what
- * lies further ahead is unknown. */
-#define PROMISED_NS (1000 * NANOSECONDS_PER_MILLISECOND)
+/* Each refused operation gets the time of a different future token as its retry time, up to this
+ * far ahead. After that, retry times start over from the next token: few callers wait longer than a
+ * second, and the demand further ahead is unknown. */
+#define RETRY_HORIZON_NS (1000 * NANOSECONDS_PER_MILLISECOND)
 
 void
 share_start(share_t *share, double tokens, time_ns now)
 {
-    *share = (share_t){.bucket = {tokens, now}, .asked_at = now};
+    *share = (share_t){.bucket = {tokens, now}, .demand_at = now};
 }
 
 unsigned
@@ -43,40 +43,41 @@
 }
 
 static void
-note_asked(share_t *share, unsigned priority, time_ns now)
+update_demand(share_t *share, unsigned priority, time_ns now)
 {
-    double seconds = now > share->asked_at ? (double)(now - share->asked_at) / SECOND_NS : 0;
-    double faded = exp(-seconds / ASKED_FOR_S);
+    double seconds = now > share->demand_at ? (double)(now - share->demand_at) / SECOND_NS : 0;
+    double decay = exp(-seconds / DEMAND_DECAY_S);
     for (unsigned i = 0; i < SHARE_PRIORITIES; i++) {
-        share->asked_per_s[i] *= faded;
+        share->demand_per_s[i] *= decay;
     }
-    share->asked_per_s[priority] += 1 / ASKED_FOR_S;
-    share->asked_at = MAX(share->asked_at, now);
+    share->demand_per_s[priority] += 1 / DEMAND_DECAY_S;
+    share->demand_at = MAX(share->demand_at, now);
 }
 
 static bool
-has_turn(const share_t *share, unsigned priority)
+is_starving(const share_t *share, unsigned priority)
 {
-    return share->passed_over[priority] >= TURNS && share->asked_per_s[priority] > ASKED_LEAST;
+    return share->passed_over[priority] >= PASSED_OVER_MAX &&
+           share->demand_per_s[priority] > DEMAND_MIN_PER_S;
 }
 
-/* Tokens that an operation has to leave to more urgent ones. */
+/* Number of tokens reserved for higher priorities. */
 static double
-kept_for_urgent(const share_t *share, unsigned priority)
+reserved_for_higher(const share_t *share, unsigned priority)
 {
-    double kept = 0;
+    double reserved = 0;
     for (unsigned i = 0; i < priority; i++) {
-        kept += share->asked_per_s[i] * KEPT_FOR_S;
+        reserved += share->demand_per_s[i] * RESERVE_S;
     }
-    return kept;
+    return reserved;
 }
 
-/* The token that it has to leave to a less urgent one whose turn it is. */
+/* Number of tokens reserved for a lower priority that was passed over too often: 0 or 1. */
 static double
-kept_for_turns(const share_t *share, unsigned priority)
+reserved_for_starving(const share_t *share, unsigned priority)
 {
     for (unsigned i = priority + 1; i < SHARE_PRIORITIES; i++) {
-        if (has_turn(share, i)) {
+        if (is_starving(share, i)) {
             return 1;
         }
     }
@@ -84,16 +85,16 @@
 }
 
 static double
-kept_from(const share_t *share, const bucket_limit_t *limit, unsigned priority)
+reserved_tokens(const share_t *share, const bucket_limit_t *limit, unsigned priority)
 {
-    double kept = has_turn(share, priority) ? 0 : kept_for_urgent(share, priority);
-    kept = fmax(kept, kept_for_turns(share, priority));
-    return fmax(fmin(kept, fmin(limit->room * KEPT_MOST, limit->room - 1)), 0);
+    double reserved = is_starving(share, priority) ? 0 : reserved_for_higher(share, priority);
+    reserved = fmax(reserved, reserved_for_starving(share, priority));
+    return fmax(fmin(reserved, fmin(limit->capacity * RESERVE_MAX_PART, limit->capacity - 1)), 0);
 }
 
-/* Counts the token against each less urgent priority that has a refused operation. */
+/* Counts a granted token for each lower priority that has a refused operation. */
 static void
-note_given(share_t *share, unsigned priority)
+note_granted(share_t *share, unsigned priority)
 {
     for (unsigned i = priority + 1; i < SHARE_PRIORITIES; i++) {
         if (share->passed_over[i] > 0) {
@@ -103,32 +104,33 @@
     share->passed_over[priority] = 0;
 }
 
-/* The time until the token after the one that was promised last; see PROMISED_NS. */
+/* Time until the token after the one of the last refusal; see RETRY_HORIZON_NS. */
 static time_ns
-promise(share_t *share, const bucket_limit_t *limit, unsigned priority, time_ns now, time_ns wait)
+next_retry(share_t *share, const bucket_limit_t *limit, unsigned priority, time_ns now,
+           time_ns wait)
 {
-    time_ns *promised = &share->promised[priority];
+    time_ns *retry_at = &share->retry_at[priority];
     time_ns first = now + wait;
-    double interval_ns = fmin(SECOND_NS / limit->rate_per_s, 2.0 * PROMISED_NS);
-    time_ns next = *promised + (time_ns)interval_ns;
-    bool begins = next < first || next > first + PROMISED_NS;
-    *promised = begins ? first : next;
-    return *promised - now;
+    double interval_ns = fmin(SECOND_NS / limit->rate_per_s, 2.0 * RETRY_HORIZON_NS);
+    time_ns next = *retry_at + (time_ns)interval_ns;
+    bool start_over = next < first || next > first + RETRY_HORIZON_NS;
+    *retry_at = start_over ? first : next;
+    return *retry_at - now;
 }
 
 bool
 share_take(share_t *share, const bucket_limit_t *limit, uint32_t priority, time_ns now,
            time_ns *wait)
 {
-    unsigned place = share_priority(priority);
-    note_asked(share, place, now);
-    if (bucket_take(&share->bucket, limit, kept_from(share, limit, place), now, wait)) {
-        note_given(share, place);
+    unsigned index = share_priority(priority);
+    update_demand(share, index, now);
+    if (bucket_take(&share->bucket, limit, reserved_tokens(share, limit, index), now, wait)) {
+        note_granted(share, index);
         return true;
     }
-    share->passed_over[place] = MAX(share->passed_over[place], 1);
+    share->passed_over[index] = MAX(share->passed_over[index], 1);
     if (*wait != 0) {
-        *wait = promise(share, limit, place, now, *wait);
+        *wait = next_retry(share, limit, index, now, *wait);
     }
     return false;
 }
