--- a/src/pooler/databases/database.c
+++ b/src/pooler/databases/database.c
@@ -149,8 +149,8 @@
 void
 database_note_rtt(struct database *database, time_ns took)
 {
-    database->way_ms =
-        placement_update_rtt(database->way_ms, (double)took / (double)NANOSECONDS_PER_MILLISECOND);
+    database->rtt_ms =
+        placement_update_rtt(database->rtt_ms, (double)took / (double)NANOSECONDS_PER_MILLISECOND);
 }
 
 /* How much must be set up before the connection suits the session; lower is better. */
@@ -293,7 +293,7 @@
 database_connections(const struct database *database)
 {
     const struct group *group = database->group;
-    bool own = !group->alone && group->connections > 0 && database->connections > 0;
+    bool own = !group->direct_fallback && group->connections > 0 && database->connections > 0;
     return own ? database->connections : group->connections;
 }
 
--- a/src/pooler/databases/server.c
+++ b/src/pooler/databases/server.c
@@ -119,11 +119,12 @@
     struct server *server = g_new0(struct server, 1);
     server->database = database;
     server->tenant = tenant;
-    server->ahead = why == METRICS_OPENED_AHEAD;
+    server->opened_ahead = why == METRICS_OPENED_AHEAD;
     server->socket = handle;
     server->state = SERVER_CONNECTING;
     server->sent_at = backend_now();
-    server->after = database->position; /* it holds at least this, unless it has lost its log */
+    server->min_position =
+        database->position; /* it holds at least this, unless it has lost its log */
     server->expected = g_byte_array_new();
     server->values = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     server->prepared = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -189,7 +190,7 @@
     if (server_holds_work(server)) {
         server_count_in_flight(server, false);
     }
-    if (server->ahead) {
+    if (server->opened_ahead) {
         metrics_count(&worker->metrics, METRICS_AHEAD_UNUSED);
     }
     server->state = SERVER_CLOSED;
--- a/src/pooler/databases/server_answer.c
+++ b/src/pooler/databases/server_answer.c
@@ -54,7 +54,7 @@
 {
     const struct group *group = server->database->group;
     return server->database == group->primary && ready != NULL && ready->has_position &&
-           !log_position_covers(ready->position, server->after);
+           !log_position_covers(ready->position, server->min_position);
 }
 
 /* `ready` is NULL if the database refused the start. */
@@ -88,8 +88,8 @@
     count_use(server, server->code == ANSWER_NONE ? DATABASE_USE_BEGIN : DATABASE_USE_REFUSED);
     server->in_transaction = state != TRANSACTION_STATE_NONE;
     if (server->code == ANSWER_LAGGING) {
-        server->database->lacking = server->after;
-        server->database->lacking_at = backend_now();
+        server->database->missing_position = server->min_position;
+        server->database->missing_at = backend_now();
     }
     if (server->code == ANSWER_BUSY) {
         database_narrow_window(server->database, backend_now());
@@ -164,8 +164,8 @@
         group->latency_ms += LATENCY_WEIGHT * (latency - group->latency_ms);
         slowness = server->session == NULL
                        ? 0
-                       : baseline_times_update(&group->worker->usual, &group->usual,
-                                               &database->lately, kind_of(server), latency, now);
+                       : baseline_times_update(&group->worker->usual, &group->baseline,
+                                               &database->recent, kind_of(server), latency, now);
     }
     server->wrote = server->wrote || (server->writes && server->code == ANSWER_NONE);
     if (server->code == ANSWER_BUSY) {
@@ -179,8 +179,8 @@
     database->position = ready->position;
     if (server->code == ANSWER_LAGGING) {
         metrics_count(&group->worker->metrics, METRICS_LAGGING);
-        database->lacking = server->after;
-        database->lacking_at = now;
+        database->missing_position = server->min_position;
+        database->missing_at = now;
     }
     note_lag(database, now);
     bool leads = database == group->primary && server->epoch == group->epoch;
@@ -188,7 +188,7 @@
      * asked no replica, and shows nothing. */
     bool committed = server->code == ANSWER_NONE && server->running_writes && server->wrote &&
                      ready->state == TRANSACTION_STATE_NONE && group->sync_replicas > 0;
-    if (leads && (server->permitted || committed) && ready->position.term >= group->term) {
+    if (leads && (server->had_permit || committed) && ready->position.term >= group->term) {
         freshness_add(&group->freshness, server->sent_at, ready->position);
     }
     if (leads && committed) {
--- a/src/pooler/databases/server_run.c
+++ b/src/pooler/databases/server_run.c
@@ -68,7 +68,7 @@
     if (name != NULL) {
         return name;
     }
-    char *given = g_strdup_printf("p%u", ++server->names_given);
+    char *given = g_strdup_printf("p%u", ++server->prepared_count);
     wire_write_prepare(&server->out, given, prepared->writes, span_of(prepared->shape));
     server_expect(server, EXPECT_SETUP);
     g_hash_table_insert(server->prepared, g_steal_pointer(&key), given);
@@ -101,7 +101,7 @@
     struct group *group = server->database->group;
     server->sent_at = backend_now();
     server->epoch = group->epoch;
-    server->permitted =
+    server->had_permit =
         server->database == group->primary && router_has_permit(group, server->sent_at);
 }
 
@@ -119,8 +119,8 @@
         server->state = SERVER_RUNNING;
         server_count_in_flight(server, true);
     }
-    if (server->ahead) {
-        server->ahead = false;
+    if (server->opened_ahead) {
+        server->opened_ahead = false;
         metrics_count(&server->database->group->worker->metrics, METRICS_AHEAD_USED);
     }
     server->state = SERVER_RUNNING;
@@ -130,7 +130,7 @@
     session->request.at_primary = server->database == server->database->group->primary;
     server_clear_answer(server);
     server_note_sending(server);
-    server->after = position_or_none(after);
+    server->min_position = position_or_none(after);
     bring_setup(server, session);
     server->running_writes = false;
     bool begins = session->transaction == SESSION_TRANSACTION_REQUESTED;
--- a/src/pooler/routing/choice.c
+++ b/src/pooler/routing/choice.c
@@ -81,8 +81,8 @@
     bool lag_known = now < database->lag_at + LAG_KEPT_NS;
     time_ns lag = lag_known || database->lag > LAG_LONG_NS ? database->lag : LAG_TYPICAL_NS;
     time_ns at = need->position_at + lag;
-    if (log_position_covers(need->position, database->lacking)) {
-        at = MAX(at, database->lacking_at + LACKING_KEPT_NS);
+    if (log_position_covers(need->position, database->missing_position)) {
+        at = MAX(at, database->missing_at + LACKING_KEPT_NS);
     }
     return at > now ? at : 0;
 }
@@ -124,15 +124,15 @@
         placement_decayed_ms(database->latency_ms, group->latency_ms, now - database->latency_at);
     double opening_ms = group->opening_ms == 0 ? OPENING_TYPICAL_MS : group->opening_ms;
     place_t place = {
-        .way_ms = database->way_ms,
-        .usual_ms = MAX(ms - database->way_ms, 0),
+        .rtt_ms = database->rtt_ms,
+        .service_ms = MAX(ms - database->rtt_ms, 0),
         .opening_ms = open ? 0 : opening_ms,
         .fresh_in_ms = fresh == 0 ? 0 : (double)(fresh - now) / (double)NANOSECONDS_PER_MILLISECOND,
         .running = database->in_flight,
         .slots = database->window.slots,
         .far = !database->same_zone,
         .leads = database == group->primary,
-        .led_share = group->led_share,
+        .primary_only_share = group->primary_only_share,
     };
     return placement_cost_ms(&place);
 }
@@ -184,7 +184,7 @@
         bool open = group->primary != NULL && group->phase == GROUP_PHASE_OPEN &&
                     database_fault(group->primary) != DATABASE_FAULT_REFUSING;
         time_ns permitted_at = need->writes ? now + WRITE_MARGIN_NS : now;
-        bool proven = !need->writes && group->led_at >= began_at(session);
+        bool proven = !need->writes && group->leadership_proven_at >= began_at(session);
         if (open && need->permit && !router_has_permit(group, permitted_at) && !proven) {
             choice->check = true;
         } else if (open) {
--- a/src/pooler/routing/group.c
+++ b/src/pooler/routing/group.c
@@ -19,7 +19,7 @@
         group->databases = g_ptr_array_new();
         group->links = g_ptr_array_new();
         g_queue_init(&group->queue);
-        group->closed_since = backend_now();
+        group->no_primary_since = backend_now();
         g_hash_table_insert(worker->groups, shared->service, group);
     }
     return group;
@@ -57,7 +57,7 @@
     database->connections = member->connections;
     database->takes_work = member->takes_work;
     window_set_slots(&database->window, member->slots, sharers);
-    database->listed = true;
+    database->in_view = true;
     if (member->closed) {
         database_close_where(database, is_any, 0, ANSWER_ABORTED);
     } else if (!member->takes_work) {
@@ -72,7 +72,7 @@
 {
     for (guint i = group->databases->len; i > 0; i--) {
         struct database *database = g_ptr_array_index(group->databases, i - 1);
-        if (database->listed) {
+        if (database->in_view) {
             continue;
         }
         database->takes_work = false;
@@ -104,16 +104,16 @@
     group->phase = view->phase;
     group->epoch = view->epoch;
     bool open = primary != NULL && view->phase == GROUP_PHASE_OPEN;
-    if (open && group->closed_since != 0) {
-        queue_rate_restart(&group->pace[QUEUE_LINE_PRIMARY], backend_now());
-        group->closed_since = 0;
-    } else if (!open && group->closed_since == 0) {
-        group->closed_since = backend_now();
+    if (open && group->no_primary_since != 0) {
+        queue_rate_restart(&group->queue_rate[QUEUE_LINE_PRIMARY], backend_now());
+        group->no_primary_since = 0;
+    } else if (!open && group->no_primary_since == 0) {
+        group->no_primary_since = backend_now();
     }
     if (moved) {
         group->checks_failed = 0;
         freshness_clear(&group->freshness);
-        group->led_at = 0;
+        group->leadership_proven_at = 0;
     }
     if (former != NULL && (moved || view->phase == GROUP_PHASE_CLOSED)) {
         database_close_where(former, is_writing, 0, ANSWER_IN_DOUBT);
@@ -153,7 +153,7 @@
 make_ready(struct group *group)
 {
     time_ns now = backend_now();
-    if (group->alone) {
+    if (group->direct_fallback) {
         return; /* what it opens may be lacking to the owners: only what a statement needs */
     }
     for (guint i = 0; group->primary != NULL && i < group->databases->len; i++) {
@@ -169,15 +169,16 @@
     group->connections = view->connections;
     group->fallback_connections = view->fallback_connections;
     apply_owners(group, view);
-    group->alone = group->alone && group->connections == 0 && forward_none_left(group);
-    if (group->alone) {
+    group->direct_fallback =
+        group->direct_fallback && group->connections == 0 && forward_none_left(group);
+    if (group->direct_fallback) {
         group->connections = group->fallback_connections;
     }
     if (group->connections == 0) {
         close_connections(group);
     }
     for (guint i = 0; i < group->databases->len; i++) {
-        ((struct database *)g_ptr_array_index(group->databases, i))->listed = false;
+        ((struct database *)g_ptr_array_index(group->databases, i))->in_view = false;
     }
     for (size_t i = 0; i < view->members_count; i++) {
         struct database *database = apply_member(group, &view->members[i], view->sharers);
@@ -198,7 +199,7 @@
 group_refresh(struct group *group)
 {
     time_ns now = backend_now();
-    if (group->alone || (router_forwards(group) && group->queue.length > 0)) {
+    if (group->direct_fallback || (router_forwards(group) && group->queue.length > 0)) {
         forward_try_again(group);
     } else {
         group->unreachable_since = 0; /* nobody waits: the next statement tries anew */
@@ -228,7 +229,7 @@
                      "Group %s: none of its %u owners can be reached, served by %u connections of "
                      "its own.",
                      group->shared->service, group->links->len, group->fallback_connections);
-    group->alone = true;
+    group->direct_fallback = true;
     group->connections = group->fallback_connections;
     return true;
 }
@@ -240,12 +241,12 @@
         return;
     }
     group->unreachable_since = 0;
-    if (!group->alone) {
+    if (!group->direct_fallback) {
         return;
     }
     g_log_structured("router", G_LOG_LEVEL_MESSAGE, "SW_SERVICE", group->shared->service, "MESSAGE",
                      "Group %s: an owner can be reached again.", group->shared->service);
-    group->alone = false;
+    group->direct_fallback = false;
     group->connections = 0; /* what is open is closed once it has not been used for a while */
 }
 
@@ -271,7 +272,7 @@
     }
     for (guint i = 0; i < group->databases->len; i++) {
         const struct database *database = g_ptr_array_index(group->databases, i);
-        if (database->servers->len > 0 || !database->listed) {
+        if (database->servers->len > 0 || !database->in_view) {
             return false;
         }
     }
@@ -285,7 +286,7 @@
     if (is_at_rest(group)) {
         return false;
     }
-    if (group->alone) {
+    if (group->direct_fallback) {
         forward_try_again(group);
     }
     for (guint i = 0; i < group->databases->len; i++) {
--- a/src/pooler/routing/leadership.c
+++ b/src/pooler/routing/leadership.c
@@ -23,7 +23,7 @@
 void
 leadership_note_proven(struct group *group, time_ns at)
 {
-    group->led_at = MAX(group->led_at, at);
+    group->leadership_proven_at = MAX(group->leadership_proven_at, at);
 }
 
 /* True if the answers prove that the primary led when the check began. */
@@ -32,8 +32,9 @@
 {
     const struct leadership_check *check = &group->check;
     uint64_t term = check->primary_term;
-    return check->primary_good && term >= group->term && check->newest_term <= term &&
-           check->replicas_term == term && check->replicas_good >= MAX(group->sync_replicas, 1);
+    return check->primary_leads && term >= group->term && check->newest_term <= term &&
+           check->replicas_term == term &&
+           check->replicas_following >= MAX(group->sync_replicas, 1);
 }
 
 static void
@@ -86,13 +87,13 @@
         coming += !can && database_is_opening(database);
     }
     if (primary_ready && (ready >= needed || ready + coming < needed)) {
-        group->check_held_since = 0;
+        group->check_deferred_since = 0;
         return false;
     }
-    if (group->check_held_since == 0) {
-        group->check_held_since = now;
+    if (group->check_deferred_since == 0) {
+        group->check_deferred_since = now;
     }
-    return !primary_ready || now < group->check_held_since + HELD_MAX_NS;
+    return !primary_ready || now < group->check_deferred_since + HELD_MAX_NS;
 }
 
 static bool
@@ -102,7 +103,7 @@
     if (server == NULL) {
         return false;
     }
-    database->group->check.waiting++;
+    database->group->check.pending++;
     server_query_status(server);
     return true;
 }
@@ -122,7 +123,7 @@
     metrics_count(&group->worker->metrics, METRICS_PERMIT_MISSING);
     group->check_again_at = now + CHECK_AGAIN_NS;
     /* One more is awaited until all are asked, so that an answer meanwhile does not end it. */
-    *check = (struct leadership_check){.running = true, .started = now, .waiting = 1};
+    *check = (struct leadership_check){.running = true, .started = now, .pending = 1};
     if (!ask(group->primary)) {
         check->running = false;
         return;
@@ -133,8 +134,8 @@
             ask(database);
         }
     }
-    check->waiting--;
-    if (check->waiting == 0 && check->running) {
+    check->pending--;
+    if (check->pending == 0 && check->running) {
         finish(group);
     }
 }
@@ -151,9 +152,9 @@
     }
     if (report->term > check->replicas_term) {
         check->replicas_term = report->term;
-        check->replicas_good = 0;
+        check->replicas_following = 0;
     }
-    check->replicas_good++;
+    check->replicas_following++;
 }
 
 static void
@@ -165,7 +166,7 @@
         take_replica(check, report);
         return;
     }
-    check->primary_good = report->leads;
+    check->primary_leads = report->leads;
     check->primary_term = report->term;
     check->position = report->received;
 }
@@ -175,14 +176,14 @@
                         const struct database_report *report)
 {
     struct leadership_check *check = &group->check;
-    if (!check->running || check->waiting == 0) {
+    if (!check->running || check->pending == 0) {
         return;
     }
-    check->waiting--;
+    check->pending--;
     if (report != NULL) {
         take_report(group, database, report);
     }
-    if (check->waiting == 0) {
+    if (check->pending == 0) {
         finish(group);
     }
 }
--- a/src/pooler/routing/placement.c
+++ b/src/pooler/routing/placement.c
@@ -37,22 +37,23 @@
 {
     double slots = place->slots == 0 ? SLOTS_UNKNOWN : place->slots;
     double beyond = place->running + 1 > slots ? place->running + 1 - slots : 0;
-    return place->usual_ms * (beyond / slots + SHARED_WEIGHT * place->running / slots);
+    return place->service_ms * (beyond / slots + SHARED_WEIGHT * place->running / slots);
 }
 
 double
 placement_finish_ms(const place_t *place)
 {
     double ready_ms = MAX(place->opening_ms, place->fresh_in_ms);
-    return ready_ms + place->way_ms + place->usual_ms + wait_ms(place);
+    return ready_ms + place->rtt_ms + place->service_ms + wait_ms(place);
 }
 
 double
 placement_cost_ms(const place_t *place)
 {
     double cost = placement_finish_ms(place) + place->opening_ms * OPENING_WEIGHT;
-    cost += place->far ? place->usual_ms * FAR_WEIGHT : 0;
-    return place->leads ? cost + place->usual_ms * LEAD_WEIGHT * (1 + place->led_share) : cost;
+    cost += place->far ? place->service_ms * FAR_WEIGHT : 0;
+    return place->leads ? cost + place->service_ms * LEAD_WEIGHT * (1 + place->primary_only_share)
+                        : cost;
 }
 
 double
--- a/src/pooler/routing/placement.h
+++ b/src/pooler/routing/placement.h
@@ -13,15 +13,16 @@
 
 /** @brief What is known of one database that could run a statement; times in ms. */
 typedef struct place {
-    double way_ms;      /**< network time there and back */
-    double usual_ms;    /**< from a statement's arrival at the database to its answer's sending */
+    double rtt_ms;      /**< network time there and back */
+    double service_ms;  /**< from a statement's arrival at the database to its answer's sending */
     double opening_ms;  /**< until a connection is open; 0: one is idle */
     double fresh_in_ms; /**< until it has applied what the statement must see; 0: it has */
     uint32_t running;   /**< statements of this worker that it runs */
     uint32_t slots;     /**< statements that it runs at once; 0: not known */
     bool far;           /**< in another zone */
     bool leads;         /**< it is the primary */
-    double led_share;   /**< part of the primary's statements that no replica could run: 0 to 1 */
+    double primary_only_share; /**< part of the primary's statements that no replica could run: 0 to
+                                  1 */
 } place_t;
 
 /** @return when a statement would be answered there, in ms from now. */
--- a/src/pooler/routing/refusal.c
+++ b/src/pooler/routing/refusal.c
@@ -52,7 +52,7 @@
             room += room_of(database);
             sum_ms += room_of(database) * database->latency_ms;
             own_ms +=
-                room_of(database) * recent_times_ms(&database->lately, kind, database->latency_ms);
+                room_of(database) * recent_times_ms(&database->recent, kind, database->latency_ms);
         }
     }
     bool any = room > 0;
@@ -60,7 +60,7 @@
     if (primary != NULL) {
         room = any || here > 0 ? room + here : 0;
         sum_ms += here * primary->latency_ms;
-        own_ms += here * recent_times_ms(&primary->lately, kind, primary->latency_ms);
+        own_ms += here * recent_times_ms(&primary->recent, kind, primary->latency_ms);
     }
     out->room = room;
     out->run_ms = room == 0 ? 0 : own_ms / room;
@@ -92,7 +92,7 @@
     wait_forecast_t prospect;
     session->request.line = find_prospect(session, backend_now(), &prospect);
     prospect.ahead = count_ahead(session);
-    return queue_rate_is_late(&session->route.group->pace[session->request.line], &prospect);
+    return queue_rate_is_late(&session->route.group->queue_rate[session->request.line], &prospect);
 }
 
 /* How many were refused since the shortage began, by priority, as "0:3 2:40". */
@@ -120,7 +120,7 @@
 {
     g_autofree char *waiting = g_strdup_printf("%u", group->waiting[line]);
     g_autofree char *refused = refused_text(&group->shortage[line]);
-    g_autofree char *interval = g_strdup_printf("%.1f", group->pace[line].interval_ms);
+    g_autofree char *interval = g_strdup_printf("%.1f", group->queue_rate[line].interval_ms);
     g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_MESSAGE, "SW_SERVICE", group->shared->service,
                      "SW_ROLE", line == QUEUE_LINE_PRIMARY ? "primary" : "any", "SW_QUEUE", waiting,
                      "SW_REFUSED", refused, "SW_INTERVAL_MS", interval, "MESSAGE",
@@ -171,7 +171,7 @@
         if (same && later->request.refusal == NULL &&
             find_prospect(later, now, &prospect) == later->request.line) {
             prospect.ahead = count_ahead(later);
-            if (queue_rate_is_late(&group->pace[later->request.line], &prospect)) {
+            if (queue_rate_is_late(&group->queue_rate[later->request.line], &prospect)) {
                 session_end_wait(later, METRICS_REFUSAL_URGENT);
                 note_shortage(later, now);
             }
@@ -193,8 +193,8 @@
 primary_is_lost(const struct session *session, const struct need *need, time_ns now)
 {
     const struct group *group = session->route.group;
-    if (group->closed_since != 0) {
-        return now > group->closed_since + PRIMARY_LOST_NS;
+    if (group->no_primary_since != 0) {
+        return now > group->no_primary_since + PRIMARY_LOST_NS;
     }
     enum database_fault fault = database_fault(group->primary);
     bool concerns = fault != DATABASE_FAULT_NONE &&
@@ -250,8 +250,8 @@
         return 0; /* its owners know */
     }
     choice_find_need(session, &need);
-    if (need.primary && group->closed_since != 0) {
-        return change_left(group->closed_since, now);
+    if (need.primary && group->no_primary_since != 0) {
+        return change_left(group->no_primary_since, now);
     }
     if (need.primary && database_fault(group->primary) != DATABASE_FAULT_NONE) {
         return change_left(atomic_load(&group->primary->shared->fault_since), now);
@@ -259,6 +259,6 @@
     session->request.line = find_prospect(session, now, &prospect);
     prospect.ahead = count_ahead(session);
     prospect.waited_ms = 0; /* who comes back has waited for nothing yet */
-    return (time_ns)(queue_rate_late_by_ms(&group->pace[session->request.line], &prospect) *
+    return (time_ns)(queue_rate_late_by_ms(&group->queue_rate[session->request.line], &prospect) *
                      (double)NANOSECONDS_PER_MILLISECOND);
 }
--- a/src/pooler/routing/router.c
+++ b/src/pooler/routing/router.c
@@ -48,7 +48,8 @@
 {
     struct group *group = database->group;
     if (database == group->primary) {
-        group->led_share += ((need->primary ? 1 : 0) - group->led_share) * LED_WEIGHT;
+        group->primary_only_share +=
+            ((need->primary ? 1 : 0) - group->primary_only_share) * LED_WEIGHT;
     }
 }
 
@@ -91,7 +92,7 @@
 note_departure(const struct session *session, time_ns now)
 {
     if (session->queue_link != NULL) {
-        queue_rate_note_departure(&session->route.group->pace[session->request.line], now);
+        queue_rate_note_departure(&session->route.group->queue_rate[session->request.line], now);
     }
 }
 
@@ -199,7 +200,7 @@
     GQueue *queue = &session->route.group->queue;
     GList *place = queue->tail;
     uint32_t *waiting = &session->route.group->waiting[session->request.line];
-    queue_rate_note_arrival(&session->route.group->pace[session->request.line], (*waiting)++,
+    queue_rate_note_arrival(&session->route.group->queue_rate[session->request.line], (*waiting)++,
                             backend_now());
     while (place != NULL && router_is_before(session, place->data)) {
         place = place->prev;
--- a/src/pooler/worker/worker_internal.h
+++ b/src/pooler/worker/worker_internal.h
@@ -169,32 +169,32 @@
 
 struct server {
     struct database *database;
-    const char *tenant; /* for whom it was opened, interned */
-    bool ahead;         /* opened ahead, and not used yet */
+    const char *tenant; /* the only tenant whose statements it serves, interned */
+    bool opened_ahead;  /* opened before a statement needed it, and not used yet */
     int socket;
     struct event *readable;
     struct event *writable;
-    struct event *timer; /* bound of connecting and of cleaning */
+    struct event *timer; /* time-out of connecting and of the clean-up rollback */
     struct buffer in;
     struct buffer out;
     enum server_state state;
-    GByteArray *expected; /* of enum expected, oldest first */
-    GHashTable *values;   /* name -> value, as the database holds them */
-    GHashTable *prepared; /* mode and shape -> name at the database */
-    uint32_t names_given;
-    struct session *session; /* NULL: the session is gone, or there is none */
+    GByteArray *expected;    /* enum expected of each pending answer, oldest first */
+    GHashTable *values;      /* session values set at the database: name -> value */
+    GHashTable *prepared;    /* statements prepared at the database: mode and shape -> name there */
+    uint32_t prepared_count; /* number of names used for prepared statements so far */
+    struct session *session; /* NULL: the session has ended, or there is none */
     bool in_transaction;
-    time_ns sent_at;     /* when the running statement was sent, or its opening began */
+    time_ns sent_at;     /* when the running statement was sent, or the opening was started */
     bool running_writes; /* the running statement is a write, or a commit */
     bool writes;         /* the running statement is a write */
     bool wrote;          /* the open transaction, or the single statement, has written */
-    bool permitted;      /* the group's read permit held when it was sent */
-    bool checking;       /* works for a check of leadership */
-    bool has_report;
+    bool had_permit;     /* the group's read permit was valid when the statement was sent */
+    bool checking;       /* runs a status query of a leadership check */
+    bool has_report;     /* `report` is the answer to that query */
     struct database_report report;
     time_ns idle_since;
-    struct log_position after; /* that the running statement must see */
-    uint64_t epoch;            /* of the group when it was sent */
+    struct log_position min_position; /* the database must have applied the log up to here */
+    uint64_t epoch;                   /* of the group when the statement was sent */
     /* The answer so far. */
     struct buffer rows;
     char *signature;
@@ -208,73 +208,73 @@
     struct sockaddr_in address;
     const char *zone; /* interned; NULL: not known */
     bool same_zone;
-    uint32_t connections; /* that it may get from here; 0: as the group's others */
-    bool takes_work;
-    bool listed;                  /* in the newest view */
+    uint32_t connections;         /* limit for this worker; 0: the limit of the group applies */
+    bool takes_work;              /* statements may be sent to it */
+    bool in_view;                 /* a member of the group in the newest view */
     GPtrArray *servers;           /* of struct server */
-    uint32_t in_flight;           /* servers reserved or running */
-    window_t window;              /* statements that it is given at once */
-    recent_times_t lately;        /* what they took, by kind */
-    uint32_t failures;            /* in a row, of opening a connection; answers on others don't end
-                                     the row */
+    uint32_t in_flight;           /* number of servers reserved or running */
+    window_t window;              /* limits the number of statements that it runs at once */
+    recent_times_t recent;        /* recent average times of its statements, by kind */
+    uint32_t failures;            /* consecutive failures to open a connection; answers on other
+                                     connections do not reset the number */
     time_ns retry_at;             /* no connection is opened before */
-    double latency_ms;            /* moving average of answers, the way included */
-    time_ns latency_at;           /* when it was last renewed */
-    double way_ms;                /* there and back; 0: not known */
-    struct log_position position; /* last seen */
-    struct log_position lacking;  /* a position that it lacked */
-    time_ns lacking_at;
-    time_ns written_at; /* when a write was last acknowledged */
-    time_ns lag;        /* by which it was behind the primary at lag_at */
+    double latency_ms;            /* moving average from sending a statement to its answer */
+    time_ns latency_at;           /* last update of latency_ms */
+    double rtt_ms;                /* network round-trip time; 0: not known */
+    struct log_position position; /* last reported */
+    struct log_position missing_position; /* last position that it reported not to have reached */
+    time_ns missing_at;                   /* when it reported that */
+    time_ns written_at;                   /* when it last acknowledged a write */
+    time_ns lag;                          /* replication lag as of lag_at */
     time_ns lag_at;
 };
 
-/* A check of leadership under way; see leadership.c. */
+/* A leadership check in progress; see leadership.c. */
 struct leadership_check {
     bool running;
     time_ns started;
-    uint32_t waiting;  /* answers still to come */
-    bool primary_good; /* it says that it leads */
+    uint32_t pending;   /* number of answers still to come */
+    bool primary_leads; /* the primary reports that it is the primary */
     uint64_t primary_term;
-    uint64_t newest_term;         /* that any replica tells, or is paused for */
-    uint64_t replicas_term;       /* of the replicas counted */
-    uint32_t replicas_good;       /* that follow in that term and are not paused */
+    uint64_t newest_term;         /* newest term that any replica reports, or is paused for */
+    uint64_t replicas_term;       /* term of the replicas counted in replicas_following */
+    uint32_t replicas_following;  /* replicas that follow in that term and are not paused */
     struct log_position position; /* of the primary */
 };
 
 struct group {
     struct worker *worker;
     struct group_shared *shared;
-    uint64_t revision; /* of the published group that is followed; 0: none yet */
+    uint64_t revision; /* of the published group that was applied last; 0: none yet */
     uint64_t epoch;
     enum group_phase phase;
     uint64_t term;
     uint32_t sync_replicas;
-    uint32_t connections;          /* to each database; 0: statements go to the group's owners */
-    uint32_t fallback_connections; /* the same while none of the owners can be reached */
-    bool alone;                    /* which is so now */
-    time_ns unreachable_since;     /* none of the owners could be reached since then, as statements
-                                    came;     0: one can */
+    uint32_t connections;          /* limit for each database; 0: statements go to the owners */
+    uint32_t fallback_connections; /* the limit while none of the owners is reachable */
+    bool direct_fallback;          /* in force: `connections` is fallback_connections */
+    time_ns unreachable_since;     /* since when statements have found no owner reachable; 0: one
+                                      is, or there were no statements */
     GPtrArray *databases;          /* of struct database, owned */
-    GPtrArray *links;              /* link_t to the group's other owners, near ones first */
-    const char *own_address;       /* this pooler's if it is an owner, interned; NULL: it is none */
-    guint links_same_zone;         /* how many of them are in this zone */
+    GPtrArray *links;              /* link_t to the group's other owners, same zone first */
+    const char *own_address;       /* of this pooler if it is an owner, interned; otherwise NULL */
+    guint links_same_zone;         /* number of links to owners in this zone */
     struct database *primary;
-    double latency_ms; /* moving average of the answers of all its databases */
-    double opening_ms; /* moving average of what opening a connection takes; 0: not known */
-    double led_share;  /* part of the primary's statements that no replica could run: 0 to 1 */
-    GQueue queue;      /* of struct session, most urgent first */
-    uint32_t waiting[QUEUE_LINE_COUNT]; /* how many of the queue are in each line */
-    queue_rate_t pace[QUEUE_LINE_COUNT];
+    double latency_ms;         /* as database.latency_ms, over all its databases */
+    double opening_ms;         /* moving average of the time to open a connection; 0: not known */
+    double primary_only_share; /* part of the primary's statements that no replica could run */
+    GQueue queue;              /* of struct session, highest priority first */
+    uint32_t waiting[QUEUE_LINE_COUNT]; /* number of queued statements in each line */
+    queue_rate_t queue_rate[QUEUE_LINE_COUNT];
     shortage_t shortage[QUEUE_LINE_COUNT];
     struct freshness freshness;
-    baseline_times_t usual; /* what statements take at its databases at rest */
+    baseline_times_t baseline; /* times of statements at its databases without load */
     struct leadership_check check;
-    time_ns check_again_at;
-    time_ns check_held_since; /* the check waits for connections since then; 0: it does not */
-    uint32_t checks_failed;   /* in a row */
-    time_ns closed_since;     /* nobody has been open as the primary since then; 0: one is */
-    time_ns led_at;           /* the primary is known to have led at this moment; 0: never */
+    time_ns check_again_at;       /* no leadership check is started before */
+    time_ns check_deferred_since; /* the check waits for connections to open; 0: it does not */
+    uint32_t checks_failed;       /* consecutive failures */
+    time_ns no_primary_since;     /* since when no primary has taken work; 0: one does */
+    time_ns leadership_proven_at; /* latest time at which the primary provably led; 0: none */
 };
 
 struct worker {
@@ -357,115 +357,127 @@
 void session_check_stop(struct session *session, time_ns now);
 
 /* server.c */
-/* Opens a connection for a tenant, or, for questions of our own, as nobody's
- * (access_public_tenant). `why` is one of METRICS_OPENED_*. NULL if no socket could be had. */
+/* Opens a connection for a tenant, or with access_public_tenant() for the pooler's own requests.
+ * `why` is the reason to count, one of METRICS_OPENED_*. Returns NULL if the limit of connections
+ * is reached and none is idle, or no socket could be opened. */
 struct server *server_open(struct database *database, const char *tenant, enum metrics_counter why);
 void server_free(struct server *server);
-/* Gives the connection up; a session that it serves is told with the reason. */
+/* Closes the connection. A session that it serves gets `reason` by session_server_lost(). */
 void server_close(struct server *server, enum answer_code reason);
-/* Sends the session's statement, with what it needs before. The server is idle or the session's. */
-void server_run(struct server *server, struct session *session, const struct log_position *after);
-/* The session needs it no longer: rolls back what is open and returns to the pool. */
+/* Sends the session's statement, after the session values and prepared statement that it needs. The
+ * server must be idle, or already serve the session. `min_position`: log position that the database
+ * must have applied; NULL: any. */
+void server_run(struct server *server, struct session *session,
+                const struct log_position *min_position);
+/* Detaches the connection from its session: rolls back an open transaction and returns the
+ * connection to the pool. A running statement is awaited first. */
 void server_release(struct server *server);
 
-/* Asks the database for its status, for a check of leadership. The server is idle. */
+/* Sends a status query of a leadership check. The server must be idle. */
 void server_query_status(struct server *server);
 
 /* leadership.c */
-/* Asks the primary and its replicas whether it still leads, unless that is under way. */
+/* Starts a leadership check: queries the status of the primary and its replicas to prove that the
+ * primary still leads. Does nothing while one is in progress, or too soon after the last one. */
 void leadership_check_start(struct group *group);
-/* One of them answered, or did not (NULL). `asked` is when the check began. */
+/* Handles the answer of a database to a status query; NULL: its connection was closed or the answer
+ * was an error. */
 void leadership_check_answer(struct group *group, const struct database *database,
                              const struct database_report *report);
-/* The primary has shown that it led at this moment. */
+/* Records that the primary provably led at the time `at`. */
 void leadership_note_proven(struct group *group, time_ns at);
 
 /* database.c */
 struct database *database_new(struct group *group, struct member_shared *shared);
 void database_free(struct database *database);
-/* An idle connection of the session's tenant that suits it best; NULL if there is none. */
+/* The idle connection of the session's tenant that needs the least setup; NULL if there is none. */
 struct server *database_idle_server(const struct database *database, const struct session *session);
 /* Any idle connection; NULL if there is none. */
 struct server *database_any_idle(const struct database *database);
 /** @return true if a connection to the database is being opened. */
 bool database_is_opening(const struct database *database);
-/* True if another connection may be opened to it now, or as soon as the openings under way end. */
+/* True if a connection may be opened now, or as soon as the openings in progress end (pool.h). */
 bool database_will_open(const struct database *database, time_ns now);
-/* True if one may be opened now (pool.h). */
+/* True if a connection may be opened now (pool.h). */
 bool database_may_open(const struct database *database, time_ns now);
-/* True if one may be opened now for a statement that has not come yet (pool.h). */
+/* True if a connection may be opened now for a statement that has not arrived yet (pool.h). */
 bool database_may_open_ahead(const struct database *database, time_ns now);
-/* How many connections to it may be open here. */
+/* Maximum number of open connections of this worker to the database. */
 uint32_t database_connections(const struct database *database);
-/* Makes room for a connection, where there is none, by closing the idle one unused for longest.
- * False if none is idle. */
+/* Makes sure that another connection may be opened: at the limit, closes the connection that has
+ * been idle longest. False if none is idle. */
 bool database_free_connection(struct database *database);
-/* Opens what the next statements are likely to need. */
+/* Opens the idle connections that are kept ready for statements without a tenant. */
 void database_open_ready(struct database *database, time_ns now);
 void database_set_fault(struct database *database, enum database_fault fault, time_ns now);
 enum database_fault database_fault(const struct database *database);
-/* True if the database is given another statement of this priority now. */
+/* True if the window allows another statement of this priority now (window.h). */
 bool database_has_capacity(const struct database *database, uint32_t priority, time_ns now);
-/* A statement was refused for want of a slot: it is given fewer at once. */
+/* Narrows the window after the database refused a statement because it had no free slot. */
 void database_narrow_window(struct database *database, time_ns now);
-/* A statement was run: the window may widen, or narrow if it was slow. `slowness`: its time divided
- * by the usual one; 0: not known. */
+/* Adjusts the window after a statement has run. `slowness`: its time divided by the baseline; 0:
+ * not known. */
 void database_note_statement_answer(struct database *database, double slowness, time_ns now);
-/* Notes an answer. */
+/* Records that a message came from the database, which ends a fault of being unresponsive. */
 void database_note_answer(struct database *database, time_ns now);
-/* Notes that a connection could not be opened, and waits longer each time. */
+/* Records that a connection could not be opened, and backs off. */
 void database_note_open_failure(struct database *database, enum answer_code code);
-/* Notes that one was opened, and how long it took. */
+/* Records that a connection was opened, and how long that took. */
 void database_note_opening(struct database *database, time_ns took);
-/* Notes how long the first round trip of an opening took. */
+/* Updates the round-trip time from the first round trip of an opening. */
 void database_note_rtt(struct database *database, time_ns took);
-/* Closes connections that have not been used for a while, beside those kept ready. */
+/* Closes connections that were idle for too long, except those kept ready. */
 void database_close_unused(struct database *database, time_ns now);
-/* Looks for silence and stalls, and opens connections anew where they failed. */
+/* Checks time-outs and faults, and probes a faulty database by opening a connection. */
 void database_tick(struct database *database, time_ns now);
-/* Closes the connections that match. */
+/* Closes the connections for which `matches` returns true. */
 typedef bool server_predicate(const struct server *server, time_ns now);
 void database_close_where(struct database *database, server_predicate *matches, time_ns now,
                           enum answer_code reason);
-/* Closes idle connections, as when it leaves. */
+/* Closes all idle connections. */
 void database_close_idle(struct database *database);
 
 /* router.c */
-/* Finds a connection for the session's statement and sends it, or leaves it queued. */
+/* Sends the session's statement on a suitable connection, or queues or refuses it. */
 void router_submit(struct session *session);
-/* Takes the session out of its group's queue, if it is in it. */
+/* Removes the session from its group's queue, if it is queued. */
 void router_leave_queue(struct session *session);
-/* The session is likely to ask soon: opens a connection for it, here or at an owner, where its
- * tenant has none that is idle. */
+/* Opens a connection for a statement that the session is likely to send soon, here or at an owner
+ * of the group, unless its tenant has an idle one. */
 void router_announce(const struct session *session);
-/* Lets waiting statements go where they can. */
+/* Sends the queued statements that can be sent now. */
 void router_run_queue(struct group *group);
-/* False if a statement of the open transaction could be acknowledged by a replaced primary: where
- * no replica has to receive commits, they need a permit. */
+/* False if a statement of the open transaction could be acknowledged by a primary that has been
+ * replaced: in a group whose commits need no replica, they need a permit. */
 bool router_may_write_on(const struct session *session);
-/* True if reads at the primary see every commit that was acknowledged until now. */
+/* True if the group's read permit is valid: reads at the primary see every commit that was
+ * acknowledged before `now`. */
 bool router_has_permit(const struct group *group, time_ns now);
-/* Logs the end of each shortage that is over. True while a line of the group is short of room. */
+/* Logs the end of shortages that are over. True while one of the group's lines has a shortage
+ * (shortage.h). */
 bool router_check_shortage(struct group *group, time_ns now);
-/* True if only the primary can serve the session's statement, whatever else is known. */
+/* True if the session's statement can be served by the primary only, because it writes or by its
+ * route. */
 bool router_needs_primary(const struct session *session);
-/* In how long a request that is refused now could be served here; 0: not known. */
+/* Expected time until a request that is refused now could be served here; 0: not known. */
 time_ns router_retry_after(struct session *session, time_ns now);
-/* True if other poolers hold the connections to the group's databases. */
+/* True if other poolers, the owners, hold the connections to the group's databases. */
 bool router_forwards(const struct group *group);
 
 /* group.c */
 struct group *group_of(struct worker *worker, struct group_shared *shared);
 void group_apply(struct group *group, const struct pooled_group *view);
-/* Keeps connections ready and tries lost owners again, while the view has not changed. */
+/* Periodic work while the view does not change: opens and closes connections, and retries
+ * unreachable owners. */
 void group_refresh(struct group *group);
-/** @brief Serves the group by connections of its own, if none of its owners can be reached.
- *  @return false if it has none to open, or an owner may be reached. */
+/** @brief Starts the direct fallback: serves the group by connections of this worker while none of
+ * the group's owners is reachable.
+ *  @return false if the group has no fallback connections, or an owner may be reachable. */
 bool group_start_direct_fallback(struct group *group);
-/** @brief Leaves the group to its owners again, as one of them has given a sign. */
+/** @brief Ends the direct fallback after an owner has responded. */
 void group_end_direct_fallback(struct group *group);
-/* Looks at what waits or is silent. True while a database in use has a fault: only a look at it
- * takes that back. */
+/* Checks the group's databases and its queue. True while a shortage lasts or a database in use has
+ * a fault, which only further ticks can clear. */
 bool group_tick(struct group *group, time_ns now);
 void group_note_in_flight(struct group *group);
 
--- a/tests/pooler/test_placement.c
+++ b/tests/pooler/test_placement.c
@@ -12,8 +12,8 @@
 static void
 test_free_slots_near_are_used_before_another_zone(void)
 {
-    place_t near = {.way_ms = 0.3, .usual_ms = 9, .running = 2, .slots = 4};
-    place_t far = {.way_ms = 2, .usual_ms = 9, .opening_ms = 14, .slots = 4};
+    place_t near = {.rtt_ms = 0.3, .service_ms = 9, .running = 2, .slots = 4};
+    place_t far = {.rtt_ms = 2, .service_ms = 9, .opening_ms = 14, .slots = 4};
     g_assert_cmpfloat(placement_cost_ms(&near), <, placement_cost_ms(&far));
     near.running = 8;
     g_assert_cmpfloat(placement_cost_ms(&near), <, placement_cost_ms(&far));
@@ -25,10 +25,10 @@
 static void
 test_noise_is_no_reason_to_leave_the_zone(void)
 {
-    place_t near = {.way_ms = 0.3, .usual_ms = 12, .running = 1, .slots = 4};
-    place_t far = {.way_ms = 2, .usual_ms = 9, .slots = 4, .far = true};
+    place_t near = {.rtt_ms = 0.3, .service_ms = 12, .running = 1, .slots = 4};
+    place_t far = {.rtt_ms = 2, .service_ms = 9, .slots = 4, .far = true};
     g_assert_cmpfloat(placement_cost_ms(&near), <, placement_cost_ms(&far));
-    near.usual_ms = 25;
+    near.service_ms = 25;
     g_assert_cmpfloat(placement_cost_ms(&near), >, placement_cost_ms(&far));
 }
 
@@ -36,8 +36,8 @@
 static void
 test_an_opening_costs_more_than_the_way(void)
 {
-    place_t near = {.way_ms = 0.3, .usual_ms = 9, .opening_ms = 14, .slots = 4};
-    place_t far = {.way_ms = 2, .usual_ms = 9, .slots = 4};
+    place_t near = {.rtt_ms = 0.3, .service_ms = 9, .opening_ms = 14, .slots = 4};
+    place_t far = {.rtt_ms = 2, .service_ms = 9, .slots = 4};
     g_assert_cmpfloat(placement_cost_ms(&near), >, placement_cost_ms(&far));
 }
 
@@ -46,10 +46,11 @@
 static void
 test_a_replica_fresh_soon_beats_a_hot_primary(void)
 {
-    place_t replica = {.way_ms = 1, .usual_ms = 45, .fresh_in_ms = 100, .slots = 6};
-    place_t primary = {.way_ms = 1, .usual_ms = 400, .slots = 6, .leads = true, .led_share = 0.5};
+    place_t replica = {.rtt_ms = 1, .service_ms = 45, .fresh_in_ms = 100, .slots = 6};
+    place_t primary = {
+        .rtt_ms = 1, .service_ms = 400, .slots = 6, .leads = true, .primary_only_share = 0.5};
     g_assert_cmpfloat(placement_cost_ms(&replica), <, placement_cost_ms(&primary));
-    primary.usual_ms = 45;
+    primary.service_ms = 45;
     g_assert_cmpfloat(placement_cost_ms(&replica), >, placement_cost_ms(&primary));
 }
 
@@ -57,8 +58,9 @@
 static void
 test_the_primary_is_left_to_writes(void)
 {
-    place_t replica = {.way_ms = 0.5, .usual_ms = 15, .running = 1, .slots = 4};
-    place_t primary = {.way_ms = 0.5, .usual_ms = 15, .slots = 4, .leads = true, .led_share = 0.4};
+    place_t replica = {.rtt_ms = 0.5, .service_ms = 15, .running = 1, .slots = 4};
+    place_t primary = {
+        .rtt_ms = 0.5, .service_ms = 15, .slots = 4, .leads = true, .primary_only_share = 0.4};
     g_assert_cmpfloat(placement_cost_ms(&replica), <, placement_cost_ms(&primary));
     replica.running = 9;
     g_assert_cmpfloat(placement_cost_ms(&replica), >, placement_cost_ms(&primary));
