--- a/src/pooler/routing/choice.c
+++ b/src/pooler/routing/choice.c
@@ -1,20 +1,20 @@
-/* Which database serves a statement best: what it must see, which databases have it or will have it
- * soon, and what each would cost it (placement.h). */
+/* Choice of a database for a statement: the log position that the statement requires, the databases
+ * that have applied it or will soon, and the cost of each (placement.h). */
 #include "pooler/routing/router_internal.h"
 
-/* What opening a connection is taken to need until the group has opened one: a figure from
- * platforms' specifications. */
+/* Time assumed for opening a connection until the group has opened one, from the specifications of
+ * platforms. */
 #define OPENING_TYPICAL_MS 15.0
 
-/* For how long a database that lacked a position is passed over for it. */
-#define LACKING_KEPT_NS (60 * NANOSECONDS_PER_MILLISECOND)
+/* For how long a database is skipped for a position that it reported not to have reached. */
+#define MISSING_KEPT_NS (60 * NANOSECONDS_PER_MILLISECOND)
 
-/* A replica's lag where it is not known, and how long a known one is believed. */
+/* Lag assumed for a replica whose lag is not known, and the validity of a known lag. */
 #define LAG_TYPICAL_NS (20 * NANOSECONDS_PER_MILLISECOND)
 #define LAG_KEPT_NS    (500 * NANOSECONDS_PER_MILLISECOND)
 
-/* A replica that lags by more is believed to until a statement has tried it (may_try()). Several
- * times the longest usual lag, 150 ms. */
+/* A longer lag remains valid until a statement has probed the replica (may_probe()). Several times
+ * the longest normal lag, 150 ms. */
 #define LAG_LONG_NS (600 * NANOSECONDS_PER_MILLISECOND)
 
 /* When the transaction or the single statement began. */
@@ -25,16 +25,16 @@
                                                             : session->began;
 }
 
-/* The position that a read with a staleness bound must see, and when the primary stood there; false
- * if it is not known. */
+/* Finds the position that a read with a staleness bound requires, and when the primary had it.
+ * Returns false if it is not known. */
 static bool
 find_position(const struct session *session, struct need *out)
 {
     const struct session_route *route = &session->route;
     time_ns bound = route->staleness_ms * NANOSECONDS_PER_MILLISECOND;
     time_ns began = began_at(session);
-    time_ns moment = began > bound ? began - bound : 0;
-    const struct freshness_sample *sample = freshness_find(&route->group->freshness, moment);
+    time_ns oldest = began > bound ? began - bound : 0;
+    const struct freshness_sample *sample = freshness_find(&route->group->freshness, oldest);
     if (sample == NULL) {
         return false;
     }
@@ -70,7 +70,8 @@
     }
 }
 
-/* When the database will have got so far by what is known of its lag; 0: it has. */
+/* When the database will have applied the required position, as estimated from its lag; 0: it has.
+ */
 static time_ns
 fresh_at(const struct database *database, const struct need *need, time_ns now)
 {
@@ -82,7 +83,7 @@
     time_ns lag = lag_known || database->lag > LAG_LONG_NS ? database->lag : LAG_TYPICAL_NS;
     time_ns at = need->position_at + lag;
     if (log_position_covers(need->position, database->missing_position)) {
-        at = MAX(at, database->missing_at + LACKING_KEPT_NS);
+        at = MAX(at, database->missing_at + MISSING_KEPT_NS);
     }
     return at > now ? at : 0;
 }
@@ -93,10 +94,10 @@
     return fresh_at(database, need, now) != 0;
 }
 
-/* A replica that was far behind is believed to be so until a statement has found out otherwise: one
- * at a time is sent to try. */
+/* True if a statement may be sent to a replica with a long lag to find out whether it has caught
+ * up. One statement per LAG_KEPT_NS is. */
 static bool
-may_try(const struct database *database, time_ns now)
+may_probe(const struct database *database, time_ns now)
 {
     return database->lag > LAG_LONG_NS && now >= database->lag_at + LAG_KEPT_NS;
 }
@@ -104,7 +105,7 @@
 void
 choice_note_probe(struct database *database, time_ns now)
 {
-    if (may_try(database, now)) {
+    if (may_probe(database, now)) {
         database->lag_at = now;
     }
 }
@@ -115,7 +116,7 @@
     return session->request.arrived + session->route.target_ms * NANOSECONDS_PER_MILLISECOND;
 }
 
-/* What is known of the database as a place for a statement. */
+/* The cost of a statement at the database; `fresh`: when it will be fresh enough, 0: it is. */
 static double
 cost_of(const struct database *database, bool open, time_ns fresh, time_ns now)
 {
@@ -130,15 +131,17 @@
         .fresh_in_ms = fresh == 0 ? 0 : (double)(fresh - now) / (double)NANOSECONDS_PER_MILLISECOND,
         .running = database->in_flight,
         .slots = database->window.slots,
-        .far = !database->same_zone,
-        .leads = database == group->primary,
+        .other_zone = !database->same_zone,
+        .is_primary = database == group->primary,
         .primary_only_share = group->primary_only_share,
     };
     return placement_cost_ms(&place);
 }
 
+/* Considers a database that may run the statement now. */
 static void
-weigh(struct database *database, const struct session *session, time_ns now, struct choice *choice)
+consider(struct database *database, const struct session *session, time_ns now,
+         struct choice *choice)
 {
     if (!database_has_capacity(database, session->route.priority, now)) {
         return;
@@ -157,20 +160,20 @@
     }
 }
 
-/* A replica that will have applied what the read must see: to wait for it may be quicker than the
- * primary. Once for each statement, as it may turn out to be later. */
+/* Considers waiting for a replica that will be fresh enough at `fresh`, which may be faster than
+ * the primary. A statement is deferred only once, because the replica may turn out to be later. */
 static void
-weigh_waiting(struct database *database, const struct session *session, time_ns fresh, time_ns now,
-              struct choice *choice)
+consider_deferring(struct database *database, const struct session *session, time_ns fresh,
+                   time_ns now, struct choice *choice)
 {
     if (session->request.held || fresh >= choice_objective(session)) {
         return;
     }
     bool open = database_idle_server(database, session) != NULL;
     double cost = cost_of(database, open, fresh, now);
-    if (choice->hold_until == 0 || cost < choice->hold_cost) {
-        choice->hold_until = fresh;
-        choice->hold_cost = cost;
+    if (choice->defer_until == 0 || cost < choice->defer_cost) {
+        choice->defer_until = fresh;
+        choice->defer_cost = cost;
     }
 }
 
@@ -188,7 +191,7 @@
         if (open && need->permit && !router_has_permit(group, permitted_at) && !proven) {
             choice->check = true;
         } else if (open) {
-            weigh(group->primary, session, now, choice);
+            consider(group->primary, session, now, choice);
         }
         return;
     }
@@ -198,16 +201,16 @@
         bool good =
             database->takes_work && !closed && database_fault(database) <= DATABASE_FAULT_NONE;
         time_ns fresh = good ? fresh_at(database, need, now) : 0;
-        if (good && (fresh == 0 || may_try(database, now))) {
-            weigh(database, session, now, choice);
+        if (good && (fresh == 0 || may_probe(database, now))) {
+            consider(database, session, now, choice);
         } else if (good) {
-            weigh_waiting(database, session, fresh, now, choice);
+            consider_deferring(database, session, fresh, now, choice);
         }
     }
-    bool sooner = choice->hold_until != 0 &&
-                  (choice->server == NULL || choice->hold_cost < choice->server_cost) &&
-                  (choice->to_open == NULL || choice->hold_cost < choice->open_cost);
+    bool sooner = choice->defer_until != 0 &&
+                  (choice->server == NULL || choice->defer_cost < choice->server_cost) &&
+                  (choice->to_open == NULL || choice->defer_cost < choice->open_cost);
     if (!sooner) {
-        choice->hold_until = 0;
+        choice->defer_until = 0;
     }
 }
--- a/src/pooler/routing/freshness.c
+++ b/src/pooler/routing/freshness.c
@@ -26,17 +26,17 @@
         freshness->first = (freshness->first + 1) % FRESHNESS_SAMPLES;
         freshness->count--;
     }
-    size_t place = (freshness->first + freshness->count) % FRESHNESS_SAMPLES;
-    freshness->samples[place] = (struct freshness_sample){at, position};
+    size_t index = (freshness->first + freshness->count) % FRESHNESS_SAMPLES;
+    freshness->samples[index] = (struct freshness_sample){at, position};
     freshness->count++;
 }
 
 const struct freshness_sample *
-freshness_find(const struct freshness *freshness, time_ns moment)
+freshness_find(const struct freshness *freshness, time_ns time)
 {
     for (size_t i = 0; i < freshness->count; i++) {
         const struct freshness_sample *sample = sample_at(freshness, i);
-        if (sample->at >= moment) {
+        if (sample->at >= time) {
             return sample;
         }
     }
--- a/src/pooler/routing/group.c
+++ b/src/pooler/routing/group.c
@@ -1,12 +1,13 @@
-/* One group of databases as a worker knows it: who leads, and what waits for it. */
+/* State of a group of databases in a worker: its primary, its databases and owners, and the direct
+ * fallback while no owner is reachable. */
 #include "pooler/worker/worker_internal.h"
 
 #include <string.h>
 
-/* Owners that can't be reached for so long are taken for lost to this pooler. After the loss of all
- * poolers, hundreds start together: the owners' machines take up to 0.3 s to start and answer, and
- * connections opened meanwhile would be lacking to them. */
-#define ALONE_AFTER_NS (400 * NANOSECONDS_PER_MILLISECOND)
+/* Time without a reachable owner after which the direct fallback may start. After a loss of all
+ * poolers, hundreds start together: the owners take up to 0.3 s to start and respond, and direct
+ * connections opened in that time would use up the databases' connections that the owners need. */
+#define FALLBACK_AFTER_NS (400 * NANOSECONDS_PER_MILLISECOND)
 
 struct group *
 group_of(struct worker *worker, struct group_shared *shared)
@@ -66,9 +67,10 @@
     return database;
 }
 
-/* Databases that left the view lose their idle connections, and are freed once none is left. */
+/* Closes the idle connections of databases that are no longer in the view, and frees a database
+ * once it has no connections. */
 static void
-drop_unlisted(struct group *group)
+drop_removed(struct group *group)
 {
     for (guint i = group->databases->len; i > 0; i--) {
         struct database *database = g_ptr_array_index(group->databases, i - 1);
@@ -85,7 +87,8 @@
     }
 }
 
-/* Whatever still writes at a database that no longer leads is given up. */
+/* True for connections with a write or a read-write transaction, which are closed at a database
+ * that is no longer the primary. */
 static bool
 is_writing(const struct server *server, time_ns now)
 {
@@ -96,9 +99,9 @@
 static void
 apply_order(struct group *group, const struct pooled_group *view, struct database *primary)
 {
-    struct database *former = group->primary;
+    struct database *previous = group->primary;
     bool other_term = group->term != 0 && view->term != group->term;
-    bool moved = primary != former || other_term;
+    bool moved = primary != previous || other_term;
     group->primary = primary;
     group->term = view->term;
     group->phase = view->phase;
@@ -115,8 +118,8 @@
         freshness_clear(&group->freshness);
         group->leadership_proven_at = 0;
     }
-    if (former != NULL && (moved || view->phase == GROUP_PHASE_CLOSED)) {
-        database_close_where(former, is_writing, 0, ANSWER_IN_DOUBT);
+    if (previous != NULL && (moved || view->phase == GROUP_PHASE_CLOSED)) {
+        database_close_where(previous, is_writing, 0, ANSWER_IN_DOUBT);
     }
 }
 
@@ -139,7 +142,7 @@
     }
 }
 
-/* The group's connections have gone to other poolers. */
+/* Closes idle connections after the group's connections were assigned to other poolers. */
 static void
 close_connections(struct group *group)
 {
@@ -148,13 +151,14 @@
     }
 }
 
-/* Opening takes long beside a statement. Nothing is opened before it is known who leads. */
+/* Opens connections in advance, because an opening takes long compared with a statement. None is
+ * opened before the primary is known. */
 static void
-make_ready(struct group *group)
+open_ready(struct group *group)
 {
     time_ns now = backend_now();
     if (group->direct_fallback) {
-        return; /* what it opens may be lacking to the owners: only what a statement needs */
+        return; /* the owners may need the connections: none is opened without a statement */
     }
     for (guint i = 0; group->primary != NULL && i < group->databases->len; i++) {
         database_open_ready(g_ptr_array_index(group->databases, i), now);
@@ -189,8 +193,8 @@
     if (view->epoch != group->epoch || primary != group->primary) {
         apply_order(group, view, primary);
     }
-    drop_unlisted(group);
-    make_ready(group);
+    drop_removed(group);
+    open_ready(group);
     group_note_in_flight(group);
     atomic_store(&group->shared->workers[group->worker->index].epoch, group->epoch);
 }
@@ -202,32 +206,32 @@
     if (group->direct_fallback || (router_forwards(group) && group->queue.length > 0)) {
         forward_try_again(group);
     } else {
-        group->unreachable_since = 0; /* nobody waits: the next statement tries anew */
+        group->unreachable_since = 0; /* no statement waits; the next one tries the owners again */
     }
-    make_ready(group);
+    open_ready(group);
     for (guint i = 0; i < group->databases->len; i++) {
         database_close_unused(g_ptr_array_index(group->databases, i), now);
     }
 }
 
-/* True once none of the owners could be reached for long enough. */
+/* True if no owner has been reachable for FALLBACK_AFTER_NS. */
 static bool
-is_left_alone(struct group *group)
+is_without_owners(struct group *group)
 {
     time_ns now = backend_now();
     return forward_none_left(group) && group->unreachable_since != 0 &&
-           now >= group->unreachable_since + ALONE_AFTER_NS;
+           now >= group->unreachable_since + FALLBACK_AFTER_NS;
 }
 
 bool
 group_start_direct_fallback(struct group *group)
 {
-    if (group->fallback_connections == 0 || !is_left_alone(group)) {
+    if (group->fallback_connections == 0 || !is_without_owners(group)) {
         return false;
     }
     g_log_structured("router", G_LOG_LEVEL_MESSAGE, "SW_SERVICE", group->shared->service, "MESSAGE",
-                     "Group %s: none of its %u owners can be reached, served by %u connections of "
-                     "its own.",
+                     "Group %s: none of its %u owners can be reached; statements go directly to "
+                     "the databases, by up to %u connections to each.",
                      group->shared->service, group->links->len, group->fallback_connections);
     group->direct_fallback = true;
     group->connections = group->fallback_connections;
@@ -245,9 +249,10 @@
         return;
     }
     g_log_structured("router", G_LOG_LEVEL_MESSAGE, "SW_SERVICE", group->shared->service, "MESSAGE",
-                     "Group %s: an owner can be reached again.", group->shared->service);
+                     "Group %s: an owner can be reached again; statements go to the owners.",
+                     group->shared->service);
     group->direct_fallback = false;
-    group->connections = 0; /* what is open is closed once it has not been used for a while */
+    group->connections = 0; /* open connections are closed once they were idle for a while */
 }
 
 void
@@ -261,10 +266,10 @@
     }
 }
 
-/* True if other poolers hold its connections, and nothing waits or is left here: so it is with most
- * groups at most poolers. */
+/* True if other poolers hold the group's connections, and this worker has no queued statements,
+ * open connections or faults of it. This holds for most groups at most poolers. */
 static bool
-is_at_rest(const struct group *group)
+is_inactive(const struct group *group)
 {
     if (group->connections > 0 || group->queue.length > 0 ||
         atomic_load(&group->shared->faults) > 0) {
@@ -283,7 +288,7 @@
 group_tick(struct group *group, time_ns now)
 {
     bool faulty = false;
-    if (is_at_rest(group)) {
+    if (is_inactive(group)) {
         return false;
     }
     if (group->direct_fallback) {
@@ -295,7 +300,7 @@
         faulty =
             faulty || (database->takes_work && database_fault(database) != DATABASE_FAULT_NONE);
     }
-    drop_unlisted(group);
+    drop_removed(group);
     router_run_queue(group);
     return router_check_shortage(group, now) || faulty;
 }
--- a/src/pooler/routing/leadership.c
+++ b/src/pooler/routing/leadership.c
@@ -1,24 +1,28 @@
-/* Proof, without the coordinator, that a primary led at a moment: where the coordinator or the
- * store is lost, reads at the primary go on by it.
+/* Leadership checks: proof, without the coordinator, that a database was the primary at some time.
+ * They allow reads at the primary to continue while the coordinator or the store is unreachable,
+ * and no read permits are issued.
  *
  * Another database is promoted only after the primary has stepped down, or after so many replicas
- * were paused that it could acknowledge nothing. So if the primary, asked after some moment, leads,
- * and as many replicas as a commit needs, asked after that moment, follow it in its term and are
- * not paused, then nobody else led before that moment, and every commit that was acknowledged
- * before it stands in the primary's log. */
+ * were paused that the primary can't acknowledge any commit. A check queries the status of the
+ * primary and its replicas after a time T. If the primary reports that it is the primary, and as
+ * many replicas as a commit needs report that they follow it in its term and are not paused, then
+ * no other database was the primary before T, and every commit that was acknowledged before T is in
+ * the primary's log. */
 #define G_LOG_DOMAIN "leadership"
 #include "pooler/worker/worker_internal.h"
 
-/* A check that is not over by then is given up. */
+/* Time-out of a check. */
 #define CHECK_MAX_NS (300 * NANOSECONDS_PER_MILLISECOND)
 
-/* Statuses cost the databases slots: least time between two checks, and after one that failed. */
+/* Minimum time between two checks, and after a failed one. Status queries take slots of the
+ * databases. */
 #define CHECK_AGAIN_NS  (20 * NANOSECONDS_PER_MILLISECOND)
 #define CHECK_FAILED_NS (200 * NANOSECONDS_PER_MILLISECOND)
 
-/* Openings of connections to replicas are waited for this long, several times what one takes (12 ms
- * and the network): a replica that does not answer must not hold up the check for good. */
-#define HELD_MAX_NS (80 * NANOSECONDS_PER_MILLISECOND)
+/* Maximum time for which a check is deferred until connections to replicas are open. Several times
+ * the duration of an opening (12 ms plus network latency); a replica that does not answer must not
+ * delay the check further. */
+#define DEFER_MAX_NS (80 * NANOSECONDS_PER_MILLISECOND)
 
 void
 leadership_note_proven(struct group *group, time_ns at)
@@ -26,7 +30,7 @@
     group->leadership_proven_at = MAX(group->leadership_proven_at, at);
 }
 
-/* True if the answers prove that the primary led when the check began. */
+/* True if the answers prove that the primary led when the check was started. */
 static bool
 is_proven(const struct group *group)
 {
@@ -53,9 +57,10 @@
     g_ptr_array_add(group->worker->groups_to_run, group);
 }
 
-/* True if the database can be asked now; else a connection is opened to it, where that may be. */
+/* True if the database has an idle connection for a status query; otherwise opens one if allowed.
+ */
 static bool
-can_ask(struct database *database, time_ns now)
+can_query(struct database *database, time_ns now)
 {
     if (database_any_idle(database) != NULL) {
         return true;
@@ -66,38 +71,38 @@
     return false;
 }
 
-/* True if the check should wait for connections that are being opened, as without them too few
- * replicas could answer and it would fail. Where each connection is a tenant's, few groups have an
- * idle one to a replica: each first read would wait for a failed check, CHECK_FAILED_NS, 270 ms in
- * all in place of 40. */
+/* True if the check should wait for connections that are being opened, because without them too few
+ * replicas could answer and the check would fail. If each connection belongs to a tenant, few
+ * groups have an idle connection to a replica. Without the wait, each first read would take 270 ms
+ * instead of 40 ms, because of a failed check and CHECK_FAILED_NS after it. */
 static bool
 waits_for_connections(struct group *group, time_ns now)
 {
     uint32_t needed = MAX(group->sync_replicas, 1);
     uint32_t ready = 0;
-    uint32_t coming = 0;
-    bool primary_ready = can_ask(group->primary, now);
+    uint32_t opening = 0;
+    bool primary_ready = can_query(group->primary, now);
     for (guint i = 0; i < group->databases->len; i++) {
         struct database *database = g_ptr_array_index(group->databases, i);
         if (database == group->primary || !database->takes_work) {
             continue;
         }
-        bool can = can_ask(database, now);
-        ready += can;
-        coming += !can && database_is_opening(database);
+        bool replica_ready = can_query(database, now);
+        ready += replica_ready;
+        opening += !replica_ready && database_is_opening(database);
     }
-    if (primary_ready && (ready >= needed || ready + coming < needed)) {
+    if (primary_ready && (ready >= needed || ready + opening < needed)) {
         group->check_deferred_since = 0;
         return false;
     }
     if (group->check_deferred_since == 0) {
         group->check_deferred_since = now;
     }
-    return !primary_ready || now < group->check_deferred_since + HELD_MAX_NS;
+    return !primary_ready || now < group->check_deferred_since + DEFER_MAX_NS;
 }
 
 static bool
-ask(struct database *database)
+query(struct database *database)
 {
     struct server *server = database_any_idle(database);
     if (server == NULL) {
@@ -113,25 +118,26 @@
 {
     struct leadership_check *check = &group->check;
     time_ns now = backend_now();
-    bool under_way = check->running && now < check->started + CHECK_MAX_NS;
-    if (under_way || group->primary == NULL || now < group->check_again_at) {
+    bool in_progress = check->running && now < check->started + CHECK_MAX_NS;
+    if (in_progress || group->primary == NULL || now < group->check_again_at) {
         return;
     }
     if (waits_for_connections(group, now)) {
-        return; /* a connection that has come runs the group again */
+        return; /* the group's queue is run again once a connection has opened */
     }
     metrics_count(&group->worker->metrics, METRICS_PERMIT_MISSING);
     group->check_again_at = now + CHECK_AGAIN_NS;
-    /* One more is awaited until all are asked, so that an answer meanwhile does not end it. */
+    /* `pending` counts one more until all queries are sent, so that a failure in between does not
+     * finish the check. */
     *check = (struct leadership_check){.running = true, .started = now, .pending = 1};
-    if (!ask(group->primary)) {
+    if (!query(group->primary)) {
         check->running = false;
         return;
     }
     for (guint i = 0; i < group->databases->len; i++) {
         struct database *database = g_ptr_array_index(group->databases, i);
         if (database != group->primary && database->takes_work) {
-            ask(database);
+            query(database);
         }
     }
     check->pending--;
@@ -140,9 +146,9 @@
     }
 }
 
-/* Replicas count in the newest term that any of them tells. */
+/* Counts the replicas that follow in the newest term that any of them reports. */
 static void
-take_replica(struct leadership_check *check, const struct database_report *report)
+apply_replica(struct leadership_check *check, const struct database_report *report)
 {
     uint64_t term = MAX(report->received.term, MAX(report->term, report->paused_term));
     check->newest_term = MAX(check->newest_term, term);
@@ -158,12 +164,12 @@
 }
 
 static void
-take_report(struct group *group, const struct database *database,
-            const struct database_report *report)
+apply_report(struct group *group, const struct database *database,
+             const struct database_report *report)
 {
     struct leadership_check *check = &group->check;
     if (database != group->primary) {
-        take_replica(check, report);
+        apply_replica(check, report);
         return;
     }
     check->primary_leads = report->leads;
@@ -181,7 +187,7 @@
     }
     check->pending--;
     if (report != NULL) {
-        take_report(group, database, report);
+        apply_report(group, database, report);
     }
     if (check->pending == 0) {
         finish(group);
--- a/src/pooler/routing/refusal.c
+++ b/src/pooler/routing/refusal.c
@@ -1,27 +1,29 @@
-/* Why a statement had better not wait: it would be late, or only a primary can serve it that is out
- * of reach. Refused at once, its client may ask elsewhere, and knows when to come back. */
+/* Refusal of statements that would wait in vain: a statement that would miss its objective, or
+ * needs a primary that is unreachable from this pooler. It is refused at once, so that the
+ * client can retry at another pooler, and with the time after which a retry at this one makes
+ * sense. */
 #define G_LOG_DOMAIN "router"
 #include "pooler/routing/router_internal.h"
 
-/* Statements that the database runs at once from here. */
+/* Number of statements of this worker that the database runs at once. */
 static uint32_t
-room_of(const struct database *database)
+capacity_of(const struct database *database)
 {
     return MIN(database->servers->len, (uint32_t)database->window.size);
 }
 
-/* The same of the primary; 0 while something else than load, as a fault or a missing permit, may
- * hold up the statements that wait for it. */
+/* The same for the primary; 0 if statements may be waiting for it for another reason than load,
+ * such as a fault or a missing permit. */
 static uint32_t
-room_of_primary(const struct group *group, time_ns now)
+capacity_of_primary(const struct group *group, time_ns now)
 {
     const struct database *primary = group->primary;
-    bool led = primary != NULL && group->phase == GROUP_PHASE_OPEN &&
-               database_fault(primary) == DATABASE_FAULT_NONE && router_has_permit(group, now);
-    return led ? room_of(primary) : 0;
+    bool usable = primary != NULL && group->phase == GROUP_PHASE_OPEN &&
+                  database_fault(primary) == DATABASE_FAULT_NONE && router_has_permit(group, now);
+    return usable ? capacity_of(primary) : 0;
 }
 
-/* True if the database may run a statement that any database may run. */
+/* True if the database may run a statement that any fresh enough database may run. */
 static bool
 takes_reads(const struct database *database, const struct need *need, time_ns now)
 {
@@ -31,15 +33,16 @@
            !choice_is_behind(database, need, now);
 }
 
-/* Which line a statement would wait in, and what is known of its databases. Times are averages over
- * the databases that may run it, weighted by their room. `out->ahead` is left to the caller. */
+/* Finds the line in which a statement would wait, and the inputs of the forecast. Times are
+ * averages over the databases that may run it, weighted by capacity. The caller sets `out->ahead`.
+ */
 static queue_line_t
-find_prospect(const struct session *session, time_ns now, wait_forecast_t *out)
+find_forecast(const struct session *session, time_ns now, wait_forecast_t *out)
 {
     const struct group *group = session->route.group;
     const struct database *primary = group->primary;
     struct need need;
-    uint32_t room = 0;
+    uint32_t capacity = 0;
     double sum_ms = 0;
     double own_ms = 0;
     bool commits = session->request.statement.kind == STATEMENT_COMMIT;
@@ -49,28 +52,28 @@
     for (guint i = 0; !need.primary && i < group->databases->len; i++) {
         const struct database *database = g_ptr_array_index(group->databases, i);
         if (database != primary && takes_reads(database, &need, now)) {
-            room += room_of(database);
-            sum_ms += room_of(database) * database->latency_ms;
-            own_ms +=
-                room_of(database) * recent_times_ms(&database->recent, kind, database->latency_ms);
+            capacity += capacity_of(database);
+            sum_ms += capacity_of(database) * database->latency_ms;
+            own_ms += capacity_of(database) *
+                      recent_times_ms(&database->recent, kind, database->latency_ms);
         }
     }
-    bool any = room > 0;
-    uint32_t here = room_of_primary(group, now);
+    bool replicas = capacity > 0;
+    uint32_t primary_capacity = capacity_of_primary(group, now);
     if (primary != NULL) {
-        room = any || here > 0 ? room + here : 0;
-        sum_ms += here * primary->latency_ms;
-        own_ms += here * recent_times_ms(&primary->recent, kind, primary->latency_ms);
+        capacity = replicas || primary_capacity > 0 ? capacity + primary_capacity : 0;
+        sum_ms += primary_capacity * primary->latency_ms;
+        own_ms += primary_capacity * recent_times_ms(&primary->recent, kind, primary->latency_ms);
     }
-    out->room = room;
-    out->run_ms = room == 0 ? 0 : own_ms / room;
-    out->each_ms = room == 0 ? 0 : sum_ms / room;
+    out->capacity = capacity;
+    out->run_ms = capacity == 0 ? 0 : own_ms / capacity;
+    out->each_ms = capacity == 0 ? 0 : sum_ms / capacity;
     out->waited_ms = (double)(now - session->request.arrived) / (double)NANOSECONDS_PER_MILLISECOND;
     out->objective_ms = session->route.target_ms;
-    return any ? QUEUE_LINE_ANY : QUEUE_LINE_PRIMARY;
+    return replicas ? QUEUE_LINE_ANY : QUEUE_LINE_PRIMARY;
 }
 
-/* How many statements in its line go before this one. */
+/* Number of statements of its line ahead of this one. */
 static uint32_t
 count_ahead(const struct session *session)
 {
@@ -84,18 +87,17 @@
     return ahead;
 }
 
-/* True if the statement would be answered too late. It is refused at once then, so that the client
- * may try again, and those before it are in time. */
+/* True if the statement would be answered too late to meet its objective. */
 static bool
 would_be_late(struct session *session)
 {
-    wait_forecast_t prospect;
-    session->request.line = find_prospect(session, backend_now(), &prospect);
-    prospect.ahead = count_ahead(session);
-    return queue_rate_is_late(&session->route.group->queue_rate[session->request.line], &prospect);
+    wait_forecast_t forecast;
+    session->request.line = find_forecast(session, backend_now(), &forecast);
+    forecast.ahead = count_ahead(session);
+    return queue_rate_is_late(&session->route.group->queue_rate[session->request.line], &forecast);
 }
 
-/* How many were refused since the shortage began, by priority, as "0:3 2:40". */
+/* Number of refusals in the shortage by priority, in the form "0:3 2:40". */
 static char *
 refused_text(const shortage_t *shortage)
 {
@@ -114,9 +116,9 @@
     [QUEUE_LINE_ANY] = "any database",
 };
 
-/* Two lines for each shortage, which lasts for seconds. */
+/* Logs the start or the end of a shortage; shortages last for seconds. */
 static void
-log_shortage(const struct group *group, queue_line_t line, bool short_of)
+log_shortage(const struct group *group, queue_line_t line, bool starts)
 {
     g_autofree char *waiting = g_strdup_printf("%u", group->waiting[line]);
     g_autofree char *refused = refused_text(&group->shortage[line]);
@@ -124,10 +126,10 @@
     g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_MESSAGE, "SW_SERVICE", group->shared->service,
                      "SW_ROLE", line == QUEUE_LINE_PRIMARY ? "primary" : "any", "SW_QUEUE", waiting,
                      "SW_REFUSED", refused, "SW_INTERVAL_MS", interval, "MESSAGE",
-                     short_of
-                         ? "Group %s is short of room at %s: statements that would be late are "
+                     starts
+                         ? "Group %s is short of capacity at %s: statements that would be late are "
                            "refused (by priority: %s)."
-                         : "Group %s has room at %s again; refused meanwhile, by priority: %s.",
+                         : "Group %s has capacity at %s again; refused meanwhile, by priority: %s.",
                      group->shared->service, line_names[line], refused);
 }
 
@@ -154,8 +156,8 @@
     return any;
 }
 
-/* Statements at the queue's end that are looked at again when a more urgent one comes, which makes
- * one or two of them late. */
+/* Number of statements at the end of the queue that are checked again when one is queued ahead of
+ * them, which makes one or two of them late. */
 #define RECHECKED_MAX 4
 
 void
@@ -166,12 +168,12 @@
     time_ns now = backend_now();
     for (unsigned i = 0; i < RECHECKED_MAX && link != NULL && link->data != session; i++) {
         struct session *later = link->data;
-        wait_forecast_t prospect;
+        wait_forecast_t forecast;
         bool same = later->request.line == session->request.line;
         if (same && later->request.refusal == NULL &&
-            find_prospect(later, now, &prospect) == later->request.line) {
-            prospect.ahead = count_ahead(later);
-            if (queue_rate_is_late(&group->queue_rate[later->request.line], &prospect)) {
+            find_forecast(later, now, &forecast) == later->request.line) {
+            forecast.ahead = count_ahead(later);
+            if (queue_rate_is_late(&group->queue_rate[later->request.line], &forecast)) {
                 session_end_wait(later, METRICS_REFUSAL_URGENT);
                 note_shortage(later, now);
             }
@@ -180,15 +182,16 @@
     }
 }
 
-/* A primary that is out of reach for so long is out of this pooler's reach, or its group's change
- * is held up: most changes are over within 0.6 s of the first sign, 0.3 s of these the promotion.
- */
+/* After this time without a usable primary, it is unreachable from this pooler, or the change of
+ * primary is delayed: most changes take less than 0.6 s from the first symptom on, 0.3 s of which
+ * are the promotion. */
 #define PRIMARY_LOST_NS (700 * NANOSECONDS_PER_MILLISECOND)
 
-/* So many checks of leadership that fail in a row show that there is no proof to be had here. */
+/* After this number of consecutive failed leadership checks, the primary's leadership can't be
+ * proven from this pooler. */
 #define PROOF_LOST_CHECKS 2
 
-/* True if the primary can't serve the statement now, nor has for a while. */
+/* True if the primary can't serve the statement now and could not for a while. */
 static bool
 primary_is_lost(const struct session *session, const struct need *need, time_ns now)
 {
@@ -197,19 +200,20 @@
         return now > group->no_primary_since + PRIMARY_LOST_NS;
     }
     enum database_fault fault = database_fault(group->primary);
-    bool concerns = fault != DATABASE_FAULT_NONE &&
+    bool affected = fault != DATABASE_FAULT_NONE &&
                     (fault != DATABASE_FAULT_STALLED || session->request.writes);
-    if (concerns) {
+    if (affected) {
         return now > atomic_load(&group->primary->shared->fault_since) + PRIMARY_LOST_NS;
     }
     return need->permit && !need->writes && !router_has_permit(group, now) &&
            group->checks_failed >= PROOF_LOST_CHECKS && now < group->check_again_at;
 }
 
-/* True if only a primary can serve the statement, and it is lost to this pooler. Another pooler may
- * reach it: the client learns at once that nothing has run, and asks there. */
+/* True if only the primary can serve the statement, and it is unreachable from this pooler. Another
+ * pooler may reach it, so the client gets an answer at once that nothing has run, and can retry
+ * there. */
 static bool
-is_hopeless(const struct session *session)
+is_unservable(const struct session *session)
 {
     struct need need;
     if (router_forwards(session->route.group)) {
@@ -222,20 +226,20 @@
 bool
 refusal_find(struct session *session, enum metrics_refusal *why)
 {
-    bool held = backend_now() < session->request.not_before;
-    if (would_be_late(session) && !held) {
+    bool deferred = backend_now() < session->request.not_before;
+    if (would_be_late(session) && !deferred) {
         *why = METRICS_REFUSAL_LATE;
         note_shortage(session, backend_now());
         return true;
     }
     *why = METRICS_REFUSAL_PRIMARY;
-    return is_hopeless(session);
+    return is_unservable(session);
 }
 
-/* How much longer a change of primary that began at `since` is expected to take. PRIMARY_LOST_NS in
- * all; one that has lasted longer is expected to take as much again. */
+/* Expected remaining time of a change of primary that started at `since`. Its expected length is
+ * PRIMARY_LOST_NS; one that has lasted longer is expected to take as long again. */
 static time_ns
-change_left(time_ns since, time_ns now)
+change_remaining(time_ns since, time_ns now)
 {
     return now < since + PRIMARY_LOST_NS ? since + PRIMARY_LOST_NS - now : PRIMARY_LOST_NS;
 }
@@ -245,20 +249,20 @@
 {
     const struct group *group = session->route.group;
     struct need need;
-    wait_forecast_t prospect;
+    wait_forecast_t forecast;
     if (router_forwards(group)) {
-        return 0; /* its owners know */
+        return 0; /* only its owners can tell */
     }
     choice_find_need(session, &need);
     if (need.primary && group->no_primary_since != 0) {
-        return change_left(group->no_primary_since, now);
+        return change_remaining(group->no_primary_since, now);
     }
     if (need.primary && database_fault(group->primary) != DATABASE_FAULT_NONE) {
-        return change_left(atomic_load(&group->primary->shared->fault_since), now);
+        return change_remaining(atomic_load(&group->primary->shared->fault_since), now);
     }
-    session->request.line = find_prospect(session, now, &prospect);
-    prospect.ahead = count_ahead(session);
-    prospect.waited_ms = 0; /* who comes back has waited for nothing yet */
-    return (time_ns)(queue_rate_late_by_ms(&group->queue_rate[session->request.line], &prospect) *
+    session->request.line = find_forecast(session, now, &forecast);
+    forecast.ahead = count_ahead(session);
+    forecast.waited_ms = 0; /* the retry is a new request, which has not waited yet */
+    return (time_ns)(queue_rate_late_by_ms(&group->queue_rate[session->request.line], &forecast) *
                      (double)NANOSECONDS_PER_MILLISECOND);
 }
--- a/src/pooler/routing/router.c
+++ b/src/pooler/routing/router.c
@@ -1,18 +1,20 @@
-/* Where each statement goes: to the primary, or to any database that is fresh enough, by load and
- * zone. What can't go at once waits in its group's queue, most urgent first. */
+/* Routing of statements to the primary, or to any database that is fresh enough, by load and zone.
+ * Statements that can't be sent at once wait in the queue of their group, by priority and
+ * objective. */
 #define G_LOG_DOMAIN "router"
 #include "pooler/routing/router_internal.h"
 
-/* Though a connection is idle, another one is opened to a better database if even this many times
- * its cost is less than the idle one's. */
+/* Although a connection is idle, a connection to a better database is opened if its cost times this
+ * factor is below the cost of the idle one. */
 #define OPENING_FACTOR 1.5
 
-/* Weight of the newest statement in the group's led_share: it follows some fifty statements. */
-#define LED_WEIGHT 0.02
+/* Weight of the newest statement in the group's primary_only_share, which follows about fifty
+ * statements. */
+#define PRIMARY_ONLY_WEIGHT 0.02
 
-/* A statement that a connection is being opened for asks for no other one meanwhile: longer than
- * opening takes at a database that has slots (12 to 30 ms by the sites' sheets). */
-#define OPENING_PATIENCE_NS (50 * NANOSECONDS_PER_MILLISECOND)
+/* Minimum time between two openings for the same statement. Longer than an opening takes at a
+ * database with a free slot: 12 to 30 ms by the specifications of the sites. */
+#define OPENING_INTERVAL_NS (50 * NANOSECONDS_PER_MILLISECOND)
 
 bool
 router_has_permit(const struct group *group, time_ns now)
@@ -42,14 +44,14 @@
                                                  : METRICS_READS_AT_REPLICA);
 }
 
-/* Learns which part of the primary's statements no replica could run. */
+/* Updates the part of the primary's statements that no replica could run. */
 static void
-note_led(const struct need *need, const struct database *database)
+update_primary_only_share(const struct need *need, const struct database *database)
 {
     struct group *group = database->group;
     if (database == group->primary) {
         group->primary_only_share +=
-            ((need->primary ? 1 : 0) - group->primary_only_share) * LED_WEIGHT;
+            ((need->primary ? 1 : 0) - group->primary_only_share) * PRIMARY_ONLY_WEIGHT;
     }
 }
 
@@ -67,8 +69,8 @@
     return group->connections == 0;
 }
 
-/* Leaves the statement to another owner of its group, if there is one to take it. One that came
- * from another pooler goes back. */
+/* Forwards the statement to another owner of its group; a statement that another pooler forwarded
+ * is declined and returned to that pooler. Returns false if no owner accepts it. */
 static bool
 try_forward(struct session *session)
 {
@@ -87,7 +89,7 @@
     return true;
 }
 
-/* Learns how fast the statement's line moves. */
+/* Updates the departure rate of the statement's line. */
 static void
 note_departure(const struct session *session, time_ns now)
 {
@@ -96,7 +98,9 @@
     }
 }
 
-/* Sends the statement if a connection is there. True if it left. */
+/* Sends the statement if a connection is available, or otherwise prepares for that: opens one,
+ * starts a leadership check or sets a timer. Returns true if the statement left the queue: it was
+ * sent, forwarded or refused. */
 static bool
 try_send(struct session *session)
 {
@@ -104,7 +108,7 @@
     struct choice choice;
     time_ns now = backend_now();
     if (session->request.refusal != NULL) {
-        return false; /* refused while it waited; its client is told as soon as the loop turns */
+        return false; /* refused while it waited; the answer is sent after the current callback */
     }
     if (now < session->request.not_before) {
         worker_run_at(session->worker, session->request.not_before);
@@ -124,18 +128,17 @@
         leadership_check_start(session->route.group);
         return false;
     }
-    if (choice.hold_until != 0) {
+    if (choice.defer_until != 0) {
         session->request.held = true;
-        session->request.not_before = choice.hold_until;
+        session->request.not_before = choice.defer_until;
         metrics_count(&session->worker->metrics, METRICS_READS_HELD);
-        worker_run_at(session->worker, choice.hold_until);
+        worker_run_at(session->worker, choice.defer_until);
         return false;
     }
-    bool open_too =
-        choice.to_open != NULL && database_may_open(choice.to_open, now) &&
-        now >= session->request.opened_at + OPENING_PATIENCE_NS &&
-        (choice.server == NULL || choice.open_cost * OPENING_FACTOR < choice.server_cost);
-    if (open_too) {
+    bool open = choice.to_open != NULL && database_may_open(choice.to_open, now) &&
+                now >= session->request.opened_at + OPENING_INTERVAL_NS &&
+                (choice.server == NULL || choice.open_cost * OPENING_FACTOR < choice.server_cost);
+    if (open) {
         session->request.opened_at = now;
         server_open(choice.to_open, session->tenant, METRICS_OPENED_STATEMENT);
     }
@@ -156,7 +159,7 @@
     session_sent(session);
     choice_note_probe(choice.server->database, now);
     count_read(session, choice.server->database);
-    note_led(&need, choice.server->database);
+    update_primary_only_share(&need, choice.server->database);
     metrics_count(&session->worker->metrics, METRICS_FOUND_OPEN);
     server_run(choice.server, session, need.has_position ? &need.position : NULL);
     return true;
@@ -169,10 +172,10 @@
     struct choice choice;
     const struct group *group = session->route.group;
     if (!session->worker->has_tenants) {
-        return; /* any connection serves it */
+        return; /* any idle connection can serve it */
     }
-    bool elsewhere = session->forwarded.caller == NULL && forward_announce(session);
-    if (elsewhere || router_forwards(group)) {
+    bool at_owner = session->forwarded.caller == NULL && forward_announce(session);
+    if (at_owner || router_forwards(group)) {
         return;
     }
     choice_find_need(session, &need);
@@ -184,7 +187,7 @@
     }
 }
 
-/* The more urgent route first, then the one whose objective ends first. */
+/* By priority, then by the end of the latency objective. */
 bool
 router_is_before(const struct session *a, const struct session *b)
 {
@@ -220,16 +223,17 @@
     }
 }
 
-/* Tells the databases that could run it that it came: each keeps room for statements as urgent. */
+/* Records the arrival at the window of each database that could run the statement, which reserves
+ * capacity for statements of its priority. */
 static void
-note_coming(const struct session *session)
+note_arrival(const struct session *session)
 {
     const struct group *group = session->route.group;
-    bool led = router_needs_primary(session);
+    bool primary_only = router_needs_primary(session);
     time_ns now = backend_now();
     for (guint i = 0; i < group->databases->len; i++) {
         struct database *database = g_ptr_array_index(group->databases, i);
-        if (!led || database == group->primary) {
+        if (!primary_only || database == group->primary) {
             window_note_arrival(&database->window, session->route.priority, now);
         }
     }
@@ -239,7 +243,7 @@
 router_submit(struct session *session)
 {
     session->state = SESSION_QUEUED;
-    note_coming(session);
+    note_arrival(session);
     if (!try_send(session) && session->state == SESSION_QUEUED && session->queue_link == NULL) {
         enum metrics_refusal why;
         if (refusal_find(session, &why)) {
@@ -263,7 +267,7 @@
         struct session *session = link->data;
         length--;
         bool left = try_send(session);
-        /* A connection that broke while it was used may have changed the queue. */
+        /* If a connection broke while the statement was sent, the queue may have changed. */
         link = left ? group->queue.head : next;
     }
 }
--- a/src/pooler/routing/router_internal.h
+++ b/src/pooler/routing/router_internal.h
@@ -1,66 +1,67 @@
 /**
  * @file
- * @brief Shared by the parts of routing: the choice of a database (choice.c), why a statement had
- * better not wait (refusal.c), and the queue and the sending (router.c). All belong to the group's
- * worker.
+ * @brief Internal interface of routing: the choice of a database (choice.c), the refusal of
+ * statements that would wait in vain (refusal.c), and the queue and sending (router.c). Call the
+ * functions from the thread of the group's worker only.
  */
 #ifndef SW_POOLER_ROUTER_INTERNAL_H
 #define SW_POOLER_ROUTER_INTERNAL_H
 
 #include "pooler/worker/worker_internal.h"
 
-/* A write that no replica has to confirm is sent only if the permit lasts this much longer: it must
- * be over before another database may lead. */
+/* A write that no replica has to confirm is sent only if the read permit is valid for this much
+ * longer, because the write must end before another database can become the primary. */
 #define WRITE_MARGIN_NS (150 * NANOSECONDS_PER_MILLISECOND)
 
-/* What a statement asks of a database. */
+/* Requirements of a statement. */
 struct need {
-    bool primary;                 /* only the primary may run it */
-    bool permit;                  /* a read at the primary that must be provably current */
-    bool writes;                  /* a write that no replica has to confirm: needs a permit, too */
-    bool has_position;            /* the next two are set */
+    bool primary;      /* only the primary may run it */
+    bool permit;       /* proof that the primary leads is required: a permit or a check */
+    bool writes;       /* a write that no replica has to confirm: only a permit will do */
+    bool has_position; /* the next two fields are set */
     struct log_position position; /* the database must have applied the log up to here */
-    time_ns position_at;          /* when the primary stood there */
+    time_ns position_at;          /* when the primary had that position */
 };
 
-/* The best database of a group for a statement: one with an idle connection, and one that another
- * connection could be opened to. */
+/* The best options for a statement: an idle connection, a database to open a connection to, and a
+ * replica to wait for. All costs are those of placement_cost_ms(). */
 struct choice {
-    struct server *server;    /* idle connection; NULL: none */
-    double server_cost;       /* all costs as placement_cost_ms() */
+    struct server *server; /* idle connection; NULL: none */
+    double server_cost;
     struct database *to_open; /* NULL: none */
     double open_cost;
-    time_ns hold_until; /* a replica will be fresh enough then; 0: none is worth waiting for */
-    double hold_cost;
-    bool check; /* proof that the primary still leads must be sought first */
+    time_ns defer_until; /* when a replica will be fresh enough; 0: none is worth waiting for */
+    double defer_cost;
+    bool check; /* a leadership check is required first */
 };
 
-/** @brief Finds what the session's statement asks of a database. */
+/** @brief Finds the requirements of the session's statement. */
 void choice_find_need(const struct session *session, struct need *out);
 
-/** @brief Chooses where it is best served now. */
+/** @brief Finds the best options at present. */
 void choice_find(const struct session *session, const struct need *need, time_ns now,
                  struct choice *choice);
 
-/** @return true if the database has not got as far as the statement must see, by what is known of
- *  its lag. */
+/** @return true if the database has not yet applied the required position, as estimated from its
+ *  replication lag. */
 bool choice_is_behind(const struct database *database, const struct need *need, time_ns now);
 
-/** @brief A statement is sent to it: a replica that was far behind is tried by one at a time. */
+/** @brief Records that a statement is sent to the database, so that a replica with a long lag is
+ * probed by only one statement at a time. */
 void choice_note_probe(struct database *database, time_ns now);
 
-/** @return when the statement should be answered by its route's objective. */
+/** @return when the latency objective of the statement's route ends. */
 time_ns choice_objective(const struct session *session);
 
-/** @return true if the first goes before the second. */
+/** @return true if `a` precedes `b` in the queue. */
 bool router_is_before(const struct session *a, const struct session *b);
 
-/** @return true if the statement is better refused than queued.
- *  @param why set in any case; the reason if true is returned. */
+/** @return true if the statement should be refused and not queued.
+ *  @param why the reason if true is returned; otherwise undefined. */
 bool refusal_find(struct session *session, enum metrics_refusal *why);
 
-/** @brief A statement just entered the queue. Refuses those at the queue's end that would be late
- * because of it, now and not when their wait ends. */
+/** @brief Refuses statements at the end of the queue that would miss their objective because
+ * `session` has just been queued in front of them: at once, and not when their wait ends. */
 void refusal_recheck_later(const struct session *session);
 
 #endif
--- a/src/pooler/routing/shortage.c
+++ b/src/pooler/routing/shortage.c
@@ -1,22 +1,22 @@
-/* Since when a line is short of room; see the header. */
+/* Shortages of database capacity; see the header. */
 #include "pooler/routing/shortage.h"
 
 #include <glib.h>
 
-/* A shortage ends after so long without a refusal. Longer than the time between bursts of load,
- * about a second, so that a series of them is one shortage and two lines in the log. */
+/* A shortage ends after this time without a refusal. Longer than the time between bursts of load,
+ * about a second, so that a series of bursts is one shortage with two log lines. */
 #define OVER_AFTER_NS (2 * NANOSECONDS_PER_SECOND)
 
 bool
 shortage_refused(shortage_t *shortage, uint32_t priority, time_ns now)
 {
-    bool begins = shortage->since == 0;
-    if (begins) {
+    bool starts = shortage->since == 0;
+    if (starts) {
         *shortage = (shortage_t){.since = now};
     }
     shortage->refused_at = now;
     shortage->refused[MIN(priority, SHORTAGE_PRIORITIES - 1)]++;
-    return begins;
+    return starts;
 }
 
 bool
--- a/src/pooler/routing/shortage.h
+++ b/src/pooler/routing/shortage.h
@@ -1,7 +1,8 @@
 /**
  * @file
- * @brief Since when statements of one line of a group are refused for want of room, and whose: what
- * an operator is told, once as it begins and once as it ends. Values and a time in, values out.
+ * @brief Shortages of database capacity, as reported to operators: periods in which statements of
+ * one line (queue_rate.h) of a group are refused because they would be answered too late. Each
+ * shortage is logged once at its start and once at its end. Pure functions of the time passed in.
  */
 #ifndef SW_POOLER_SHORTAGE_H
 #define SW_POOLER_SHORTAGE_H
@@ -11,20 +12,22 @@
 
 #include "core/types.h"
 
-/** @brief Priorities that are told apart; the last one stands for all less urgent ones, too. */
+/** @brief Number of distinct priorities; the last one includes all lower ones. */
 #define SHORTAGE_PRIORITIES 4
 
-/** @brief Refusals of one line. Start from zeros. Belongs to the group's worker. */
+/** @brief Shortage of one line. Initialize with zeros. Belongs to the group's worker. */
 typedef struct shortage {
-    time_ns since;                         /**< when it began; 0: the line has room */
-    time_ns refused_at;                    /**< last */
-    uint32_t refused[SHORTAGE_PRIORITIES]; /**< since it began, by priority */
+    time_ns since;                         /**< start of the shortage; 0: there is none */
+    time_ns refused_at;                    /**< time of the last refusal */
+    uint32_t refused[SHORTAGE_PRIORITIES]; /**< refusals since its start, by priority */
 } shortage_t;
 
-/** @brief A statement is refused for want of room. True if the shortage begins. */
+/** @brief Records a refusal.
+ *  @return true if it starts a shortage. */
 bool shortage_refused(shortage_t *shortage, uint32_t priority, time_ns now);
 
-/** @brief True if it is over, once; `refused` stands until the next begins. */
+/** @brief Ends the shortage after a time without refusals. `refused` is kept until the next start.
+ *  @return true if the shortage ended with this call. */
 bool shortage_over(shortage_t *shortage, time_ns now);
 
 #endif
--- a/tests/pooler/test_placement.c
+++ b/tests/pooler/test_placement.c
@@ -26,7 +26,7 @@
 test_noise_is_no_reason_to_leave_the_zone(void)
 {
     place_t near = {.rtt_ms = 0.3, .service_ms = 12, .running = 1, .slots = 4};
-    place_t far = {.rtt_ms = 2, .service_ms = 9, .slots = 4, .far = true};
+    place_t far = {.rtt_ms = 2, .service_ms = 9, .slots = 4, .other_zone = true};
     g_assert_cmpfloat(placement_cost_ms(&near), <, placement_cost_ms(&far));
     near.service_ms = 25;
     g_assert_cmpfloat(placement_cost_ms(&near), >, placement_cost_ms(&far));
@@ -48,7 +48,7 @@
 {
     place_t replica = {.rtt_ms = 1, .service_ms = 45, .fresh_in_ms = 100, .slots = 6};
     place_t primary = {
-        .rtt_ms = 1, .service_ms = 400, .slots = 6, .leads = true, .primary_only_share = 0.5};
+        .rtt_ms = 1, .service_ms = 400, .slots = 6, .is_primary = true, .primary_only_share = 0.5};
     g_assert_cmpfloat(placement_cost_ms(&replica), <, placement_cost_ms(&primary));
     primary.service_ms = 45;
     g_assert_cmpfloat(placement_cost_ms(&replica), >, placement_cost_ms(&primary));
@@ -60,7 +60,7 @@
 {
     place_t replica = {.rtt_ms = 0.5, .service_ms = 15, .running = 1, .slots = 4};
     place_t primary = {
-        .rtt_ms = 0.5, .service_ms = 15, .slots = 4, .leads = true, .primary_only_share = 0.4};
+        .rtt_ms = 0.5, .service_ms = 15, .slots = 4, .is_primary = true, .primary_only_share = 0.4};
     g_assert_cmpfloat(placement_cost_ms(&replica), <, placement_cost_ms(&primary));
     replica.running = 9;
     g_assert_cmpfloat(placement_cost_ms(&replica), >, placement_cost_ms(&primary));
--- a/tests/pooler/test_queue_rate.c
+++ b/tests/pooler/test_queue_rate.c
@@ -31,7 +31,7 @@
 {
     queue_rate_t pace = paced(45);
     wait_forecast_t prospect = {
-        .ahead = 6, .room = 5, .run_ms = 190, .each_ms = 190, .objective_ms = 400};
+        .ahead = 6, .capacity = 5, .run_ms = 190, .each_ms = 190, .objective_ms = 400};
     g_assert_cmpfloat(queue_rate_wait_ms(&pace, &prospect), <, 0.7 * 400);
     g_assert_true(queue_rate_is_late(&pace, &prospect));
     prospect.run_ms = 45;
@@ -44,7 +44,7 @@
 {
     queue_rate_t pace = paced(40);
     wait_forecast_t prospect = {
-        .ahead = 1, .room = 1, .run_ms = 9, .each_ms = 47, .objective_ms = 100};
+        .ahead = 1, .capacity = 1, .run_ms = 9, .each_ms = 47, .objective_ms = 100};
     g_assert_false(queue_rate_is_late(&pace, &prospect));
     prospect.run_ms = 47;
     g_assert_true(queue_rate_is_late(&pace, &prospect));
@@ -56,7 +56,7 @@
 {
     queue_rate_t pace = paced(20);
     wait_forecast_t prospect = {
-        .ahead = 3, .room = 2, .run_ms = 20, .each_ms = 20, .objective_ms = 100};
+        .ahead = 3, .capacity = 2, .run_ms = 20, .each_ms = 20, .objective_ms = 100};
     g_assert_false(queue_rate_is_late(&pace, &prospect));
     prospect.waited_ms = 40;
     g_assert_true(queue_rate_is_late(&pace, &prospect));
@@ -68,7 +68,7 @@
 {
     queue_rate_t line[QUEUE_LINE_COUNT] = {paced(45), paced(5)};
     wait_forecast_t prospect = {
-        .ahead = 8, .room = 12, .run_ms = 30, .each_ms = 30, .objective_ms = 300};
+        .ahead = 8, .capacity = 12, .run_ms = 30, .each_ms = 30, .objective_ms = 300};
     g_assert_true(queue_rate_is_late(&line[QUEUE_LINE_PRIMARY], &prospect));
     g_assert_false(queue_rate_is_late(&line[QUEUE_LINE_ANY], &prospect));
 }
@@ -79,10 +79,10 @@
 {
     queue_rate_t pace = paced(10);
     wait_forecast_t prospect = {
-        .ahead = 50, .room = 0, .run_ms = 10, .each_ms = 10, .objective_ms = 200};
+        .ahead = 50, .capacity = 0, .run_ms = 10, .each_ms = 10, .objective_ms = 200};
     g_assert_false(queue_rate_is_late(&pace, &prospect));
-    prospect =
-        (wait_forecast_t){.ahead = 10, .room = 4, .run_ms = 10, .each_ms = 10, .objective_ms = 200};
+    prospect = (wait_forecast_t){
+        .ahead = 10, .capacity = 4, .run_ms = 10, .each_ms = 10, .objective_ms = 200};
     time_ns after = pace.moved_at + 2 * NANOSECONDS_PER_SECOND;
     queue_rate_restart(&pace, after);
     queue_rate_note_departure(&pace, after + 10 * MS);
@@ -95,7 +95,7 @@
 {
     queue_rate_t pace = paced(500);
     wait_forecast_t prospect = {
-        .ahead = 0, .room = 1, .run_ms = 900, .each_ms = 900, .objective_ms = 200};
+        .ahead = 0, .capacity = 1, .run_ms = 900, .each_ms = 900, .objective_ms = 200};
     g_assert_false(queue_rate_is_late(&pace, &prospect));
 }
 
@@ -104,7 +104,7 @@
 test_a_time_from_before(void)
 {
     queue_rate_t pace = paced(10);
-    wait_forecast_t prospect = {.ahead = 5, .room = 4, .run_ms = 10, .objective_ms = 200};
+    wait_forecast_t prospect = {.ahead = 5, .capacity = 4, .run_ms = 10, .objective_ms = 200};
     time_ns moved_at = pace.moved_at;
     queue_rate_note_departure(&pace, moved_at - 1);
     g_assert_cmpuint(pace.moved_at, ==, moved_at);
