--- a/src/pooler/databases/database.c
+++ b/src/pooler/databases/database.c
@@ -1,46 +1,49 @@
-/* One database as a worker knows it: its connections, how fast it answers, and its faults. */
+/* State of a database in a worker: its connections, latency and faults. */
 #include "pooler/databases/pool.h"
 #include "pooler/shared/socket.h"
 #include "pooler/worker/worker_internal.h"
 
 #include <string.h>
 
-/* Of a database that has not answered yet. */
+/* Latency assumed for a database that has not answered yet. */
 #define LATENCY_START_MS 5.0
 
 /* Weight of the newest opening in the moving average of the group's openings. */
 #define OPENING_WEIGHT 0.1
 
-/* No answer at all while something is asked, for this long: silence. */
-#define SILENT_AFTER_NS (450 * NANOSECONDS_PER_MILLISECOND)
+/* Without any answer for this time while requests are pending, a database is unresponsive. */
+#define UNRESPONSIVE_AFTER_NS (450 * NANOSECONDS_PER_MILLISECOND)
 
-/* No answer for this long and some usual latencies, while other answers come: it is lost. */
+/* Without an answer for this time plus LOST_LATENCIES times the average latency, while the database
+ * sends other answers, the answer to a statement is considered lost. */
 #define LOST_AFTER_NS  (250 * NANOSECONDS_PER_MILLISECOND)
 #define LOST_LATENCIES 3
 
-/* How long an answer is awaited that nobody waits for. */
+/* Time-outs of a statement whose session has ended, and of a status query. */
 #define ORPHAN_MAX_NS (2000 * NANOSECONDS_PER_MILLISECOND)
 #define STATUS_MAX_NS (400 * NANOSECONDS_PER_MILLISECOND)
 
-/* Connections that are kept ready, used or not. */
+/* Number of connections that are kept open, used or not. */
 #define READY_CONNECTIONS 2U
 
-/* A write without its answer for this long, while other answers come: replication stalls. */
+/* If a write has had no answer for this time while other answers arrive, replication is stalled. */
 #define STALLED_AFTER_NS (600 * NANOSECONDS_PER_MILLISECOND)
 
+/* How long the fault of a database that refuses to act as the primary is kept. */
 #define REFUSAL_KEPT_NS (500 * NANOSECONDS_PER_MILLISECOND)
 
+/* Back-off after a failure to open a connection. */
 #define RETRY_MIN_NS (50 * NANOSECONDS_PER_MILLISECOND)
 #define RETRY_MAX_NS (800 * NANOSECONDS_PER_MILLISECOND)
 
-/* Wait after the database had no room for another connection, doubled each time. The longest is a
- * little below the 3 s for which a database counts connections of a machine that went dark. */
-#define FULL_WAIT_MIN_NS (150 * NANOSECONDS_PER_MILLISECOND)
-#define FULL_WAIT_MAX_NS (2400 * NANOSECONDS_PER_MILLISECOND)
+/* Back-off if the database is at its limit of connections. The maximum is a little below the 3 s
+ * for which a database counts connections of a machine that became unreachable. */
+#define FULL_RETRY_MIN_NS (150 * NANOSECONDS_PER_MILLISECOND)
+#define FULL_RETRY_MAX_NS (2400 * NANOSECONDS_PER_MILLISECOND)
 
-/* A database that answered on another connection within this lives: what it did not take, it had
- * no room for. */
-#define LIVES_NS (500 * NANOSECONDS_PER_MILLISECOND)
+/* If a database has answered on another connection within this time, it is alive, and a failure to
+ * open a connection means that it is at its limit. */
+#define ALIVE_NS (500 * NANOSECONDS_PER_MILLISECOND)
 
 struct database *
 database_new(struct group *group, struct member_shared *shared)
@@ -67,7 +70,8 @@
     return (enum database_fault)atomic_load(&database->shared->fault);
 }
 
-/* Another worker may have changed it meanwhile: what was replaced counts. */
+/* Counts the databases of the group with a fault. `old` is the fault that was actually replaced,
+ * because another worker may have changed it in the meantime. */
 static void
 count_fault(struct group_shared *shared, enum database_fault old, enum database_fault fault)
 {
@@ -105,22 +109,23 @@
     }
 }
 
-/* A wait that doubles with each failure, by chance half of it or up to one and a half: hundreds of
- * poolers that failed together don't come back together. */
+/* Exponential back-off with jitter of -50% to +50%, so that hundreds of poolers that failed at the
+ * same time do not retry at the same time. */
 static time_ns
-backoff(time_ns least, time_ns most, uint32_t failures)
+backoff(time_ns min, time_ns max, uint32_t failures)
 {
-    time_ns wait = MIN(least << MIN(failures, 10U), most);
+    time_ns wait = MIN(min << MIN(failures, 10U), max);
     return wait / 2 + (time_ns)(g_random_double() * (double)wait);
 }
 
-/* Some databases reset a connection that they have no room for, some refuse it in words. */
+/* True if a connection was rejected because the database is at its limit: some databases reset such
+ * a connection, others answer with an error. */
 static bool
 is_full(const struct database *database, enum answer_code code, time_ns now)
 {
     time_ns answered = atomic_load(&database->shared->answered_at);
-    bool lives = answered != 0 && now < answered + LIVES_NS;
-    return lives || code == ANSWER_OVERLOADED || code == ANSWER_BUSY;
+    bool alive = answered != 0 && now < answered + ALIVE_NS;
+    return alive || code == ANSWER_OVERLOADED || code == ANSWER_BUSY;
 }
 
 void
@@ -129,7 +134,8 @@
     time_ns now = backend_now();
     metrics_count(&database->group->worker->metrics, METRICS_CONNECTIONS_FAILED);
     if (is_full(database, code, now)) {
-        database->retry_at = now + backoff(FULL_WAIT_MIN_NS, FULL_WAIT_MAX_NS, database->failures);
+        database->retry_at =
+            now + backoff(FULL_RETRY_MIN_NS, FULL_RETRY_MAX_NS, database->failures);
     } else {
         database->retry_at = now + backoff(RETRY_MIN_NS, RETRY_MAX_NS, database->failures);
         database_set_fault(database, DATABASE_FAULT_UNREACHABLE, now);
@@ -153,13 +159,13 @@
         placement_update_rtt(database->rtt_ms, (double)took / (double)NANOSECONDS_PER_MILLISECOND);
 }
 
-/* How much must be set up before the connection suits the session; lower is better. */
+/* Setup that the connection needs before it can serve the session; lower is better. */
 static unsigned
 setup_cost(const struct server *server, const struct session *session)
 {
-    guint held = g_hash_table_size(server->values);
-    guint wanted = session->values == NULL ? 0 : g_hash_table_size(session->values);
-    return held > wanted ? 2 : held != wanted;
+    guint present = g_hash_table_size(server->values);
+    guint needed = session->values == NULL ? 0 : g_hash_table_size(session->values);
+    return present > needed ? 2 : present != needed;
 }
 
 struct server *
@@ -195,7 +201,7 @@
     return NULL;
 }
 
-/* Statements that the database has; a transaction that rests takes no slot. */
+/* Number of statements running at the database; an idle transaction takes no slot. */
 static uint32_t
 count_running(const struct database *database)
 {
@@ -219,18 +225,18 @@
     window_note_refusal(&database->window, count_running(database), now);
 }
 
-/* Tells that the window has come down to the database's share of the slots, or is wider again. */
+/* Logs that the window has been narrowed to the share of the slots, or has been widened again. */
 static void
 log_window(const struct database *database)
 {
     const window_t *window = &database->window;
-    g_autofree char *times = g_strdup_printf("%.1f", window->slowness);
+    g_autofree char *slowness = g_strdup_printf("%.1f", window->slowness);
     g_log_structured("database", G_LOG_LEVEL_INFO, "SW_DATABASE", database->shared->id,
-                     "SW_SERVICE", database->group->shared->service, "SW_SLOWNESS", times,
-                     "MESSAGE", "Database %s: answers take %s usual times, %s.",
-                     database->shared->id, times,
-                     window->at_share ? "given no more than a share of its slots at once"
-                                      : "given more at once again");
+                     "SW_SERVICE", database->group->shared->service, "SW_SLOWNESS", slowness,
+                     "MESSAGE", "Database %s: answers take %s times the baseline; %s.",
+                     database->shared->id, slowness,
+                     window->at_share ? "concurrent statements limited to a share of its slots"
+                                      : "limit of concurrent statements raised again");
 }
 
 void
@@ -247,13 +253,13 @@
     }
 }
 
-/* Its connections, as the pool's decisions see them. */
+/* The numbers of connections for the rules of the pool (pool.h). */
 static pool_t
 count_pool(const struct database *database)
 {
     const struct group *group = database->group;
-    pool_t pool = {.keyed = group->worker->has_tenants,
-                   .most = database_connections(database),
+    pool_t pool = {.per_tenant = group->worker->has_tenants,
+                   .max = database_connections(database),
                    .open = database->servers->len,
                    .waiting = group->queue.length};
     for (guint i = 0; i < database->servers->len; i++) {
@@ -274,7 +280,7 @@
     return count_pool(database).opening > 0;
 }
 
-/* The idle connection that was not used for longest; NULL if there is none. */
+/* The connection that has been idle longest; NULL if none is idle. */
 static struct server *
 longest_idle(const struct database *database)
 {
@@ -293,8 +299,8 @@
 database_connections(const struct database *database)
 {
     const struct group *group = database->group;
-    bool own = !group->direct_fallback && group->connections > 0 && database->connections > 0;
-    return own ? database->connections : group->connections;
+    bool own_limit = !group->direct_fallback && group->connections > 0 && database->connections > 0;
+    return own_limit ? database->connections : group->connections;
 }
 
 bool
@@ -352,7 +358,8 @@
     if (!any_matches(database, matches, now)) {
         return;
     }
-    /* Closing one may close others; closed ones are freed only after the callback. */
+    /* Works on a copy, because closing one connection may close others. Closed connections are
+     * freed only after the current callback. */
     g_autoptr(GPtrArray) servers = g_ptr_array_copy(database->servers, NULL, NULL);
     for (guint i = 0; i < servers->len; i++) {
         struct server *server = g_ptr_array_index(servers, i);
@@ -374,7 +381,7 @@
     database_close_where(database, is_idle, 0, ANSWER_NONE);
 }
 
-/* When the oldest statement without an answer was sent; 0 if there is none. */
+/* When the oldest running statement was sent; 0 if there is none. */
 static time_ns
 oldest_sent(const struct database *database, bool writes_only)
 {
@@ -389,7 +396,8 @@
     return oldest;
 }
 
-/* Reads outside of transactions at a silent database go elsewhere. */
+/* True for idle connections and reads outside of transactions. At an unresponsive database they are
+ * closed, and the reads are retried at another database. */
 static bool
 is_read_or_idle(const struct server *server, time_ns now)
 {
@@ -398,33 +406,35 @@
     return read || is_idle(server, now);
 }
 
-/* While a database answers others, a statement without an answer for so long has lost it. Reads
- * go elsewhere, and transactions are rolled back, in time for the client to try again. */
+/* True if the answer to a statement is considered lost (LOST_AFTER_NS). A read is then retried at
+ * another database, and a transaction is rolled back, in time for the client to retry. */
 static bool
 has_lost_answer(const struct server *server, time_ns now)
 {
     const struct database *database = server->database;
     time_ns answered = atomic_load(&database->shared->answered_at);
-    time_ns usual = (time_ns)(database->latency_ms * LOST_LATENCIES) * NANOSECONDS_PER_MILLISECOND;
+    time_ns latency =
+        (time_ns)(database->latency_ms * LOST_LATENCIES) * NANOSECONDS_PER_MILLISECOND;
     return server->state == SERVER_RUNNING && !server->running_writes &&
-           now > server->sent_at + LOST_AFTER_NS + usual &&
+           now > server->sent_at + LOST_AFTER_NS + latency &&
            answered > server->sent_at + LOST_AFTER_NS / 2;
 }
 
-/* A statement whose client has left, and a status, have nobody who waits for them: without an
- * answer their connections would be held for ever. */
+/* True if a statement whose session has ended, or a status query, has timed out. No client time-out
+ * applies to them: without an answer they would occupy their connections for ever. */
 static bool
 is_orphan(const struct server *server, time_ns now)
 {
-    time_ns patience = server->checking ? STATUS_MAX_NS : ORPHAN_MAX_NS;
+    time_ns timeout = server->checking ? STATUS_MAX_NS : ORPHAN_MAX_NS;
     return server->state == SERVER_RUNNING && server->session == NULL &&
-           now > server->sent_at + patience;
+           now > server->sent_at + timeout;
 }
 
-/* A statement that has not left this machine, so long after it was sent, is taken back: it needs a
- * key, and its proof may run out before the far end gets it. */
+/* True if a statement is still in the local send buffer after held_max. It is withdrawn, because
+ * the proof that its key is valid (proof.h) may expire before the database receives the statement.
+ */
 static bool
-is_held_up(const struct server *server, time_ns now)
+is_unsent(const struct server *server, time_ns now)
 {
     const struct worker *worker = server->database->group->worker;
     return server->state == SERVER_RUNNING && now > server->sent_at + worker->shared->held_max &&
@@ -432,12 +442,12 @@
 }
 
 static void
-check_silence(struct database *database, time_ns now)
+check_unresponsive(struct database *database, time_ns now)
 {
     time_ns sent = oldest_sent(database, false);
     time_ns answered = atomic_load(&database->shared->answered_at);
-    bool silent = sent != 0 && now > MAX(sent, answered) + SILENT_AFTER_NS;
-    if (silent) {
+    bool unresponsive = sent != 0 && now > MAX(sent, answered) + UNRESPONSIVE_AFTER_NS;
+    if (unresponsive) {
         database->retry_at = MAX(database->retry_at, now + RETRY_MIN_NS);
         database_set_fault(database, DATABASE_FAULT_SILENT, now);
         database_close_where(database, is_read_or_idle, now, ANSWER_BUSY);
@@ -448,7 +458,7 @@
 check_stall(struct database *database, time_ns now)
 {
     time_ns sent = oldest_sent(database, true);
-    /* A write that others overtake has lost its answer: replication goes on. */
+    /* If a later write was acknowledged, only the answer was lost, and replication works. */
     bool stalled = sent != 0 && now > sent + STALLED_AFTER_NS && database->written_at < sent;
     enum database_fault fault = database_fault(database);
     if (stalled && fault == DATABASE_FAULT_NONE) {
@@ -462,23 +472,23 @@
 database_open_ready(struct database *database, time_ns now)
 {
     if (database->group->worker->has_tenants) {
-        return; /* whose statements come next is not known */
+        return; /* each connection serves one tenant, and the next tenant is not known */
     }
-    bool wanted = database->takes_work && database_fault(database) == DATABASE_FAULT_NONE;
-    while (wanted && database->servers->len < READY_CONNECTIONS &&
+    bool usable = database->takes_work && database_fault(database) == DATABASE_FAULT_NONE;
+    while (usable && database->servers->len < READY_CONNECTIONS &&
            database_may_open(database, now) &&
            server_open(database, access_public_tenant(), METRICS_OPENED_READY) != NULL) {
     }
 }
 
-/* Connections beyond these that are no longer used are closed: after a loss of power a database
- * counts them for seconds, beside those that are opened then. */
+/* Unused connections are closed because after a power loss of this machine a database counts them
+ * against its limit for seconds, together with the new ones. */
 void
 database_close_unused(struct database *database, time_ns now)
 {
     bool tenants = database->group->worker->has_tenants;
-    guint kept = tenants ? 0 : MIN(database->group->connections, READY_CONNECTIONS);
-    for (guint i = database->servers->len; i > 0 && database->servers->len > kept; i--) {
+    guint ready = tenants ? 0 : MIN(database->group->connections, READY_CONNECTIONS);
+    for (guint i = database->servers->len; i > 0 && database->servers->len > ready; i--) {
         struct server *server = g_ptr_array_index(database->servers, i - 1);
         if (server->state == SERVER_IDLE && pool_is_unused(server->idle_since, tenants, now)) {
             server_close(server, ANSWER_NONE);
@@ -486,7 +496,8 @@
     }
 }
 
-/* A primary that refused to lead is asked again after a while, unless another leads by then. */
+/* Clears the fault of a primary that refused to act as the primary after a while, so that
+ * statements are sent to it again unless another database has become the primary. */
 static void
 check_refusal(struct database *database, time_ns now)
 {
@@ -500,16 +511,16 @@
 database_tick(struct database *database, time_ns now)
 {
     if (database->group->connections == 0 && database->servers->len == 0) {
-        database_set_fault(database, DATABASE_FAULT_NONE, now); /* others know */
+        database_set_fault(database, DATABASE_FAULT_NONE, now); /* owners detect its faults */
         return;
     }
     check_refusal(database, now);
     database_close_unused(database, now);
     database_close_where(database, is_orphan, now, ANSWER_TIMEOUT);
     if (database->group->worker->shared->held_max != 0) {
-        database_close_where(database, is_held_up, now, ANSWER_TIMEOUT);
+        database_close_where(database, is_unsent, now, ANSWER_TIMEOUT);
     }
-    check_silence(database, now);
+    check_unresponsive(database, now);
     database_close_where(database, has_lost_answer, now, ANSWER_BUSY);
     check_stall(database, now);
     bool probe = database->takes_work && database_fault(database) != DATABASE_FAULT_NONE &&
--- a/src/pooler/databases/server.c
+++ b/src/pooler/databases/server.c
@@ -1,7 +1,7 @@
-/* A connection to a database. It serves any session between transactions: before a session's
- * statement runs, the connection gets the session's values and the prepared name that the statement
- * uses. Prepared names at the database are our own, one for each mode and shape, so that sessions
- * share them and their names never clash. */
+/* A connection to a database. Between transactions it can serve any session of its tenant: before a
+ * session's statement is sent, the session's values are set and the statement is prepared if
+ * necessary. The names of prepared statements at the database are generated here, one for each mode
+ * and shape, so that sessions share them and their own names can't collide. */
 #define G_LOG_DOMAIN "server"
 #include "pooler/databases/server_internal.h"
 #include "pooler/shared/socket.h"
@@ -13,8 +13,8 @@
 #define CONNECT_TIMEOUT_MS 800
 #define CLEAN_TIMEOUT_MS   2000
 
-/* A connection whose far end is dark is dropped by the kernel after this. */
-#define DARK_TIMEOUT_MS 2500
+/* The kernel drops a connection whose data the peer has not acknowledged within this time. */
+#define UNACKNOWLEDGED_TIMEOUT_MS 2500
 
 void
 server_set_timer(struct server *server, uint32_t ms)
@@ -111,7 +111,7 @@
     if (!database_free_connection(database)) {
         return NULL;
     }
-    int handle = socket_connect(&database->address, DARK_TIMEOUT_MS);
+    int handle = socket_connect(&database->address, UNACKNOWLEDGED_TIMEOUT_MS);
     if (handle < 0) {
         database_note_open_failure(database, ANSWER_NONE);
         return NULL;
@@ -123,8 +123,7 @@
     server->socket = handle;
     server->state = SERVER_CONNECTING;
     server->sent_at = backend_now();
-    server->min_position =
-        database->position; /* it holds at least this, unless it has lost its log */
+    server->min_position = database->position; /* a lower one shows that it lost its log */
     server->expected = g_byte_array_new();
     server->values = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     server->prepared = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -181,10 +180,10 @@
 void
 server_close(struct server *server, enum answer_code reason)
 {
-    enum server_state former = server->state;
+    enum server_state previous = server->state;
     struct database *database = server->database;
     struct worker *worker = database->group->worker;
-    if (former == SERVER_CLOSED) {
+    if (previous == SERVER_CLOSED) {
         return;
     }
     if (server_holds_work(server)) {
@@ -197,14 +196,14 @@
     event_del(server->readable);
     event_del(server->writable);
     event_del(server->timer);
-    if (former == SERVER_RUNNING && socket_holds_bytes(server->socket)) {
-        socket_reset_on_close(server->socket); /* what has not arrived is not to arrive later */
+    if (previous == SERVER_RUNNING && socket_holds_bytes(server->socket)) {
+        socket_reset_on_close(server->socket); /* unsent data must not arrive later */
     }
     close(server->socket);
     g_ptr_array_remove(database->servers, server);
     g_ptr_array_add(worker->closed, server);
     g_ptr_array_add(worker->groups_to_run, database->group);
-    if (former == SERVER_CONNECTING || former == SERVER_STARTING) {
+    if (previous == SERVER_CONNECTING || previous == SERVER_STARTING) {
         database_note_open_failure(database, server->code);
     } else if (reason != ANSWER_NONE) {
         metrics_count(&worker->metrics, METRICS_CONNECTIONS_BROKEN);
@@ -228,8 +227,8 @@
     server->idle_since = backend_now();
     server->state = SERVER_IDLE;
     server->in_transaction = false;
-    uint32_t most = MAX(database_connections(database), database->group->fallback_connections);
-    if (!database->takes_work || database->servers->len > most) {
+    uint32_t max = MAX(database_connections(database), database->group->fallback_connections);
+    if (!database->takes_work || database->servers->len > max) {
         server_close(server, ANSWER_NONE);
         return;
     }
@@ -244,7 +243,7 @@
         server->session = NULL;
     }
     if (server->state == SERVER_CLOSED || server->state == SERVER_RUNNING) {
-        return; /* a running one is released when its answer has come */
+        return; /* a running one is released after its answer */
     }
     if (server_holds_work(server)) {
         server_count_in_flight(server, false);
--- a/src/pooler/databases/server_answer.c
+++ b/src/pooler/databases/server_answer.c
@@ -1,12 +1,12 @@
-/* What a database answers, and what that tells of the database and of its group's log; see
- * server.c. */
+/* Processing of a database's answers, and of what they show about the database and the log of its
+ * group; see server.c. */
 #define G_LOG_DOMAIN "server"
 #include "pooler/databases/server_internal.h"
 
 #define LATENCY_WEIGHT 0.1
 
-/* What the answer that ends the running statement was for. One whose session is gone counts as a
- * read, unless it wrote or was in a transaction. */
+/* The use to count for a statement that was answered. If its session has ended, it counts as a read
+ * unless it wrote or was in a transaction. */
 static database_use_t
 use_of_statement(const struct server *server)
 {
@@ -14,8 +14,8 @@
     if (server->code != ANSWER_NONE && answer_meaning(server->code)->not_run) {
         return DATABASE_USE_REFUSED;
     }
-    bool plain = server->in_transaction && (session == NULL || !session->read_only);
-    if (plain) {
+    bool read_write = server->in_transaction && (session == NULL || !session->read_only);
+    if (read_write) {
         return DATABASE_USE_TRANSACTION;
     }
     if (server->writes) {
@@ -38,17 +38,18 @@
 on_status(struct server *server)
 {
     struct group *group = server->database->group;
-    bool good = server->has_report && server->code == ANSWER_NONE;
+    bool valid = server->has_report && server->code == ANSWER_NONE;
     count_use(server, DATABASE_USE_STATUS);
     server->checking = false;
     server->state = SERVER_RESERVED;
-    leadership_check_answer(group, server->database, good ? &server->report : NULL);
+    leadership_check_answer(group, server->database, valid ? &server->report : NULL);
     server_release(server);
 }
 
-/* A primary that holds less than it did before this connection was opened has started again without
- * its log: it may lack acknowledged commits, and goes on leading by its own word until the
- * coordinator hears of it. Replicas may be rolled back by a change of primary. */
+/* True if a primary reports a lower position than before this connection was opened: it has
+ * restarted without its log. It may have lost acknowledged commits, but acts as the primary until
+ * the coordinator detects that. Does not apply to replicas, which a change of primary may roll
+ * back. */
 static bool
 has_lost_log(const struct server *server, const struct database_reply *ready)
 {
@@ -70,7 +71,8 @@
     if (has_lost_log(server, ready)) {
         g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_MESSAGE, "SW_DATABASE", database->shared->id,
                          "SW_SERVICE", database->group->shared->service, "MESSAGE",
-                         "Database %s leads with a shorter log than it had: no work for it.",
+                         "Primary %s reports a lower log position than before and may have lost "
+                         "commits; no statements are sent to it.",
                          database->shared->id);
         database_set_fault(database, DATABASE_FAULT_REFUSING, backend_now());
         server_close(server, ANSWER_NONE);
@@ -123,24 +125,24 @@
     server_flush(server);
 }
 
-/* How far a replica is behind, by when the primary stood where the replica stands now. */
+/* Updates a replica's lag: the time since the primary had the replica's present position. */
 static void
 note_lag(struct database *database, time_ns now)
 {
     const struct freshness *freshness = &database->group->freshness;
     const struct freshness_sample *sample = freshness_newest_covered(freshness, database->position);
     if (sample == NULL) {
-        sample = freshness_oldest(freshness); /* it is behind by more than is known */
+        sample = freshness_oldest(freshness); /* the lag exceeds the period of the samples */
     }
     if (database != database->group->primary && sample != NULL) {
-        /* Samples are sparse: the true lag is up to one spacing less. */
-        time_ns behind = now - sample->at;
-        database->lag = behind > FRESHNESS_SPACING_NS ? behind - FRESHNESS_SPACING_NS : 0;
+        /* The lag may be up to one sampling interval shorter. */
+        time_ns age = now - sample->at;
+        database->lag = age > FRESHNESS_SPACING_NS ? age - FRESHNESS_SPACING_NS : 0;
         database->lag_at = now;
     }
 }
 
-/* The kind by which the running statement's time is averaged; see baseline_times_t. */
+/* The kind of the running statement; see baseline_times_t. */
 static unsigned
 kind_of(const struct server *server)
 {
@@ -148,9 +150,9 @@
                                server->running_writes);
 }
 
-/* What an answer tells of the database and of the group's log. */
+/* Updates latencies, window, positions and proof of leadership from the answer to a statement. */
 static void
-learn(struct server *server, const struct database_reply *ready)
+apply_answer(struct server *server, const struct database_reply *ready)
 {
     struct database *database = server->database;
     struct group *group = database->group;
@@ -158,7 +160,8 @@
     double latency = (double)(now - server->sent_at) / (double)NANOSECONDS_PER_MILLISECOND;
     double slowness = 0;
     if (server->code == ANSWER_NONE || !answer_meaning(server->code)->not_run) {
-        /* A refusal comes at once: counted, it would make a full or lagging database look quick. */
+        /* A refusal comes at once. If it were counted, an overloaded or lagging database would
+         * appear to be fast. */
         database->latency_ms += LATENCY_WEIGHT * (latency - database->latency_ms);
         database->latency_at = now;
         group->latency_ms += LATENCY_WEIGHT * (latency - group->latency_ms);
@@ -184,8 +187,8 @@
     }
     note_lag(database, now);
     bool leads = database == group->primary && server->epoch == group->epoch;
-    /* A commit that a replica received shows that nobody else could lead. One that wrote nothing
-     * asked no replica, and shows nothing. */
+    /* A commit that replicas confirmed proves that no other database was the primary. A commit
+     * without writes involves no replica and proves nothing. */
     bool committed = server->code == ANSWER_NONE && server->running_writes && server->wrote &&
                      ready->state == TRANSACTION_STATE_NONE && group->sync_replicas > 0;
     if (leads && (server->had_permit || committed) && ready->position.term >= group->term) {
@@ -202,7 +205,7 @@
 {
     struct session *session = server->session;
     count_use(server, use_of_statement(server));
-    learn(server, ready);
+    apply_answer(server, ready);
     server->in_transaction = ready->state != TRANSACTION_STATE_NONE;
     server->state = SERVER_RESERVED;
     server->running_writes = false;
@@ -276,7 +279,7 @@
         on_ready(server, &reply);
         break;
     case REPLY_MALFORMED:
-        g_warning("Database %s sent what is no message; the connection is closed.",
+        g_warning("Database %s sent a malformed message; closing the connection.",
                   server->database->shared->id);
         server_close(server, ANSWER_IN_DOUBT);
         break;
--- a/src/pooler/databases/server_run.c
+++ b/src/pooler/databases/server_run.c
@@ -1,14 +1,15 @@
-/* What is sent to a database for a session: its values, the prepared name that its statement uses,
- * and the statement; see server.c. */
+/* Sending of a session's statement to a database, after the session values and the prepared
+ * statement that it needs; see server.c. */
 #define G_LOG_DOMAIN "server"
 #include "pooler/databases/server_internal.h"
 
 #include <string.h>
 
-/* Prepared names held by one connection before all are dropped. */
+/* Number of statements prepared on one connection above which all are dropped. */
 #define PREPARED_MAX 256
 
-/* True if the connection holds a value that the session lacks: only a reset removes it. */
+/* True if the connection has too many prepared statements, or a session value that the session does
+ * not have, which only a reset removes. */
 static bool
 needs_reset(const struct server *server, const struct session *session)
 {
@@ -27,7 +28,7 @@
 }
 
 static void
-bring_values(struct server *server, const struct session *session)
+send_values(struct server *server, const struct session *session)
 {
     if (session->values == NULL) {
         return;
@@ -48,7 +49,7 @@
 }
 
 static void
-bring_setup(struct server *server, const struct session *session)
+send_setup(struct server *server, const struct session *session)
 {
     if (!server->in_transaction && needs_reset(server, session)) {
         wire_write_reset(&server->out);
@@ -56,12 +57,12 @@
         g_hash_table_remove_all(server->values);
         g_hash_table_remove_all(server->prepared);
     }
-    bring_values(server, session);
+    send_values(server, session);
 }
 
-/* The database's name for what the session prepared; prepares it there first if need be. */
+/* Prepares the session's statement on the connection if necessary. Returns its name there. */
 static const char *
-bring_prepared(struct server *server, const struct prepared *prepared)
+ensure_prepared(struct server *server, const struct prepared *prepared)
 {
     g_autofree char *key = g_strconcat(prepared->writes ? "w " : "r ", prepared->shape, NULL);
     const char *name = g_hash_table_lookup(server->prepared, key);
@@ -77,16 +78,16 @@
 
 void
 server_write_statement(struct server *server, struct session *session,
-                       const struct log_position *after)
+                       const struct log_position *min_position)
 {
     const struct statement *statement = &session->request.statement;
     if (statement->kind == STATEMENT_EXECUTE) {
         g_autofree char *name = span_copy(statement->name);
         const struct prepared *prepared = g_hash_table_lookup(session->prepared, name);
-        const char *given = bring_prepared(server, prepared);
-        wire_write_execute(&server->out, statement->id, after, given, statement->value);
+        const char *given = ensure_prepared(server, prepared);
+        wire_write_execute(&server->out, statement->id, min_position, given, statement->value);
     } else {
-        wire_write_statement(&server->out, statement->id, after, statement->text);
+        wire_write_statement(&server->out, statement->id, min_position, statement->text);
     }
     server_expect(server, EXPECT_STATEMENT);
     session->request.may_have_run = true;
@@ -106,14 +107,14 @@
 }
 
 static struct log_position
-position_or_none(const struct log_position *position)
+position_or_zero(const struct log_position *position)
 {
     struct log_position none = {0};
     return position == NULL ? none : *position;
 }
 
 void
-server_run(struct server *server, struct session *session, const struct log_position *after)
+server_run(struct server *server, struct session *session, const struct log_position *min_position)
 {
     if (!server_holds_work(server)) {
         server->state = SERVER_RUNNING;
@@ -130,18 +131,19 @@
     session->request.at_primary = server->database == server->database->group->primary;
     server_clear_answer(server);
     server_note_sending(server);
-    server->min_position = position_or_none(after);
-    bring_setup(server, session);
+    server->min_position = position_or_zero(min_position);
+    send_setup(server, session);
     server->running_writes = false;
     bool begins = session->transaction == SESSION_TRANSACTION_REQUESTED;
     operation_timing_enter(&session->timing, begins ? STAGE_BEGIN : STAGE_DATABASE,
                            server->sent_at);
     if (begins) {
-        /* The statement waits for the answer: behind a failed beginning it would run alone. */
-        wire_write_begin(&server->out, session->read_only, after);
+        /* The statement is sent after the answer to BEGIN: after a failed BEGIN it would run
+         * outside of a transaction. */
+        wire_write_begin(&server->out, session->read_only, min_position);
         server_expect(server, EXPECT_BEGIN);
     } else {
-        server_write_statement(server, session, after);
+        server_write_statement(server, session, min_position);
     }
     server_flush(server);
 }
--- a/src/pooler/databases/window.h
+++ b/src/pooler/databases/window.h
@@ -1,8 +1,9 @@
 /**
  * @file
- * @brief How many statements one database is given at once from here. Others give it theirs and
- * nobody tells how many: what it refuses and how long its answers take show it, as in congestion
- * control. A decision without sockets or clock: values and a time in, values out.
+ * @brief Concurrency window: limits the number of statements that one worker runs at a database at
+ * once. Other workers and poolers use the same database without exchanging their numbers. As in
+ * congestion control, the window follows from refusals and from the times of answers. Pure
+ * functions of the values and times passed in.
  */
 #ifndef SW_POOLER_WINDOW_H
 #define SW_POOLER_WINDOW_H
@@ -12,100 +13,103 @@
 
 #include "core/types.h"
 
-/** @brief Kinds of statements whose usual times are kept apart: three route kinds, each with reads,
- * writes and commits; see statement_time_kind(). */
+/** @brief Number of statement kinds with separate times: reads, writes and commits of three route
+ * kinds; see statement_time_kind(). */
 #define STATEMENT_TIME_KINDS 9
 
-/** @brief What each kind of statement takes at an idle database, in ms; 0: not known. Kept for each
- * group, as one database that is slow from the start can only be told by the others; and for all
- * groups of a worker, which stands in for a group that was never seen idle. Start from zeros. */
+/** @brief Baseline: the time of each kind of statement at a database without load, in ms; 0: not
+ * known. There is one for each group, because a database that is slow from the start is recognized
+ * only by comparison with the others, and one for all groups of a worker, which replaces the
+ * baseline of a group that has been under load from the start. Initialize with zeros. */
 typedef struct baseline_times {
     double ms[STATEMENT_TIME_KINDS];
-    time_ns at[STATEMENT_TIME_KINDS]; /**< when it was last learned */
+    time_ns at[STATEMENT_TIME_KINDS]; /**< last update */
 } baseline_times_t;
 
-/** @brief Moving average of what each kind takes at one database, in ms. Start from zeros. */
+/** @brief Moving average of the recent times of each kind at one database, in ms. Initialize with
+ * zeros. */
 typedef struct recent_times {
     double ms[STATEMENT_TIME_KINDS];
-    uint32_t answers[STATEMENT_TIME_KINDS]; /**< answers averaged so far; counting stops at some
-                                               twenty */
+    uint32_t answers[STATEMENT_TIME_KINDS]; /**< number of answers in the average, up to 20 */
 } recent_times_t;
 
 /** @brief The window of one database. Belongs to the database's worker. */
 typedef struct window {
-    double size;        /**< how many statements it may be given at once; 1 or more */
-    uint32_t slots;     /**< statements that the database runs at once; 0: not known */
-    uint32_t share;     /**< slots divided evenly among all that use it, rounded up */
-    double slowness;    /**< moving average of (answer's time / usual time); 0: none yet */
-    time_ns refused_at; /**< when it was last narrowed by a refusal */
-    time_ns delayed_at; /**< when it was last narrowed by slow answers */
-    uint32_t urgent;    /**< priority of the most urgent statement of late; 0: the highest */
-    time_ns urgent_at;  /**< when that statement came; 0: none came */
-    bool at_share;      /**< slow answers have narrowed it down to `share`, its minimum */
+    double size;        /**< maximum number of running statements; 1 or more */
+    uint32_t slots;     /**< statements that the database can run at once; 0: not known */
+    uint32_t share;     /**< slots divided by the number of workers that use them, rounded up */
+    double slowness;    /**< moving average of (time of an answer / baseline); 0: none yet */
+    time_ns refused_at; /**< when the window was last narrowed by a refusal */
+    time_ns slowed_at;  /**< when the window was last narrowed by slow answers */
+    uint32_t top;       /**< highest recent priority, which is the lowest number */
+    time_ns top_at;     /**< last arrival of that priority; 0: none */
+    bool at_share;      /**< slow answers have narrowed the window to `share`, the minimum */
 } window_t;
 
 /**
- * @brief Which kind a statement is of.
+ * @brief The kind of a statement.
  *
  * @param route enum route_kind
- * @param writes a write
- * @param commits the end of a transaction, or of one that writes alone
+ * @param writes the statement is a write
+ * @param commits the statement commits a transaction; ignored if it is a write
  */
 unsigned statement_time_kind(unsigned route, bool writes, bool commits);
 
-/** @return what a kind has taken at a database lately, in ms; `otherwise` while it has had too few
- * answers for an average. */
-double recent_times_ms(const recent_times_t *lately, unsigned kind, double otherwise);
+/** @return the recent average time of a kind at a database, in ms; `fallback` while there are too
+ * few answers for an average. */
+double recent_times_ms(const recent_times_t *recent, unsigned kind, double fallback);
 
-/** @brief Opens the window wide: nothing is known of the database yet. */
+/** @brief Initializes a window without a limit, for a database of which nothing is known yet. */
 void window_init(window_t *window);
 
 /**
- * @brief Takes over how many slots the database has and who shares them.
+ * @brief Sets the number of slots of the database, and of the workers that share them.
  *
- * @param slots statements that it runs at once; 0: not known
- * @param sharers workers, of all poolers, that give it statements; 0 counts as 1
+ * @param slots number of statements that the database can run at once; 0: not known
+ * @param sharers number of workers, over all poolers, that use the database; 0 counts as 1
  */
 void window_set_slots(window_t *window, uint32_t slots, uint32_t sharers);
 
-/** @brief A statement that the database could run has come, whether or not it is sent there. */
+/** @brief Records the arrival of a statement that the database could run, whether or not it is sent
+ * there. */
 void window_note_arrival(window_t *window, uint32_t priority, time_ns now);
 
 /**
- * @brief Whether the database may be given one more statement now.
+ * @brief Whether one more statement may be sent to the database now.
  *
- * @param running statements of this worker that it runs already
- * @param priority of the new one: the last place is kept for more urgent ones if such came lately
+ * @param running number of statements of this worker that it runs
+ * @param priority of the new statement: one slot is reserved for higher priorities if such
+ *        statements arrived recently
  */
 bool window_has_capacity(const window_t *window, uint32_t running, uint32_t priority, time_ns now);
 
-/** @brief The database refused a statement for want of a slot. Narrows the window.
- * @param running statements of this worker that it runs */
+/** @brief Narrows the window after the database refused a statement because it had no free slot.
+ * @param running number of statements of this worker that it runs */
 void window_note_refusal(window_t *window, uint32_t running, time_ns now);
 
 /**
- * @brief The database answered a statement. Widens the window, or narrows it if answers are slow.
+ * @brief Widens the window after an answer, or narrows it if answers are slow.
  *
- * @param slowness the answer's time divided by the usual one (baseline_times_update()); 0: not
- * known
- * @param running statements of this worker that it runs, this one among them
+ * @param slowness the time of the answer divided by the baseline (baseline_times_update()); 0: not
+ *        known
+ * @param running number of statements of this worker that the database runs, including this one
  */
 void window_note_answer(window_t *window, double slowness, uint32_t running, time_ns now);
 
-/** @return true if answers take so long that statements must be waiting at the database. */
+/** @return true if answers are so slow that statements must be queued inside the database. */
 bool window_is_slow(const window_t *window);
 
 /**
- * @brief Learns from the time of one answer.
+ * @brief Updates the baselines and recent averages from the time of one answer.
  *
- * @param general usual times of all groups of the worker
- * @param usual those of the database's group
- * @param lately those of the database
+ * @param general baseline over all groups of the worker
+ * @param baseline baseline of the database's group
+ * @param recent recent averages of the database
  * @param kind of the statement, below STATEMENT_TIME_KINDS
  * @param ms time from sending to answer
- * @return `ms` divided by the kind's usual time; 0 while that is not known
+ * @return `ms` divided by the baseline of the kind; 0 while that is not known
  */
-double baseline_times_update(baseline_times_t *general, baseline_times_t *usual,
-                             recent_times_t *lately, unsigned kind, double ms, time_ns now);
+double baseline_times_update(baseline_times_t *general, baseline_times_t *baseline,
+                             recent_times_t *recent, unsigned kind, double ms, time_ns now);
 
 #endif
--- a/tests/pooler/test_pool.c
+++ b/tests/pooler/test_pool.c
@@ -23,15 +23,15 @@
 static void
 test_full(void)
 {
-    pool_t pool = {.keyed = true, .most = 4, .open = 4, .idle = 1};
+    pool_t pool = {.per_tenant = true, .max = 4, .open = 4, .idle = 1};
     g_assert_true(pool_may_open(&pool));
     pool.idle = 0;
     g_assert_false(pool_may_open(&pool));
     pool.idle = 1;
-    pool.keyed = false;
+    pool.per_tenant = false;
     g_assert_false(pool_may_open(&pool));
-    pool.most = 0;
-    pool.keyed = true;
+    pool.max = 0;
+    pool.per_tenant = true;
     g_assert_false(pool_may_open(&pool));
 }
 
@@ -39,9 +39,9 @@
 static void
 test_one_at_a_time(void)
 {
-    pool_t pool = {.keyed = true, .most = 10, .open = 3, .opening = 1};
+    pool_t pool = {.per_tenant = true, .max = 10, .open = 3, .opening = 1};
     g_assert_false(pool_may_open(&pool));
-    pool.keyed = false;
+    pool.per_tenant = false;
     g_assert_true(pool_may_open(&pool));
 }
 
@@ -50,7 +50,7 @@
 static void
 test_waits_for_its_turn(void)
 {
-    pool_t pool = {.keyed = true, .most = 10, .open = 3, .opening = 1, .opening_since = NOW};
+    pool_t pool = {.per_tenant = true, .max = 10, .open = 3, .opening = 1, .opening_since = NOW};
     g_assert_false(pool_may_open(&pool));
     g_assert_true(pool_will_open(&pool, NOW + 12 * MS));
     g_assert_false(pool_will_open(&pool, NOW + 100 * MS));
@@ -60,7 +60,7 @@
     pool.idle = 1;
     g_assert_true(pool_will_open(&pool, NOW + 100 * MS));
     /* Where any connection serves, what opens serves the next as well: more wait for nothing. */
-    pool = (pool_t){.most = 10, .open = 3, .opening = 2, .opening_since = NOW};
+    pool = (pool_t){.max = 10, .open = 3, .opening = 2, .opening_since = NOW};
     g_assert_false(pool_will_open(&pool, NOW + 12 * MS));
 }
 
@@ -69,7 +69,7 @@
 static void
 test_ahead_waits_for_the_waiting(void)
 {
-    pool_t pool = {.keyed = true, .most = 10, .open = 3, .idle = 3};
+    pool_t pool = {.per_tenant = true, .max = 10, .open = 3, .idle = 3};
     g_assert_true(pool_may_open_ahead(&pool));
     pool.waiting = 1;
     g_assert_false(pool_may_open_ahead(&pool));
@@ -80,10 +80,10 @@
 static void
 test_ahead_leaves_the_last(void)
 {
-    pool_t pool = {.keyed = true, .most = 1, .open = 1, .idle = 1};
+    pool_t pool = {.per_tenant = true, .max = 1, .open = 1, .idle = 1};
     g_assert_false(pool_may_open_ahead(&pool));
     g_assert_true(pool_may_open(&pool));
-    pool = (pool_t){.keyed = true, .most = 4, .open = 4, .idle = 2};
+    pool = (pool_t){.per_tenant = true, .max = 4, .open = 4, .idle = 2};
     g_assert_true(pool_may_open_ahead(&pool));
 }
 
