--- a/tests/pooler/test_queue_rate.c
+++ b/tests/pooler/test_queue_rate.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * @brief Which waiting statements are in time: those of a hot group's only primary, behind which
- * nothing else can serve them, and those that replicas serve as well.
+ * @brief Forecast whether a queued statement is answered in time, for statements that only a
+ * primary can run, and for statements that replicas can run as well.
  */
 #include "pooler/routing/queue_rate.h"
 
@@ -10,117 +10,121 @@
 #define MS    NANOSECONDS_PER_MILLISECOND
 #define START (100 * NANOSECONDS_PER_SECOND)
 
-/* A statement leaves each `ms`, for long. */
+/* The rate of a line with a departure every `ms`, after 200 departures. */
 static queue_rate_t
-paced(double ms)
+make_rate(double ms)
 {
-    queue_rate_t pace = {0};
+    queue_rate_t rate = {0};
     time_ns now = START;
-    queue_rate_note_arrival(&pace, 0, now);
+    queue_rate_note_arrival(&rate, 0, now);
     for (unsigned i = 0; i < 200; i++) {
         now += (time_ns)(ms * (double)MS);
-        queue_rate_note_departure(&pace, now);
+        queue_rate_note_departure(&rate, now);
     }
-    return pace;
+    return rate;
 }
 
-/* A hot primary: 0.7 of an objective of 400 ms in the queue, and 190 ms at the database after it,
- * is late, though the wait alone is not. */
+/* At an overloaded primary, a wait of less than 0.7 of the objective of 400 ms plus 190 ms at the
+ * database is late, although the wait alone is not. */
 static void
-test_time_at_a_hot_primary_counts(void)
+test_time_at_the_database_counts(void)
 {
-    queue_rate_t pace = paced(45);
-    wait_forecast_t prospect = {
+    queue_rate_t rate = make_rate(45);
+    wait_forecast_t forecast = {
         .ahead = 6, .capacity = 5, .run_ms = 190, .each_ms = 190, .objective_ms = 400};
-    g_assert_cmpfloat(queue_rate_wait_ms(&pace, &prospect), <, 0.7 * 400);
-    g_assert_true(queue_rate_is_late(&pace, &prospect));
-    prospect.run_ms = 45;
-    g_assert_false(queue_rate_is_late(&pace, &prospect));
+    g_assert_cmpfloat(queue_rate_wait_ms(&rate, &forecast), <, 0.7 * 400);
+    g_assert_true(queue_rate_is_late(&rate, &forecast));
+    forecast.run_ms = 45;
+    g_assert_false(queue_rate_is_late(&rate, &forecast));
 }
 
-/* Writes of 9 ms behind reads of 47: by the mean of all at the database they would be refused. */
+/* A write of 9 ms behind reads of 47 ms is forecast by its own time. By the average time of all
+ * statements it would be refused. */
 static void
-test_a_quick_kind_is_taken_by_its_own_time(void)
+test_own_time_of_a_fast_kind_counts(void)
 {
-    queue_rate_t pace = paced(40);
-    wait_forecast_t prospect = {
+    queue_rate_t rate = make_rate(40);
+    wait_forecast_t forecast = {
         .ahead = 1, .capacity = 1, .run_ms = 9, .each_ms = 47, .objective_ms = 100};
-    g_assert_false(queue_rate_is_late(&pace, &prospect));
-    prospect.run_ms = 47;
-    g_assert_true(queue_rate_is_late(&pace, &prospect));
+    g_assert_false(queue_rate_is_late(&rate, &forecast));
+    forecast.run_ms = 47;
+    g_assert_true(queue_rate_is_late(&rate, &forecast));
 }
 
-/* What was spent at another pooler and on the way is gone. */
+/* The time already spent at another pooler and on the network counts towards the objective. */
 static void
-test_time_since_it_arrived_counts(void)
+test_time_since_arrival_counts(void)
 {
-    queue_rate_t pace = paced(20);
-    wait_forecast_t prospect = {
+    queue_rate_t rate = make_rate(20);
+    wait_forecast_t forecast = {
         .ahead = 3, .capacity = 2, .run_ms = 20, .each_ms = 20, .objective_ms = 100};
-    g_assert_false(queue_rate_is_late(&pace, &prospect));
-    prospect.waited_ms = 40;
-    g_assert_true(queue_rate_is_late(&pace, &prospect));
+    g_assert_false(queue_rate_is_late(&rate, &forecast));
+    forecast.waited_ms = 40;
+    g_assert_true(queue_rate_is_late(&rate, &forecast));
 }
 
-/* Reads that three databases serve move at their pace, while the primary's line is full. */
+/* Reads that three databases serve are forecast by the rate of their own line, while the line of
+ * the primary is congested. */
 static void
-test_reads_go_by_the_pace_of_all_their_databases(void)
+test_each_line_has_its_own_rate(void)
 {
-    queue_rate_t line[QUEUE_LINE_COUNT] = {paced(45), paced(5)};
-    wait_forecast_t prospect = {
+    queue_rate_t line[QUEUE_LINE_COUNT] = {make_rate(45), make_rate(5)};
+    wait_forecast_t forecast = {
         .ahead = 8, .capacity = 12, .run_ms = 30, .each_ms = 30, .objective_ms = 300};
-    g_assert_true(queue_rate_is_late(&line[QUEUE_LINE_PRIMARY], &prospect));
-    g_assert_false(queue_rate_is_late(&line[QUEUE_LINE_ANY], &prospect));
+    g_assert_true(queue_rate_is_late(&line[QUEUE_LINE_PRIMARY], &forecast));
+    g_assert_false(queue_rate_is_late(&line[QUEUE_LINE_ANY], &forecast));
 }
 
-/* While nobody leads, nothing is known of a pace, and it is not load that holds the line up. */
+/* Without a primary nothing is refused, and the time without one does not count as a slow rate. */
 static void
-test_a_change_of_primary_is_no_pace(void)
+test_change_of_primary_is_excluded(void)
 {
-    queue_rate_t pace = paced(10);
-    wait_forecast_t prospect = {
+    queue_rate_t rate = make_rate(10);
+    wait_forecast_t forecast = {
         .ahead = 50, .capacity = 0, .run_ms = 10, .each_ms = 10, .objective_ms = 200};
-    g_assert_false(queue_rate_is_late(&pace, &prospect));
-    prospect = (wait_forecast_t){
+    g_assert_false(queue_rate_is_late(&rate, &forecast));
+    forecast = (wait_forecast_t){
         .ahead = 10, .capacity = 4, .run_ms = 10, .each_ms = 10, .objective_ms = 200};
-    time_ns after = pace.moved_at + 2 * NANOSECONDS_PER_SECOND;
-    queue_rate_restart(&pace, after);
-    queue_rate_note_departure(&pace, after + 10 * MS);
-    g_assert_false(queue_rate_is_late(&pace, &prospect));
+    time_ns after = rate.moved_at + 2 * NANOSECONDS_PER_SECOND;
+    queue_rate_restart(&rate, after);
+    queue_rate_note_departure(&rate, after + 10 * MS);
+    g_assert_false(queue_rate_is_late(&rate, &forecast));
 }
 
-/* Who is next is never refused: nobody would gain, and a database that was slow has to be tried. */
+/* The first statement of a line is never refused: no other statement would gain, and the speed of a
+ * slow database must be probed again. */
 static void
-test_the_first_is_never_late(void)
+test_first_is_never_late(void)
 {
-    queue_rate_t pace = paced(500);
-    wait_forecast_t prospect = {
+    queue_rate_t rate = make_rate(500);
+    wait_forecast_t forecast = {
         .ahead = 0, .capacity = 1, .run_ms = 900, .each_ms = 900, .objective_ms = 200};
-    g_assert_false(queue_rate_is_late(&pace, &prospect));
+    g_assert_false(queue_rate_is_late(&rate, &forecast));
 }
 
-/* The time may have been read before the line last moved: it moved at once, then. */
+/* A departure with a time before the last one, because the time was read earlier, counts as an
+ * interval of 0. */
 static void
-test_a_time_from_before(void)
+test_time_before_last_departure(void)
 {
-    queue_rate_t pace = paced(10);
-    wait_forecast_t prospect = {.ahead = 5, .capacity = 4, .run_ms = 10, .objective_ms = 200};
-    time_ns moved_at = pace.moved_at;
-    queue_rate_note_departure(&pace, moved_at - 1);
-    g_assert_cmpuint(pace.moved_at, ==, moved_at);
-    g_assert_false(queue_rate_is_late(&pace, &prospect));
+    queue_rate_t rate = make_rate(10);
+    wait_forecast_t forecast = {.ahead = 5, .capacity = 4, .run_ms = 10, .objective_ms = 200};
+    time_ns moved_at = rate.moved_at;
+    queue_rate_note_departure(&rate, moved_at - 1);
+    g_assert_cmpuint(rate.moved_at, ==, moved_at);
+    g_assert_false(queue_rate_is_late(&rate, &forecast));
 }
 
 int
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/pooler/pace/hot_primary", test_time_at_a_hot_primary_counts);
-    g_test_add_func("/pooler/pace/quick_kind", test_a_quick_kind_is_taken_by_its_own_time);
-    g_test_add_func("/pooler/pace/arrived", test_time_since_it_arrived_counts);
-    g_test_add_func("/pooler/pace/reads", test_reads_go_by_the_pace_of_all_their_databases);
-    g_test_add_func("/pooler/pace/change", test_a_change_of_primary_is_no_pace);
-    g_test_add_func("/pooler/pace/first", test_the_first_is_never_late);
-    g_test_add_func("/pooler/pace/before", test_a_time_from_before);
+    g_test_add_func("/pooler/queue_rate/time_at_database", test_time_at_the_database_counts);
+    g_test_add_func("/pooler/queue_rate/fast_kind", test_own_time_of_a_fast_kind_counts);
+    g_test_add_func("/pooler/queue_rate/arrival", test_time_since_arrival_counts);
+    g_test_add_func("/pooler/queue_rate/lines", test_each_line_has_its_own_rate);
+    g_test_add_func("/pooler/queue_rate/change_of_primary", test_change_of_primary_is_excluded);
+    g_test_add_func("/pooler/queue_rate/first", test_first_is_never_late);
+    g_test_add_func("/pooler/queue_rate/earlier_time", test_time_before_last_departure);
     return g_test_run();
 }
