--- a/tests/pooler/test_pool.c
+++ b/tests/pooler/test_pool.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * @brief What becomes of a database's connections where more tenants ask than it takes: how long an
- * idle one is kept, when another opens beside or in place of it, and when before it is asked for.
+ * @brief Connection pool of a database that accepts fewer connections than there are tenants: how
+ * long an idle connection is kept, when another one is opened in addition or in its place, and when
+ * one is opened before a statement needs it.
  */
 #include "pooler/databases/pool.h"
 
@@ -10,18 +11,19 @@
 #define MS  NANOSECONDS_PER_MILLISECOND
 #define NOW (100 * NANOSECONDS_PER_SECOND)
 
-/* A tenant that asks every few seconds meets its connection again; any other is closed. */
+/* A connection of a tenant with a statement every few seconds is kept, others are closed. */
 static void
-test_sparse_tenants(void)
+test_kept_while_idle(void)
 {
     g_assert_false(pool_is_unused(NOW - 3 * NANOSECONDS_PER_SECOND, true, NOW));
     g_assert_true(pool_is_unused(NOW - 60 * NANOSECONDS_PER_SECOND, true, NOW));
     g_assert_true(pool_is_unused(NOW - 3 * NANOSECONDS_PER_SECOND, false, NOW));
 }
 
-/* A full database is opened to in place of an idle connection, where those are other tenants'. */
+/* At the limit a connection may be opened in place of an idle one, if connections serve one tenant.
+ */
 static void
-test_full(void)
+test_at_limit(void)
 {
     pool_t pool = {.per_tenant = true, .max = 4, .open = 4, .idle = 1};
     g_assert_true(pool_may_open(&pool));
@@ -35,9 +37,10 @@
     g_assert_false(pool_may_open(&pool));
 }
 
-/* Openings hold slots: one at a time where each serves one tenant. */
+/* Openings take slots of the database: with connections per tenant, one is in progress at a time.
+ */
 static void
-test_one_at_a_time(void)
+test_one_opening_at_a_time(void)
 {
     pool_t pool = {.per_tenant = true, .max = 10, .open = 3, .opening = 1};
     g_assert_false(pool_may_open(&pool));
@@ -45,29 +48,30 @@
     g_assert_true(pool_may_open(&pool));
 }
 
-/* While one opens, the next tenant's statement waits for its turn there; not where a database has
- * gone dark, and takes connections without a word. */
+/* A statement of another tenant waits for an opening in progress, unless that takes so long that
+ * the database may be unresponsive. */
 static void
-test_waits_for_its_turn(void)
+test_waits_for_opening(void)
 {
     pool_t pool = {.per_tenant = true, .max = 10, .open = 3, .opening = 1, .opening_since = NOW};
     g_assert_false(pool_may_open(&pool));
     g_assert_true(pool_will_open(&pool, NOW + 12 * MS));
     g_assert_false(pool_will_open(&pool, NOW + 100 * MS));
-    pool.open = 10; /* none is idle: there is no room, however long it waits */
+    pool.open = 10; /* at the limit, and none is idle: waiting would be in vain */
     g_assert_false(pool_will_open(&pool, NOW + 12 * MS));
     pool.opening = 0;
     pool.idle = 1;
     g_assert_true(pool_will_open(&pool, NOW + 100 * MS));
-    /* Where any connection serves, what opens serves the next as well: more wait for nothing. */
+    /* Shared connections: those being opened serve any statement, so that no other one is needed.
+     */
     pool = (pool_t){.max = 10, .open = 3, .opening = 2, .opening_since = NOW};
     g_assert_false(pool_will_open(&pool, NOW + 12 * MS));
 }
 
-/* Sessions that begin while statements wait, as after the loss of all, get nothing ahead: what is
- * opened goes to the statements. */
+/* While statements are queued, as after a loss of all poolers, no connection is opened ahead for a
+ * new session: openings are left to the queued statements. */
 static void
-test_ahead_waits_for_the_waiting(void)
+test_not_ahead_of_queued(void)
 {
     pool_t pool = {.per_tenant = true, .max = 10, .open = 3, .idle = 3};
     g_assert_true(pool_may_open_ahead(&pool));
@@ -76,9 +80,9 @@
     g_assert_true(pool_may_open(&pool));
 }
 
-/* The only connection is not taken from who has it for who may come. */
+/* The only idle connection is not closed for one that is opened ahead. */
 static void
-test_ahead_leaves_the_last(void)
+test_ahead_keeps_the_last(void)
 {
     pool_t pool = {.per_tenant = true, .max = 1, .open = 1, .idle = 1};
     g_assert_false(pool_may_open_ahead(&pool));
@@ -91,11 +95,11 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/pooler/pool/sparse-tenants", test_sparse_tenants);
-    g_test_add_func("/pooler/pool/full", test_full);
-    g_test_add_func("/pooler/pool/one-at-a-time", test_one_at_a_time);
-    g_test_add_func("/pooler/pool/waits-for-its-turn", test_waits_for_its_turn);
-    g_test_add_func("/pooler/pool/ahead-waits-for-the-waiting", test_ahead_waits_for_the_waiting);
-    g_test_add_func("/pooler/pool/ahead-leaves-the-last", test_ahead_leaves_the_last);
+    g_test_add_func("/pooler/pool/kept-while-idle", test_kept_while_idle);
+    g_test_add_func("/pooler/pool/at-limit", test_at_limit);
+    g_test_add_func("/pooler/pool/one-opening-at-a-time", test_one_opening_at_a_time);
+    g_test_add_func("/pooler/pool/waits-for-opening", test_waits_for_opening);
+    g_test_add_func("/pooler/pool/not-ahead-of-queued", test_not_ahead_of_queued);
+    g_test_add_func("/pooler/pool/ahead-keeps-the-last", test_ahead_keeps_the_last);
     return g_test_run();
 }
