--- a/tests/pooler/test_window.c
+++ b/tests/pooler/test_window.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * @brief How many statements a database is given at once by ten owners that don't talk: what waits
- * is to wait at them, where the urgent go first, and not in the database's own queue.
+ * @brief Concurrency windows of owners that use the same database without communication. Statements
+ * should wait in the owners' queues, which order them by priority, and not in the database's own.
  */
 #include "pooler/databases/window.h"
 
@@ -10,9 +10,9 @@
 #define MS    NANOSECONDS_PER_MILLISECOND
 #define START (100 * NANOSECONDS_PER_SECOND)
 
-/* Work times with a tail of five to seven times, of mean 1. */
+/* A random service time with mean 1 and a tail of 5 to 7. */
 static double
-draw_work(GRand *rand)
+draw_service_time(GRand *rand)
 {
     double sum = 0;
     for (int i = 0; i < 12; i++) {
@@ -27,23 +27,26 @@
     return value;
 }
 
-/* A database of `slots` slots that `owners` owners keep as busy as their windows let them: each
- * answer takes as long as what runs there makes it. Returns what runs there in the end. */
+/* Simulates a database with `slots` slots, on which `owners` owners run as many statements as their
+ * windows allow. The time of each answer follows from the number of statements there, and service
+ * times are `slow` times those of the baseline. Returns the average number of statements at the
+ * database in the second half. */
 static double
-play_full_load(uint32_t slots, unsigned owners, double seconds, double slow)
+simulate_full_load(uint32_t slots, unsigned owners, double seconds, double slow)
 {
     g_autoptr(GRand) rand = g_rand_new_with_seed(7);
     window_t windows[16];
     baseline_times_t general = {0};
-    baseline_times_t usual = {0};
-    recent_times_t lately[16] = {0};
-    double work_ms = 45;
+    baseline_times_t baseline = {0};
+    recent_times_t recent[16] = {0};
+    double service_ms = 45;
     for (unsigned i = 0; i < owners; i++) {
         window_init(&windows[i]);
         window_set_slots(&windows[i], slots, owners);
     }
     for (unsigned i = 0; i < 50; i++) {
-        baseline_times_update(&general, &usual, &lately[0], 0, work_ms * draw_work(rand), START);
+        baseline_times_update(&general, &baseline, &recent[0], 0,
+                              service_ms * draw_service_time(rand), START);
     }
     double sum = 0;
     unsigned samples = 0;
@@ -55,11 +58,11 @@
         }
         double queued = running > slots ? (running - slots) / slots : 0;
         unsigned owner = g_rand_int_range(rand, 0, (gint32)owners);
-        double took = work_ms * slow * (draw_work(rand) + queued);
+        double took = service_ms * slow * (draw_service_time(rand) + queued);
         time_ns now = START + (time_ns)(ms * (double)MS);
-        double slowness = baseline_times_update(&general, &usual, &lately[owner], 0, took, now);
+        double slowness = baseline_times_update(&general, &baseline, &recent[owner], 0, took, now);
         window_note_answer(&windows[owner], slowness, (uint32_t)windows[owner].size, now);
-        ms += work_ms * slow / MIN(running, slots);
+        ms += service_ms * slow / MIN(running, slots);
         if (ms > seconds * 500) {
             sum += running;
             samples++;
@@ -68,58 +71,60 @@
     return sum / samples;
 }
 
-/* The load of a hot group: one primary of 6 slots, 9 owners, each with more than it can give. */
+/* An overloaded primary with 6 slots and 9 owners, each with more statements than its window
+ * allows: all slots are used, and at most three statements per slot are at the database. */
 static void
-test_nine_owners_of_a_hot_primary_leave_it_thrice_its_slots_at_most(void)
+test_overload_by_many_owners(void)
 {
-    double running = play_full_load(6, 9, 10, 1);
+    double running = simulate_full_load(6, 9, 10, 1);
     g_test_message("running %.1f of 6 slots", running);
     g_assert_cmpfloat(running, >=, 6);
     g_assert_cmpfloat(running, <=, 18);
 }
 
-/* A group that is hot from the first statement on: what its kind takes at rest is known of others.
- */
+/* For a group that is under load from its first statement on, slowness is computed from the
+ * baseline of the other groups. */
 static void
-test_a_group_never_seen_at_rest_goes_by_the_others(void)
+test_baseline_of_other_groups(void)
 {
     baseline_times_t general = {0};
-    baseline_times_t usual[2] = {0};
-    recent_times_t lately[2] = {0};
+    baseline_times_t baseline[2] = {0};
+    recent_times_t recent[2] = {0};
     time_ns now = START;
     double slowness = 0;
     for (unsigned i = 0; i < 40; i++) {
         now += 10 * MS;
-        baseline_times_update(&general, &usual[0], &lately[0], 1, 10, now);
-        slowness = baseline_times_update(&general, &usual[1], &lately[1], 1, 80, now);
+        baseline_times_update(&general, &baseline[0], &recent[0], 1, 10, now);
+        slowness = baseline_times_update(&general, &baseline[1], &recent[1], 1, 80, now);
     }
     g_assert_cmpfloat(slowness, >, 6);
 }
 
-/* A database three times as slow as the others, used by one owner alone: no slot stays unused. */
+/* At a database that is 4 times as slow as the baseline, used by one or two owners, no slot stays
+ * unused. */
 static void
-test_a_slow_database_keeps_its_slots_in_use(void)
+test_slots_of_a_slow_database_are_used(void)
 {
-    g_assert_cmpfloat(play_full_load(4, 1, 10, 4), >=, 4);
-    g_assert_cmpfloat(play_full_load(4, 2, 10, 4), >=, 4);
+    g_assert_cmpfloat(simulate_full_load(4, 1, 10, 4), >=, 4);
+    g_assert_cmpfloat(simulate_full_load(4, 2, 10, 4), >=, 4);
 }
 
-/* Times of work with a long tail, and no queue. */
+/* Service times with a long tail, without queueing, do not narrow the window. */
 static void
-test_a_long_tail_of_work_narrows_nothing(void)
+test_long_tail_does_not_narrow(void)
 {
     g_autoptr(GRand) rand = g_rand_new_with_seed(11);
     window_t window;
     baseline_times_t general = {0};
-    baseline_times_t usual = {0};
-    recent_times_t lately = {0};
+    baseline_times_t baseline = {0};
+    recent_times_t recent = {0};
     unsigned narrowed = 0;
     window_init(&window);
     window_set_slots(&window, 6, 9);
     for (unsigned i = 0; i < 20000; i++) {
         time_ns now = START + i * 20 * MS;
-        double slowness =
-            baseline_times_update(&general, &usual, &lately, 0, 10 * draw_work(rand), now);
+        double slowness = baseline_times_update(&general, &baseline, &recent, 0,
+                                                10 * draw_service_time(rand), now);
         window_note_answer(&window, slowness, 3, now);
         narrowed += window.size < 6;
     }
@@ -127,10 +132,10 @@
     g_assert_cmpuint(narrowed, <, 200);
 }
 
-/* One owner never gives more than the slots and one on the way; nothing is known of the slots of a
- * database of before. */
+/* One owner never runs more statements than the slots plus one in transit. If the number of slots
+ * is not known, there is no such limit. */
 static void
-test_slots_bound_it(void)
+test_limited_by_slots(void)
 {
     window_t window;
     window_init(&window);
@@ -149,10 +154,10 @@
     g_assert_true(window_has_capacity(&window, 4, 0, START));
 }
 
-/* Dashboards fill a window; setpoints have come within the last second: one place is theirs. It is
- * given back a second after the last of them. */
+/* While low-priority statements fill the window, one slot is reserved for a higher priority if such
+ * a statement arrived within the last second. */
 static void
-test_one_place_is_kept_for_the_urgent(void)
+test_reserve_for_high_priority(void)
 {
     window_t window;
     time_ns later = START + NANOSECONDS_PER_SECOND;
@@ -170,12 +175,12 @@
         window_note_refusal(&window, 2, START + i * 100 * MS);
     }
     window_note_arrival(&window, 0, later);
-    g_assert_true(window_has_capacity(&window, 0, 2, later)); /* a window of one keeps nothing */
+    g_assert_true(window_has_capacity(&window, 0, 2, later)); /* a window of one reserves nothing */
 }
 
-/* After a slow while it is as wide again within seconds. */
+/* After slow answers the window recovers within seconds. */
 static void
-test_widens_when_answers_are_quick_again(void)
+test_widens_after_slow_answers(void)
 {
     window_t window;
     window_init(&window);
@@ -197,14 +202,12 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/pooler/window/hot_primary",
-                    test_nine_owners_of_a_hot_primary_leave_it_thrice_its_slots_at_most);
-    g_test_add_func("/pooler/window/never_at_rest",
-                    test_a_group_never_seen_at_rest_goes_by_the_others);
-    g_test_add_func("/pooler/window/slow_database", test_a_slow_database_keeps_its_slots_in_use);
-    g_test_add_func("/pooler/window/long_tail", test_a_long_tail_of_work_narrows_nothing);
-    g_test_add_func("/pooler/window/slots", test_slots_bound_it);
-    g_test_add_func("/pooler/window/urgent", test_one_place_is_kept_for_the_urgent);
-    g_test_add_func("/pooler/window/widens", test_widens_when_answers_are_quick_again);
+    g_test_add_func("/pooler/window/overload", test_overload_by_many_owners);
+    g_test_add_func("/pooler/window/baseline_of_others", test_baseline_of_other_groups);
+    g_test_add_func("/pooler/window/slow_database", test_slots_of_a_slow_database_are_used);
+    g_test_add_func("/pooler/window/long_tail", test_long_tail_does_not_narrow);
+    g_test_add_func("/pooler/window/slots", test_limited_by_slots);
+    g_test_add_func("/pooler/window/priority", test_reserve_for_high_priority);
+    g_test_add_func("/pooler/window/widens", test_widens_after_slow_answers);
     return g_test_run();
 }
