--- a/tests/pooler/test_database.c
+++ b/tests/pooler/test_database.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * @brief How many statements a database is given at once, by what it refuses: halving and growing
- * as in congestion control, so that poolers that share a database come to its slots.
+ * @brief Concurrency window of a database by its refusals: multiplicative decrease and additive
+ * increase as in congestion control, so that poolers that share a database converge to its slots.
  */
 #include "pooler/worker/worker_internal.h"
 
@@ -38,7 +38,7 @@
     }
 }
 
-/* Nothing is held back before a refusal, and a resting transaction counts for nothing. */
+/* Before a refusal there is no limit, and an idle transaction does not count. */
 static void
 test_open(fixture_t *fixture, gconstpointer unused)
 {
@@ -50,7 +50,7 @@
     g_assert_true(database_has_capacity(fixture->database, 0, fixture->now));
 }
 
-/* Refusals of one moment count once; one statement always goes. */
+/* Refusals at about the same time narrow the window once. One statement is always allowed. */
 static void
 test_narrows(fixture_t *fixture, gconstpointer unused)
 {
@@ -70,7 +70,7 @@
     g_assert_false(database_has_capacity(fixture->database, 0, fixture->now));
 }
 
-/* It grows with what is run, about one statement for each two rounds, without end. */
+/* Answers widen the window, by about one statement for each two rounds, until it does not limit. */
 static void
 test_widens(fixture_t *fixture, gconstpointer unused)
 {
