--- a/tests/pooler/test_access.c
+++ b/tests/pooler/test_access.c
@@ -1,5 +1,5 @@
-/* Whose statements run, on which connections, and when not: keys, public routes, proof that a key
- * still stands, and limits of operations, at one worker and over a forwarding hop. */
+/* Access control: keys, connections per tenant, public routes, proof that a key has not been
+ * revoked, and rate limits, at one worker and over a forwarding hop. */
 #include "worker_fixture.h"
 
 #include <arpa/inet.h>
@@ -18,7 +18,7 @@
 #define ADD(path, set_up_by, test)                                                                 \
     g_test_add("/access/" path, struct fixture, NULL, set_up_by, test, tear_down)
 
-/* As the list of members names this pooler; nobody connects to it. */
+/* Address of this pooler in the roster; no connections are made to it. */
 #define OWN_ADDRESS "127.0.0.1:1"
 
 static const char *const two_tenants[] = {"toubkal key-t", "imlil key-i", NULL};
@@ -46,7 +46,7 @@
     set_keys(fixture, two_tenants);
 }
 
-/* Both workers need proof from now on, and have it until the given moment. */
+/* Both workers require proof from now on, and have it until the given time. */
 static void
 prove_until(struct fixture *fixture, time_ns until)
 {
@@ -70,13 +70,13 @@
     client_read(client);
     g_autofree char *start = g_strdup_printf("ERROR %s", code);
     g_assert_true(g_str_has_prefix(client->result, start));
-    g_assert_null(strstr(client->result, key)); /* a key is a secret */
+    g_assert_null(strstr(client->result, key)); /* a key must not be disclosed */
     client_close(client);
 }
 
-/* Databases are told the tenant, never the key, and a connection serves one tenant. */
+/* A connection serves one tenant only, whose name the database receives. */
 static void
-test_connections_are_a_tenants(struct fixture *fixture, gconstpointer unused)
+test_connections_are_per_tenant(struct fixture *fixture, gconstpointer unused)
 {
     struct client *first = client_open_as(fixture, "strict", "key-t");
     struct client *second = client_open_as(fixture, "strict", "key-i");
@@ -95,9 +95,9 @@
     client_close(second);
 }
 
-/* With one connection, that of a tenant that is at rest makes room for another's. */
+/* At a limit of one connection, the idle connection of a tenant is replaced by one of another. */
 static void
-test_idle_connection_makes_room(struct fixture *fixture, gconstpointer unused)
+test_idle_connection_is_replaced(struct fixture *fixture, gconstpointer unused)
 {
     fixture->connections = 1;
     publish(fixture);
@@ -111,7 +111,7 @@
     client_close(second);
 }
 
-/* Of the worker that holds the connections. */
+/* A counter of the worker that holds the connections. */
 static uint64_t
 count_at_databases(const struct fixture *fixture, enum metrics_counter counter)
 {
@@ -120,27 +120,27 @@
 }
 
 static void
-wait_for_ahead(const struct fixture *fixture, uint64_t wanted)
+wait_for_opened_ahead(const struct fixture *fixture, uint64_t expected)
 {
-    for (int i = 0; count_at_databases(fixture, METRICS_OPENED_AHEAD) < wanted; i++) {
+    for (int i = 0; count_at_databases(fixture, METRICS_OPENED_AHEAD) < expected; i++) {
         g_assert_cmpint(i, <, ANSWER_WAIT_S * 1000);
         g_usleep(1000);
     }
 }
 
-/* A tenant whose last connection is gone begins a session, as after a rest: by its first statement
- * a connection is being opened, and no other one is opened for that statement. */
+/* When a tenant without open connections starts a session, a connection is opened ahead, and no
+ * other one is opened for its first statement. */
 static void
-test_session_is_announced(struct fixture *fixture, gconstpointer unused)
+test_opened_ahead_for_session(struct fixture *fixture, gconstpointer unused)
 {
     struct client *first = client_open_as(fixture, "strict", "key-t");
-    good(first, "WRITE a 1", 'I'); /* the link to an owner has given a sign */
+    good(first, "WRITE a 1", 'I'); /* the link to an owner works */
     uint64_t ahead = count_at_databases(fixture, METRICS_OPENED_AHEAD);
-    uint64_t asked = count_at_databases(fixture, METRICS_OPENED_STATEMENT);
+    uint64_t for_statement = count_at_databases(fixture, METRICS_OPENED_STATEMENT);
     struct client *second = client_open_as(fixture, "strict", "key-i");
-    wait_for_ahead(fixture, ahead + 1);
+    wait_for_opened_ahead(fixture, ahead + 1);
     good(second, "WRITE b 2", 'I');
-    g_assert_cmpuint(count_at_databases(fixture, METRICS_OPENED_STATEMENT), ==, asked);
+    g_assert_cmpuint(count_at_databases(fixture, METRICS_OPENED_STATEMENT), ==, for_statement);
     g_assert_cmpuint(count_at_databases(fixture, METRICS_AHEAD_USED), ==, ahead + 1);
     g_autoptr(GPtrArray) runs = line_group_runs(fixture->group);
     g_assert_cmpstr(find_run(runs, "WRITE b 2")->tenant, ==, "imlil");
@@ -148,9 +148,9 @@
     client_close(second);
 }
 
-/* A tenant that has a connection at rest begins sessions and transactions: none is opened. */
+/* If a tenant has an idle connection, none is opened when it starts sessions and transactions. */
 static void
-test_announced_to_a_warm_tenant(struct fixture *fixture, gconstpointer unused)
+test_not_opened_beside_idle(struct fixture *fixture, gconstpointer unused)
 {
     struct client *first = client_open_as(fixture, "strict", "key-t");
     good(first, "WRITE a 1", 'I');
@@ -166,7 +166,7 @@
     client_close(first);
 }
 
-/* A transaction at rest keeps its connection: nobody takes it away. */
+/* An idle transaction keeps its connection, also when another tenant needs one. */
 static void
 test_open_transaction_keeps_its_connection(struct fixture *fixture, gconstpointer unused)
 {
@@ -190,7 +190,7 @@
 static void
 test_public_route_needs_no_key(struct fixture *fixture, gconstpointer unused)
 {
-    prove_until(fixture, 1); /* nor proof */
+    prove_until(fixture, 1); /* and no proof */
     struct client *client = client_open_as(fixture, "public", "key-of-nobody");
     good(client, "READ a", 'I');
     g_autoptr(GPtrArray) runs = line_group_runs(fixture->group);
@@ -198,31 +198,32 @@
     client_close(client);
 }
 
-/* A key that goes away: the transaction is rolled back, nothing runs any more, others go on. */
+/* After a key was revoked, its transaction is rolled back, its statements and new sessions are
+ * rejected, and other keys are not affected. */
 static void
-test_key_goes_away(struct fixture *fixture, gconstpointer unused)
+test_key_is_revoked(struct fixture *fixture, gconstpointer unused)
 {
-    struct client *rest = client_open_as(fixture, "strict", "key-t");
+    struct client *idle = client_open_as(fixture, "strict", "key-t");
     struct client *open = client_open_as(fixture, "strict", "key-t");
     struct client *other = client_open_as(fixture, "strict", "key-i");
-    good(rest, "WRITE a 1", 'I');
+    good(idle, "WRITE a 1", 'I');
     good(open, "BEGIN", 'T');
     good(open, "WRITE b 2", 'T');
     set_keys(fixture, imlil_only);
-    bad(rest, "WRITE c 3", "UNAUTH", 'I');
+    bad(idle, "WRITE c 3", "UNAUTH", 'I');
     bad(open, "COMMIT", "ABORTED", 'I');
     good(other, "WRITE d 4", 'I');
     g_assert_cmpuint(line_group_committed(fixture->group, "b", "2"), ==, 0);
     g_assert_cmpuint(line_group_committed(fixture->group, "c", "3"), ==, 0);
     expect_refused_start(fixture, "key-t", "UNAUTH");
-    client_close(rest);
+    client_close(idle);
     client_close(open);
     client_close(other);
 }
 
-/* A statement that waits for a slot is not run once its key has gone. */
+/* A queued statement is not run if its key is revoked meanwhile. */
 static void
-test_key_goes_away_in_the_queue(struct fixture *fixture, gconstpointer unused)
+test_key_is_revoked_while_queued(struct fixture *fixture, gconstpointer unused)
 {
     struct line_faults busy = {.busy = true};
     struct line_faults none = {0};
@@ -239,8 +240,8 @@
     client_close(client);
 }
 
-/* Without proof that is young enough, what needs a key is refused at once, truly, with when to come
- * back. */
+/* Without valid proof, a statement that needs a key is refused at once, with a retry time, and does
+ * not run. */
 static void
 test_no_proof(struct fixture *fixture, gconstpointer unused)
 {
@@ -259,6 +260,7 @@
     client_close(client);
 }
 
+/* If the proof expires, an open transaction is rolled back. */
 static void
 test_no_proof_in_a_transaction(struct fixture *fixture, gconstpointer unused)
 {
@@ -275,10 +277,10 @@
 
 /* ---- over a forwarding hop ---- */
 
-/* An owner that does not know the key, and has an older configuration, does not refuse: another one
- * may know it, or it does itself a moment later. */
+/* An owner with an older configuration, in which the key is unknown, does not refuse the statement:
+ * another owner may know the key, or this one a moment later. */
 static void
-test_owner_behind(struct fixture *fixture, gconstpointer unused)
+test_owner_has_older_configuration(struct fixture *fixture, gconstpointer unused)
 {
     fixture->owners_behind = 1;
     fixture->owners_keys = imlil_only;
@@ -295,9 +297,9 @@
     client_close(client);
 }
 
-/* One whose configuration is as new, or newer, refuses: the key has gone. */
+/* An owner whose configuration is as new or newer refuses the statement: the key was revoked. */
 static void
-test_owner_knows_of_the_end(struct fixture *fixture, gconstpointer unused)
+test_owner_knows_of_revocation(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open_as(fixture, "strict", "key-t");
     good(client, "WRITE a 1", 'I');
@@ -308,7 +310,7 @@
     client_close(client);
 }
 
-/* The owner needs proof of its own. */
+/* The owner requires its own valid proof. */
 static void
 test_owner_without_proof(struct fixture *fixture, gconstpointer unused)
 {
@@ -324,20 +326,22 @@
 
 /* ---- limits ---- */
 
-/* What a limit may be exceeded by, so that each share's bucket begins with this many tokens and
- * holds no more; see rate_start_tokens and rate_share. */
+/* Bounds with which each share's bucket starts with this number of tokens and holds no more; see
+ * rate_start_tokens() and rate_share(). */
 static rate_bounds_t
 bounds_of_full_shares(double tokens_each)
 {
     const double starts_in_window = 3;
-    const double for_fractions = ROSTER_SHARES; /* one token for each share */
+    const double for_fractions = ROSTER_SHARES; /* one token of each share */
     return (rate_bounds_t){5, 0, tokens_each * ROSTER_SHARES * starts_in_window + for_fractions};
 }
 
-/* The worker's own pooler is the only one that counts, or one of two. The shares begin with these
- * tokens: how long the machine's clock has run, seconds after it booted, plays no part. */
+/* Sets a roster of this pooler and others, and a limit. All shares together start with `tokens`, so
+ * that the result does not depend on the clock's value, which is low after a boot of the machine.
+ */
 static void
-count_among(struct fixture *fixture, double rate_per_s, double tokens, const char *const *others)
+set_limit_among(struct fixture *fixture, double rate_per_s, double tokens,
+                const char *const *others)
 {
     const rate_bounds_t bounds = bounds_of_full_shares(tokens / ROSTER_SHARES);
     roster_t *roster = roster_new(1, 1 + g_strv_length((char **)others));
@@ -351,7 +355,7 @@
     }
     fixture->roster = roster;
     fixture->rate_per_s = rate_per_s;
-    fixture->burst = tokens - ROSTER_SHARES; /* a share holds one more than its part */
+    fixture->burst = tokens - ROSTER_SHARES; /* a share holds one token more than its part */
     fixture->shared.counting = counting_new(&bounds, backend_now());
     counting_set_roster(fixture->shared.counting, roster, backend_now());
     counting_set_valid_until(fixture->shared.counting, in_an_hour());
@@ -359,23 +363,23 @@
 }
 
 static void
-count_with(struct fixture *fixture, double rate_per_s, double tokens, const char *other)
+set_limit_with(struct fixture *fixture, double rate_per_s, double tokens, const char *other)
 {
     const char *const others[] = {other, NULL};
-    count_among(fixture, rate_per_s, tokens, others);
+    set_limit_among(fixture, rate_per_s, tokens, others);
 }
 
 static void
-count_here(struct fixture *fixture, double rate_per_s, double tokens)
+set_limit_here(struct fixture *fixture, double rate_per_s, double tokens)
 {
-    count_with(fixture, rate_per_s, tokens, NULL);
+    set_limit_with(fixture, rate_per_s, tokens, NULL);
 }
 
 static void
-stop_counting(struct fixture *fixture)
+remove_limit(struct fixture *fixture)
 {
     counting_t *counting = fixture->shared.counting;
-    fixture->keys = imlil_only; /* nobody asks any more */
+    fixture->keys = imlil_only; /* no more token requests */
     fixture->rate_per_s = 0;
     publish(fixture);
     g_usleep(20 * 1000);
@@ -385,12 +389,12 @@
     fixture->roster = NULL;
 }
 
-/* Above the limit it is refused at once, with when to come back, and nothing runs; another tenant
- * has its own. */
+/* Above its limit, a tenant's operations are refused at once, with a retry time, and do not run.
+ * Another tenant's limit is separate. */
 static void
 test_limit(struct fixture *fixture, gconstpointer unused)
 {
-    count_here(fixture, 0.05, 10);
+    set_limit_here(fixture, 0.05, 10);
     struct client *client = client_open_as(fixture, "strict", "key-t");
     struct client *other = client_open_as(fixture, "strict", "key-i");
     for (unsigned i = 0; i < 10; i++) {
@@ -402,17 +406,17 @@
     good(other, "WRITE c 3", 'I');
     g_assert_cmpuint(line_group_committed(fixture->group, "b", "2"), ==, 0);
     g_usleep(20 * 1000);
-    g_assert_cmpuint(fixture->worker->busy, ==, 0); /* nothing is looked after any more */
+    g_assert_cmpuint(fixture->worker->busy, ==, 0); /* no session is left queued or running */
     client_close(client);
     client_close(other);
-    stop_counting(fixture);
+    remove_limit(fixture);
 }
 
-/* Where there never will be a token, it is not told to come back at once. */
+/* With a rate of 0, the retry time of a refusal is not short. */
 static void
-test_limit_of_none(struct fixture *fixture, gconstpointer unused)
+test_limit_with_rate_zero(struct fixture *fixture, gconstpointer unused)
 {
-    count_here(fixture, RATE_NONE, 10);
+    set_limit_here(fixture, RATE_NONE, 10);
     struct client *client = client_open_as(fixture, "strict", "key-t");
     for (unsigned i = 0; i < 10; i++) {
         good(client, "WRITE a 1", 'I');
@@ -422,14 +426,14 @@
     g_assert_nonnull(advice);
     g_assert_cmpint(atoi(advice + strlen("retry in ")), >=, 1000);
     client_close(client);
-    stop_counting(fixture);
+    remove_limit(fixture);
 }
 
-/* A transaction counts once, and ends also above the limit. */
+/* A transaction counts as one operation. One that is begun above the limit can be rolled back. */
 static void
 test_transaction_counts_once(struct fixture *fixture, gconstpointer unused)
 {
-    count_here(fixture, 0.05, 5);
+    set_limit_here(fixture, 0.05, 5);
     struct client *client = client_open_as(fixture, "strict", "key-t");
     for (unsigned i = 0; i < 5; i++) {
         good(client, "BEGIN", 'T');
@@ -441,26 +445,26 @@
     bad(client, "WRITE a 1", "ABORTED", 'E');
     good(client, "ROLLBACK", 'I');
     client_close(client);
-    stop_counting(fixture);
+    remove_limit(fixture);
 }
 
-/* Where nobody that counts can be reached, it is refused as busy: the limit may not be reached. */
+/* If no home can decide on an operation, it is refused as busy and not as above the limit. */
 static void
 test_no_home(struct fixture *fixture, gconstpointer unused)
 {
-    count_here(fixture, 5, 5);
+    set_limit_here(fixture, 5, 5);
     counting_t *counting = fixture->shared.counting;
     const rate_bounds_t bounds = {5, 0, 0};
-    fixture->shared.counting = counting_new(&bounds, backend_now()); /* its list is not relied on */
+    fixture->shared.counting = counting_new(&bounds, backend_now()); /* without a valid roster */
     struct client *client = client_open_as(fixture, "strict", "key-t");
     bad(client, "WRITE a 1", "BUSY", 'I');
     g_assert_nonnull(strstr(client->result, "retry in"));
     client_close(client);
-    stop_counting(fixture);
+    remove_limit(fixture);
     counting_free(counting);
 }
 
-/* How many of the tenant's shares this pooler counts beside a pooler at the address. */
+/* Number of the tenant's shares that this pooler counts in a roster with a pooler at `other`. */
 static unsigned
 own_shares(const char *other)
 {
@@ -478,10 +482,10 @@
     return own;
 }
 
-/* A free port at which the other pooler counts some of the shares, and this one the rest: by chance
- * one of them would have them all, and only what a home refuses tells of the limit. */
+/* Finds a free port for another pooler so that each of the two counts some shares. By chance one of
+ * them could have all shares, and the unresponsive one could not refuse. */
 static void
-draw_other(struct sockaddr_in *address)
+choose_port(struct sockaddr_in *address)
 {
     unsigned own = 0;
     while (own == 0 || own == ROSTER_SHARES) {
@@ -491,19 +495,19 @@
     }
 }
 
-/* A home that takes connections and says nothing holds nobody up: another one is asked, and once
- * that has no token left, the answer comes soon. */
+/* A home that accepts connections and never answers does not delay operations: another home is
+ * asked, and once that has no token left, the refusal comes without delay. */
 static void
-test_silent_home(struct fixture *fixture, gconstpointer unused)
+test_unresponsive_home(struct fixture *fixture, gconstpointer unused)
 {
     g_autoptr(GError) error = NULL;
     struct sockaddr_in address = {.sin_family = AF_INET};
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    draw_other(&address);
-    int silent = socket_listen(&address, 4, false, &error);
+    choose_port(&address);
+    int unresponsive = socket_listen(&address, 4, false, &error);
     g_autofree char *text = format_address(&address);
     g_assert_no_error(error);
-    count_with(fixture, 0.05, 10, text);
+    set_limit_with(fixture, 0.05, 10, text);
     struct client *client = client_open_as(fixture, "strict", "key-t");
     bool refused = false;
     for (unsigned i = 0; i < 20 && !refused; i++) {
@@ -514,43 +518,43 @@
     }
     g_assert_true(refused);
     g_assert_nonnull(strstr(client->result, "retry in"));
-    /* From then on a refusal waits for nobody, and tells of the limit. */
+    /* From then on, refusals do not wait for the home, and are because of the limit. */
     for (unsigned i = 0; i < 3; i++) {
         time_ns before = backend_now();
         bad(client, "WRITE a 1", "OVERLOAD", 'I');
         g_assert_cmpuint(backend_now() - before, <, 50 * MS);
     }
     client_close(client);
-    stop_counting(fixture);
-    close(silent);
+    remove_limit(fixture);
+    close(unresponsive);
 }
 
 /* ---- homes that answer ---- */
 
-/* Another pooler that grants every token, after a while. */
-typedef struct giver {
+/* A stand-in for another pooler, which grants every token after a delay. */
+typedef struct granting_home {
     int listener;
     time_ns delay;
     char *address;
     GThread *thread;
-    _Atomic unsigned asked;
-} giver_t;
+    _Atomic unsigned requests;
+} granting_home_t;
 
 static bool
-read_whole(int handle, void *data, size_t len)
+read_exactly(int handle, void *data, size_t len)
 {
     return recv(handle, data, len, MSG_WAITALL) == (ssize_t)len;
 }
 
 static void
-give(giver_t *giver, int handle, const struct forward_ask *ask)
+grant(granting_home_t *home, int handle, const struct forward_ask *ask)
 {
     struct forward_answer answer;
     forward_answer_init(&answer);
     answer.channel = ask->channel;
     if (ask->channel != 0) {
-        atomic_fetch_add(&giver->asked, 1);
-        g_usleep(giver->delay / NANOSECONDS_PER_MICROSECOND);
+        atomic_fetch_add(&home->requests, 1);
+        g_usleep(home->delay / NANOSECONDS_PER_MICROSECOND);
     }
     g_autoptr(GByteArray) message = forward_answer_encode(&answer);
     uint32_t header = htonl(message->len);
@@ -560,18 +564,18 @@
 }
 
 static gpointer
-give_all(gpointer data)
+grant_all(gpointer data)
 {
-    giver_t *giver = data;
-    int handle = accept(giver->listener, NULL, NULL);
+    granting_home_t *home = data;
+    int handle = accept(home->listener, NULL, NULL);
     uint32_t header = 0;
     uint8_t content[4096];
-    while (handle >= 0 && read_whole(handle, &header, sizeof header)) {
+    while (handle >= 0 && read_exactly(handle, &header, sizeof header)) {
         struct forward_ask ask = {0};
         g_assert_cmpuint(ntohl(header), <=, sizeof content);
-        g_assert_true(read_whole(handle, content, ntohl(header)));
+        g_assert_true(read_exactly(handle, content, ntohl(header)));
         g_assert_true(forward_ask_decode(content, ntohl(header), &ask, NULL));
-        give(giver, handle, &ask);
+        grant(home, handle, &ask);
         forward_ask_clear(&ask);
     }
     close(handle);
@@ -579,32 +583,32 @@
 }
 
 static void
-giver_start(giver_t *giver, time_ns delay, struct sockaddr_in *address)
+granting_home_start(granting_home_t *home, time_ns delay, struct sockaddr_in *address)
 {
     g_autoptr(GError) error = NULL;
-    *giver = (giver_t){.delay = delay, .address = format_address(address)};
-    giver->listener = socket_listen(address, 4, false, &error);
+    *home = (granting_home_t){.delay = delay, .address = format_address(address)};
+    home->listener = socket_listen(address, 4, false, &error);
     g_assert_no_error(error);
-    int flags = fcntl(giver->listener, F_GETFL);
-    g_assert_cmpint(fcntl(giver->listener, F_SETFL, flags & ~O_NONBLOCK), ==, 0);
-    giver->thread = g_thread_new("giver", give_all, giver);
+    int flags = fcntl(home->listener, F_GETFL);
+    g_assert_cmpint(fcntl(home->listener, F_SETFL, flags & ~O_NONBLOCK), ==, 0);
+    home->thread = g_thread_new("home", grant_all, home);
 }
 
-/* The worker closes its connection first. */
+/* Call after the worker has closed its connection. */
 static void
-giver_stop(giver_t *giver)
+granting_home_stop(granting_home_t *home)
 {
-    shutdown(giver->listener, SHUT_RDWR);
-    close(giver->listener);
-    g_free(giver->address);
+    shutdown(home->listener, SHUT_RDWR);
+    close(home->listener);
+    g_free(home->address);
 }
 
-/* Two free ports at which each of the others counts some of the shares, and this pooler as well. */
+/* Finds two free ports for other poolers so that each of the three poolers counts some shares. */
 static void
-draw_two(struct sockaddr_in addresses[2])
+choose_two_ports(struct sockaddr_in addresses[2])
 {
-    unsigned of[3] = {0};
-    while (of[0] == 0 || of[1] == 0 || of[2] == 0) {
+    unsigned shares[3] = {0};
+    while (shares[0] == 0 || shares[1] == 0 || shares[2] == 0) {
         roster_t *roster = roster_new(1, 3);
         size_t homes[ROSTER_SHARES];
         roster->members[0] = (roster_member_t){.address = g_strdup(OWN_ADDRESS), .weight = 1};
@@ -616,29 +620,29 @@
                 (roster_member_t){.address = format_address(&addresses[i]), .weight = 1};
         }
         roster_homes(roster, "toubkal", homes);
-        memset(of, 0, sizeof of);
+        memset(shares, 0, sizeof shares);
         for (unsigned i = 0; i < ROSTER_SHARES; i++) {
-            of[homes[i]]++;
+            shares[homes[i]]++;
         }
         roster_unref(roster);
     }
 }
 
-/* A home that takes a third of a second for each token, asked first: another one is asked soon
- * beside it, and the operation goes on with the first answer. The token that comes late is lost,
- * and counted; the slow home is asked last meanwhile. */
+/* If the preferred home takes 300 ms for each token, another home is asked as well after the hedge
+ * delay, and the operation proceeds with the first answer. The token that comes late is lost and
+ * counted, and the slow home is avoided for a while. */
 static void
 test_slow_home(struct fixture *fixture, gconstpointer unused)
 {
     struct sockaddr_in addresses[2];
-    giver_t slow;
-    giver_t quick;
+    granting_home_t slow;
+    granting_home_t fast;
     const struct metrics *metrics = &fixture->worker->metrics;
-    draw_two(addresses);
-    giver_start(&slow, 300 * MS, &addresses[0]);
-    giver_start(&quick, 0, &addresses[1]);
-    const char *const others[] = {slow.address, quick.address, NULL};
-    count_among(fixture, 0.001, 5, others);
+    choose_two_ports(addresses);
+    granting_home_start(&slow, 300 * MS, &addresses[0]);
+    granting_home_start(&fast, 0, &addresses[1]);
+    const char *const others[] = {slow.address, fast.address, NULL};
+    set_limit_among(fixture, 0.001, 5, others);
     struct client *client = client_open_as(fixture, "strict", "key-t");
     unsigned served = 0;
     unsigned soon = 0;
@@ -648,24 +652,24 @@
         served += g_str_has_prefix(client->result, "COMPLETE ");
         soon += backend_now() - before < 50 * MS;
     }
-    g_assert_cmpuint(served, >=, 18); /* the test's own machine may stand still for a moment */
+    g_assert_cmpuint(served, >=, 18); /* the machine of the test may stall for a moment */
     g_assert_cmpuint(soon, >=, 15);
     g_assert_cmpuint(atomic_load(&metrics->counters[METRICS_TOKENS_HEDGED]), >=, 1);
-    g_assert_cmpuint(atomic_load(&slow.asked), <=, 5);
-    g_assert_cmpuint(atomic_load(&quick.asked), >=, 10);
+    g_assert_cmpuint(atomic_load(&slow.requests), <=, 5);
+    g_assert_cmpuint(atomic_load(&fast.requests), >=, 10);
     g_usleep(700 * 1000);
     g_assert_cmpuint(atomic_load(&metrics->counters[METRICS_TOKENS_LATE]), >=, 1);
     client_close(client);
-    stop_counting(fixture);
-    giver_stop(&slow);
-    giver_stop(&quick);
+    remove_limit(fixture);
+    granting_home_stop(&slow);
+    granting_home_stop(&fast);
 }
 
-/* The coordinator is lost, and no connection to a replica is open, as where tenants are many times
- * a group's connections: the first read at the primary waits for connections by which its
- * leadership is proven, not for a check that fails for want of them, 200 ms more. */
+/* Without a coordinator and without open connections to replicas, as in groups with many more
+ * tenants than connections, the leadership check of the first read at the primary waits for
+ * connections to open. A check without them would fail and delay the read by 200 ms. */
 static void
-test_proof_before_any_connection(struct fixture *fixture, gconstpointer unused)
+test_check_waits_for_connections(struct fixture *fixture, gconstpointer unused)
 {
     fixture->keys = two_tenants;
     fixture->version++;
@@ -677,9 +681,10 @@
     client_close(client);
 }
 
-/* Both replicas take connections, and say nothing: the first check is held up, not for ever. */
+/* If both replicas accept connections and never answer, the leadership check is deferred for a
+ * limited time only. */
 static void
-test_no_proof_from_silent_replicas(struct fixture *fixture, gconstpointer unused)
+test_check_with_unresponsive_replicas(struct fixture *fixture, gconstpointer unused)
 {
     fixture->keys = two_tenants;
     fixture->version++;
@@ -699,35 +704,38 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    ADD("proof-before-any-connection", set_up_unpublished, test_proof_before_any_connection);
-    ADD("no-proof-from-silent-replicas", set_up_unpublished, test_no_proof_from_silent_replicas);
-    ADD("connections-are-a-tenants", set_up_keyed, test_connections_are_a_tenants);
-    ADD("idle-connection-makes-room", set_up_keyed, test_idle_connection_makes_room);
-    ADD("session-is-announced", set_up_keyed, test_session_is_announced);
-    ADD("announced-to-a-warm-tenant", set_up_keyed, test_announced_to_a_warm_tenant);
+    ADD("check-waits-for-connections", set_up_unpublished, test_check_waits_for_connections);
+    ADD("check-with-unresponsive-replicas", set_up_unpublished,
+        test_check_with_unresponsive_replicas);
+    ADD("connections-are-a-tenants", set_up_keyed, test_connections_are_per_tenant);
+    ADD("idle-connection-is-replaced", set_up_keyed, test_idle_connection_is_replaced);
+    ADD("opened-ahead-for-session", set_up_keyed, test_opened_ahead_for_session);
+    ADD("not-opened-beside-idle", set_up_keyed, test_not_opened_beside_idle);
     ADD("open-transaction", set_up_keyed, test_open_transaction_keeps_its_connection);
     ADD("unknown-key", set_up_keyed, test_unknown_key);
     ADD("public", set_up_keyed, test_public_route_needs_no_key);
-    ADD("key-goes-away", set_up_keyed, test_key_goes_away);
-    ADD("key-goes-away-queued", set_up_keyed, test_key_goes_away_in_the_queue);
+    ADD("key-goes-away", set_up_keyed, test_key_is_revoked);
+    ADD("key-goes-away-queued", set_up_keyed, test_key_is_revoked_while_queued);
     ADD("no-proof", set_up_keyed, test_no_proof);
     ADD("no-proof-in-transaction", set_up_keyed, test_no_proof_in_a_transaction);
     ADD("limit", set_up_keyed, test_limit);
-    ADD("limit-of-none", set_up_keyed, test_limit_of_none);
+    ADD("limit-rate-zero", set_up_keyed, test_limit_with_rate_zero);
     ADD("transaction-counts-once", set_up_keyed, test_transaction_counts_once);
     ADD("no-home", set_up_keyed, test_no_home);
-    ADD("silent-home", set_up_keyed, test_silent_home);
+    ADD("unresponsive-home", set_up_keyed, test_unresponsive_home);
     ADD("slow-home", set_up_keyed, test_slow_home);
-    ADD("forwarding/connections", set_up_keyed_forwarding, test_connections_are_a_tenants);
-    ADD("forwarding/session-is-announced", set_up_keyed_forwarding, test_session_is_announced);
-    ADD("forwarding/announced-to-a-warm-tenant", set_up_keyed_forwarding,
-        test_announced_to_a_warm_tenant);
+    ADD("forwarding/connections", set_up_keyed_forwarding, test_connections_are_per_tenant);
+    ADD("forwarding/opened-ahead-for-session", set_up_keyed_forwarding,
+        test_opened_ahead_for_session);
+    ADD("forwarding/not-opened-beside-idle", set_up_keyed_forwarding, test_not_opened_beside_idle);
     ADD("forwarding/unknown-key", set_up_keyed_forwarding, test_unknown_key);
     ADD("forwarding/public", set_up_keyed_forwarding, test_public_route_needs_no_key);
-    ADD("forwarding/key-goes-away", set_up_keyed_forwarding, test_key_goes_away);
+    ADD("forwarding/key-goes-away", set_up_keyed_forwarding, test_key_is_revoked);
     ADD("forwarding/no-proof", set_up_keyed_forwarding, test_no_proof);
-    ADD("forwarding/owner-behind", set_up_keyed_forwarding, test_owner_behind);
-    ADD("forwarding/owner-knows-of-the-end", set_up_keyed_forwarding, test_owner_knows_of_the_end);
+    ADD("forwarding/owner-has-older-configuration", set_up_keyed_forwarding,
+        test_owner_has_older_configuration);
+    ADD("forwarding/owner-knows-of-the-end", set_up_keyed_forwarding,
+        test_owner_knows_of_revocation);
     ADD("forwarding/owner-without-proof", set_up_keyed_forwarding, test_owner_without_proof);
     ADD("forwarding/limit", set_up_keyed_forwarding, test_limit);
     return g_test_run();
--- a/tests/pooler/test_rate.c
+++ b/tests/pooler/test_rate.c
@@ -458,11 +458,10 @@
 }
 
 static void
-set_valid(simulation_t *simulation, machine_t *machine, time_ns moment)
+set_valid(simulation_t *simulation, machine_t *machine, time_ns time)
 {
     bool forever = simulation->mutation == MUTATION_NOT_CURRENT;
-    counting_set_valid_until(machine->counting,
-                             forever ? UINT64_MAX / 2 : moment + ROSTER_VALID_NS);
+    counting_set_valid_until(machine->counting, forever ? UINT64_MAX / 2 : time + ROSTER_VALID_NS);
 }
 
 static bool
