--- a/src/pooler/databases/server_run.c
+++ b/src/pooler/databases/server_run.c
@@ -69,11 +69,11 @@
     if (name != NULL) {
         return name;
     }
-    char *given = g_strdup_printf("p%u", ++server->prepared_count);
-    wire_write_prepare(&server->out, given, prepared->writes, span_of(prepared->shape));
+    char *new_name = g_strdup_printf("p%u", ++server->prepared_count);
+    wire_write_prepare(&server->out, new_name, prepared->writes, span_of(prepared->shape));
     server_expect(server, EXPECT_SETUP);
-    g_hash_table_insert(server->prepared, g_steal_pointer(&key), given);
-    return given;
+    g_hash_table_insert(server->prepared, g_steal_pointer(&key), new_name);
+    return new_name;
 }
 
 void
@@ -84,8 +84,9 @@
     if (statement->kind == STATEMENT_EXECUTE) {
         g_autofree char *name = span_copy(statement->name);
         const struct prepared *prepared = g_hash_table_lookup(session->prepared, name);
-        const char *given = ensure_prepared(server, prepared);
-        wire_write_execute(&server->out, statement->id, min_position, given, statement->value);
+        const char *server_name = ensure_prepared(server, prepared);
+        wire_write_execute(&server->out, statement->id, min_position, server_name,
+                           statement->value);
     } else {
         wire_write_statement(&server->out, statement->id, min_position, statement->text);
     }
--- a/src/pooler/routing/choice.c
+++ b/src/pooler/routing/choice.c
@@ -198,12 +198,12 @@
     for (guint i = 0; i < group->databases->len; i++) {
         struct database *database = g_ptr_array_index(group->databases, i);
         bool closed = database == group->primary && group->phase != GROUP_PHASE_OPEN;
-        bool good =
+        bool usable =
             database->takes_work && !closed && database_fault(database) <= DATABASE_FAULT_NONE;
-        time_ns fresh = good ? fresh_at(database, need, now) : 0;
-        if (good && (fresh == 0 || may_probe(database, now))) {
+        time_ns fresh = usable ? fresh_at(database, need, now) : 0;
+        if (usable && (fresh == 0 || may_probe(database, now))) {
             consider(database, session, now, choice);
-        } else if (good) {
+        } else if (usable) {
             consider_deferring(database, session, fresh, now, choice);
         }
     }
--- a/tests/pooler/test_rate.c
+++ b/tests/pooler/test_rate.c
@@ -262,12 +262,12 @@
 static unsigned
 take_all(counting_t *counting, const tenant_t *tenant, time_ns now)
 {
-    unsigned given = 0;
+    unsigned granted = 0;
     time_ns wait = 0;
     while (counting_take(counting, tenant, 0, now, &wait) == TOKEN_GRANTED) {
-        given++;
+        granted++;
     }
-    return given;
+    return granted;
 }
 
 /* The only pooler counts all shares: rate and burst are those of the tenant, plus one token for
@@ -318,7 +318,7 @@
 {
     const tenant_t *tenant = make_tenant(50, 50);
     const time_ns received_at = SECOND + 320 * MS;
-    unsigned given[2];
+    unsigned granted[2];
     for (unsigned later = 0; later < 2; later++) {
         counting_t *counting = counting_new(&bounds, SECOND);
         roster_t *roster = make_roster(1, 1);
@@ -330,12 +330,12 @@
             roster->members[0].entering = false;
         }
         counting_set_roster(counting, roster, received_at);
-        given[later] = take_all(counting, tenant, received_at);
+        granted[later] = take_all(counting, tenant, received_at);
         roster_unref(roster);
         counting_free(counting);
     }
-    g_assert_cmpuint(given[1], ==, ROSTER_SHARES * (unsigned)rate_start_tokens(&bounds, tenant));
-    g_assert_cmpuint(given[0], >=, given[1] + 50 * 3 / 10);
+    g_assert_cmpuint(granted[1], ==, ROSTER_SHARES * (unsigned)rate_start_tokens(&bounds, tenant));
+    g_assert_cmpuint(granted[0], >=, granted[1] + 50 * 3 / 10);
 }
 
 static void
@@ -667,8 +667,8 @@
 {
     for (unsigned i = 0; i < MACHINES; i++) {
         const machine_t *machine = &simulation->machines[i];
-        unsigned given = machine->runs ? take_all(machine->counting, tenant, simulation->now) : 0;
-        for (unsigned k = 0; k < given; k++) {
+        unsigned granted = machine->runs ? take_all(machine->counting, tenant, simulation->now) : 0;
+        for (unsigned k = 0; k < granted; k++) {
             g_array_append_val(simulation->granted, simulation->now);
         }
     }
@@ -676,13 +676,14 @@
 
 /* The maximum number of tokens granted in any window. */
 static unsigned
-max_in_window(const GArray *given)
+max_in_window(const GArray *granted)
 {
     unsigned most = 0;
     guint first = 0;
     time_ns window = (time_ns)(bounds.window_s * (double)SECOND);
-    for (guint i = 0; i < given->len; i++) {
-        while (g_array_index(given, time_ns, first) + window < g_array_index(given, time_ns, i)) {
+    for (guint i = 0; i < granted->len; i++) {
+        while (g_array_index(granted, time_ns, first) + window <
+               g_array_index(granted, time_ns, i)) {
             first++;
         }
         most = MAX(most, i - first + 1);
@@ -763,9 +764,9 @@
         bool bursts = mutation == MUTATION_FULL_START;
         const tenant_t *tenant = bursts ? make_tenant(20, 200) : make_tenant(199, 199);
         for (unsigned seed = 0; seed < 10 * HISTORIES && broken == 0; seed++) {
-            unsigned given = simulate(seed, mutation, tenant);
-            most = MAX(most, given);
-            broken += given > allowed(tenant);
+            unsigned granted = simulate(seed, mutation, tenant);
+            most = MAX(most, granted);
+            broken += granted > allowed(tenant);
         }
         g_test_message("mutation %d: %s, %u in a window, allowed %u", (int)mutation,
                        broken > 0 ? "found" : "not found", most, allowed(tenant));
