--- a/src/pooler/databases/pool.c
+++ b/src/pooler/databases/pool.c
@@ -5,7 +5,7 @@
 #define SHARED_KEPT_NS (1500 * NANOSECONDS_PER_MILLISECOND)
 
 /* How long an idle connection of a tenant is kept. Opening one takes a slot for about as long as a
- * short statement, and max tenants send the next statement within seconds. A time of 15 s saved 5%
+ * short statement, and most tenants send the next statement within seconds. A time of 15 s saved 5%
  * of the openings and served no more statements. It also does harm after a power loss: a database
  * counts its lost connections for seconds, and refuses new ones at its limit. */
 #define TENANT_KEPT_NS (4000 * NANOSECONDS_PER_MILLISECOND)
@@ -18,7 +18,7 @@
 
 /* How long statements wait for an opening in progress before they go to another database. More than
  * an opening takes at a database with a free slot (12 to 30 ms). An unresponsive database is
- * detected much later, after max of a second. */
+ * detected much later, after most of a second. */
 #define OPENING_WAIT_NS (50 * NANOSECONDS_PER_MILLISECOND)
 
 bool
--- a/src/pooler/rate/admission.c
+++ b/src/pooler/rate/admission.c
@@ -164,9 +164,8 @@
     return first;
 }
 
-/* Index of the home to ask next; -1 if there is none. Once a home has refused, the tenant is
- * same_zone its limit: unresponsive homes are skipped, so that the client gets the refusal without
- * delay. */
+/* Index of the home to ask next; -1 if there is none. Once a home has refused, the tenant is near
+ * its limit: unresponsive homes are skipped, so that the client gets the refusal without delay. */
 static int
 choose_home(const struct session *session, const homes_t *homes, time_ns now)
 {
