--- a/src/pooler/rate/roster.h
+++ b/src/pooler/rate/roster.h
@@ -14,13 +14,14 @@
  * No two poolers may count the same share at the same time. Therefore:
  * - A home counts only while its roster is valid: a coordinator answered a heartbeat that was sent
  *   less than ROSTER_VALID_NS ago, or the roster was read from the store within that time.
- * - A member that leaves keeps its shares for ROSTER_AWAY_NS. Most return within that time (a
- * killed process restarts in 1 to 4 s), and the member has stopped counting long before its end.
+ * - A member that leaves keeps its shares for ROSTER_AWAY_NS. Most return within that time: a
+ * killed process restarts in 1 to 4 s. The member has stopped counting long before the time ends.
  * - A member that joins is assigned its shares at once, so that their previous homes stop counting
  *   them. It counts once every other member has confirmed a roster with the new assignment
- *   (roster_member_is_up_to_date()), usually within a second, or else after ROSTER_ENTERING_NS,
- * when the rosters of members that did not receive it have expired. Until then no tokens are
- * granted from these shares; the tenant still has its other shares, the greater part of its limit.
+ *   (roster_member_is_up_to_date()), usually within a second. Otherwise it counts after
+ *   ROSTER_ENTERING_NS, when the roster of any member that did not receive the new one has expired.
+ *   Until then no tokens are granted from these shares. The tenant still has its other shares, the
+ *   greater part of its limit.
  *
  * A restarted process has lost its record of granted tokens. Its buckets start with a part of the
  * permitted overage (rate_start_tokens()), so that several restarts within a window stay within it.
--- a/src/pooler/routing/choice.c
+++ b/src/pooler/routing/choice.c
@@ -52,9 +52,9 @@
 choice_find_need(const struct session *session, struct need *out)
 {
     const struct session_route *route = &session->route;
-    bool plain = session->transaction != SESSION_TRANSACTION_NONE && !session->read_only;
+    bool read_write = session->transaction != SESSION_TRANSACTION_NONE && !session->read_only;
     bool single_write = session->transaction == SESSION_TRANSACTION_NONE && session->request.writes;
-    *out = (struct need){.primary = plain || single_write};
+    *out = (struct need){.primary = read_write || single_write};
     if (single_write) {
         out->permit = route->group->sync_replicas == 0;
         out->writes = out->permit;
--- a/src/pooler/routing/group.c
+++ b/src/pooler/routing/group.c
@@ -92,8 +92,9 @@
 static bool
 is_writing(const struct server *server, time_ns now)
 {
-    bool plain = server->in_transaction && server->session != NULL && !server->session->read_only;
-    return plain || (server->state == SERVER_RUNNING && server->running_writes);
+    bool read_write =
+        server->in_transaction && server->session != NULL && !server->session->read_only;
+    return read_write || (server->state == SERVER_RUNNING && server->running_writes);
 }
 
 static void
--- a/src/pooler/routing/router.c
+++ b/src/pooler/routing/router.c
@@ -58,9 +58,9 @@
 bool
 router_needs_primary(const struct session *session)
 {
-    bool plain = session->transaction != SESSION_TRANSACTION_NONE && !session->read_only;
+    bool read_write = session->transaction != SESSION_TRANSACTION_NONE && !session->read_only;
     bool writes = session->transaction == SESSION_TRANSACTION_NONE && session->request.writes;
-    return plain || writes || session->route.kind == ROUTE_KIND_PRIMARY;
+    return read_write || writes || session->route.kind == ROUTE_KIND_PRIMARY;
 }
 
 bool
--- a/tests/pooler/test_rate.c
+++ b/tests/pooler/test_rate.c
@@ -195,7 +195,7 @@
 }
 
 /* For answers that take 2 ms and sometimes 6 ms, the hedge delay is much shorter than the time-out.
- * For a home whose answers all take 50 ms it is longer than that. */
+ * For a home whose answers all take 50 ms it is at least that. */
 static void
 test_hedge_delay(void)
 {
@@ -365,7 +365,7 @@
 #define LENGTH          (60 * SECOND)
 #define HEARTBEAT       (250 * MS)
 #define UNRESPONSIVE_NS (1200 * MS)
-#define ROW_NS          (2200 * MS) /* duration of a lease, which is the maximum age of the store's row */
+#define ROW_NS          (2200 * MS) /* maximum age of the store's row: duration of a lease */
 #define HISTORIES       400
 
 /* The mechanism that is disabled. */
