--- a/src/pooler/rate/roster.h
+++ b/src/pooler/rate/roster.h
@@ -14,8 +14,8 @@
  * No two poolers may count the same share at the same time. Therefore:
  * - A home counts only while its roster is valid: a coordinator answered a heartbeat that was sent
  *   less than ROSTER_VALID_NS ago, or the roster was read from the store within that time.
- * - A member that leaves keeps its shares for ROSTER_AWAY_NS. Most return within that time: a
- * killed process restarts in 1 to 4 s. The member has stopped counting long before the time ends.
+ * - A member that leaves keeps its shares for ROSTER_AWAY_NS. Most return within that time; a
+ *   killed process restarts in 1 to 4 s. The member has stopped counting long before it ends.
  * - A member that joins is assigned its shares at once, so that their previous homes stop counting
  *   them. It counts once every other member has confirmed a roster with the new assignment
  *   (roster_member_is_up_to_date()), usually within a second. Otherwise it counts after
