--- a/src/pooler/client/operation_report.c
+++ b/src/pooler/client/operation_report.c
@@ -7,7 +7,7 @@
 
 /* Rate limit of each worker's log lines about late operations. Enough to see which stage takes the
  * time, and few compared with the lines about state changes, which share the log's budget. */
-static const bucket_limit_t late_log_limit = {.rate_per_s = 2, .room = 4};
+static const bucket_limit_t late_log_limit = {.rate_per_s = 2, .capacity = 4};
 
 /* True if the client's message is part of an operation. SET, PREPARE and DEALLOCATE outside a
  * transaction are not. */
--- a/src/pooler/forwarding/forward.h
+++ b/src/pooler/forwarding/forward.h
@@ -20,7 +20,7 @@
 #include <stdint.h>
 
 #include "core/types.h"
-#include "pooler/rate/home_belief.h"
+#include "pooler/rate/home_health.h"
 #include "pooler/shared/wire.h"
 
 struct group;
@@ -55,7 +55,7 @@
 
 /** @brief Requests a token from the link's pooler to begin one operation of the tenant.
  *  @param home index of that pooler in the tenant's list of homes. Passed to admission_answered()
- * or admission_lost(), one of which is called unless the request is abandoned.
+ * or admission_home_unreachable(), one of which is called unless the request is abandoned.
  *  @return the request; NULL if the pooler can't be reached now. */
 token_request_t *forward_request_token(struct session *session, link_t *link, const char *tenant,
                                        unsigned home);
@@ -73,7 +73,7 @@
 const char *link_address(const link_t *link);
 
 /** @return the health state of the link's pooler as a home of rate limits. */
-home_belief_t *link_home_health(link_t *link);
+home_health_t *link_home_health(link_t *link);
 
 /** @return when the link's pooler is likely to answer again; `now` or earlier if it does. */
 time_ns link_next_try(const link_t *link, time_ns now);
--- a/src/pooler/forwarding/forward_internal.h
+++ b/src/pooler/forwarding/forward_internal.h
@@ -9,7 +9,7 @@
 #include "pooler/forwarding/forward.h"
 
 #include "generated/messages.h"
-#include "pooler/rate/home_belief.h"
+#include "pooler/rate/home_health.h"
 #include "pooler/shared/peer.h"
 
 /** @brief A request for a token. It exists until it is answered or the link is lost, even if it was
@@ -31,7 +31,7 @@
     struct peer_callbacks callbacks;
     GHashTable *channels;       /* number -> session */
     GHashTable *token_requests; /* number -> token_request_t, owned */
-    home_belief_t home_health;  /* of the link's pooler as a home of rate limits */
+    home_health_t home_health;  /* of the link's pooler as a home of rate limits */
     uint64_t last_channel;
     uint32_t running;       /* statements that were sent and not answered */
     time_ns awaiting_since; /* last message from the owner, or first request after an idle time */
--- a/src/pooler/forwarding/forward_serve.c
+++ b/src/pooler/forwarding/forward_serve.c
@@ -257,7 +257,7 @@
 static void
 answer_token_request(caller_t *caller, const struct forward_ask *ask)
 {
-    admission_answer_t token = admission_give(caller->worker, ask->admits, ask->priority);
+    admission_answer_t token = admission_answer_request(caller->worker, ask->admits, ask->priority);
     struct forward_answer answer;
     forward_answer_init(&answer);
     answer.channel = ask->channel;
--- a/src/pooler/forwarding/forward_token.c
+++ b/src/pooler/forwarding/forward_token.c
@@ -80,7 +80,7 @@
     return link->text;
 }
 
-home_belief_t *
+home_health_t *
 link_home_health(link_t *link)
 {
     return &link->home_health;
@@ -89,7 +89,7 @@
 void
 link_note_contact(link_t *link)
 {
-    if (home_belief_heard(&link->home_health)) {
+    if (home_health_message_received(&link->home_health)) {
         g_info("The home at %s responds again.", link->text);
     }
 }
@@ -104,7 +104,7 @@
     const admission_answer_t token = {answer->declined, answer->refused, answer->retry_ms};
     struct session *session = request->session;
     unsigned home = request->home;
-    home_belief_answered(&link->home_health, now - request->requested_at);
+    home_health_answered(&link->home_health, now - request->requested_at);
     g_hash_table_remove(link->token_requests, &answer->channel); /* frees it */
     if (session != NULL) {
         admission_answered(session, home, &token);
@@ -130,7 +130,7 @@
     for (guint i = 0; i < lost->len; i++) {
         const token_request_t *request = g_ptr_array_index(lost, i);
         if (request->session != NULL) {
-            admission_lost(request->session, request->home);
+            admission_home_unreachable(request->session, request->home);
         }
     }
 }
--- a/src/pooler/forwarding/owner_choice.c
+++ b/src/pooler/forwarding/owner_choice.c
@@ -47,7 +47,8 @@
 is_near(const struct group *group, guint index, const owner_preference_t *preference)
 {
     const link_t *link = g_ptr_array_index(group->links, index);
-    return preference->zone == NULL ? index < group->links_near : link->zone == preference->zone;
+    return preference->zone == NULL ? index < group->links_same_zone
+                                    : link->zone == preference->zone;
 }
 
 /* A statement that only the primary can serve prefers owners in the primary's zone: it has to go to
@@ -56,11 +57,11 @@
 preference_of(const struct session *session)
 {
     const struct group *group = session->route.group;
-    bool keyed = session->worker->has_tenants && session->tenant != access_nobody();
+    bool keyed = session->worker->has_tenants && session->tenant != access_public_tenant();
     owner_preference_t preference = {keyed ? session->tenant : NULL,
                                      group->primary == NULL ? NULL : group->primary->zone};
     bool zoned =
-        preference.zone != NULL && session->worker->has_tenants && router_wants_primary(session);
+        preference.zone != NULL && session->worker->has_tenants && router_needs_primary(session);
     for (guint i = 0; zoned && i < group->links->len; i++) {
         if (is_near(group, i, &preference)) {
             return preference;
@@ -141,13 +142,13 @@
     link_t *best = choose_reachable(group, preference, now, &cost);
     bool forwards = router_forwards(group);
     if (best != NULL || !forwards) {
-        group->unreached_since = 0;
-    } else if (group->unreached_since == 0) {
-        group->unreached_since = now;
+        group->unreachable_since = 0;
+    } else if (group->unreachable_since == 0) {
+        group->unreachable_since = now;
     }
     bool delay_over =
-        best == NULL && forwards && now >= group->unreached_since + OTHER_ZONE_DELAY_NS;
-    bool no_near_owner = preference->zone == NULL && group->links_near == 0 && forwards;
+        best == NULL && forwards && now >= group->unreachable_since + OTHER_ZONE_DELAY_NS;
+    bool no_near_owner = preference->zone == NULL && group->links_same_zone == 0 && forwards;
     bool other_zones = delay_over || no_near_owner || (best != NULL && cost >= OTHER_ZONE_COST);
     for (guint i = 0; i < group->links->len; i++) {
         link_t *link = g_ptr_array_index(group->links, i);
--- a/src/pooler/rate/admission.c
+++ b/src/pooler/rate/admission.c
@@ -1,39 +1,40 @@
-/* Tokens to begin operations; see the header. */
+/* Admission of operations by tokens of rate limits; see the header. */
 #define G_LOG_DOMAIN "rate"
 #include "pooler/rate/admission.h"
 
 #include "pooler/rate/counting.h"
 #include "pooler/client/session_internal.h"
 
-/* A home that declined, as it does not count now, is asked last for so long: by then it has had the
- * coordinator's next answer to its heartbeat, which may let it count again. */
+/* How long a home is avoided after it declined because it may not count at present: by then it has
+ * had the coordinator's next reply to its heartbeat, which may allow it to count again. */
 #define DECLINED_NS (250 * NANOSECONDS_PER_MILLISECOND)
 
-/* A home that refused is asked again after so long at the latest, also if it told a longer wait.
- * That wait leaves out the tokens promised to others, some of whom don't come back for them. */
+/* Longest time for which a home that refused is not asked again, also if it returned a longer wait.
+ * That wait leaves out tokens whose times were returned to other refused clients, not all of which
+ * retry. */
 #define EMPTY_NS (10 * NANOSECONDS_PER_MILLISECOND)
 
-/* A client whose operation no home can decide on is told to come back when the first home is asked
- * again: after NO_HOME_LEAST_NS at least, as a connection to it takes that long to open, and after
- * NO_HOME_MOST_NS at most, as few callers wait longer. */
-#define NO_HOME_LEAST_NS (20 * NANOSECONDS_PER_MILLISECOND)
-#define NO_HOME_MOST_NS  (1000 * NANOSECONDS_PER_MILLISECOND)
-#define NO_HOME_NS       (300 * NANOSECONDS_PER_MILLISECOND) /* where no home is known */
+/* Retry time for a client if no home could decide on its operation: the time until the first home
+ * is tried again. At least NO_HOME_MIN_NS, which a connection to a home takes to open, and at most
+ * NO_HOME_MAX_NS, because few callers wait longer. */
+#define NO_HOME_MIN_NS (20 * NANOSECONDS_PER_MILLISECOND)
+#define NO_HOME_MAX_NS (1000 * NANOSECONDS_PER_MILLISECOND)
+#define NO_HOME_NS     (300 * NANOSECONDS_PER_MILLISECOND) /* if no home is known */
 
-/* The wait that is told where a limit never has a token (a rate of 0): it may have been changed by
- * then. A shorter one would make clients ask in vain all the time. */
+/* Retry time for a limit with a rate of 0, which never has a token again unless it is changed. With
+ * a shorter time clients would retry in vain all the time. */
 #define NEVER_RETRY_NS (1000 * NANOSECONDS_PER_MILLISECOND)
 
 /** @brief One home of a tenant's limit. */
 typedef struct home {
     link_t *link; /* NULL: this pooler */
-    bool near;
-    time_ns empty_until[SHARE_PRIORITIES];   /* not asked before, as it refused this priority */
-    time_ns next_token_at[SHARE_PRIORITIES]; /* when it may have a token for it, as it told */
-    time_ns declined_until;                  /* asked last until then, as it declined */
+    bool same_zone;
+    time_ns empty_until[SHARE_PRIORITIES];   /* not asked before then: it refused this priority */
+    time_ns next_token_at[SHARE_PRIORITIES]; /* when it may have a token, by its last refusal */
+    time_ns declined_until;                  /* avoided until then: it declined */
 } home_t;
 
-/** @brief The homes of one tenant's limit, as of one roster. */
+/** @brief The homes of one tenant's limit, without duplicates, as of one roster. */
 typedef struct homes {
     uint64_t revision;
     unsigned count;
@@ -57,7 +58,7 @@
     return false;
 }
 
-/* Members that don't count are left out. */
+/* Leaves out members that may not count. */
 static void
 find_homes(struct worker *worker, const roster_t *roster, const char *tenant, homes_t *out)
 {
@@ -73,7 +74,7 @@
         link_t *link =
             member->self ? NULL : link_get(worker, member->address, &member->socket_address);
         if (!member->away && !member->entering && !has_home(out, link)) {
-            out->homes[out->count++] = (home_t){.link = link, .near = member->same_zone};
+            out->homes[out->count++] = (home_t){.link = link, .same_zone = member->same_zone};
         }
     }
 }
@@ -96,7 +97,7 @@
     return homes;
 }
 
-/* False if the tenant is not limited, or not known. */
+/* Returns false if the tenant is unknown or has no limit. */
 static bool
 find_limit(const struct worker *worker, const char *name, tenant_t *out)
 {
@@ -116,28 +117,29 @@
 static bool
 is_avoided(const home_t *home, time_ns now)
 {
-    bool slow = home->link != NULL && home_belief_avoided(link_home_health(home->link), now);
+    bool slow = home->link != NULL && home_health_is_avoided(link_home_health(home->link), now);
     return slow || now < home->declined_until;
 }
 
-/* True if the home is not asked at all once another home has refused the operation: waiting for it
- * would only delay the refusal. */
+/* True if the home is not asked once another home has refused the operation: it probably won't
+ * answer or will decline, and waiting for it would only delay the refusal. */
 static bool
-is_quiet(const home_t *home, time_ns now)
+is_skipped_at_limit(const home_t *home, time_ns now)
 {
-    bool silent = home->link != NULL && home_belief_is_silent(link_home_health(home->link), now);
-    return silent || now < home->declined_until;
+    bool unresponsive =
+        home->link != NULL && home_health_is_unresponsive(link_home_health(home->link), now);
+    return unresponsive || now < home->declined_until;
 }
 
-/* Low is better: this pooler, then homes of this zone, then those of others; last, those that did
- * not answer. */
+/* Order of preference, lowest first: this pooler, homes of this zone, homes of other zones, avoided
+ * homes. */
 static unsigned
 cost_of(const home_t *home, time_ns now)
 {
     if (is_avoided(home, now)) {
         return 3;
     }
-    return home->link == NULL ? 0 : (home->near ? 1 : 2);
+    return home->link == NULL ? 0 : (home->same_zone ? 1 : 2);
 }
 
 static bool
@@ -146,8 +148,9 @@
     return now < home->empty_until[share_priority(session->route.priority)];
 }
 
-/* When the first home has a token again; 0 if none has refused. What refused this operation may
- * have one by now, as the others were asked meanwhile: it still was refused. */
+/* When the first home that refused has a token again; 0 if none refused. The result may be in the
+ * past: the home that refused this operation may have a token by now, after other homes were asked.
+ */
 static time_ns
 first_token(const struct session *session, const homes_t *homes, time_ns now)
 {
@@ -161,18 +164,18 @@
     return first;
 }
 
-/* The home to ask next; -1 if there is none. Once one has refused, those that lately did not answer
- * are not waited for: the tenant is near its limit, and is to hear so at once. */
+/* Index of the home to ask next; -1 if there is none. Once a home has refused, the tenant is near
+ * its limit: unresponsive homes are skipped, so that the client gets the refusal without delay. */
 static int
-choose(const struct session *session, const homes_t *homes, time_ns now)
+choose_home(const struct session *session, const homes_t *homes, time_ns now)
 {
     int best = -1;
     bool at_limit = first_token(session, homes, now) != 0;
     for (unsigned i = 0; i < homes->count; i++) {
         const home_t *home = &homes->homes[i];
         bool asked = (session->request.homes_requested & (1U << i)) != 0;
-        bool quiet = at_limit && is_quiet(home, now);
-        if (asked || quiet || is_empty(session, home, now)) {
+        bool skipped = at_limit && is_skipped_at_limit(home, now);
+        if (asked || skipped || is_empty(session, home, now)) {
             continue;
         }
         if (best < 0 || cost_of(home, now) < cost_of(&homes->homes[best], now)) {
@@ -182,18 +185,18 @@
     return best;
 }
 
-/* The wait in ms, lengthened by up to a half by chance, so that clients refused together don't come
- * back together. */
+/* The wait in ms, with up to 50% of random jitter added, so that clients that were refused together
+ * do not retry together. */
 static uint32_t
-spread_ms(time_ns wait)
+jittered_ms(time_ns wait)
 {
-    double spread = (double)wait * (1 + g_random_double() / 2);
-    return (uint32_t)(spread / (double)NANOSECONDS_PER_MILLISECOND) + 1;
+    double jittered = (double)wait * (1 + g_random_double() / 2);
+    return (uint32_t)(jittered / (double)NANOSECONDS_PER_MILLISECOND) + 1;
 }
 
-/* The time until the first home is asked again. */
+/* The time until the first home is tried again. */
 static time_ns
-next_home(const homes_t *homes, time_ns now)
+next_home_wait(const homes_t *homes, time_ns now)
 {
     time_ns first = 0;
     for (unsigned i = 0; i < homes->count; i++) {
@@ -202,16 +205,16 @@
         until = MAX(until, home->declined_until);
         first = first == 0 ? MAX(until, now) : MIN(first, MAX(until, now));
     }
-    return first == 0 ? NO_HOME_NS : CLAMP(first - now, NO_HOME_LEAST_NS, NO_HOME_MOST_NS);
+    return first == 0 ? NO_HOME_NS : CLAMP(first - now, NO_HOME_MIN_NS, NO_HOME_MAX_NS);
 }
 
 static void
 refuse(struct session *session, const homes_t *homes, time_ns now)
 {
     time_ns first = first_token(session, homes, now);
-    uint32_t wait_ms = first == 0 ? spread_ms(next_home(homes, now)) : 0;
+    uint32_t wait_ms = first == 0 ? jittered_ms(next_home_wait(homes, now)) : 0;
     if (first != 0) {
-        wait_ms = first > now ? spread_ms(first - now) : 1;
+        wait_ms = first > now ? jittered_ms(first - now) : 1;
     }
     metrics_count(&session->worker->metrics,
                   first != 0 ? METRICS_REFUSED_RATE : METRICS_REFUSED_NO_HOME);
@@ -226,21 +229,23 @@
     time_ns until = now + wait;
     time_ns ask_at = now + MIN(wait, EMPTY_NS);
     for (unsigned i = share_priority(session->route.priority); i < SHARE_PRIORITIES; i++) {
-        home->empty_until[i] = MAX(home->empty_until[i], ask_at); /* the less urgent, as well */
+        home->empty_until[i] = MAX(home->empty_until[i], ask_at); /* lower priorities as well */
         home->next_token_at[i] = MAX(home->next_token_at[i], until);
     }
     session->request.next_token_at = first == 0 ? until : MIN(first, until);
 }
 
+/* The wait to report for the wait of a refusal, in which 0 means that there never will be a token.
+ */
 static time_ns
-told_wait(time_ns wait)
+reported_wait(time_ns wait)
 {
     return wait == 0 ? NEVER_RETRY_NS : wait;
 }
 
-/* Asks this pooler's own shares. True if a token was granted. */
+/* Takes a token from the shares that this pooler counts. Returns true if one was granted. */
 static bool
-ask_here(struct session *session, const tenant_t *tenant, home_t *home, time_ns now)
+request_local(struct session *session, const tenant_t *tenant, home_t *home, time_ns now)
 {
     time_ns wait = 0;
     switch (counting_take(session->worker->shared->counting, tenant, session->route.priority, now,
@@ -248,7 +253,7 @@
     case TOKEN_GRANTED:
         return true;
     case TOKEN_REFUSED:
-        note_refusal(session, home, now, told_wait(wait));
+        note_refusal(session, home, now, reported_wait(wait));
         break;
     case TOKEN_DECLINED:
         home->declined_until = now + DECLINED_NS;
@@ -258,7 +263,7 @@
 }
 
 void
-admission_drop(struct session *session)
+admission_abandon(struct session *session)
 {
     for (unsigned i = 0; i < ROSTER_SHARES; i++) {
         if (session->request.token_requests[i] != NULL) {
@@ -268,7 +273,7 @@
     }
 }
 
-/* The homes as they are now; those of an earlier list are no longer waited for. */
+/* The homes by the newest roster. Requests to homes of an earlier roster are abandoned. */
 static homes_t *
 current_homes(struct session *session)
 {
@@ -276,74 +281,75 @@
     if (homes->revision != session->request.homes_revision) {
         session->request.homes_revision = homes->revision;
         session->request.homes_requested = 0;
-        admission_drop(session);
+        admission_abandon(session);
     }
     return homes;
 }
 
-/* When the first of the open questions is given up; 0 if there is none. */
+/* When the first of the pending requests times out; 0 if there is none. */
 static time_ns
-given_up_at(const struct session *session)
+first_timeout(const struct session *session)
 {
     time_ns first = 0;
     for (unsigned i = 0; i < ROSTER_SHARES; i++) {
         const token_request_t *question = session->request.token_requests[i];
         if (question != NULL) {
-            time_ns until = token_requested_at(question) + HOME_SILENT_NS;
+            time_ns until = token_requested_at(question) + HOME_TIMEOUT_NS;
             first = first == 0 ? until : MIN(first, until);
         }
     }
     return first;
 }
 
-/* Asks another pooler, beside those that were asked and have not answered. */
+/* Requests a token from another pooler, in addition to pending requests. Returns false if no
+ * request could be sent. */
 static bool
-ask_there(struct session *session, const tenant_t *tenant, homes_t *homes, unsigned place,
-          time_ns now)
+request_remote(struct session *session, const tenant_t *tenant, homes_t *homes, unsigned place,
+               time_ns now)
 {
     link_t *link = homes->homes[place].link;
-    bool beside = given_up_at(session) != 0;
+    bool hedged = first_timeout(session) != 0;
     token_request_t *question = forward_request_token(session, link, tenant->name, place);
     if (question == NULL) {
         return false;
     }
     session->request.token_requests[place] = question;
     metrics_count(&session->worker->metrics, METRICS_TOKENS_REQUESTED);
-    if (beside) {
+    if (hedged) {
         metrics_count(&session->worker->metrics, METRICS_TOKENS_HEDGED);
     }
     operation_timing_enter(&session->timing, STAGE_TOKEN, now);
-    time_ns hedge_at = now + home_belief_patience(link_home_health(link));
-    session_set_timer(session, MIN(hedge_at, given_up_at(session)));
+    time_ns hedge_at = now + home_health_hedge_delay(link_home_health(link));
+    session_set_timer(session, MIN(hedge_at, first_timeout(session)));
     return true;
 }
 
 static void
-granted(struct session *session)
+proceed(struct session *session)
 {
-    admission_drop(session);
+    admission_abandon(session);
     session_route(session);
 }
 
 static void
-ask_next(struct session *session, const tenant_t *tenant)
+request_next(struct session *session, const tenant_t *tenant)
 {
     homes_t *homes = current_homes(session);
     time_ns now = backend_now();
-    for (int i = choose(session, homes, now); i >= 0; i = choose(session, homes, now)) {
+    for (int i = choose_home(session, homes, now); i >= 0; i = choose_home(session, homes, now)) {
         home_t *home = &homes->homes[i];
         session->request.homes_requested |= 1U << i;
         if (home->link == NULL) {
-            if (ask_here(session, tenant, home, now)) {
-                granted(session);
+            if (request_local(session, tenant, home, now)) {
+                proceed(session);
                 return;
             }
-        } else if (ask_there(session, tenant, homes, (unsigned)i, now)) {
+        } else if (request_remote(session, tenant, homes, (unsigned)i, now)) {
             return;
         }
     }
-    if (given_up_at(session) != 0) {
-        session_set_timer(session, given_up_at(session));
+    if (first_timeout(session) != 0) {
+        session_set_timer(session, first_timeout(session));
         return;
     }
     refuse(session, homes, now);
@@ -355,33 +361,35 @@
     tenant_t tenant;
     session->state = SESSION_ADMITTING;
     session->request.homes_requested = 0;
-    admission_drop(session);
+    admission_abandon(session);
     bool counted = session->worker->shared->counting != NULL && session->forwarded.caller == NULL;
     if (!counted || !find_limit(session->worker, session->tenant, &tenant)) {
         session_route(session);
         return;
     }
-    ask_next(session, &tenant);
+    request_next(session, &tenant);
 }
 
+/* Processes further messages of the client if the operation has ended. */
 static void
-process_rest(struct session *session)
+process_buffered(struct session *session)
 {
     if (session->state == SESSION_IDLE) {
         session_process(session);
     }
 }
 
+/* Asks the next home, or admits the operation if the tenant's limit was removed meanwhile. */
 static void
-go_on(struct session *session)
+try_next_home(struct session *session)
 {
     tenant_t tenant;
     if (find_limit(session->worker, session->tenant, &tenant)) {
-        ask_next(session, &tenant);
+        request_next(session, &tenant);
     } else {
-        granted(session);
+        proceed(session);
     }
-    process_rest(session);
+    process_buffered(session);
 }
 
 void
@@ -390,8 +398,8 @@
     time_ns now = backend_now();
     session->request.token_requests[place] = NULL;
     if (!answer->declined && !answer->refused) {
-        granted(session);
-        process_rest(session);
+        proceed(session);
+        process_buffered(session);
         return;
     }
     homes_t *homes = homes_of(session->worker, session->tenant);
@@ -403,29 +411,29 @@
             home->declined_until = now + DECLINED_NS;
         }
     }
-    go_on(session);
+    try_next_home(session);
 }
 
 void
-admission_lost(struct session *session, unsigned place)
+admission_home_unreachable(struct session *session, unsigned place)
 {
     session->request.token_requests[place] = NULL;
     metrics_count(&session->worker->metrics, METRICS_TOKENS_UNANSWERED);
-    go_on(session);
+    try_next_home(session);
 }
 
-/* A question that is open for longer than usual, or for too long. */
+/* Handles a pending request that has passed its hedge delay or its time-out. */
 static void
-note_waiting(struct session *session, unsigned place, time_ns now)
+check_pending(struct session *session, unsigned place, time_ns now)
 {
     token_request_t *question = session->request.token_requests[place];
-    home_belief_t *belief = link_home_health(token_link(question));
-    if (now < token_requested_at(question) + HOME_SILENT_NS) {
-        home_belief_slow(belief, now);
+    home_health_t *health = link_home_health(token_link(question));
+    if (now < token_requested_at(question) + HOME_TIMEOUT_NS) {
+        home_health_note_slow(health, now);
         return;
     }
-    if (home_belief_silent(belief, now)) {
-        g_info("The home at %s does not answer; others are asked first.",
+    if (home_health_note_timeout(health, now)) {
+        g_info("The home at %s does not answer token requests; other homes are preferred.",
                link_address(token_link(question)));
     }
     metrics_count(&session->worker->metrics, METRICS_TOKENS_UNANSWERED);
@@ -434,19 +442,19 @@
 }
 
 void
-admission_waited(struct session *session)
+admission_timer_expired(struct session *session)
 {
     time_ns now = backend_now();
     for (unsigned i = 0; i < ROSTER_SHARES; i++) {
         if (session->request.token_requests[i] != NULL) {
-            note_waiting(session, i, now);
+            check_pending(session, i, now);
         }
     }
-    go_on(session);
+    try_next_home(session);
 }
 
 admission_answer_t
-admission_give(struct worker *worker, const char *name, uint32_t priority)
+admission_answer_request(struct worker *worker, const char *name, uint32_t priority)
 {
     tenant_t tenant;
     time_ns wait = 0;
@@ -459,7 +467,7 @@
     case TOKEN_REFUSED:
         return (admission_answer_t){
             .refused = true,
-            .retry_ms = (uint32_t)(told_wait(wait) / NANOSECONDS_PER_MILLISECOND) + 1};
+            .retry_ms = (uint32_t)(reported_wait(wait) / NANOSECONDS_PER_MILLISECOND) + 1};
     default:
         return (admission_answer_t){.declined = true};
     }
--- a/src/pooler/routing/group.c
+++ b/src/pooler/routing/group.c
@@ -1,12 +1,13 @@
-/* One group of databases as a worker knows it: who leads, and what waits for it. */
+/* State of a group of databases in a worker: its primary, its databases and owners, and the direct
+ * fallback while no owner is reachable. */
 #include "pooler/worker/worker_internal.h"
 
 #include <string.h>
 
-/* Owners that can't be reached for so long are taken for lost to this pooler. After the loss of all
- * poolers, hundreds start together: the owners' machines take up to 0.3 s to start and answer, and
- * connections opened meanwhile would be lacking to them. */
-#define ALONE_AFTER_NS (400 * NANOSECONDS_PER_MILLISECOND)
+/* Time without a reachable owner after which the direct fallback may start. After a loss of all
+ * poolers, hundreds start together: the owners take up to 0.3 s to start and respond, and direct
+ * connections opened in that time would use up the databases' connections that the owners need. */
+#define FALLBACK_AFTER_NS (400 * NANOSECONDS_PER_MILLISECOND)
 
 struct group *
 group_of(struct worker *worker, struct group_shared *shared)
@@ -19,7 +20,7 @@
         group->databases = g_ptr_array_new();
         group->links = g_ptr_array_new();
         g_queue_init(&group->queue);
-        group->closed_since = backend_now();
+        group->no_primary_since = backend_now();
         g_hash_table_insert(worker->groups, shared->service, group);
     }
     return group;
@@ -57,7 +58,7 @@
     database->connections = member->connections;
     database->takes_work = member->takes_work;
     window_set_slots(&database->window, member->slots, sharers);
-    database->listed = true;
+    database->in_view = true;
     if (member->closed) {
         database_close_where(database, is_any, 0, ANSWER_ABORTED);
     } else if (!member->takes_work) {
@@ -66,13 +67,14 @@
     return database;
 }
 
-/* Databases that left the view lose their idle connections, and are freed once none is left. */
+/* Closes the idle connections of databases that are no longer in the view, and frees a database
+ * once it has no connections. */
 static void
-drop_unlisted(struct group *group)
+drop_removed(struct group *group)
 {
     for (guint i = group->databases->len; i > 0; i--) {
         struct database *database = g_ptr_array_index(group->databases, i - 1);
-        if (database->listed) {
+        if (database->in_view) {
             continue;
         }
         database->takes_work = false;
@@ -85,38 +87,40 @@
     }
 }
 
-/* Whatever still writes at a database that no longer leads is given up. */
+/* True for connections with a write or a read-write transaction, which are closed at a database
+ * that is no longer the primary. */
 static bool
 is_writing(const struct server *server, time_ns now)
 {
-    bool plain = server->in_transaction && server->session != NULL && !server->session->read_only;
-    return plain || (server->state == SERVER_RUNNING && server->running_writes);
+    bool read_write =
+        server->in_transaction && server->session != NULL && !server->session->read_only;
+    return read_write || (server->state == SERVER_RUNNING && server->running_writes);
 }
 
 static void
 apply_order(struct group *group, const struct pooled_group *view, struct database *primary)
 {
-    struct database *former = group->primary;
+    struct database *previous = group->primary;
     bool other_term = group->term != 0 && view->term != group->term;
-    bool moved = primary != former || other_term;
+    bool moved = primary != previous || other_term;
     group->primary = primary;
     group->term = view->term;
     group->phase = view->phase;
     group->epoch = view->epoch;
     bool open = primary != NULL && view->phase == GROUP_PHASE_OPEN;
-    if (open && group->closed_since != 0) {
-        pace_restart(&group->pace[PACE_LINE_PRIMARY], backend_now());
-        group->closed_since = 0;
-    } else if (!open && group->closed_since == 0) {
-        group->closed_since = backend_now();
+    if (open && group->no_primary_since != 0) {
+        queue_rate_restart(&group->queue_rate[QUEUE_LINE_PRIMARY], backend_now());
+        group->no_primary_since = 0;
+    } else if (!open && group->no_primary_since == 0) {
+        group->no_primary_since = backend_now();
     }
     if (moved) {
         group->checks_failed = 0;
         freshness_clear(&group->freshness);
-        group->led_at = 0;
+        group->leadership_proven_at = 0;
     }
-    if (former != NULL && (moved || view->phase == GROUP_PHASE_CLOSED)) {
-        database_close_where(former, is_writing, 0, ANSWER_IN_DOUBT);
+    if (previous != NULL && (moved || view->phase == GROUP_PHASE_CLOSED)) {
+        database_close_where(previous, is_writing, 0, ANSWER_IN_DOUBT);
     }
 }
 
@@ -124,7 +128,7 @@
 apply_owners(struct group *group, const struct pooled_group *view)
 {
     g_ptr_array_set_size(group->links, 0);
-    group->links_near = 0;
+    group->links_same_zone = 0;
     group->own_address = NULL;
     for (size_t i = 0; i < view->owners_count; i++) {
         const owner_view_t *owner = &view->owners[i];
@@ -135,11 +139,11 @@
         link_t *link = link_get(group->worker, owner->text, &owner->address);
         link_set_zone(link, owner->zone);
         g_ptr_array_add(group->links, link);
-        group->links_near += owner->same_zone;
+        group->links_same_zone += owner->same_zone;
     }
 }
 
-/* The group's connections have gone to other poolers. */
+/* Closes idle connections after the group's connections were assigned to other poolers. */
 static void
 close_connections(struct group *group)
 {
@@ -148,16 +152,17 @@
     }
 }
 
-/* Opening takes long beside a statement. Nothing is opened before it is known who leads. */
+/* Opens connections in advance, because an opening takes long compared with a statement. None is
+ * opened before the primary is known. */
 static void
-make_ready(struct group *group)
+open_ready(struct group *group)
 {
     time_ns now = backend_now();
-    if (group->alone) {
-        return; /* what it opens may be lacking to the owners: only what a statement needs */
+    if (group->direct_fallback) {
+        return; /* the owners may need the connections: none is opened without a statement */
     }
     for (guint i = 0; group->primary != NULL && i < group->databases->len; i++) {
-        database_make_ready(g_ptr_array_index(group->databases, i), now);
+        database_open_ready(g_ptr_array_index(group->databases, i), now);
     }
 }
 
@@ -167,17 +172,18 @@
     struct database *primary = NULL;
     group->sync_replicas = view->sync_replicas;
     group->connections = view->connections;
-    group->alone_connections = view->alone_connections;
+    group->fallback_connections = view->fallback_connections;
     apply_owners(group, view);
-    group->alone = group->alone && group->connections == 0 && forward_all_unreachable(group);
-    if (group->alone) {
-        group->connections = group->alone_connections;
+    group->direct_fallback =
+        group->direct_fallback && group->connections == 0 && forward_all_unreachable(group);
+    if (group->direct_fallback) {
+        group->connections = group->fallback_connections;
     }
     if (group->connections == 0) {
         close_connections(group);
     }
     for (guint i = 0; i < group->databases->len; i++) {
-        ((struct database *)g_ptr_array_index(group->databases, i))->listed = false;
+        ((struct database *)g_ptr_array_index(group->databases, i))->in_view = false;
     }
     for (size_t i = 0; i < view->members_count; i++) {
         struct database *database = apply_member(group, &view->members[i], view->sharers);
@@ -188,8 +194,8 @@
     if (view->epoch != group->epoch || primary != group->primary) {
         apply_order(group, view, primary);
     }
-    drop_unlisted(group);
-    make_ready(group);
+    drop_removed(group);
+    open_ready(group);
     group_note_in_flight(group);
     atomic_store(&group->shared->workers[group->worker->index].epoch, group->epoch);
 }
@@ -198,55 +204,56 @@
 group_refresh(struct group *group)
 {
     time_ns now = backend_now();
-    if (group->alone || (router_forwards(group) && group->queue.length > 0)) {
+    if (group->direct_fallback || (router_forwards(group) && group->queue.length > 0)) {
         forward_reconnect(group);
     } else {
-        group->unreached_since = 0; /* nobody waits: the next statement tries anew */
+        group->unreachable_since = 0; /* no statement waits; the next one tries the owners again */
     }
-    make_ready(group);
+    open_ready(group);
     for (guint i = 0; i < group->databases->len; i++) {
         database_close_unused(g_ptr_array_index(group->databases, i), now);
     }
 }
 
-/* True once none of the owners could be reached for long enough. */
+/* True if no owner has been reachable for FALLBACK_AFTER_NS. */
 static bool
-is_left_alone(struct group *group)
+is_without_owners(struct group *group)
 {
     time_ns now = backend_now();
-    return forward_all_unreachable(group) && group->unreached_since != 0 &&
-           now >= group->unreached_since + ALONE_AFTER_NS;
+    return forward_all_unreachable(group) && group->unreachable_since != 0 &&
+           now >= group->unreachable_since + FALLBACK_AFTER_NS;
 }
 
 bool
-group_go_alone(struct group *group)
+group_start_direct_fallback(struct group *group)
 {
-    if (group->alone_connections == 0 || !is_left_alone(group)) {
+    if (group->fallback_connections == 0 || !is_without_owners(group)) {
         return false;
     }
     g_log_structured("router", G_LOG_LEVEL_MESSAGE, "SW_SERVICE", group->shared->service, "MESSAGE",
-                     "Group %s: none of its %u owners can be reached, served by %u connections of "
-                     "its own.",
-                     group->shared->service, group->links->len, group->alone_connections);
-    group->alone = true;
-    group->connections = group->alone_connections;
+                     "Group %s: none of its %u owners can be reached; statements go directly to "
+                     "the databases, by up to %u connections to each.",
+                     group->shared->service, group->links->len, group->fallback_connections);
+    group->direct_fallback = true;
+    group->connections = group->fallback_connections;
     return true;
 }
 
 void
-group_rejoin(struct group *group)
+group_end_direct_fallback(struct group *group)
 {
     if (forward_all_unreachable(group)) {
         return;
     }
-    group->unreached_since = 0;
-    if (!group->alone) {
+    group->unreachable_since = 0;
+    if (!group->direct_fallback) {
         return;
     }
     g_log_structured("router", G_LOG_LEVEL_MESSAGE, "SW_SERVICE", group->shared->service, "MESSAGE",
-                     "Group %s: an owner can be reached again.", group->shared->service);
-    group->alone = false;
-    group->connections = 0; /* what is open is closed once it has not been used for a while */
+                     "Group %s: an owner can be reached again; statements go to the owners.",
+                     group->shared->service);
+    group->direct_fallback = false;
+    group->connections = 0; /* open connections are closed once they were idle for a while */
 }
 
 void
@@ -260,10 +267,10 @@
     }
 }
 
-/* True if other poolers hold its connections, and nothing waits or is left here: so it is with most
- * groups at most poolers. */
+/* True if other poolers hold the group's connections, and this worker has no queued statements,
+ * open connections or faults of it. This holds for most groups at most poolers. */
 static bool
-is_at_rest(const struct group *group)
+is_inactive(const struct group *group)
 {
     if (group->connections > 0 || group->queue.length > 0 ||
         atomic_load(&group->shared->faults) > 0) {
@@ -271,7 +278,7 @@
     }
     for (guint i = 0; i < group->databases->len; i++) {
         const struct database *database = g_ptr_array_index(group->databases, i);
-        if (database->servers->len > 0 || !database->listed) {
+        if (database->servers->len > 0 || !database->in_view) {
             return false;
         }
     }
@@ -282,10 +289,10 @@
 group_tick(struct group *group, time_ns now)
 {
     bool faulty = false;
-    if (is_at_rest(group)) {
+    if (is_inactive(group)) {
         return false;
     }
-    if (group->alone) {
+    if (group->direct_fallback) {
         forward_reconnect(group);
     }
     for (guint i = 0; i < group->databases->len; i++) {
@@ -294,7 +301,7 @@
         faulty =
             faulty || (database->takes_work && database_fault(database) != DATABASE_FAULT_NONE);
     }
-    drop_unlisted(group);
+    drop_removed(group);
     router_run_queue(group);
     return router_check_shortage(group, now) || faulty;
 }
--- a/src/pooler/shared/view.h
+++ b/src/pooler/shared/view.h
@@ -81,7 +81,7 @@
     size_t owners_count;
     uint32_t sharers; /* number of workers, over all poolers, that open connections to it; 0: not
                          known */
-    uint32_t alone_connections; /* direct fallback: connections that each worker may open to one
+    uint32_t fallback_connections; /* direct fallback: connections that each worker may open to one
                                    database while it can't reach any owner */
     struct member_view *members;
     size_t members_count;
--- a/tests/pooler/test_database.c
+++ b/tests/pooler/test_database.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * @brief How many statements a database is given at once, by what it refuses: halving and growing
- * as in congestion control, so that poolers that share a database come to its slots.
+ * @brief Concurrency window of a database by its refusals: multiplicative decrease and additive
+ * increase as in congestion control, so that poolers that share a database converge to its slots.
  */
 #include "pooler/worker/worker_internal.h"
 
@@ -31,64 +31,64 @@
 }
 
 static void
-run(fixture_t *fixture, unsigned statements)
+set_running(fixture_t *fixture, unsigned statements)
 {
     for (unsigned i = 0; i < SERVERS; i++) {
         fixture->servers[i].state = i < statements ? SERVER_RUNNING : SERVER_RESERVED;
     }
 }
 
-/* Nothing is held back before a refusal, and a resting transaction counts for nothing. */
+/* Before a refusal there is no limit, and an idle transaction does not count. */
 static void
 test_open(fixture_t *fixture, gconstpointer unused)
 {
-    run(fixture, SERVERS);
-    g_assert_true(database_has_window(fixture->database, 0, fixture->now));
-    database_narrow(fixture->database, fixture->now);
-    g_assert_false(database_has_window(fixture->database, 0, fixture->now));
-    run(fixture, 0);
-    g_assert_true(database_has_window(fixture->database, 0, fixture->now));
+    set_running(fixture, SERVERS);
+    g_assert_true(database_has_capacity(fixture->database, 0, fixture->now));
+    database_narrow_window(fixture->database, fixture->now);
+    g_assert_false(database_has_capacity(fixture->database, 0, fixture->now));
+    set_running(fixture, 0);
+    g_assert_true(database_has_capacity(fixture->database, 0, fixture->now));
 }
 
-/* Refusals of one moment count once; one statement always goes. */
+/* Refusals at about the same time narrow the window once. One statement is always allowed. */
 static void
 test_narrows(fixture_t *fixture, gconstpointer unused)
 {
-    run(fixture, 10);
-    database_narrow(fixture->database, fixture->now);
-    database_narrow(fixture->database, fixture->now + 10 * MS);
-    run(fixture, 6);
-    g_assert_true(database_has_window(fixture->database, 0, fixture->now));
-    run(fixture, 7);
-    g_assert_false(database_has_window(fixture->database, 0, fixture->now));
+    set_running(fixture, 10);
+    database_narrow_window(fixture->database, fixture->now);
+    database_narrow_window(fixture->database, fixture->now + 10 * MS);
+    set_running(fixture, 6);
+    g_assert_true(database_has_capacity(fixture->database, 0, fixture->now));
+    set_running(fixture, 7);
+    g_assert_false(database_has_capacity(fixture->database, 0, fixture->now));
     for (unsigned i = 1; i < 20; i++) {
-        database_narrow(fixture->database, fixture->now + i * 100 * MS);
+        database_narrow_window(fixture->database, fixture->now + i * 100 * MS);
     }
-    run(fixture, 0);
-    g_assert_true(database_has_window(fixture->database, 0, fixture->now));
-    run(fixture, 1);
-    g_assert_false(database_has_window(fixture->database, 0, fixture->now));
+    set_running(fixture, 0);
+    g_assert_true(database_has_capacity(fixture->database, 0, fixture->now));
+    set_running(fixture, 1);
+    g_assert_false(database_has_capacity(fixture->database, 0, fixture->now));
 }
 
-/* It grows with what is run, about one statement for each two rounds, without end. */
+/* Answers widen the window, by about one statement for each two rounds, until it does not limit. */
 static void
 test_widens(fixture_t *fixture, gconstpointer unused)
 {
-    run(fixture, 4);
-    database_narrow(fixture->database, fixture->now);
-    run(fixture, 5);
-    g_assert_false(database_has_window(fixture->database, 0, fixture->now));
+    set_running(fixture, 4);
+    database_narrow_window(fixture->database, fixture->now);
+    set_running(fixture, 5);
+    g_assert_false(database_has_capacity(fixture->database, 0, fixture->now));
     for (unsigned i = 0; i < 40; i++) {
-        database_answered_statement(fixture->database, 0, fixture->now);
+        database_note_statement_answer(fixture->database, 0, fixture->now);
     }
-    g_assert_true(database_has_window(fixture->database, 0, fixture->now));
-    run(fixture, 10);
-    g_assert_false(database_has_window(fixture->database, 0, fixture->now));
+    g_assert_true(database_has_capacity(fixture->database, 0, fixture->now));
+    set_running(fixture, 10);
+    g_assert_false(database_has_capacity(fixture->database, 0, fixture->now));
     for (unsigned i = 0; i < 10000; i++) {
-        database_answered_statement(fixture->database, 0, fixture->now);
+        database_note_statement_answer(fixture->database, 0, fixture->now);
     }
-    run(fixture, SERVERS);
-    g_assert_true(database_has_window(fixture->database, 0, fixture->now));
+    set_running(fixture, SERVERS);
+    g_assert_true(database_has_capacity(fixture->database, 0, fixture->now));
 }
 
 #define ADD(name, test)                                                                            \
