--- a/src/pooler/control/control_internal.h
+++ b/src/pooler/control/control_internal.h
@@ -22,8 +22,8 @@
 #include "pooler/shared/peer.h"
 #include "pooler/control/probe_server.h"
 #include "pooler/control/promotion.h"
-#include "pooler/control/opinion.h"
-#include "pooler/control/push_pace.h"
+#include "pooler/control/fault_report.h"
+#include "pooler/control/push_limiter.h"
 #include "pooler/control/store.h"
 #include "pooler/control/zone_reach.h"
 #include "pooler/shared/view.h"
@@ -648,7 +648,7 @@
 void control_coordinator_wake(struct control *control);
 /** @return when the groups are to be looked at next; UINT64_MAX: with the next tick. */
 time_ns control_coordinator_due(const struct control *control);
-/* control_succession.c */
+/* control_lease_handover.c */
 /* Leaves the lease to a pooler that the store answers, or to any at a planned stop. False if there
  * is none. */
 bool control_coordinator_cede(struct control *control, bool planned);
@@ -666,7 +666,7 @@
 /** @return how many poolers share the databases' connections, as the coordinator counts them. */
 uint32_t control_coordinator_count(const struct control *control);
 
-/* control_survey.c */
+/* control_reports.c */
 /** @brief Sums up what all poolers have told, into the groups and the versions of orders. */
 void control_survey(struct control *control, time_ns now);
 /** @brief Counts whose opinion of the group's primary matters, where there is one. */
--- a/src/pooler/control/opinion.c
+++ b/src/pooler/control/fault_report.c
@@ -1,5 +1,5 @@
 /* Whether a fault that a pooler reports of a database counts; see the header. */
-#include "pooler/control/opinion.h"
+#include "pooler/control/fault_report.h"
 
 #define MS NANOSECONDS_PER_MILLISECOND
 
--- a/src/pooler/control/push_pace.c
+++ b/src/pooler/control/push_limiter.c
@@ -1,5 +1,5 @@
 /* The pace of news to all poolers; see the header. */
-#include "pooler/control/push_pace.h"
+#include "pooler/control/push_limiter.h"
 
 #include <glib.h>
 
--- a/tests/pooler/test_opinion.c
+++ b/tests/pooler/test_fault_report.c
@@ -1,7 +1,7 @@
 /* What poolers say of databases, where they were away themselves. */
 #include <glib.h>
 
-#include "pooler/control/opinion.h"
+#include "pooler/control/fault_report.h"
 
 #define MS     NANOSECONDS_PER_MILLISECOND
 #define SECOND NANOSECONDS_PER_SECOND
--- a/tests/pooler/test_push_pace.c
+++ b/tests/pooler/test_push_limiter.c
@@ -2,7 +2,7 @@
  * @file
  * @brief The pace at which a coordinator tells all poolers what is new.
  */
-#include "pooler/control/push_pace.h"
+#include "pooler/control/push_limiter.h"
 
 #include <glib.h>
 
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -49,7 +49,7 @@
      "if (under_way || group->primary == NULL || now < group->check_again_at) {", "if (under_way || now != 0) {"),
     ("rows relayed from the coordinator", "src/pooler/control/control_reliance.c",
      "return !control->lease.held && !control->follows_store && now <= control->relied_until;", "return false;"),
-    ("lease left to another pooler", "src/pooler/control/control_succession.c", "if (successor == NULL) {",
+    ("lease left to another pooler", "src/pooler/control/control_lease_handover.c", "if (successor == NULL) {",
      "if (successor == NULL || planned || !planned) {"),
     ("lease left where the store refuses", "src/pooler/control/control_lease.c",
      "return control->lease.held && control_lease_overdue(control, now) > FAILING_NS;",
