--- a/src/pooler/control/control_coordinator.c
+++ b/src/pooler/control/control_coordinator.c
@@ -166,7 +166,7 @@
         control_relay_is_confirmed(pooler) && (here.configuration > pooler->known.configuration ||
                                                here.directory > pooler->known.directory);
     return rows || pooler->orders_sent < control->orders_version ||
-           pooler->fleet_told < control_fleet_version(control) ||
+           pooler->fleet_sent < control_fleet_version(control) ||
            pooler->followers_told != control->followers_version;
 }
 
@@ -226,12 +226,12 @@
     g_hash_table_remove_all(pooler->reports);
     g_hash_table_insert(control->introduced, peer, pooler);
     pooler->peer = peer;
-    pooler->ended = false;
+    pooler->process_ended = false;
     pooler->known = pooler->confirmed = (row_versions_t){0};
-    pooler->fleet_told = heartbeat->fleet_version;
-    pooler->fleet_known = 0;
+    pooler->fleet_sent = heartbeat->fleet_version;
+    pooler->fleet_reported = 0;
     pooler->followers_told = 0;
-    pooler->mirrors_told = 0;
+    pooler->mirrors_sent = 0;
     pooler->orders_sent = 0;
 }
 
@@ -272,8 +272,8 @@
     take_relay(control, pooler, heartbeat);
     contact_note(&pooler->contact, now);
     control_reach_heard(control, pooler->zone, now);
-    pooler->fleet_known = heartbeat->fleet_version;
-    pooler->fleet_known_as_of = heartbeat->grant_stamp;
+    pooler->fleet_reported = heartbeat->fleet_version;
+    pooler->fleet_reported_as_of = heartbeat->grant_stamp;
     pooler->stopping = heartbeat->stopping;
     pooler->store_age_ms = heartbeat->store_age_ms;
     pooler->lacks_store = heartbeat->lacks_store;
@@ -318,10 +318,10 @@
     struct pooler_peer *pooler = g_hash_table_lookup(control->introduced, peer);
     if (pooler != NULL) {
         pooler->peer = NULL;
-        pooler->ended = backend_now() < pooler->contact.heard_at + ENDED_WITHIN_NS;
+        pooler->process_ended = backend_now() < pooler->contact.last_heartbeat_at + ENDED_WITHIN_NS;
         g_hash_table_remove(control->introduced, peer);
     }
-    g_hash_table_remove(control->listeners, peer);
+    g_hash_table_remove(control->unconfirmed_rows, peer);
     control_mirrors_forget(control, peer);
     g_ptr_array_remove_fast(control->connected, peer);
 }
@@ -343,7 +343,7 @@
     control->pooler_callbacks = (struct peer_callbacks){on_frame, on_closed, control};
     control->poolers = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, pooler_free);
     control->introduced = g_hash_table_new(g_direct_hash, g_direct_equal);
-    control->listeners = g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, g_free);
+    control->unconfirmed_rows = g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, g_free);
     control->connected = g_ptr_array_new();
     struct sockaddr_in address;
     parse_address(control->settings->pooler.peer_listen, &address);
@@ -366,7 +366,7 @@
         peer_free(peer);
     }
     g_ptr_array_unref(control->connected);
-    g_hash_table_unref(control->listeners);
+    g_hash_table_unref(control->unconfirmed_rows);
     g_hash_table_unref(control->introduced);
     g_hash_table_unref(control->poolers);
     event_free(control->acceptable);
@@ -416,7 +416,7 @@
     gpointer value = NULL;
     uint32_t receivers = 0;
     uint64_t before = control_counts_sent(&control->counts);
-    control->rows_learned = false;
+    control->rows_to_push = false;
     control->push_wanted = false;
     g_hash_table_iter_init(&iterator, control->poolers);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
@@ -436,7 +436,7 @@
 may_push(struct control *control, time_ns now)
 {
     double link_bytes_per_s = control->settings->pooler.link_mbps * BYTES_PER_MEGABIT;
-    return (control->rows_learned || control->push_wanted) &&
+    return (control->rows_to_push || control->push_wanted) &&
            push_pace_may(&control->push_pace, link_bytes_per_s, now);
 }
 
@@ -446,7 +446,7 @@
 {
     if (pooler->peer != NULL) {
         g_hash_table_remove(control->introduced, pooler->peer);
-        g_hash_table_remove(control->listeners, pooler->peer);
+        g_hash_table_remove(control->unconfirmed_rows, pooler->peer);
         control_mirrors_forget(control, pooler->peer);
         g_ptr_array_remove_fast(control->connected, pooler->peer);
         peer_free(pooler->peer);
@@ -477,7 +477,7 @@
     g_hash_table_iter_init(&iterator, control->poolers);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct pooler_peer *pooler = value;
-        if (now > pooler->contact.heard_at + POOLER_FORGOTTEN_NS) {
+        if (now > pooler->contact.last_heartbeat_at + POOLER_FORGOTTEN_NS) {
             g_message("Pooler %s is no longer heard.", pooler->name);
             drop_connection(control, pooler);
             g_hash_table_iter_remove(&iterator);
--- a/src/pooler/control/control_fleet.c
+++ b/src/pooler/control/control_fleet.c
@@ -227,9 +227,9 @@
         return;
     }
     g_hash_table_insert(hearing->known, pooler->forward_address, (gpointer)pooler);
-    if (pooler->stopping || (pooler->peer == NULL && pooler->ended)) {
+    if (pooler->stopping || (pooler->peer == NULL && pooler->process_ended)) {
         g_hash_table_add(hearing->ended, pooler->forward_address);
-    } else if (pooler->peer != NULL && now < pooler->contact.heard_at + OWNER_HEARD_NS) {
+    } else if (pooler->peer != NULL && now < pooler->contact.last_heartbeat_at + OWNER_HEARD_NS) {
         g_hash_table_add(hearing->heard, pooler->forward_address);
     }
 }
@@ -358,8 +358,8 @@
     roster_standing_t standing = {.away = member->gone,
                                   .away_since = settled_since(control, member, now)};
     if (pooler != NULL) {
-        standing.confirmed = pooler->fleet_known;
-        standing.confirmed_as_of = pooler->fleet_known_as_of;
+        standing.confirmed = pooler->fleet_reported;
+        standing.confirmed_as_of = pooler->fleet_reported_as_of;
     }
     return standing;
 }
--- a/src/pooler/control/control_groups.c
+++ b/src/pooler/control/control_groups.c
@@ -330,7 +330,7 @@
 static bool
 has_left(const struct failover *failover, struct directory_entry *entry)
 {
-    if (entry->stays_away && failover_finds_gone(failover, entry->id, entry->gone_at)) {
+    if (entry->stays_away && failover_finds_gone(failover, entry->id, entry->deleted_at)) {
         entry->left = true;
     }
     return entry->left;
--- a/src/pooler/control/control_internal.h
+++ b/src/pooler/control/control_internal.h
@@ -132,10 +132,10 @@
 };
 
 /** @brief What a pooler has told the coordinator of a group on this connection. */
-typedef struct told_report {
+typedef struct reported_state {
     size_t faults;
     uint32_t in_flight;
-} told_report_t;
+} reported_state_t;
 
 /** @brief All that a group's published view is made of, as far as it changes. Equal inputs make
  *  an equal view. Compared as bytes. */
@@ -157,7 +157,7 @@
     enum group_phase phase;
     char *primary;
     uint64_t term;
-    told_report_t told;
+    reported_state_t reported;
     struct pooled_group *view; /* as last published, with one reference; NULL: not yet */
     view_inputs_t view_inputs; /* it was made of */
 };
@@ -194,17 +194,17 @@
     contact_t contact;
     time_ns permit_until; /* the last permit it was given ends by then */
     bool stopping;
-    bool ended; /* its connection broke while it was well: its process has ended */
+    bool process_ended; /* its connection broke while it was well: its process has ended */
     uint32_t store_age_ms;
     char *zone;
     char *forward_address;
     uint32_t workers;
-    uint32_t millicores;       /* processor that its machine grants */
-    uint64_t fleet_told;       /* up to this version */
-    uint64_t fleet_known;      /* the version that its last heartbeat told */
-    time_ns fleet_known_as_of; /* which it sent after this; 0: not known */
-    uint64_t orders_sent;      /* on this connection, up to this version */
-    uint64_t orders_followed;  /* by all its workers, up to this version */
+    uint32_t millicores;          /* processor that its machine grants */
+    uint64_t fleet_sent;          /* up to this version */
+    uint64_t fleet_reported;      /* the version that its last heartbeat told */
+    time_ns fleet_reported_as_of; /* which it sent after this; 0: not known */
+    uint64_t orders_sent;         /* on this connection, up to this version */
+    uint64_t orders_followed;     /* by all its workers, up to this version */
     row_versions_t known;     /* what it knows of the store's tables, once what was sent has come */
     row_versions_t confirmed; /* what it says that it knows */
     time_ns rows_wait_since;  /* it lacks rows that wait for the link; 0: it does not */
@@ -216,7 +216,7 @@
     bool takes_deltas;       /* it takes rows that are told by their difference */
     bool takes_news;         /* it takes orders and members that are told packed */
     uint64_t followers_told; /* up to this version */
-    uint64_t mirrors_told;   /* the same */
+    uint64_t mirrors_sent;   /* the same */
     char *peer_address;      /* where it takes messages of other poolers */
     GHashTable *reports;     /* service -> struct pooler_group_report, where there is something to
                                 report */
@@ -332,11 +332,11 @@
     int listener;
     struct event *acceptable;
     struct peer_callbacks pooler_callbacks;
-    GHashTable *poolers;    /* name -> struct pooler_peer */
-    GHashTable *introduced; /* struct peer -> struct pooler_peer, not owned */
-    GHashTable *listeners;  /* struct peer -> row_versions_t, sent and not confirmed yet */
-    GPtrArray *connected;   /* of struct peer, accepted */
-    GHashTable *controlled; /* service -> struct controlled_group */
+    GHashTable *poolers;          /* name -> struct pooler_peer */
+    GHashTable *introduced;       /* struct peer -> struct pooler_peer, not owned */
+    GHashTable *unconfirmed_rows; /* struct peer -> row_versions_t, sent and not confirmed yet */
+    GPtrArray *connected;         /* of struct peer, accepted */
+    GHashTable *controlled;       /* service -> struct controlled_group */
     struct failover_actions failover_actions;
     uint64_t orders_version; /* rises with each order of any group; holds the lease's token */
     push_pace_t push_pace;
@@ -360,7 +360,7 @@
     time_ns thin_since;       /* many of it have been missing since then; 0: they are not */
     GHashTable *fresh;    /* of forward addresses: poolers heard lately, by this survey; empty until
                              asked for */
-    bool rows_learned;    /* and not yet told to the poolers */
+    bool rows_to_push;    /* and not yet told to the poolers */
     time_ns followers_at; /* when the followers of the store were chosen */
     GPtrArray *followers; /* their peer addresses, as chosen here or told last */
     uint64_t followers_version; /* rises with each choice that changes them */
@@ -599,9 +599,9 @@
 /** @return for how long the holder's renewal has been due without being done. */
 time_ns control_lease_overdue(const struct control *control, time_ns now);
 /* Looks at the lease at once, as this pooler may take it. */
-void control_lease_invite(struct control *control);
+void control_lease_check_now(struct control *control);
 /* The holder under this token has left the lease to us. */
-void control_lease_ceded(struct control *control, uint64_t token);
+void control_lease_accept_handover(struct control *control, uint64_t token);
 /* True if the store does not answer the holder, so that the lease had better go to another. */
 bool control_lease_is_failing(const struct control *control, time_ns now);
 /* The lease is no longer ours. */
--- a/src/pooler/control/control_lease.c
+++ b/src/pooler/control/control_lease.c
@@ -606,7 +606,7 @@
 }
 
 void
-control_lease_invite(struct control *control)
+control_lease_check_now(struct control *control)
 {
     control->lease.next_at = 0;
     control->lease.invited = true;
@@ -614,13 +614,13 @@
 }
 
 void
-control_lease_ceded(struct control *control, uint64_t token)
+control_lease_accept_handover(struct control *control, uint64_t token)
 {
     g_message("The lease under token %" PRIu64 " is left to us.", token);
     control->lease.ceded_token = token;
     control->lease.cessions++;
     control->granted_at = 0;
-    control_lease_invite(control);
+    control_lease_check_now(control);
 }
 
 void
--- a/src/pooler/control/control_lease_handover.c
+++ b/src/pooler/control/control_lease_handover.c
@@ -19,7 +19,7 @@
 static uint64_t
 store_age_ms(const struct pooler_peer *pooler, time_ns now)
 {
-    return pooler->store_age_ms + (now - pooler->contact.heard_at) / MS;
+    return pooler->store_age_ms + (now - pooler->contact.last_heartbeat_at) / MS;
 }
 
 bool
@@ -44,7 +44,7 @@
         struct pooler_peer *pooler = value;
         bool good = pooler->peer != NULL && !pooler->stopping &&
                     g_strcmp0(pooler->name, control->settings->pooler.name) != 0 &&
-                    now < pooler->contact.heard_at + SUCCESSOR_HEARD_NS &&
+                    now < pooler->contact.last_heartbeat_at + SUCCESSOR_HEARD_NS &&
                     store_age_ms(pooler, now) < age_max_ms;
         if (good && control_coordinator_prefers(pooler, best, now)) {
             best = pooler;
--- a/src/pooler/control/control_member.c
+++ b/src/pooler/control/control_member.c
@@ -110,9 +110,9 @@
 static bool
 is_news(struct group_state *group, const struct pooler_group_report *report)
 {
-    const told_report_t now = {report->faults_count, report->in_flight};
-    const told_report_t before = group->told;
-    group->told = now;
+    const reported_state_t now = {report->faults_count, report->in_flight};
+    const reported_state_t before = group->reported;
+    group->reported = now;
     return now.in_flight != before.in_flight || now.faults > 0 || before.faults > 0;
 }
 
@@ -124,7 +124,7 @@
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, control->groups);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        ((struct group_state *)value)->told = (told_report_t){0};
+        ((struct group_state *)value)->reported = (reported_state_t){0};
     }
 }
 
@@ -152,7 +152,7 @@
 is_quiet(const struct control *control, const struct group_state *group)
 {
     bool resting = group->phase == GROUP_PHASE_OPEN || in_flight(control, group) == 0;
-    return resting && group->told.faults == 0 && group->told.in_flight == 0 &&
+    return resting && group->reported.faults == 0 && group->reported.in_flight == 0 &&
            atomic_load(&group->shared->faults) == 0;
 }
 
@@ -373,7 +373,7 @@
 {
     time_ns now = backend_now();
     if (grant->cedes) {
-        control_lease_ceded(control, grant->token);
+        control_lease_accept_handover(control, grant->token);
         return true;
     }
     if (grant->token != 0) {
@@ -390,7 +390,7 @@
     const char *address = grant->coordinator_address;
     if (g_strcmp0(address, control->address) == 0 && !control->lease.held) {
         /* An earlier life of this pooler holds the lease, which only this one may take at once. */
-        control_lease_invite(control);
+        control_lease_check_now(control);
         return false;
     }
     if (control_member_moves(control, address, now)) {
--- a/src/pooler/control/control_mirrors.c
+++ b/src/pooler/control/control_mirrors.c
@@ -113,9 +113,9 @@
 control_mirrors_tell(const struct control *control, struct pooler_peer *pooler,
                      struct pooler_grant *grant)
 {
-    if (pooler->mirrors_told != control->mirrors.version) {
+    if (pooler->mirrors_sent != control->mirrors.version) {
         grant->mirrors_count = control_mirrors_copy(control, &grant->mirrors);
-        pooler->mirrors_told = control->mirrors.version;
+        pooler->mirrors_sent = control->mirrors.version;
     }
 }
 
--- a/src/pooler/control/control_news.c
+++ b/src/pooler/control/control_news.c
@@ -172,14 +172,14 @@
 control_news_fill(struct control *control, struct pooler_peer *pooler, struct pooler_grant *grant)
 {
     uint64_t orders_from = pooler->orders_sent;
-    uint64_t fleet_from = pooler->fleet_told;
+    uint64_t fleet_from = pooler->fleet_sent;
     uint64_t fleet = control_fleet_version(control);
     grant->orders_version = control->orders_version;
     if (orders_from >= control->orders_version && fleet_from >= fleet) {
         return;
     }
     pooler->orders_sent = MAX(orders_from, control->orders_version);
-    pooler->fleet_told = MAX(fleet_from, fleet);
+    pooler->fleet_sent = MAX(fleet_from, fleet);
     forget_outdated(&control->news, control->orders_version, fleet);
     if (pooler->takes_news &&
         use_packed(find_packed(&control->news, orders_from, fleet_from), grant)) {
--- a/src/pooler/control/control_relay.c
+++ b/src/pooler/control/control_relay.c
@@ -390,7 +390,7 @@
 {
     const row_versions_t known = {heartbeat->relay.configuration_row,
                                   heartbeat->relay.directory_row};
-    const row_versions_t *sent = g_hash_table_lookup(control->listeners, peer);
+    const row_versions_t *sent = g_hash_table_lookup(control->unconfirmed_rows, peer);
     bool confirmed = sent == NULL || (known.configuration >= sent->configuration &&
                                       known.directory >= sent->directory);
     if (!confirmed || row_bytes(control, now) <= 0) {
@@ -402,7 +402,7 @@
     pay_for_rows(control, relay);
     row_versions_t *noted = g_new(row_versions_t, 1);
     *noted = (row_versions_t){relay->configuration_row, relay->directory_row};
-    g_hash_table_replace(control->listeners, peer, noted);
+    g_hash_table_replace(control->unconfirmed_rows, peer, noted);
 }
 
 /* Tells the versions known here also of tables whose rows were too large to offer; who lacks those
--- a/src/pooler/control/control_rows.c
+++ b/src/pooler/control/control_rows.c
@@ -115,7 +115,7 @@
 {
     struct directory_entry *entry = value == NULL ? NULL : read_record(control, id, version, value);
     const char *change = change_of(entry, value);
-    if (directory_take(&control->directory, id, version, entry, backend_now())) {
+    if (directory_apply_row(&control->directory, id, version, entry, backend_now())) {
         g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_INFO, "SW_DATABASE", id, "MESSAGE",
                          "Database %s: its record %s.", id, change);
         control->view_dirty = true;
@@ -190,7 +190,7 @@
 static void
 take_evacuation(struct control *control, const char *zone, bool evacuated)
 {
-    if (evacuations_take(&control->evacuations, zone, evacuated, backend_now())) {
+    if (evacuations_set(&control->evacuations, zone, evacuated, backend_now())) {
         g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_MESSAGE, "SW_ZONE", zone, "MESSAGE",
                          evacuated ? "Zone %s is evacuated: its databases get no work."
                                    : "Zone %s is taken back.",
@@ -223,11 +223,11 @@
     }
     control_era_note(control, store_era(version), 0);
     if (known != NULL && keep_row(feed, known, version, value)) {
-        control->rows_learned = control->rows_learned || table != STORE_TABLE_CONTROL;
+        control->rows_to_push = control->rows_to_push || table != STORE_TABLE_CONTROL;
         return;
     }
     remember(feed, key, version, value);
-    control->rows_learned = control->rows_learned || table != STORE_TABLE_CONTROL;
+    control->rows_to_push = control->rows_to_push || table != STORE_TABLE_CONTROL;
     if (table == STORE_TABLE_DIRECTORY) {
         take_directory_row(control, key, version, value);
     } else if (table == STORE_TABLE_CONFIGURATION) {
--- a/src/pooler/control/control_view.c
+++ b/src/pooler/control/control_view.c
@@ -175,7 +175,7 @@
     uint64_t digest = entries->len;
     for (guint i = 0; i < entries->len; i++) {
         const struct directory_entry *entry = g_ptr_array_index(entries, i);
-        const uint64_t state[] = {entry->version, entry->gone_at,
+        const uint64_t state[] = {entry->version, entry->deleted_at,
                                   control_takes_work(control, entry, now),
                                   phase_of(control, entry, now), g_str_hash(entry->id)};
         digest ^= XXH3_64bits(state, sizeof state);
--- a/src/pooler/control/directory.c
+++ b/src/pooler/control/directory.c
@@ -56,7 +56,7 @@
     const GPtrArray *entries = directory_group(directory, service);
     for (guint i = 0; i < entries->len; i++) {
         const struct directory_entry *entry = g_ptr_array_index(entries, i);
-        if (!entry->leads || entry->gone_at != 0) {
+        if (!entry->leads || entry->deleted_at != 0) {
             continue;
         }
         if (found != NULL) {
@@ -86,7 +86,7 @@
     if (group->len == 0) {
         g_hash_table_remove(directory->groups, entry->service);
     }
-    directory->gone -= entry->gone_at != 0;
+    directory->gone -= entry->deleted_at != 0;
 }
 
 static bool
@@ -101,10 +101,10 @@
 static bool
 mark_gone(struct directory *directory, struct directory_entry *known, uint64_t version, time_ns now)
 {
-    bool changed = known->gone_at == 0;
+    bool changed = known->deleted_at == 0;
     known->version = version;
     if (changed) {
-        known->gone_at = now;
+        known->deleted_at = now;
         directory->gone++;
     }
     return changed;
@@ -119,8 +119,8 @@
 }
 
 bool
-directory_take(struct directory *directory, const char *id, uint64_t version,
-               struct directory_entry *entry, time_ns now)
+directory_apply_row(struct directory *directory, const char *id, uint64_t version,
+                    struct directory_entry *entry, time_ns now)
 {
     struct directory_entry *known = g_hash_table_lookup(directory->entries, id);
     if (known != NULL && known->version >= version) {
@@ -135,8 +135,8 @@
         directory_entry_free(entry);
         return false;
     }
-    bool changed = known == NULL || known->gone_at != 0 || !same_content(known, entry);
-    bool starts = known == NULL || known->gone_at != 0 || known->born_ms != entry->born_ms;
+    bool changed = known == NULL || known->deleted_at != 0 || !same_content(known, entry);
+    bool starts = known == NULL || known->deleted_at != 0 || known->born_ms != entry->born_ms;
     entry->version = version;
     entry->stands_since = starts ? now : known->stands_since;
     if (known != NULL) {
@@ -157,7 +157,7 @@
     if (known->born_ms != entry->born_ms) {
         return is_of_earlier_life(known, entry);
     }
-    return known->gone_at != 0 || known->sequence >= entry->sequence;
+    return known->deleted_at != 0 || known->sequence >= entry->sequence;
 }
 
 void
@@ -175,8 +175,8 @@
     if (entry->draining) {
         return true;
     }
-    return entry->gone_at != 0 &&
-           now >= entry->gone_at + heartbeat * DIRECTORY_GONE_AFTER_HEARTBEATS;
+    return entry->deleted_at != 0 &&
+           now >= entry->deleted_at + heartbeat * DIRECTORY_GONE_AFTER_HEARTBEATS;
 }
 
 /* True if another database of the zone stood in the directory for so long until `as_of`. */
@@ -189,7 +189,7 @@
     g_hash_table_iter_init(&iterator, directory->entries);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct directory_entry *entry = value;
-        bool stood = entry->gone_at == 0 && as_of >= entry->stands_since + wait;
+        bool stood = entry->deleted_at == 0 && as_of >= entry->stands_since + wait;
         if (stood && g_str_equal(entry->zone, gone->zone)) {
             return true;
         }
@@ -209,8 +209,8 @@
     g_hash_table_iter_init(&iterator, directory->entries);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct directory_entry *entry = value;
-        bool away = entry->draining && !entry->leads && entry->gone_at != 0 &&
-                    as_of >= entry->gone_at + wait;
+        bool away = entry->draining && !entry->leads && entry->deleted_at != 0 &&
+                    as_of >= entry->deleted_at + wait;
         if (away && !entry->stays_away) {
             entry->stays_away = zone_stood(directory, entry, as_of, wait);
         }
@@ -229,7 +229,7 @@
     g_hash_table_iter_init(&iterator, directory->entries);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct directory_entry *entry = value;
-        if (entry->gone_at != 0 && now >= entry->gone_at + age) {
+        if (entry->deleted_at != 0 && now >= entry->deleted_at + age) {
             leave_group(directory, entry);
             g_hash_table_iter_remove(&iterator);
         }
--- a/src/pooler/control/directory.h
+++ b/src/pooler/control/directory.h
@@ -28,7 +28,7 @@
     uint64_t born_ms;     /* when it started, by its own clock, since 1970; 0: not told */
     uint64_t sequence;    /* counts the database's writes since it started */
     uint64_t version;     /* of the row */
-    time_ns gone_at;      /* when the row was seen to be gone; 0 while it stands */
+    time_ns deleted_at;   /* when the row was seen to be gone; 0 while it stands */
     time_ns stands_since; /* when the row was first seen, or seen again after it was gone */
     bool stays_away;      /* its row stays gone though it could renew it: directory_note_left() */
     bool left;            /* and it does not answer the coordinator: no longer a member */
@@ -46,8 +46,8 @@
 /* Takes one row; `entry` (taken over) is NULL if the row is gone, or names no database that can be
  * used. True if anything but the row's version changed. Older rows than the known one are dropped,
  * and what a database wrote before it started again counts as nothing new. */
-bool directory_take(struct directory *directory, const char *id, uint64_t version,
-                    struct directory_entry *entry, time_ns now);
+bool directory_apply_row(struct directory *directory, const char *id, uint64_t version,
+                         struct directory_entry *entry, time_ns now);
 
 /**
  * @brief Whether what is known of a database is newer than a record of it, by the database's own
--- a/src/pooler/control/evacuation.c
+++ b/src/pooler/control/evacuation.c
@@ -7,7 +7,7 @@
 
 typedef struct evacuation {
     time_ns since;
-    time_ns gone_at; /* the request is gone since then; 0: it stands */
+    time_ns deleted_at; /* the request is gone since then; 0: it stands */
 } evacuation_t;
 
 void
@@ -26,19 +26,19 @@
 static bool
 is_over(const evacuation_t *evacuation, time_ns now)
 {
-    return evacuation->gone_at != 0 && now >= evacuation->gone_at + TAKEN_BACK_AFTER_NS;
+    return evacuation->deleted_at != 0 && now >= evacuation->deleted_at + TAKEN_BACK_AFTER_NS;
 }
 
 bool
-evacuations_take(evacuations_t *evacuations, const char *zone, bool evacuated, time_ns now)
+evacuations_set(evacuations_t *evacuations, const char *zone, bool evacuated, time_ns now)
 {
     evacuation_t *evacuation = g_hash_table_lookup(evacuations->zones, zone);
-    bool stood = evacuation != NULL && evacuation->gone_at == 0;
+    bool stood = evacuation != NULL && evacuation->deleted_at == 0;
     if (evacuated == stood) {
         return false;
     }
     if (!evacuated) {
-        evacuation->gone_at = now;
+        evacuation->deleted_at = now;
         return true;
     }
     if (evacuation == NULL) {
@@ -48,7 +48,7 @@
     } else if (is_over(evacuation, now)) {
         evacuation->since = now;
     }
-    evacuation->gone_at = 0;
+    evacuation->deleted_at = 0;
     return true;
 }
 
--- a/src/pooler/control/evacuation.h
+++ b/src/pooler/control/evacuation.h
@@ -34,7 +34,7 @@
 
 /** @brief Takes over that a zone is to be evacuated, or no more.
  *  @return true if that is news. */
-bool evacuations_take(evacuations_t *evacuations, const char *zone, bool evacuated, time_ns now);
+bool evacuations_set(evacuations_t *evacuations, const char *zone, bool evacuated, time_ns now);
 
 /** @return the phase of the zone's evacuation. */
 evacuation_phase_t evacuations_phase(const evacuations_t *evacuations, const char *zone,
--- a/src/pooler/control/failover.c
+++ b/src/pooler/control/failover.c
@@ -111,12 +111,13 @@
 }
 
 bool
-failover_finds_gone(const struct failover *failover, const char *id, time_ns gone_at)
+failover_finds_gone(const struct failover *failover, const char *id, time_ns deleted_at)
 {
     const struct failover_member *member = failover_find(failover, id);
     bool may_lead =
         g_strcmp0(failover->primary, id) == 0 || g_strcmp0(failover->candidate, id) == 0;
-    return member != NULL && !may_lead && member->failures > 0 && member->unanswered_at >= gone_at;
+    return member != NULL && !may_lead && member->failures > 0 &&
+           member->unanswered_at >= deleted_at;
 }
 
 bool
--- a/src/pooler/control/failover.h
+++ b/src/pooler/control/failover.h
@@ -147,9 +147,9 @@
 /* The member has left the directory for good. */
 void failover_remove_member(struct failover *failover, const char *id);
 struct failover_member *failover_find(const struct failover *failover, const char *id);
-/* True if the member may be taken for gone after its row went at `gone_at`: a command sent to it
+/* True if the member may be taken for gone after its row went at `deleted_at`: a command sent to it
  * since then had no answer, and it is neither the primary nor the candidate. */
-bool failover_finds_gone(const struct failover *failover, const char *id, time_ns gone_at);
+bool failover_finds_gone(const struct failover *failover, const char *id, time_ns deleted_at);
 
 /* Starts from what an earlier coordinator recorded: a promotion that may be under way. */
 void failover_continue(struct failover *failover, const char *candidate, uint64_t term,
--- a/src/pooler/control/fault_report.c
+++ b/src/pooler/control/fault_report.c
@@ -17,23 +17,23 @@
 void
 contact_note(contact_t *contact, time_ns now)
 {
-    bool first = contact->heard_at == 0;
+    bool first = contact->last_heartbeat_at == 0;
     if (first ? now > contact->listened_at + FOUND_NS : !contact_is_fresh(contact, now)) {
         contact->returned_at = now;
     }
-    contact->heard_at = now;
+    contact->last_heartbeat_at = now;
 }
 
 bool
 contact_is_fresh(const contact_t *contact, time_ns now)
 {
-    return now <= contact->heard_at + FRESH_NS;
+    return now <= contact->last_heartbeat_at + FRESH_NS;
 }
 
 bool
 opinion_counts(const contact_t *contact, uint32_t age_ms, time_ns now)
 {
     bool lately = contact->returned_at != 0 && now < contact->returned_at + LOOKED_AGAIN_NS;
-    bool began_before = contact->heard_at < contact->returned_at + age_ms * MS;
+    bool began_before = contact->last_heartbeat_at < contact->returned_at + age_ms * MS;
     return !lately || !began_before;
 }
--- a/src/pooler/control/fault_report.h
+++ b/src/pooler/control/fault_report.h
@@ -18,8 +18,8 @@
 
 /** @brief When the coordinator heard a pooler. Belongs to the control thread. */
 typedef struct contact {
-    time_ns listened_at; /**< when this coordinator began to listen to poolers */
-    time_ns heard_at;    /**< when the last heartbeat came; 0: none has */
+    time_ns listened_at;       /**< when this coordinator began to listen to poolers */
+    time_ns last_heartbeat_at; /**< when the last heartbeat came; 0: none has */
     time_ns returned_at; /**< when a heartbeat last came after a silence; 0: it never was silent */
 } contact_t;
 
--- a/tests/pooler/test_directory.c
+++ b/tests/pooler/test_directory.c
@@ -20,7 +20,7 @@
 take(struct directory *directory, const char *id, uint64_t version, bool draining, time_ns now)
 {
     struct directory_entry *taken = entry(id, draining);
-    return directory_take(directory, id, version, taken, now);
+    return directory_apply_row(directory, id, version, taken, now);
 }
 
 static const struct directory_entry *
@@ -67,7 +67,7 @@
     struct directory directory;
     directory_init(&directory);
     take(&directory, "a", 1, false, 0);
-    g_assert_true(directory_take(&directory, "a", 2, NULL, 1000 * MS));
+    g_assert_true(directory_apply_row(&directory, "a", 2, NULL, 1000 * MS));
     g_assert_false(directory_entry_leaves(find(&directory, "a"), 3300 * MS, HEARTBEAT));
     g_assert_true(directory_entry_leaves(find(&directory, "a"), 3400 * MS, HEARTBEAT));
     g_assert_true(take(&directory, "a", 3, false, 3500 * MS));
@@ -82,7 +82,7 @@
     directory_init(&directory);
     take(&directory, "a", 1, false, 0);
     take(&directory, "b", 2, false, 0);
-    directory_take(&directory, "a", 3, NULL, 1000 * MS);
+    directory_apply_row(&directory, "a", 3, NULL, 1000 * MS);
     g_assert_false(directory_forget(&directory, 1500 * MS, 1000 * MS));
     g_assert_true(directory_forget(&directory, 2000 * MS, 1000 * MS));
     g_assert_null(find(&directory, "a"));
@@ -124,12 +124,12 @@
         struct directory directory;
         directory_init(&directory);
         take(&directory, "a", 1, departure->draining, 500 * MS);
-        directory_take(&directory, "a", 2, NULL, 10000 * MS);
+        directory_apply_row(&directory, "a", 2, NULL, 10000 * MS);
         if (departure->other_since != 0) {
             take(&directory, "b", 3, false, departure->other_since);
         }
         if (departure->other_gone != 0) {
-            directory_take(&directory, "b", 4, NULL, departure->other_gone);
+            directory_apply_row(&directory, "b", 4, NULL, departure->other_gone);
         }
         if (departure->back) {
             take(&directory, "a", 5, departure->draining, 15000 * MS);
@@ -148,9 +148,9 @@
     struct directory_entry *primary = entry("a", true);
     primary->leads = true;
     directory_init(&directory);
-    directory_take(&directory, "a", 1, primary, 500 * MS);
+    directory_apply_row(&directory, "a", 1, primary, 500 * MS);
     take(&directory, "b", 2, false, 500 * MS);
-    directory_take(&directory, "a", 3, NULL, 10000 * MS);
+    directory_apply_row(&directory, "a", 3, NULL, 10000 * MS);
     directory_note_left(&directory, 15000 * MS, HEARTBEAT);
     g_assert_false(find(&directory, "a")->stays_away);
     directory_clear(&directory);
@@ -164,9 +164,9 @@
     directory_init(&directory);
     take(&directory, "a", 1, true, 500 * MS);
     take(&directory, "b", 2, false, 500 * MS);
-    directory_take(&directory, "a", 3, NULL, 10000 * MS);
+    directory_apply_row(&directory, "a", 3, NULL, 10000 * MS);
     directory_note_left(&directory, 15000 * MS, HEARTBEAT);
-    directory_take(&directory, "b", 4, NULL, 16000 * MS);
+    directory_apply_row(&directory, "b", 4, NULL, 16000 * MS);
     directory_note_left(&directory, 17000 * MS, HEARTBEAT);
     g_assert_true(find(&directory, "a")->stays_away);
     take(&directory, "a", 5, false, 18000 * MS);
@@ -180,7 +180,7 @@
     struct directory_entry *taken = entry(id, false);
     g_free(taken->service);
     taken->service = g_strdup(service);
-    return directory_take(directory, id, version, taken, 0);
+    return directory_apply_row(directory, id, version, taken, 0);
 }
 
 /* A group's databases are found without a look at those of the other groups. */
@@ -200,7 +200,7 @@
     g_assert_cmpuint(directory_group(&directory, "ledger-1")->len, ==, 1);
     g_assert_true(directory_group(&directory, "ledger-1")->pdata[0] == find(&directory, "a"));
     g_assert_cmpuint(directory_group(&directory, "ledger-2")->len, ==, 2);
-    directory_take(&directory, "c", 6, NULL, 1000 * MS);
+    directory_apply_row(&directory, "c", 6, NULL, 1000 * MS);
     g_assert_cmpuint(directory_group(&directory, "ledger-2")->len, ==, 2);
     directory_forget(&directory, 9000 * MS, 1000 * MS);
     g_assert_cmpuint(directory_group(&directory, "ledger-2")->len, ==, 1);
@@ -212,7 +212,7 @@
 {
     struct directory_entry *taken = entry(id, false);
     taken->leads = leads;
-    directory_take(directory, id, version, taken, 0);
+    directory_apply_row(directory, id, version, taken, 0);
 }
 
 /* A leader is known only where one database says that it leads, and is there. */
@@ -228,7 +228,7 @@
     take_role(&directory, "a", 3, true);
     g_assert_null(directory_leader(&directory, "s"));
     take_role(&directory, "a", 4, false);
-    directory_take(&directory, "b", 5, NULL, 1000 * MS);
+    directory_apply_row(&directory, "b", 5, NULL, 1000 * MS);
     g_assert_null(directory_leader(&directory, "s"));
     directory_clear(&directory);
 }
@@ -239,7 +239,7 @@
 {
     struct directory_entry *taken = entry("a", false);
     taken->born_ms = born_ms;
-    return directory_take(directory, "a", version, taken, now);
+    return directory_apply_row(directory, "a", version, taken, now);
 }
 
 /* One that has started again is another one; what its earlier life wrote comes too late. */
--- a/tests/pooler/test_evacuation.c
+++ b/tests/pooler/test_evacuation.c
@@ -65,18 +65,18 @@
 {
     evacuations_t *evacuations = &fixture->control->evacuations;
     time_ns at = 100 * NANOSECONDS_PER_SECOND;
-    g_assert_true(evacuations_take(evacuations, "z1", true, at));
-    g_assert_false(evacuations_take(evacuations, "z1", true, at + MS));
+    g_assert_true(evacuations_set(evacuations, "z1", true, at));
+    g_assert_false(evacuations_set(evacuations, "z1", true, at + MS));
     at += BOUND_NS;
-    g_assert_true(evacuations_take(evacuations, "z1", false, at));
-    g_assert_false(evacuations_take(evacuations, "z1", false, at + MS));
+    g_assert_true(evacuations_set(evacuations, "z1", false, at));
+    g_assert_false(evacuations_set(evacuations, "z1", false, at + MS));
     g_assert_cmpint((int)phase(fixture, "z1", at + 1000 * MS), ==, (int)EVACUATION_CLOSED);
-    g_assert_true(evacuations_take(evacuations, "z1", true, at + 1100 * MS));
+    g_assert_true(evacuations_set(evacuations, "z1", true, at + 1100 * MS));
     g_assert_cmpint((int)phase(fixture, "z1", at + 1200 * MS), ==, (int)EVACUATION_CLOSED);
-    g_assert_true(evacuations_take(evacuations, "z1", false, at + 1300 * MS));
+    g_assert_true(evacuations_set(evacuations, "z1", false, at + 1300 * MS));
     at += 10 * NANOSECONDS_PER_SECOND;
     g_assert_cmpint((int)phase(fixture, "z1", at), ==, (int)EVACUATION_NONE);
-    g_assert_true(evacuations_take(evacuations, "z1", true, at));
+    g_assert_true(evacuations_set(evacuations, "z1", true, at));
     g_assert_cmpint((int)phase(fixture, "z1", at), ==, (int)EVACUATION_LEAVING);
 }
 
--- a/tests/pooler/test_failover.c
+++ b/tests/pooler/test_failover.c
@@ -506,14 +506,14 @@
     rig->databases[2].reachable = false;
     rig_accuse(rig, 1, 0);
     rig_run(rig, 300);
-    time_ns gone_at = rig->now + 1;
+    time_ns deleted_at = rig->now + 1;
     g_assert_cmpuint(failover_find(rig->failover, "d2")->failures, >, 0);
-    g_assert_false(failover_finds_gone(rig->failover, "d2", gone_at));
+    g_assert_false(failover_finds_gone(rig->failover, "d2", deleted_at));
     rig_run(rig, 1000);
-    g_assert_true(failover_finds_gone(rig->failover, "d2", gone_at));
+    g_assert_true(failover_finds_gone(rig->failover, "d2", deleted_at));
     rig->databases[2].reachable = true;
     rig_run(rig, 1000);
-    g_assert_false(failover_finds_gone(rig->failover, "d2", gone_at));
+    g_assert_false(failover_finds_gone(rig->failover, "d2", deleted_at));
     rig_free(rig);
 }
 
--- a/tests/pooler/test_lease.c
+++ b/tests/pooler/test_lease.c
@@ -53,7 +53,8 @@
     struct pooler_peer strong = peer(500, 300);
     struct pooler_peer weak = peer(120, 10);
     struct pooler_peer recent = peer(500, 20);
-    strong.contact.heard_at = weak.contact.heard_at = recent.contact.heard_at = fixture->now;
+    strong.contact.last_heartbeat_at = weak.contact.last_heartbeat_at =
+        recent.contact.last_heartbeat_at = fixture->now;
     g_assert_true(control_coordinator_prefers(&strong, NULL, fixture->now));
     g_assert_true(control_coordinator_prefers(&strong, &weak, fixture->now));
     g_assert_false(control_coordinator_prefers(&weak, &strong, fixture->now));
--- a/tests/pooler/test_lease_era.c
+++ b/tests/pooler/test_lease_era.c
@@ -229,7 +229,7 @@
     fixture->runs[2] = false;
     row_store_restore(fixture->store, copied);
     fixture->runs[1] = true;
-    control_lease_ceded(fixture->poolers[1], ceded);
+    control_lease_accept_handover(fixture->poolers[1], ceded);
     wait_for(fixture, 1, LEASE_NS + TAKEN_WITHIN_NS);
 }
 
--- a/tests/pooler/test_mirrors.c
+++ b/tests/pooler/test_mirrors.c
@@ -340,7 +340,7 @@
     g_assert_cmpuint(control_relay_versions(fixture->starting).directory, ==, 9);
     const struct directory_entry *entry =
         g_hash_table_lookup(fixture->starting->directory.entries, "i-00000000");
-    g_assert_cmpuint(entry->gone_at, !=, 0);
+    g_assert_cmpuint(entry->deleted_at, !=, 0);
 }
 
 /* A message that is broken on its way leaves the pooler as it was. */
--- a/tests/pooler/test_news.c
+++ b/tests/pooler/test_news.c
@@ -121,7 +121,7 @@
     assert_same(&packed, &plain);
     g_assert_cmpuint(packed_bytes, <, plain_bytes / 2);
     g_assert_cmpuint(newer.orders_sent, ==, older.orders_sent);
-    g_assert_cmpuint(newer.fleet_told, ==, older.fleet_told);
+    g_assert_cmpuint(newer.fleet_sent, ==, older.fleet_sent);
     pooler_grant_clear(&packed);
     pooler_grant_clear(&plain);
     for (unsigned i = 1; i < POOLERS; i++) { /* packed once for all of them */
@@ -262,7 +262,7 @@
     fixture->control->fleet = fleet_new();
     fleet_join(fixture->control->fleet, address, "north-a", 1, 120, before);
     fleet_join(follower.fleet, address, "north-a", 1, 120, before);
-    struct pooler_peer pooler = {.takes_news = true, .fleet_told = before};
+    struct pooler_peer pooler = {.takes_news = true, .fleet_sent = before};
     for (unsigned told = 0; told < 2; told++) {
         struct pooler_grant grant = tell(fixture, &pooler, &bytes);
         control_fleet_take(&follower, &grant.fleet);
--- a/tests/pooler/test_owners.c
+++ b/tests/pooler/test_owners.c
@@ -72,7 +72,7 @@
     pooler->zone = g_strdup_printf("zone-%u", index % ZONES);
     pooler->forward_address = g_strdup_printf("10.0.%u.%u:7440", index / 200, index % 200 + 1);
     pooler->peer = (struct peer *)fixture; /* compared with NULL only */
-    pooler->contact.heard_at = fixture->now;
+    pooler->contact.last_heartbeat_at = fixture->now;
     pooler->workers = 1;
     pooler->millicores = 120;
     g_hash_table_replace(fixture->control->poolers, pooler->name, pooler);
@@ -99,7 +99,7 @@
     fixture->now += 2 * NANOSECONDS_PER_SECOND;
     g_hash_table_iter_init(&iterator, fixture->control->poolers);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        ((struct pooler_peer *)value)->contact.heard_at = fixture->now;
+        ((struct pooler_peer *)value)->contact.last_heartbeat_at = fixture->now;
     }
     control_fleet_decide(fixture->control, fixture->now);
 }
@@ -379,7 +379,7 @@
     for (unsigned i = from; i < to; i++) {
         g_autofree char *name = g_strdup_printf("front-%u", i);
         struct pooler_peer *pooler = g_hash_table_lookup(fixture->control->poolers, name);
-        pooler->contact.heard_at = fixture->now - 2000 * MS;
+        pooler->contact.last_heartbeat_at = fixture->now - 2000 * MS;
     }
 }
 
@@ -422,7 +422,7 @@
         g_autofree char *name = g_strdup_printf("front-%u", i);
         struct pooler_peer *pooler = g_hash_table_lookup(control->poolers, name);
         pooler->peer = NULL;
-        pooler->ended = true;
+        pooler->process_ended = true;
     }
     control_fleet_decide(control, fixture->now);
     g_assert_cmpuint(fleet_size(control->fleet), ==, 10);
@@ -617,10 +617,10 @@
     g_hash_table_iter_init(&iterator, fixture->control->poolers);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct pooler_peer *pooler = value;
-        pooler->contact.heard_at = fixture->now;
+        pooler->contact.last_heartbeat_at = fixture->now;
         if (g_strcmp0(pooler->name, all_but) != 0) {
-            pooler->fleet_known = version;
-            pooler->fleet_known_as_of = fixture->now;
+            pooler->fleet_reported = version;
+            pooler->fleet_reported_as_of = fixture->now;
         }
     }
 }
--- a/tests/pooler/test_records.c
+++ b/tests/pooler/test_records.c
@@ -174,16 +174,16 @@
     take(control, "a", 2, GOOD);
     take(control, "c", 3, GOOD);
     take(control, "a", 4, "no record");
-    g_assert_cmpuint(find(control, "a")->gone_at, !=, 0);
+    g_assert_cmpuint(find(control, "a")->deleted_at, !=, 0);
     g_assert_true(directory_entry_leaves(find(control, "a"),
-                                         find(control, "a")->gone_at + 6000 * MS, 3000 * MS));
+                                         find(control, "a")->deleted_at + 6000 * MS, 3000 * MS));
     g_assert_cmpuint(directory_group(&control->directory, "ledger")->len, ==, 2);
-    g_assert_cmpuint(find(control, "c")->gone_at, ==, 0);
+    g_assert_cmpuint(find(control, "c")->deleted_at, ==, 0);
     g_assert_cmpuint(control->counts.records_unusable, ==, 2);
     take(control, "a", 3, GOOD); /* an older one does not bring it back */
-    g_assert_cmpuint(find(control, "a")->gone_at, !=, 0);
+    g_assert_cmpuint(find(control, "a")->deleted_at, !=, 0);
     take(control, "a", 5, GOOD);
-    g_assert_cmpuint(find(control, "a")->gone_at, ==, 0);
+    g_assert_cmpuint(find(control, "a")->deleted_at, ==, 0);
     control_fixture_free(control);
 }
 
--- a/tests/pooler/test_relay.c
+++ b/tests/pooler/test_relay.c
@@ -230,7 +230,8 @@
     struct pooler_heartbeat heartbeat;
     struct peer *peer = (struct peer *)fixture; /* a key only */
     unsigned sent = 0;
-    fixture->from->listeners = g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, g_free);
+    fixture->from->unconfirmed_rows =
+        g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, g_free);
     learn(fixture->from, "a", 5, 1000);
     pooler_heartbeat_init(&heartbeat);
     for (unsigned i = 0; i < 20; i++) {
@@ -241,7 +242,7 @@
         pooler_relay_clear(&message);
     }
     g_assert_cmpuint(sent, ==, 1);
-    g_hash_table_unref(fixture->from->listeners);
+    g_hash_table_unref(fixture->from->unconfirmed_rows);
 }
 
 /* What a pooler knows better than the coordinator is told once, and again after a while. */
--- a/tests/pooler/test_store_era.c
+++ b/tests/pooler/test_store_era.c
@@ -327,15 +327,15 @@
         g_assert_cmpuint(store_era(control_relay_versions(both[i]).directory), ==, 1);
         g_assert_true(entry_of(both[i], "drained")->draining);
         g_assert_false(entry_of(both[i], "replaced")->leads);
-        g_assert_cmpuint(entry_of(both[i], "gone")->gone_at, !=, 0);
-        g_assert_cmpuint(entry_of(both[i], "same")->gone_at, ==, 0);
+        g_assert_cmpuint(entry_of(both[i], "gone")->deleted_at, !=, 0);
+        g_assert_cmpuint(entry_of(both[i], "same")->deleted_at, ==, 0);
     }
     record(fixture, "drained", 10, "ready", "replica");
     record(fixture, "gone", 10, "ready", "replica");
     run_for(fixture, 1500 * MS);
     for (size_t i = 0; i < G_N_ELEMENTS(both); i++) {
         g_assert_false(entry_of(both[i], "drained")->draining);
-        g_assert_cmpuint(entry_of(both[i], "gone")->gone_at, ==, 0);
+        g_assert_cmpuint(entry_of(both[i], "gone")->deleted_at, ==, 0);
     }
 }
 
@@ -351,17 +351,17 @@
     uint64_t copied = row_store_version(fixture->store, 0);
     row_store_put(fixture->store, "servers", "lapsed", NULL);
     run_for(fixture, 1200 * MS);
-    g_assert_cmpuint(entry_of(fixture->member, "lapsed")->gone_at, !=, 0);
+    g_assert_cmpuint(entry_of(fixture->member, "lapsed")->deleted_at, !=, 0);
     row_store_restore(fixture->store, copied);
     follow_into(fixture, 1);
-    g_assert_cmpuint(entry_of(fixture->coordinator, "lapsed")->gone_at, !=, 0);
+    g_assert_cmpuint(entry_of(fixture->coordinator, "lapsed")->deleted_at, !=, 0);
     row_store_renew(fixture->store, "servers", "lapsed");
     for (unsigned i = 0; i < 12; i++) {
         write_others(fixture, 1); /* as the lease is renewed */
         run_for(fixture, 200 * MS);
     }
-    g_assert_cmpuint(entry_of(fixture->coordinator, "lapsed")->gone_at, ==, 0);
-    g_assert_cmpuint(entry_of(fixture->member, "lapsed")->gone_at, ==, 0);
+    g_assert_cmpuint(entry_of(fixture->coordinator, "lapsed")->deleted_at, ==, 0);
+    g_assert_cmpuint(entry_of(fixture->member, "lapsed")->deleted_at, ==, 0);
 }
 
 /* A record that only a member knew, and that the others' tables of the new era lack, does not stand
@@ -382,8 +382,8 @@
     pooler_relay_init(&relay);
     control_relay_fill(teller, &to, backend_now(), &relay);
     control_relay_take(member, &relay);
-    g_assert_cmpuint(entry_of(member, "there")->gone_at, ==, 0);
-    g_assert_cmpuint(entry_of(member, "lost")->gone_at, !=, 0);
+    g_assert_cmpuint(entry_of(member, "there")->deleted_at, ==, 0);
+    g_assert_cmpuint(entry_of(member, "lost")->deleted_at, !=, 0);
     pooler_relay_clear(&relay);
     control_fixture_free(teller);
     control_fixture_free(member);
