--- a/src/pooler/control/control.c
+++ b/src/pooler/control/control.c
@@ -19,7 +19,7 @@
 #define TICK_BUSY_MS 20
 
 /* Never sooner than this. */
-#define TICK_LEAST_MS 5
+#define TICK_MIN_MS 5
 
 /* Time between two log lines of counts. */
 #define COUNTS_EVERY_NS (10 * NANOSECONDS_PER_SECOND)
@@ -30,7 +30,7 @@
 static void (*reload_callback)(void);
 
 static bool
-is_changing(const struct control *control)
+is_changing_primary(const struct control *control)
 {
     if (!control->lease.held) {
         return false;
@@ -50,9 +50,9 @@
 
 /* When the next thing falls due that no event tells of. */
 static time_ns
-next_due(const struct control *control, time_ns now)
+next_tick_at(const struct control *control, time_ns now)
 {
-    time_ns due = now + (is_changing(control) ? TICK_BUSY_MS : TICK_MS) * MS;
+    time_ns due = now + (is_changing_primary(control) ? TICK_BUSY_MS : TICK_MS) * MS;
     if (control->coordinator != NULL) {
         due = MIN(due, control->heartbeat_at);
     }
@@ -61,24 +61,24 @@
         due = MIN(due, control->relied_until); /* the first look at the store after a start */
     }
     if (control_mirrors_is_asked(control)) {
-        due = MIN(due, now + TICK_LEAST_MS * MS); /* as the link has room again */
+        due = MIN(due, now + TICK_MIN_MS * MS); /* as the link has room again */
     }
     if (control->mirrors.expected) {
         due = MIN(due, now + TICK_BUSY_MS * MS); /* a question may have to be asked again */
     }
-    return MAX(due, now + TICK_LEAST_MS * MS);
+    return MAX(due, now + TICK_MIN_MS * MS);
 }
 
 static void
 arm_tick(struct control *control)
 {
     time_ns now = backend_now();
-    struct timeval wait = {0, (suseconds_t)((next_due(control, now) - now) / 1000)};
+    struct timeval wait = {0, (suseconds_t)((next_tick_at(control, now) - now) / 1000)};
     evtimer_add(control->tick, &wait);
 }
 
 static bool
-all_ended(const struct control *control)
+all_workers_ended(const struct control *control)
 {
     for (unsigned i = 0; i < control->workers_count; i++) {
         if (!worker_ended(control->workers[i])) {
@@ -89,7 +89,7 @@
 }
 
 static void
-look_at_everything(struct control *control)
+run_all_parts(struct control *control)
 {
     time_ns now = backend_now();
     control_mirrors_tick(control, now);
@@ -99,13 +99,13 @@
     control_member_tick(control, now);
     control_reach_tick(control, now);
     control_publish(control);
-    if (atomic_load(&control->shared.stop_at) != 0 && all_ended(control)) {
+    if (atomic_load(&control->shared.stop_at) != 0 && all_workers_ended(control)) {
         event_base_loopbreak(control->base);
     }
 }
 
 static void
-add_up(const struct control *control, struct metrics *sum)
+sum_metrics(const struct control *control, struct metrics *sum)
 {
     for (unsigned i = 0; i < control->workers_count; i++) {
         metrics_add(sum, worker_metrics(control->workers[i]));
@@ -113,7 +113,7 @@
 }
 
 static uint64_t
-count_of(const struct metrics *sum, enum metrics_counter counter)
+counter_value(const struct metrics *sum, enum metrics_counter counter)
 {
     return atomic_load(&sum->counters[counter]);
 }
@@ -127,12 +127,12 @@
         ", above limits %" PRIu64 ", no home %" PRIu64 ", unknown keys %" PRIu64
         ", no proof %" PRIu64 ", tokens asked %" PRIu64 ", unanswered %" PRIu64 ", hedged %" PRIu64
         ", late %" PRIu64,
-        count_of(sum, METRICS_FOUND_OPEN), count_of(sum, METRICS_OPENED_STATEMENT),
-        count_of(sum, METRICS_OPENED_IN_PLACE), count_of(sum, METRICS_REFUSED_RATE),
-        count_of(sum, METRICS_REFUSED_NO_HOME), count_of(sum, METRICS_REFUSED_KEYS),
-        count_of(sum, METRICS_REFUSED_UNPROVEN), count_of(sum, METRICS_TOKENS_ASKED),
-        count_of(sum, METRICS_TOKENS_UNANSWERED), count_of(sum, METRICS_TOKENS_HEDGED),
-        count_of(sum, METRICS_TOKENS_LATE));
+        counter_value(sum, METRICS_FOUND_OPEN), counter_value(sum, METRICS_OPENED_STATEMENT),
+        counter_value(sum, METRICS_OPENED_IN_PLACE), counter_value(sum, METRICS_REFUSED_RATE),
+        counter_value(sum, METRICS_REFUSED_NO_HOME), counter_value(sum, METRICS_REFUSED_KEYS),
+        counter_value(sum, METRICS_REFUSED_UNPROVEN), counter_value(sum, METRICS_TOKENS_ASKED),
+        counter_value(sum, METRICS_TOKENS_UNANSWERED), counter_value(sum, METRICS_TOKENS_HEDGED),
+        counter_value(sum, METRICS_TOKENS_LATE));
 }
 
 static uint64_t
@@ -155,7 +155,7 @@
 log_counts(const struct control *control)
 {
     struct metrics sum = {0};
-    add_up(control, &sum);
+    sum_metrics(control, &sum);
     uint64_t replica = atomic_load(&sum.counters[METRICS_READS_AT_REPLICA]);
     uint64_t primary = atomic_load(&sum.counters[METRICS_READS_AT_PRIMARY]);
     g_autofree char *at_replica = g_strdup_printf("%" G_GUINT64_FORMAT, replica);
@@ -172,9 +172,10 @@
     g_autofree char *received = control_counts_print_bytes(&control->counts, PEER_RECEIVED);
     g_autofree char *statements = g_strdup_printf("%" G_GUINT64_FORMAT, forwarded);
     g_autofree char *taken =
-        g_strdup_printf("%" PRIu64, count_of(&sum, METRICS_FORWARD_BYTES_RECEIVED));
-    g_autofree char *tokens = g_strdup_printf("%" PRIu64, count_of(&sum, METRICS_TOKEN_BYTES));
-    g_autofree char *signs = g_strdup_printf("%" PRIu64, count_of(&sum, METRICS_SIGN_BYTES));
+        g_strdup_printf("%" PRIu64, counter_value(&sum, METRICS_FORWARD_BYTES_RECEIVED));
+    g_autofree char *tokens = g_strdup_printf("%" PRIu64, counter_value(&sum, METRICS_TOKEN_BYTES));
+    g_autofree char *sign_bytes =
+        g_strdup_printf("%" PRIu64, counter_value(&sum, METRICS_SIGN_BYTES));
     g_autofree char *version = g_strdup_printf("%" PRIu64, configuration_version(control));
     g_autofree char *age = g_strdup_printf("%" PRIu32, configuration_age_ms(control));
     g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_INFO, "SW_READS_AT_REPLICA", at_replica,
@@ -182,7 +183,7 @@
                      tenants, "SW_STORE_CALLS", calls, "SW_STORE_BYTES", answers, "SW_PEER_BYTES",
                      bytes, "SW_PEER_BYTES_RECEIVED", received, "SW_FORWARD_BYTES", statements,
                      "SW_FORWARD_BYTES_RECEIVED", taken, "SW_TOKEN_BYTES", tokens, "SW_SIGN_BYTES",
-                     signs, "SW_CONFIGURATION", version, "SW_CONFIGURATION_AGE_MS", age,
+                     sign_bytes, "SW_CONFIGURATION", version, "SW_CONFIGURATION_AGE_MS", age,
                      "SW_RELIES", control->relayed ? "others" : "store", "MESSAGE",
                      "Counts: %s reads at replicas, %s at primaries, connections opened: %s, calls "
                      "at the store: %s.",
@@ -203,7 +204,7 @@
         control->counted_at = now;
         log_counts(control);
     }
-    look_at_everything(control);
+    run_all_parts(control);
     arm_tick(control);
 }
 
@@ -215,7 +216,7 @@
     if (read(control->wake, &count, sizeof count) < 0 && errno != EAGAIN) {
         g_warning("A wake-up could not be read.");
     }
-    look_at_everything(control);
+    run_all_parts(control);
     arm_tick(control);
 }
 
@@ -275,7 +276,7 @@
     struct metrics sum = {0};
     uint32_t sessions = 0;
     GString *out = g_string_new(NULL);
-    add_up(control, &sum);
+    sum_metrics(control, &sum);
     for (unsigned i = 0; i < control->workers_count; i++) {
         sessions += worker_sessions(control->workers[i]);
     }
@@ -285,7 +286,7 @@
     g_string_append_printf(out, "swiftworks_coordinator %d\n", control->lease.held);
     g_string_append_printf(out, "swiftworks_zone_cut_off %d\n", control->zone_reach.cut_off);
     g_string_append_printf(out, "swiftworks_leases_ceded_to_this_total %" G_GUINT64_FORMAT "\n",
-                           control->lease.cessions);
+                           control->lease.handovers_received);
     g_string_append_printf(out, "swiftworks_configuration_version %" G_GUINT64_FORMAT "\n",
                            configuration_version(control));
     g_string_append_printf(out, "swiftworks_configuration_age_seconds %.3f\n",
@@ -356,18 +357,18 @@
     control->shared.sessions_max = (settings->pooler.descriptors - own) / control->workers_count;
     sigfillset(&all);
     pthread_sigmask(SIG_BLOCK, &all, &old);
-    bool good = true;
-    for (unsigned i = 0; good && i < control->workers_count; i++) {
+    bool started = true;
+    for (unsigned i = 0; started && i < control->workers_count; i++) {
         control->workers[i] = worker_start(&control->shared, i, error);
-        good = control->workers[i] != NULL;
+        started = control->workers[i] != NULL;
     }
     pthread_sigmask(SIG_SETMASK, &old, NULL);
-    return good;
+    return started;
 }
 
 /* What others are told to connect to, for what listens there. */
 static char *
-announced(const char *announce, const char *listen)
+announced_address(const char *announce, const char *listen)
 {
     struct sockaddr_in address;
     bool given = parse_address(announce, &address) && address.sin_port != 0;
@@ -380,9 +381,10 @@
     struct control *control = g_new0(struct control, 1);
     control->settings = settings;
     control->incarnation = ((uint64_t)g_random_int() << 32 | g_random_int()) | 1;
-    control->address = announced(settings->pooler.peer_announce, settings->pooler.peer_listen);
+    control->address =
+        announced_address(settings->pooler.peer_announce, settings->pooler.peer_listen);
     control->forward_address =
-        announced(settings->pooler.forward_announce, settings->pooler.forward_listen);
+        announced_address(settings->pooler.forward_announce, settings->pooler.forward_listen);
     control->workers_count = settings->pooler.workers;
     control->workers = g_new0(struct worker *, control->workers_count);
     control->groups = g_hash_table_new(g_str_hash, g_str_equal);
@@ -395,7 +397,7 @@
     control_reliance_start(control);
     control->fleet = fleet_new();
     control->followers = g_ptr_array_new_with_free_func(g_free);
-    control->fresh = g_hash_table_new(g_str_hash, g_str_equal);
+    control->responsive_addresses = g_hash_table_new(g_str_hash, g_str_equal);
     return control;
 }
 
@@ -406,13 +408,13 @@
     reload_callback = reload;
     start_events(control);
     start_clients(control);
-    bool good = start_probes(control, error) && control_coordinator_listen(control, error) &&
-                start_workers(control, error);
-    if (!good) {
+    bool started = start_probes(control, error) && control_coordinator_listen(control, error) &&
+                   start_workers(control, error);
+    if (!started) {
         return false;
     }
     g_message("Started.");
-    look_at_everything(control);
+    run_all_parts(control);
     arm_tick(control);
     event_base_dispatch(control->base);
     log_counts(control);
--- a/src/pooler/control/control_coordinator.c
+++ b/src/pooler/control/control_coordinator.c
@@ -11,8 +11,8 @@
 #define PERMIT_MS 1000
 
 /* A pooler that was not heard for this long no longer counts. */
-#define POOLER_FORGOTTEN_NS (4000 * MS)
-#define LISTEN_BACKLOG      128
+#define POOLER_TIMEOUT_NS (4000 * MS)
+#define LISTEN_BACKLOG    128
 
 /* A new coordinator has not heard all poolers yet, and counts at least so many for a while, unless
  * the lease's row tells. */
@@ -63,7 +63,7 @@
 
 /* Takes the heartbeat's reports over. What it does not tell is as it was. */
 static void
-take_reports(struct pooler_peer *pooler, struct pooler_heartbeat *heartbeat)
+store_reports(struct pooler_peer *pooler, struct pooler_heartbeat *heartbeat)
 {
     for (size_t i = 0; i < heartbeat->groups_count; i++) {
         struct pooler_group_report *report = g_new(struct pooler_group_report, 1);
@@ -93,13 +93,13 @@
 }
 
 static struct pooler_peer *
-pooler_of(struct control *control, const char *name)
+find_or_add_pooler(struct control *control, const char *name)
 {
     struct pooler_peer *pooler = g_hash_table_lookup(control->poolers, name);
     if (pooler == NULL) {
         pooler = g_new0(struct pooler_peer, 1);
         pooler->name = g_strdup(name);
-        pooler->contact.listened_at = control->coordinator_since;
+        pooler->contact.listening_since = control->coordinator_since;
         pooler->reports = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, report_free);
         g_hash_table_insert(control->poolers, pooler->name, pooler);
     }
@@ -134,21 +134,22 @@
 
 /* True of the first heartbeat on a connection. */
 static bool
-introduces_itself(const struct pooler_heartbeat *heartbeat)
+has_identity(const struct pooler_heartbeat *heartbeat)
 {
     return heartbeat->name != NULL && heartbeat->name[0] != '\0';
 }
 
 /* The answer of a pooler that is not the coordinator: where that is, and what is known here. */
 static void
-send_hearsay(struct control *control, struct peer *peer, const struct pooler_heartbeat *heartbeat)
+send_non_authoritative(struct control *control, struct peer *peer,
+                       const struct pooler_heartbeat *heartbeat)
 {
     struct pooler_grant grant;
     pooler_grant_init(&grant);
     grant.sequence = heartbeat->sequence;
     grant.coordinator = g_strdup(control->settings->pooler.name);
     grant.coordinator_address = g_strdup(control->coordinator_address);
-    if (introduces_itself(heartbeat)) {
+    if (has_identity(heartbeat)) {
         grant.mirrors_count = control_mirrors_copy(control, &grant.mirrors);
     }
     control_news_fill_hearsay(control, heartbeat, &grant);
@@ -159,7 +160,7 @@
 
 /* True if a message to the pooler would tell it something. */
 static bool
-has_news_for(const struct control *control, const struct pooler_peer *pooler)
+has_updates_for(const struct control *control, const struct pooler_peer *pooler)
 {
     row_versions_t here = control_relay_versions(control);
     bool rows =
@@ -167,7 +168,7 @@
                                                here.directory > pooler->known.directory);
     return rows || pooler->orders_sent < control->orders_version ||
            pooler->fleet_sent < control_fleet_version(control) ||
-           pooler->followers_told != control->followers_version;
+           pooler->followers_sent != control->followers_version;
 }
 
 /* Answers a heartbeat, or sends the orders unasked, without a permit. */
@@ -183,13 +184,13 @@
     grant.members = control_coordinator_count(control);
     grant.follows_store = pooler->follows_store;
     control_news_fill(control, pooler, &grant);
-    control_followers_tell(control, pooler->followers_told, &grant);
-    pooler->followers_told = control->followers_version;
+    control_followers_tell(control, pooler->followers_sent, &grant);
+    pooler->followers_sent = control->followers_version;
     control_mirrors_tell(control, pooler, &grant);
     control_relay_fill_for(control, pooler, now, &grant.relay);
     if (heartbeat != NULL) {
         grant.sequence = heartbeat->sequence;
-        grant.permit_ms = (uint32_t)MIN(control_lease_left(control, now) / MS, PERMIT_MS);
+        grant.permit_ms = (uint32_t)MIN(control_lease_remaining(control, now) / MS, PERMIT_MS);
         pooler->permit_until = MAX(pooler->permit_until, now + grant.permit_ms * MS);
     }
     send_counted(control, peer, &grant, PEER_BYTES_GRANT);
@@ -198,8 +199,8 @@
 
 /* What the pooler knows, and what it knows better. Rows that were sent meanwhile count as known. */
 static void
-take_relay(struct control *control, struct pooler_peer *pooler,
-           const struct pooler_heartbeat *heartbeat)
+apply_relay(struct control *control, struct pooler_peer *pooler,
+            const struct pooler_heartbeat *heartbeat)
 {
     const struct pooler_relay *relay = &heartbeat->relay;
     control_relay_take(control, relay);
@@ -221,25 +222,26 @@
                  const struct pooler_heartbeat *heartbeat)
 {
     if (pooler->peer != NULL) {
-        g_hash_table_remove(control->introduced, pooler->peer);
+        g_hash_table_remove(control->poolers_by_peer, pooler->peer);
     }
     g_hash_table_remove_all(pooler->reports);
-    g_hash_table_insert(control->introduced, peer, pooler);
+    g_hash_table_insert(control->poolers_by_peer, peer, pooler);
     pooler->peer = peer;
     pooler->process_ended = false;
     pooler->known = pooler->confirmed = (row_versions_t){0};
     pooler->fleet_sent = heartbeat->fleet_version;
     pooler->fleet_reported = 0;
-    pooler->followers_told = 0;
+    pooler->followers_sent = 0;
     pooler->mirrors_sent = 0;
     pooler->orders_sent = 0;
 }
 
 /* The first heartbeat on a connection says who sends it. */
 static struct pooler_peer *
-introduce(struct control *control, struct peer *peer, const struct pooler_heartbeat *heartbeat)
+identify_pooler(struct control *control, struct peer *peer,
+                const struct pooler_heartbeat *heartbeat)
 {
-    struct pooler_peer *pooler = pooler_of(control, heartbeat->name);
+    struct pooler_peer *pooler = find_or_add_pooler(control, heartbeat->name);
     if (pooler->incarnation != heartbeat->incarnation) {
         control->followers_at = 0;
         g_message("Pooler %s is heard, in zone %s.", heartbeat->name, heartbeat->zone);
@@ -259,17 +261,17 @@
 /* One that is not known, as this pooler has just become the coordinator, introduces itself once it
  * is answered by hearsay. */
 static void
-take_heartbeat(struct control *control, struct peer *peer, struct pooler_heartbeat *heartbeat)
+handle_heartbeat(struct control *control, struct peer *peer, struct pooler_heartbeat *heartbeat)
 {
     time_ns now = backend_now();
-    bool introduces = introduces_itself(heartbeat);
-    struct pooler_peer *pooler = introduces ? introduce(control, peer, heartbeat)
-                                            : g_hash_table_lookup(control->introduced, peer);
+    bool identified = has_identity(heartbeat);
+    struct pooler_peer *pooler = identified ? identify_pooler(control, peer, heartbeat)
+                                            : g_hash_table_lookup(control->poolers_by_peer, peer);
     if (pooler == NULL) {
-        send_hearsay(control, peer, heartbeat);
+        send_non_authoritative(control, peer, heartbeat);
         return;
     }
-    take_relay(control, pooler, heartbeat);
+    apply_relay(control, pooler, heartbeat);
     contact_note(&pooler->contact, now);
     control_reach_heard(control, pooler->zone, now);
     pooler->fleet_reported = heartbeat->fleet_version;
@@ -279,12 +281,12 @@
     pooler->lacks_store = heartbeat->lacks_store;
     pooler->takes_deltas = heartbeat->takes_deltas;
     pooler->takes_news = heartbeat->takes_news;
-    bool news = introduces || heartbeat->groups_count > 0 || heartbeat->relay.rows_count > 0 ||
-                heartbeat->orders_followed != pooler->orders_followed;
+    bool changed = identified || heartbeat->groups_count > 0 || heartbeat->relay.rows_count > 0 ||
+                   heartbeat->orders_followed != pooler->orders_followed;
     pooler->orders_followed = heartbeat->orders_followed;
-    take_reports(pooler, heartbeat);
+    store_reports(pooler, heartbeat);
     send_grant(control, peer, pooler, heartbeat, now);
-    if (news) {
+    if (changed) {
         control_coordinator_wake(control);
     }
 }
@@ -303,9 +305,9 @@
     if (heartbeat.wants_tables) {
         control_mirrors_question(control, peer, &heartbeat, backend_now());
     } else if (control->lease.held) {
-        take_heartbeat(control, peer, &heartbeat);
+        handle_heartbeat(control, peer, &heartbeat);
     } else {
-        send_hearsay(control, peer, &heartbeat);
+        send_non_authoritative(control, peer, &heartbeat);
     }
     pooler_heartbeat_clear(&heartbeat);
     return true;
@@ -315,11 +317,11 @@
 on_closed(void *user, struct peer *peer)
 {
     struct control *control = user;
-    struct pooler_peer *pooler = g_hash_table_lookup(control->introduced, peer);
+    struct pooler_peer *pooler = g_hash_table_lookup(control->poolers_by_peer, peer);
     if (pooler != NULL) {
         pooler->peer = NULL;
         pooler->process_ended = backend_now() < pooler->contact.last_heartbeat_at + ENDED_WITHIN_NS;
-        g_hash_table_remove(control->introduced, peer);
+        g_hash_table_remove(control->poolers_by_peer, peer);
     }
     g_hash_table_remove(control->unconfirmed_rows, peer);
     control_mirrors_forget(control, peer);
@@ -342,7 +344,7 @@
 {
     control->pooler_callbacks = (struct peer_callbacks){on_frame, on_closed, control};
     control->poolers = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, pooler_free);
-    control->introduced = g_hash_table_new(g_direct_hash, g_direct_equal);
+    control->poolers_by_peer = g_hash_table_new(g_direct_hash, g_direct_equal);
     control->unconfirmed_rows = g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, g_free);
     control->connected = g_ptr_array_new();
     struct sockaddr_in address;
@@ -367,7 +369,7 @@
     }
     g_ptr_array_unref(control->connected);
     g_hash_table_unref(control->unconfirmed_rows);
-    g_hash_table_unref(control->introduced);
+    g_hash_table_unref(control->poolers_by_peer);
     g_hash_table_unref(control->poolers);
     event_free(control->acceptable);
     close(control->listener);
@@ -376,15 +378,15 @@
 void
 control_coordinator_start(struct control *control)
 {
-    g_hash_table_remove_all(control->introduced);
+    g_hash_table_remove_all(control->poolers_by_peer);
     g_hash_table_remove_all(control->poolers);
     control->followers_version++;
     control->mirrors.version++;
     control->mirrors.heard = 0;
     control->coordinator_since = backend_now();
-    control->owed_until =
-        control->lease.ceded_token == 0 ? 0 : control->coordinator_since + PERMIT_MS * MS;
-    control->lease.ceded_token = 0;
+    control->predecessor_permits_until =
+        control->lease.handover_token == 0 ? 0 : control->coordinator_since + PERMIT_MS * MS;
+    control->lease.handover_token = 0;
     control->members_before = control_fleet_size(control);
     control->orders_version = control->lease.token << EPOCH_SHIFT;
     control->coordinated_at = 0;
@@ -398,7 +400,7 @@
 control_coordinator_end(struct control *control)
 {
     control_groups_end(control);
-    g_hash_table_remove_all(control->introduced);
+    g_hash_table_remove_all(control->poolers_by_peer);
     g_hash_table_remove_all(control->poolers);
     g_clear_pointer(&control->coordinator_address, g_free);
 }
@@ -406,28 +408,28 @@
 void
 control_coordinator_push(struct control *control)
 {
-    control->push_wanted = true;
+    control->push_pending = true;
 }
 
 static void
-push(struct control *control, time_ns now)
+push_updates(struct control *control, time_ns now)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
     uint32_t receivers = 0;
     uint64_t before = control_counts_sent(&control->counts);
     control->rows_to_push = false;
-    control->push_wanted = false;
+    control->push_pending = false;
     g_hash_table_iter_init(&iterator, control->poolers);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct pooler_peer *pooler = value;
-        if (pooler->peer != NULL && has_news_for(control, pooler)) {
+        if (pooler->peer != NULL && has_updates_for(control, pooler)) {
             send_grant(control, pooler->peer, pooler, NULL, now);
             receivers++;
         }
     }
-    push_pace_pay(&control->push_pace, receivers, control_counts_sent(&control->counts) - before,
-                  now);
+    push_limiter_consume(&control->push_limiter, receivers,
+                         control_counts_sent(&control->counts) - before, now);
 }
 
 /* True if what is new is told to all now. Else it stays new, and the answers to heartbeats tell it
@@ -436,8 +438,8 @@
 may_push(struct control *control, time_ns now)
 {
     double link_bytes_per_s = control->settings->pooler.link_mbps * BYTES_PER_MEGABIT;
-    return (control->rows_to_push || control->push_wanted) &&
-           push_pace_may(&control->push_pace, link_bytes_per_s, now);
+    return (control->rows_to_push || control->push_pending) &&
+           push_limiter_allows(&control->push_limiter, link_bytes_per_s, now);
 }
 
 /* A pooler that is forgotten has to tell all again, which it does on a new connection. */
@@ -445,7 +447,7 @@
 drop_connection(struct control *control, struct pooler_peer *pooler)
 {
     if (pooler->peer != NULL) {
-        g_hash_table_remove(control->introduced, pooler->peer);
+        g_hash_table_remove(control->poolers_by_peer, pooler->peer);
         g_hash_table_remove(control->unconfirmed_rows, pooler->peer);
         control_mirrors_forget(control, pooler->peer);
         g_ptr_array_remove_fast(control->connected, pooler->peer);
@@ -470,14 +472,14 @@
 }
 
 static void
-forget_silent(struct control *control, time_ns now)
+remove_unresponsive(struct control *control, time_ns now)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, control->poolers);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct pooler_peer *pooler = value;
-        if (now > pooler->contact.last_heartbeat_at + POOLER_FORGOTTEN_NS) {
+        if (now > pooler->contact.last_heartbeat_at + POOLER_TIMEOUT_NS) {
             g_message("Pooler %s is no longer heard.", pooler->name);
             drop_connection(control, pooler);
             g_hash_table_iter_remove(&iterator);
@@ -497,8 +499,8 @@
     }
     control->coordinated_at = now;
     control->coordination_due = false;
-    forget_silent(control, now);
-    if (control_coordinator_hand_over(control, now)) {
+    remove_unresponsive(control, now);
+    if (control_coordinator_hand_over_to_stronger(control, now)) {
         return;
     }
     if (now > control->followers_at + FOLLOWERS_EVERY_NS) {
@@ -509,6 +511,6 @@
     control_fleet_tick(control, now);
     control_groups_tick(control, now);
     if (may_push(control, now)) {
-        push(control, now);
+        push_updates(control, now);
     }
 }
--- a/src/pooler/control/control_era.c
+++ b/src/pooler/control/control_era.c
@@ -25,14 +25,14 @@
 #include <inttypes.h>
 
 /* Operators have written again what a restored store lost, so long after it answers again. */
-#define WRITTEN_AGAIN_NS (1000 * MS)
+#define REWRITTEN_AFTER_NS (1000 * MS)
 
 static void
-log_era(const struct control *control, uint64_t before)
+log_era(const struct control *control, uint64_t earlier_era)
 {
     const struct feed *feeds = control->feeds;
     g_autofree char *era = g_strdup_printf("%" PRIu64, control->store_era);
-    g_autofree char *earlier = g_strdup_printf("%" PRIu64, before);
+    g_autofree char *earlier = g_strdup_printf("%" PRIu64, earlier_era);
     g_autofree char *configuration =
         g_strdup_printf("%" PRIu64, store_number(feeds[STORE_TABLE_CONFIGURATION].version));
     g_autofree char *directory =
@@ -46,13 +46,13 @@
 void
 control_era_note(struct control *control, uint64_t era, time_ns age)
 {
-    uint64_t before = control->store_era;
+    uint64_t earlier_era = control->store_era;
     time_ns now = backend_now();
     time_ns since = now > age ? now - age : 0;
-    if (era == before) {
+    if (era == earlier_era) {
         control->era_since = MIN(control->era_since, since);
     }
-    if (era <= before) {
+    if (era <= earlier_era) {
         return;
     }
     control->store_era = era;
@@ -61,9 +61,9 @@
     control->directory_settled = false;
     control->directory_known_since = 0;
     control_fleet_row_lost(control);
-    time_ns lapsed = control->settings->store.heartbeat_ms * MS * DIRECTORY_SETTLED_HEARTBEATS;
-    control->feeds[STORE_TABLE_DIRECTORY].list_at = now + lapsed;
-    log_era(control, before);
+    time_ns settling = control->settings->store.heartbeat_ms * MS * DIRECTORY_SETTLED_HEARTBEATS;
+    control->feeds[STORE_TABLE_DIRECTORY].list_at = now + settling;
+    log_era(control, earlier_era);
 }
 
 time_ns
@@ -75,7 +75,7 @@
 bool
 control_era_proves(const struct control *control, time_ns moment)
 {
-    return control->store_era == 0 || moment >= control->era_since + WRITTEN_AGAIN_NS;
+    return control->store_era == 0 || moment >= control->era_since + REWRITTEN_AFTER_NS;
 }
 
 bool
@@ -90,10 +90,10 @@
 {
     gsize length = 0;
     const char *text = g_bytes_get_data(value, &length);
-    struct configuration *told = configuration_decode(text, length, NULL);
-    bool older = told == NULL || (control->configuration != NULL &&
-                                  told->version < control->configuration->version);
-    g_clear_pointer(&told, configuration_unref);
+    struct configuration *decoded = configuration_decode(text, length, NULL);
+    bool older = decoded == NULL || (control->configuration != NULL &&
+                                     decoded->version < control->configuration->version);
+    g_clear_pointer(&decoded, configuration_unref);
     return older;
 }
 
@@ -102,9 +102,9 @@
 {
     gsize length = 0;
     const char *text = g_bytes_get_data(value, &length);
-    struct directory_entry *told = directory_entry_decode(id, text, length, NULL);
-    bool older = told != NULL && directory_knows_newer(&control->directory, told);
-    directory_entry_free(told);
+    struct directory_entry *decoded = directory_entry_decode(id, text, length, NULL);
+    bool older = decoded != NULL && directory_knows_newer(&control->directory, decoded);
+    directory_entry_free(decoded);
     return older;
 }
 
--- a/src/pooler/control/control_groups.c
+++ b/src/pooler/control/control_groups.c
@@ -21,19 +21,19 @@
 /* Groups whose databases are asked at once who leads, or whether they were left paused. Each takes
  * up to three connections and slots; with more, the answers of a fleet of a thousand groups come
  * too late on a machine of half a core, and the databases pass for silent. */
-#define QUESTIONED_MAX 32
+#define QUERYING_GROUPS_MAX 32
 
 /* A group has its turn for so long, and the next one so long after the last began: databases that
  * don't answer must not keep other groups from asking theirs. Two commands' time, and twice that.
  */
-#define TURN_NS       (600 * MS)
-#define TURN_EVERY_NS (1200 * MS)
+#define QUERY_SLOT_NS       (600 * MS)
+#define QUERY_SLOT_EVERY_NS (1200 * MS)
 
 /* All groups are looked at so often; in between, those where something is under way. */
-#define LOOK_EVERY_NS (100 * MS)
+#define CHECK_EVERY_NS (100 * MS)
 
 static struct controlled_group *
-controlled_of(struct control *control, const struct failover *failover)
+group_of(struct control *control, const struct failover *failover)
 {
     return g_hash_table_lookup(control->controlled, failover->service);
 }
@@ -41,8 +41,8 @@
 static void release_group(gpointer data);
 
 static void
-on_command(void *user, const char *service, const char *database,
-           const struct database_report *report, bool refused)
+on_command_answered(void *user, const char *service, const char *database,
+                    const struct database_report *report, bool refused)
 {
     struct controlled_group *group = user;
     group->active = true;
@@ -60,24 +60,24 @@
     struct database_control *connection = g_hash_table_lookup(group->connections, database);
     if (connection == NULL) {
         connection = database_control_new(group->control->base, group->failover->service, database,
-                                          on_command, group);
+                                          on_command_answered, group);
         g_hash_table_insert(group->connections, g_strdup(database), connection);
     }
     return connection;
 }
 
 static void
-ask(void *user, struct failover *failover, const char *database, enum database_command command,
-    uint64_t term)
+send_command(void *user, struct failover *failover, const char *database,
+             enum database_command command, uint64_t term)
 {
     struct control *control = user;
-    struct controlled_group *group = controlled_of(control, failover);
+    struct controlled_group *group = group_of(control, failover);
     const struct directory_entry *entry = g_hash_table_lookup(control->directory.entries, database);
     if (entry == NULL) {
-        failover_find(failover, database)->asking = false;
+        failover_find(failover, database)->command_pending = false;
         return;
     }
-    database_control_ask(connection_of(group, database), &entry->address, command, term);
+    database_control_send(connection_of(group, database), &entry->address, command, term);
 }
 
 static void
@@ -86,7 +86,7 @@
     struct controlled_group *group = user;
     if (answer->outcome == STORE_CONFLICT) {
         /* Our own renewal may have come in between: the lease's row tells whose it is. */
-        control_lease_take(group->control, answer);
+        control_lease_apply_answer(group->control, answer);
     }
     if (!group->recording_done && !group->retired) {
         failover_recorded(group->failover, answer->outcome == STORE_DONE, backend_now());
@@ -100,7 +100,7 @@
 record(void *user, struct failover *failover, bool done)
 {
     struct control *control = user;
-    struct controlled_group *group = controlled_of(control, failover);
+    struct controlled_group *group = group_of(control, failover);
     struct promotion_record record = {
         .service = failover->service,
         .candidate = done ? failover->primary : failover->candidate,
@@ -126,27 +126,27 @@
     g_byte_array_unref(bytes);
 }
 
-static enum failover_order
-order_of(enum promotion_outcome outcome)
+static enum failover_promotion_result
+promotion_result_of(enum promotion_outcome outcome)
 {
     switch (outcome) {
     case PROMOTION_ACCEPTED:
-        return FAILOVER_ORDER_ACCEPTED;
+        return FAILOVER_PROMOTION_ACCEPTED;
     case PROMOTION_REFUSED:
-        return FAILOVER_ORDER_REFUSED;
+        return FAILOVER_PROMOTION_REFUSED;
     default:
-        return FAILOVER_ORDER_OPEN;
+        return FAILOVER_PROMOTION_RETRY;
     }
 }
 
 static void
-on_ordered(void *user, enum promotion_outcome outcome)
+on_promotion_answered(void *user, enum promotion_outcome outcome)
 {
     struct controlled_group *group = user;
     g_message("Group %s: the order of promotion was %s.", group->failover->service,
               promotion_outcome_name(outcome));
     if (!group->retired) {
-        failover_ordered(group->failover, order_of(outcome), backend_now());
+        failover_promotion_answered(group->failover, promotion_result_of(outcome), backend_now());
     }
     control_wake_soon(group->control);
     release_group(group);
@@ -163,14 +163,14 @@
     g_message("Group %s: orders the promotion of %s under token %" PRIu64 ".", failover->service,
               candidate, control->lease.token);
     promotion_order(control->promotion, failover->service, candidate, control->lease.token,
-                    on_ordered, g_rc_box_acquire(controlled_of(control, failover)));
+                    on_promotion_answered, g_rc_box_acquire(group_of(control, failover)));
 }
 
 static void
 publish(void *user, struct failover *failover)
 {
     struct control *control = user;
-    struct controlled_group *group = controlled_of(control, failover);
+    struct controlled_group *group = group_of(control, failover);
     group->active = true;
     group->orders_version = ++control->orders_version;
     control_coordinator_push(control);
@@ -181,16 +181,17 @@
 closed(void *user, struct failover *failover)
 {
     const struct control *control = user;
-    const struct controlled_group *group = controlled_of(user, failover);
-    return backend_now() > control->owed_until && control->orders_held >= group->orders_version;
+    const struct controlled_group *group = group_of(user, failover);
+    return backend_now() > control->predecessor_permits_until &&
+           control->orders_followed_with_permit >= group->orders_version;
 }
 
 static bool
 drained(void *user, struct failover *failover)
 {
     const struct control *control = user;
-    const struct controlled_group *group = controlled_of(user, failover);
-    return control->orders_reached >= group->orders_version && group->in_flight == 0;
+    const struct controlled_group *group = group_of(user, failover);
+    return control->orders_followed_by_all >= group->orders_version && group->in_flight == 0;
 }
 
 static void
@@ -217,14 +218,14 @@
 /* Takes the group's newest record of a promotion. False if there has been none, or it can't be
  * read, which is told. */
 static bool
-read_record(const struct controlled_group *group, struct promotion_record *out, bool *broken)
+read_record(const struct controlled_group *group, struct promotion_record *out, bool *unreadable)
 {
     const struct feed *records = &group->control->feeds[STORE_TABLE_CONTROL];
     g_autofree char *key = g_strconcat(RECORD_PREFIX, group->failover->service, NULL);
     const struct known_row *row = g_hash_table_lookup(records->rows, key);
     g_autoptr(GError) error = NULL;
     promotion_record_init(out);
-    *broken = false;
+    *unreadable = false;
     if (row == NULL || row->gone) {
         return false;
     }
@@ -233,7 +234,7 @@
     if (!promotion_record_decode(data, length, out, &error)) {
         g_warning("The record of group %s can't be read: %s.", group->failover->service,
                   error->message);
-        *broken = true;
+        *unreadable = true;
         return false;
     }
     return true;
@@ -241,7 +242,7 @@
 
 /* True if the database of the record has not started again since, as far as that is told. */
 static bool
-is_same_life(const struct control *control, const struct promotion_record *record)
+is_same_start(const struct control *control, const struct promotion_record *record)
 {
     const struct directory_entry *entry =
         g_hash_table_lookup(control->directory.entries, record->candidate);
@@ -263,13 +264,13 @@
  * was promoted last, or who has led from the beginning, if this database alone says that it leads.
  * NULL if that does not tell. */
 static const char *
-find_leader(const struct controlled_group *group, const struct promotion_record *record,
-            bool recorded)
+find_certain_leader(const struct controlled_group *group, const struct promotion_record *record,
+                    bool recorded)
 {
     const struct control *control = group->control;
     const char *leader = directory_leader(&control->directory, group->failover->service);
     bool agrees =
-        !recorded || (g_strcmp0(leader, record->candidate) == 0 && is_same_life(control, record));
+        !recorded || (g_strcmp0(leader, record->candidate) == 0 && is_same_start(control, record));
     bool certain = control->records_read && is_last_record(control, record, recorded);
     return certain && agrees ? leader : NULL;
 }
@@ -280,10 +281,10 @@
 remove_member(struct controlled_group *group, const char *database)
 {
     struct promotion_record record;
-    bool broken = false;
+    bool unreadable = false;
     g_hash_table_remove(group->connections, database);
     failover_remove_member(group->failover, database);
-    if (read_record(group, &record, &broken) && record.done) {
+    if (read_record(group, &record, &unreadable) && record.done) {
         failover_note_promoted(group->failover, record.candidate);
     }
     promotion_record_clear(&record);
@@ -291,9 +292,9 @@
 
 /* A connection to a database's earlier life is of no more use. */
 static void
-note_birth(struct controlled_group *group, const char *database, uint64_t born_ms, time_ns now)
+note_start(struct controlled_group *group, const char *database, uint64_t born_ms, time_ns now)
 {
-    if (failover_note_birth(group->failover, database, born_ms, now)) {
+    if (failover_note_start(group->failover, database, born_ms, now)) {
         g_hash_table_remove(group->connections, database);
     }
 }
@@ -304,21 +305,22 @@
     const struct control *control = group->control;
     struct failover *failover = group->failover;
     struct promotion_record record;
-    bool broken = false;
-    bool recorded = read_record(group, &record, &broken);
-    bool stands = recorded && is_same_life(control, &record);
+    bool unreadable = false;
+    bool recorded = read_record(group, &record, &unreadable);
+    bool same_start = recorded && is_same_start(control, &record);
     if (recorded) {
-        bool goes_on = !record.done && stands && is_last_record(control, &record, recorded);
-        failover_continue(failover, goes_on ? record.candidate : NULL, record.term, now);
-        note_birth(group, record.candidate, record.born_ms, now);
+        bool resumes = !record.done && same_start && is_last_record(control, &record, recorded);
+        failover_resume_promotion(failover, resumes ? record.candidate : NULL, record.term, now);
+        note_start(group, record.candidate, record.born_ms, now);
     }
     bool under_way = recorded && !record.done;
     if (recorded && record.done) {
         failover_note_promoted(failover, record.candidate);
     }
-    const char *leader = under_way || broken ? NULL : find_leader(group, &record, recorded);
+    const char *leader =
+        under_way || unreadable ? NULL : find_certain_leader(group, &record, recorded);
     if (leader != NULL) {
-        failover_adopt(failover, leader, recorded ? record.term : 0, now);
+        failover_adopt_primary(failover, leader, recorded ? record.term : 0, now);
     }
     promotion_record_clear(&record);
 }
@@ -330,14 +332,14 @@
 static bool
 has_left(const struct failover *failover, struct directory_entry *entry)
 {
-    if (entry->stays_away && failover_finds_gone(failover, entry->id, entry->deleted_at)) {
+    if (entry->departed && failover_member_has_left(failover, entry->id, entry->deleted_at)) {
         entry->left = true;
     }
     return entry->left;
 }
 
 static void
-remove_left(struct controlled_group *group, const char *database)
+remove_left_member(struct controlled_group *group, const char *database)
 {
     struct failover *failover = group->failover;
     if (failover_find(failover, database) == NULL) {
@@ -364,12 +366,12 @@
     for (guint i = 0; i < entries->len; i++) {
         struct directory_entry *entry = g_ptr_array_index(entries, i);
         if (has_left(failover, entry)) {
-            remove_left(group, entry->id);
+            remove_left_member(group, entry->id);
             continue;
         }
         failover_set_member(failover, entry->id, control_takes_work(control, entry, now),
                             entry->leads);
-        note_birth(group, entry->id, entry->born_ms, now);
+        note_start(group, entry->id, entry->born_ms, now);
     }
 }
 
@@ -382,7 +384,7 @@
     group->failover->since = backend_now();
     group->failover->epoch = control->lease.token << EPOCH_SHIFT;
     group->failover->sync_replicas = service->sync_replicas;
-    group->failover->waits = true;
+    group->failover->queries_deferred = true;
     group->connections = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_connection);
     g_hash_table_insert(control->controlled, group->failover->service, group);
     update_members(control, group, backend_now());
@@ -416,7 +418,7 @@
 read_records(struct control *control)
 {
     control->records_token = control->lease.token;
-    control->records_again_at = 0;
+    control->records_retry_at = 0;
     control_counts_call(&control->counts, STORE_TABLE_CONTROL, CALL_RECORD);
     store_read(control->store, STORE_TABLE_CONTROL, on_records, control);
 }
@@ -429,10 +431,10 @@
         return; /* it was asked by an earlier coordinator here */
     }
     if (answer->outcome == STORE_DONE) {
-        control_lease_take(control, answer);
+        control_lease_apply_answer(control, answer);
         control->records_read = control->lease.held;
     } else {
-        control->records_again_at = backend_now() + RECORDS_AGAIN_NS;
+        control->records_retry_at = backend_now() + RECORDS_AGAIN_NS;
     }
     control_coordinator_wake(control);
 }
@@ -441,7 +443,7 @@
 control_groups_start(struct control *control)
 {
     control->failover_actions = (struct failover_actions){
-        ask, record, promote, publish, closed, drained, control,
+        send_command, record, promote, publish, closed, drained, control,
     };
     if (control->controlled == NULL) {
         control->controlled = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, release_group);
@@ -484,69 +486,72 @@
 /* Ends the turns of groups that have no questions any more, or had their time. Returns how many
  * go on. */
 static unsigned
-end_turns(struct control *control, time_ns now)
+end_query_slots(struct control *control, time_ns now)
 {
-    unsigned asking = 0;
+    unsigned querying = 0;
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, control->controlled);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct controlled_group *group = value;
         struct failover *failover = group->failover;
-        bool over = now >= group->turn_at + TURN_NS || !failover_has_questions(failover);
-        failover->waits = failover->waits || over;
-        asking += !failover->waits;
+        bool over = now >= group->query_slot_at + QUERY_SLOT_NS || !failover_has_queries(failover);
+        failover->queries_deferred = failover->queries_deferred || over;
+        querying += !failover->queries_deferred;
         bool changing =
             failover->state != FAILOVER_WATCHING && failover->state != FAILOVER_SEARCHING;
         if (changing) {
-            group->turn_at = 0; /* replicas that it leaves paused are asked at once afterwards */
+            group->query_slot_at =
+                0; /* replicas that it leaves paused are asked at once afterwards */
         }
     }
-    return asking;
+    return querying;
 }
 
 static unsigned
-begin_turns(struct control *control, enum failover_state state, unsigned asking, time_ns now)
+begin_query_slots(struct control *control, enum failover_state state, unsigned querying,
+                  time_ns now)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, control->controlled);
-    while (asking < QUESTIONED_MAX && g_hash_table_iter_next(&iterator, NULL, &value)) {
+    while (querying < QUERYING_GROUPS_MAX && g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct controlled_group *group = value;
         struct failover *failover = group->failover;
-        bool rested = group->turn_at == 0 || now >= group->turn_at + TURN_EVERY_NS;
-        if (failover->state == state && failover->waits && rested &&
-            failover_has_questions(failover)) {
-            failover->waits = false;
-            group->turn_at = now;
-            asking++;
+        bool eligible =
+            group->query_slot_at == 0 || now >= group->query_slot_at + QUERY_SLOT_EVERY_NS;
+        if (failover->state == state && failover->queries_deferred && eligible &&
+            failover_has_queries(failover)) {
+            failover->queries_deferred = false;
+            group->query_slot_at = now;
+            querying++;
         }
     }
-    return asking;
+    return querying;
 }
 
 /* Lets few groups at a time ask their databases what can wait: first those that nobody is known to
  * lead. */
 static void
-take_turns(struct control *control, time_ns now)
+schedule_queries(struct control *control, time_ns now)
 {
-    unsigned asking = end_turns(control, now);
-    asking = begin_turns(control, FAILOVER_SEARCHING, asking, now);
-    begin_turns(control, FAILOVER_WATCHING, asking, now);
+    unsigned querying = end_query_slots(control, now);
+    querying = begin_query_slots(control, FAILOVER_SEARCHING, querying, now);
+    begin_query_slots(control, FAILOVER_WATCHING, querying, now);
 }
 
 static void
-look_at_group(struct control *control, struct controlled_group *group, time_ns now)
+update_group(struct control *control, struct controlled_group *group, time_ns now)
 {
     struct failover *failover = group->failover;
     update_members(control, group, now);
     failover->settled = control->directory_settled;
-    control_survey_count_opinions(control, group, now);
-    failover_tick(failover, &group->opinion, now);
+    control_reports_count_poolers(control, group, now);
+    failover_tick(failover, &group->faults, now);
     close_unused(group, now);
-    bool questions = !failover->waits && failover_has_questions(failover);
+    bool queries = !failover->queries_deferred && failover_has_queries(failover);
     group->active =
-        failover->state != FAILOVER_WATCHING || failover->minority_since != 0 || questions;
+        failover->state != FAILOVER_WATCHING || failover->minority_since != 0 || queries;
 }
 
 void
@@ -554,22 +559,22 @@
 {
     GHashTableIter iterator;
     gpointer value = NULL;
-    bool all = now >= control->groups_looked_at + LOOK_EVERY_NS;
+    bool all = now >= control->groups_checked_at + CHECK_EVERY_NS;
     if (all) {
-        control->groups_looked_at = now;
+        control->groups_checked_at = now;
     }
-    if (control->records_again_at != 0 && now >= control->records_again_at &&
+    if (control->records_retry_at != 0 && now >= control->records_retry_at &&
         now < control->records_until) {
         read_records(control);
     }
     add_groups(control);
-    control_survey(control, now);
-    take_turns(control, now);
+    control_reports_aggregate(control, now);
+    schedule_queries(control, now);
     g_hash_table_iter_init(&iterator, control->controlled);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct controlled_group *group = value;
         if (all || group->active || group->reporters > 0) {
-            look_at_group(control, group, now);
+            update_group(control, group, now);
         }
     }
 }
--- a/src/pooler/control/control_internal.h
+++ b/src/pooler/control/control_internal.h
@@ -170,7 +170,7 @@
     uint64_t token; /* under which it is held */
     time_ns until;  /* the lease is good before this, by our clock */
     bool calling;
-    bool invited; /* this pooler may take it now, and looks at once */
+    bool check_now; /* this pooler may take it now, and looks at once */
     time_ns next_at;
     time_ns clock_sent; /* bounds of the moment at which the store's clock was read */
     time_ns clock_received;
@@ -181,9 +181,9 @@
     uint64_t proposed_token;
     time_ns free_since; /* it was first seen to be free; 0: it is not */
     bool releasing;
-    uint64_t ceded_token; /* its holder has left the lease to us; 0: none has */
-    uint64_t cessions;    /* leases that were left to us so far */
-    time_ns answered_at;  /* when it was last taken or renewed */
+    uint64_t handover_token;     /* its holder has left the lease to us; 0: none has */
+    uint64_t handovers_received; /* leases that were left to us so far */
+    time_ns renewed_at;          /* when it was last taken or renewed */
 };
 
 /* A pooler as the coordinator knows it. */
@@ -215,7 +215,7 @@
     bool lacks_store;        /* the store does not answer it */
     bool takes_deltas;       /* it takes rows that are told by their difference */
     bool takes_news;         /* it takes orders and members that are told packed */
-    uint64_t followers_told; /* up to this version */
+    uint64_t followers_sent; /* up to this version */
     uint64_t mirrors_sent;   /* the same */
     char *peer_address;      /* where it takes messages of other poolers */
     GHashTable *reports;     /* service -> struct pooler_group_report, where there is something to
@@ -226,13 +226,13 @@
 struct controlled_group {
     struct control *control;
     struct failover *failover;
-    GHashTable *connections;         /* database id -> struct database_control */
-    uint64_t orders_version;         /* at its newest order */
-    struct failover_opinion opinion; /* of the poolers, by the newest survey */
-    uint32_t reporters;              /* poolers heard lately that report on it, by the same */
-    uint32_t in_flight;              /* open at the primary, by the same */
-    time_ns turn_at; /* its databases may be asked what can wait since then; 0: never yet */
-    bool active;     /* something is under way: it is looked at each time */
+    GHashTable *connections;       /* database id -> struct database_control */
+    uint64_t orders_version;       /* at its newest order */
+    struct failover_faults faults; /* of the poolers, by the newest survey */
+    uint32_t reporters;            /* poolers heard lately that report on it, by the same */
+    uint32_t in_flight;            /* open at the primary, by the same */
+    time_ns query_slot_at; /* its databases may be asked what can wait since then; 0: never yet */
+    bool active;           /* something is under way: it is looked at each time */
     bool recording_done;
     bool retired; /* no longer under this coordinator */
 };
@@ -326,44 +326,46 @@
     /* As the coordinator. */
     struct lease lease;
     time_ns coordinator_since;
-    time_ns owed_until;      /* the permits of a coordinator that ceded its lease end by then */
-    uint32_t members_before; /* poolers as counted before this lease; 0: not known */
+    time_ns predecessor_permits_until; /* the permits of a coordinator that ceded its lease end by
+                                          then */
+    uint32_t members_before;           /* poolers as counted before this lease; 0: not known */
     time_ns started_at;
     int listener;
     struct event *acceptable;
     struct peer_callbacks pooler_callbacks;
     GHashTable *poolers;          /* name -> struct pooler_peer */
-    GHashTable *introduced;       /* struct peer -> struct pooler_peer, not owned */
+    GHashTable *poolers_by_peer;  /* struct peer -> struct pooler_peer, not owned */
     GHashTable *unconfirmed_rows; /* struct peer -> row_versions_t, sent and not confirmed yet */
     GPtrArray *connected;         /* of struct peer, accepted */
     GHashTable *controlled;       /* service -> struct controlled_group */
     struct failover_actions failover_actions;
     uint64_t orders_version; /* rises with each order of any group; holds the lease's token */
-    push_pace_t push_pace;
+    push_limiter_t push_limiter;
     news_cache_t news;      /* as the coordinator tells it */
     news_cache_t hearsay;   /* as this pooler tells it in its place */
-    bool push_wanted;       /* orders, owners or rows have changed that poolers are to be told */
+    bool push_pending;      /* orders, owners or rows have changed that poolers are to be told */
     time_ns coordinated_at; /* the groups were last looked at */
     bool coordination_due;  /* and are to be looked at again as soon as may be */
-    uint64_t orders_held;   /* followed by all poolers that may hold a permit, by the last survey */
-    uint64_t orders_reached;  /* followed by all poolers, by the same */
-    bool records_read;        /* of promotions, since the lease was taken */
-    time_ns records_until;    /* they are waited for */
-    time_ns records_again_at; /* they are asked for again; 0: they are on their way, or known */
-    uint64_t records_token;   /* they were asked for under this token */
-    time_ns groups_looked_at; /* all of them, last */
-    control_counts_t counts;  /* since the start */
-    fleet_t *fleet;           /* the poolers that share connections */
-    roster_t *roster;         /* those of them that count operations; NULL: none is known */
-    time_ns roster_until;     /* it is relied on until then */
-    time_ns fleet_at;         /* when it is decided next */
-    time_ns thin_since;       /* many of it have been missing since then; 0: they are not */
-    GHashTable *fresh;    /* of forward addresses: poolers heard lately, by this survey; empty until
-                             asked for */
-    bool rows_to_push;    /* and not yet told to the poolers */
-    time_ns followers_at; /* when the followers of the store were chosen */
-    GPtrArray *followers; /* their peer addresses, as chosen here or told last */
-    uint64_t followers_version; /* rises with each choice that changes them */
+    uint64_t orders_followed_with_permit; /* followed by all poolers that may hold a permit, by the
+                                             last survey */
+    uint64_t orders_followed_by_all;      /* followed by all poolers, by the same */
+    bool records_read;                    /* of promotions, since the lease was taken */
+    time_ns records_until;                /* they are waited for */
+    time_ns records_retry_at;  /* they are asked for again; 0: they are on their way, or known */
+    uint64_t records_token;    /* they were asked for under this token */
+    time_ns groups_checked_at; /* all of them, last */
+    control_counts_t counts;   /* since the start */
+    fleet_t *fleet;            /* the poolers that share connections */
+    roster_t *roster;          /* those of them that count operations; NULL: none is known */
+    time_ns roster_until;      /* it is relied on until then */
+    time_ns fleet_at;          /* when it is decided next */
+    time_ns thin_since;        /* many of it have been missing since then; 0: they are not */
+    GHashTable *responsive_addresses; /* of forward addresses: poolers heard lately, by this survey;
+                          empty until asked for */
+    bool rows_to_push;                /* and not yet told to the poolers */
+    time_ns followers_at;             /* when the followers of the store were chosen */
+    GPtrArray *followers;             /* their peer addresses, as chosen here or told last */
+    uint64_t followers_version;       /* rises with each choice that changes them */
     mirrors_t mirrors;
 };
 
@@ -583,9 +585,9 @@
 /* True if a pooler that sees a free lease leaves it to stronger machines for now. */
 bool control_lease_defers(struct control *control, bool free, time_ns now);
 /* For how long the lease certainly holds; 0 if it does not. */
-time_ns control_lease_left(const struct control *control, time_ns now);
+time_ns control_lease_remaining(const struct control *control, time_ns now);
 /* Takes the lease's row out of an answer of the store; ends the lease if it is another's. */
-void control_lease_take(struct control *control, const struct store_answer *answer);
+void control_lease_apply_answer(struct control *control, const struct store_answer *answer);
 /* Gives the lease up, as at a planned stop. */
 void control_lease_release(struct control *control);
 /** @brief Fills in the fleet, compressed where it is large, if the row stays small enough for the
@@ -605,7 +607,7 @@
 /* True if the store does not answer the holder, so that the lease had better go to another. */
 bool control_lease_is_failing(const struct control *control, time_ns now);
 /* The lease is no longer ours. */
-void control_lease_lost(struct control *control, const char *why);
+void control_lease_end(struct control *control, const char *why);
 
 /** @return the processor that this machine grants, in thousandths of a core. */
 uint32_t control_millicores(const struct control *control);
@@ -651,7 +653,7 @@
 /* control_lease_handover.c */
 /* Leaves the lease to a pooler that the store answers, or to any at a planned stop. False if there
  * is none. */
-bool control_coordinator_cede(struct control *control, bool planned);
+bool control_coordinator_hand_over(struct control *control, bool planned);
 /** @brief Sends all poolers what they lack, at the end of this look at the groups: one message for
  *  each pooler, however many groups have changed. */
 void control_coordinator_push(struct control *control);
@@ -662,15 +664,15 @@
 bool control_coordinator_prefers(const struct pooler_peer *pooler, const struct pooler_peer *than,
                                  time_ns now);
 /** @brief Leaves the lease to a stronger machine, if one is at hand. @return true if it did. */
-bool control_coordinator_hand_over(struct control *control, time_ns now);
+bool control_coordinator_hand_over_to_stronger(struct control *control, time_ns now);
 /** @return how many poolers share the databases' connections, as the coordinator counts them. */
 uint32_t control_coordinator_count(const struct control *control);
 
 /* control_reports.c */
 /** @brief Sums up what all poolers have told, into the groups and the versions of orders. */
-void control_survey(struct control *control, time_ns now);
+void control_reports_aggregate(struct control *control, time_ns now);
 /** @brief Counts whose opinion of the group's primary matters, where there is one. */
-void control_survey_count_opinions(struct control *control, struct controlled_group *group,
+void control_reports_count_poolers(struct control *control, struct controlled_group *group,
                                    time_ns now);
 
 /* control_groups.c: the groups under control */
--- a/src/pooler/control/control_lease.c
+++ b/src/pooler/control/control_lease.c
@@ -20,18 +20,18 @@
 #define RETRY_NS       (250 * MS)
 
 /* Who hears no coordinator for this long looks at the row. */
-#define SILENCE_NS    (900 * MS)
-#define LOOK_EVERY_NS (450 * MS)
+#define COORDINATOR_TIMEOUT_NS (900 * MS)
+#define READ_EVERY_NS          (450 * MS)
 
 /* A lease that is not renewed is looked at again as it ends, by poolers that follow the store
  * within this after its end: less than a tenth of the lease, so that little is lost, and longer
  * than a call at the store takes, so that most find it taken. */
-#define TAKE_SPREAD_MS 60
+#define ACQUIRE_SPREAD_MS 60
 
 /* The others look after those, in a spread that grows with the fleet: about a look in 8 ms, a few
  * times the length of a call, until one of them passes on who has taken it. */
-#define TAKE_SPREAD_OTHERS_MS     180
-#define TAKE_SPREAD_PER_POOLER_MS 8
+#define ACQUIRE_SPREAD_OTHERS_MS     180
+#define ACQUIRE_SPREAD_PER_POOLER_MS 8
 
 /* A renewal that is overdue for this long, without an answer or refused each time: the store is
  * lost to the holder. Two calls have been refused by then, and a third of the lease is left to pass
@@ -42,7 +42,7 @@
 /* A free lease is left to stronger machines for so long: the coordinator hears all poolers, and a
  * fleet of 300 is too much for a tenth of a core. Some times a call at the store and the spread of
  * those that follow it. */
-#define WEAK_WAITS_NS (400 * MS)
+#define WEAK_DEFERS_NS (400 * MS)
 
 /* Kept free at the end of the lease: nothing is done in it. */
 #define MARGIN_NS (150 * MS)
@@ -69,16 +69,16 @@
 bool
 control_lease_holds(const struct control *control, time_ns now, time_ns margin)
 {
-    return control_lease_left(control, now) > margin;
+    return control_lease_remaining(control, now) > margin;
 }
 
 time_ns
-control_lease_left(const struct control *control, time_ns now)
+control_lease_remaining(const struct control *control, time_ns now)
 {
     const struct lease *lease = &control->lease;
     time_ns end = now + MARGIN_NS;
-    bool stands = lease->held && !control_era_is_over(control, lease->row_version);
-    return stands && end < lease->until ? lease->until - end : 0;
+    bool valid = lease->held && !control_era_is_over(control, lease->row_version);
+    return valid && end < lease->until ? lease->until - end : 0;
 }
 
 /* In a new era there is no row yet that is known here. */
@@ -89,7 +89,7 @@
     if (!control_era_is_over(control, lease->row_version)) {
         return;
     }
-    control_lease_lost(control, "the store was restored");
+    control_lease_end(control, "the store was restored");
     lease->row_version = store_version(control->store_era, 0);
     lease->record.expires_ms = 0;
     lease->clock_ms = 0;
@@ -100,7 +100,7 @@
 /* Takes the answer's era. False if the call was about the row of an earlier one: it tells nothing.
  */
 static bool
-take_era(struct control *control, const struct store_answer *answer)
+apply_era(struct control *control, const struct store_answer *answer)
 {
     control_era_note(control, answer->era, 0);
     enter_era(control);
@@ -128,7 +128,7 @@
 
 /* Puts a compressed fleet in its place. @return false with `error` if it can't be read. */
 static bool
-unpack_fleet(struct lease_record *record, GError **error)
+decompress_fleet(struct lease_record *record, GError **error)
 {
     if (record->packed_fleet_unpacked == 0) {
         return true;
@@ -149,11 +149,11 @@
 bool
 control_lease_decode(const uint8_t *data, gsize length, struct lease_record *out, GError **error)
 {
-    return lease_record_decode(data, length, out, error) && unpack_fleet(out, error);
+    return lease_record_decode(data, length, out, error) && decompress_fleet(out, error);
 }
 
 static void
-take_record(struct lease *lease, const struct store_row *row)
+apply_record(struct lease *lease, const struct store_row *row)
 {
     gsize length = 0;
     const uint8_t *data = g_bytes_get_data(row->value, &length);
@@ -171,7 +171,7 @@
 
 /* The row tells since when its era has been known. */
 static void
-take_era_age(struct control *control, const struct store_answer *answer)
+apply_era_age(struct control *control, const struct store_answer *answer)
 {
     uint64_t since = control->lease.record.era_since_ms;
     if (since != 0 && since < answer->clock_ms) {
@@ -189,15 +189,15 @@
 
 /* Reads the lease's row out of the control table; keeps the other rows for the groups' records. */
 static void
-take_rows(struct control *control, const struct store_answer *answer)
+apply_rows(struct control *control, const struct store_answer *answer)
 {
     g_autofree char *key = control_lease_key(control);
     for (guint i = 0; i < answer->rows->len; i++) {
         const struct store_row *row = g_ptr_array_index(answer->rows, i);
         if (!row->gone && g_str_equal(row->key, key)) {
-            take_record(&control->lease, row);
+            apply_record(&control->lease, row);
             const struct lease_record *record = &control->lease.record;
-            take_era_age(control, answer);
+            apply_era_age(control, answer);
             control_fleet_take(control, &record->fleet);
             control_mirrors_take(control, record->mirrors, record->mirrors_count);
             control->view_dirty = true; /* the size of the fleet may be known only now */
@@ -208,19 +208,19 @@
 }
 
 void
-control_lease_lost(struct control *control, const char *why)
+control_lease_end(struct control *control, const char *reason)
 {
     if (!control->lease.held) {
         return;
     }
-    g_message("No longer the coordinator: %s.", why);
+    g_message("No longer the coordinator: %s.", reason);
     control->lease.held = false;
     control_coordinator_end(control);
 }
 
 /* True if the row names this life of this pooler. */
 static bool
-is_ours(const struct control *control)
+is_own_row(const struct control *control)
 {
     const struct lease_record *record = &control->lease.record;
     return record->holder != NULL && g_str_equal(record->holder, control->settings->pooler.name) &&
@@ -228,19 +228,19 @@
 }
 
 void
-control_lease_take(struct control *control, const struct store_answer *answer)
+control_lease_apply_answer(struct control *control, const struct store_answer *answer)
 {
-    take_era(control, answer);
-    take_rows(control, answer);
-    if (control->lease.held && !is_ours(control)) {
-        control_lease_lost(control, "another holds the lease");
+    apply_era(control, answer);
+    apply_rows(control, answer);
+    if (control->lease.held && !is_own_row(control)) {
+        control_lease_end(control, "another holds the lease");
     }
 }
 
 static void on_written(void *user, const struct store_answer *answer);
 static void log_answer(const struct control *control, const char *call,
                        const struct store_answer *answer, time_ns now);
-static void consider(struct control *control, time_ns now);
+static void try_acquire(struct control *control, time_ns now);
 
 /* The row's size, at most: in base64 it fits into the 65,536 bytes that the store takes for a row.
  * A fleet of so many poolers that it would be larger is left out; poolers that start learn it from
@@ -248,21 +248,21 @@
 #define LEASE_ROW_MAX ((guint)40 * 1024)
 
 /* From this size on the fleet is compressed, in bytes of the row. */
-#define LEASE_PACKED_FROM ((guint)4 * 1024)
+#define LEASE_COMPRESS_FROM ((guint)4 * 1024)
 
 static void
-leave_out_fleet(struct lease_record *record)
+clear_fleet(struct lease_record *record)
 {
     pooler_fleet_clear(&record->fleet);
     pooler_fleet_init(&record->fleet);
 }
 
 static void
-pack_fleet(struct lease_record *record)
+compress_fleet(struct lease_record *record)
 {
     g_autoptr(GBytes) content = g_byte_array_free_to_bytes(pooler_fleet_encode(&record->fleet));
     g_autoptr(GBytes) packed = packing_pack(content);
-    leave_out_fleet(record);
+    clear_fleet(record);
     if (packed != NULL) {
         gsize size = 0;
         gconstpointer data = g_bytes_get_data(packed, &size);
@@ -277,10 +277,10 @@
 {
     control_fleet_fill(control, 0, &record->fleet);
     GByteArray *bytes = lease_record_encode(record);
-    if (bytes->len < LEASE_PACKED_FROM) {
+    if (bytes->len < LEASE_COMPRESS_FROM) {
         return bytes;
     }
-    pack_fleet(record);
+    compress_fleet(record);
     g_byte_array_unref(bytes);
     bytes = lease_record_encode(record);
     if (bytes->len <= LEASE_ROW_MAX) {
@@ -295,7 +295,7 @@
 
 /* Proposes to hold the lease from now on, under the condition that the row is as last seen. */
 static void
-propose(struct control *control, uint64_t token, bool give_up, time_ns now)
+write_row(struct control *control, uint64_t token, bool give_up, time_ns now)
 {
     struct lease *lease = &control->lease;
     uint64_t store_now = lease->clock_ms + (now - lease->clock_received) / MS;
@@ -333,7 +333,7 @@
     time_ns uncertainty = lease->clock_received - lease->clock_sent;
     time_ns length = LEASE_NS > uncertainty ? LEASE_NS - uncertainty : 0;
     lease->until = proposed_at + length;
-    lease->answered_at = now;
+    lease->renewed_at = now;
     lease->held = true;
     lease->token = lease->proposed_token;
     lease->next_at = now + RENEW_EVERY_NS;
@@ -354,7 +354,7 @@
     lease->calling = false;
     control_counts_answer(&control->counts, STORE_TABLE_CONTROL, CALL_LEASE_WRITE, answer->bytes);
     lease->next_at = now + RETRY_NS;
-    if (!take_era(control, answer)) {
+    if (!apply_era(control, answer)) {
         return;
     }
     if (!lease->held || answer->outcome != STORE_DONE) {
@@ -372,10 +372,11 @@
     case STORE_CONFLICT:
         /* Ours all the same, if an earlier write without an answer was done. */
         note_clock(control, answer, now);
-        control_lease_take(control, answer);
+        control_lease_apply_answer(control, answer);
         lease->next_at = now;
         if (!lease->held && !lease->releasing) {
-            consider(control, now); /* the answer tells the row as it is, a reading may be behind */
+            try_acquire(control,
+                        now); /* the answer tells the row as it is, a reading may be behind */
         }
         break;
     default:
@@ -387,7 +388,7 @@
 /* True if the row names an earlier life of this pooler, which is over, or this one, which has lost
  * the lease meanwhile. */
 static bool
-is_own_earlier(const struct control *control)
+names_this_pooler(const struct control *control)
 {
     const struct lease_record *record = &control->lease.record;
     return record->holder != NULL && g_str_equal(record->holder, control->settings->pooler.name);
@@ -405,19 +406,19 @@
         lease->free_since = now;
     }
     bool weaker = control_millicores(control) < fleet_weight_most(control->fleet);
-    return weaker && now < lease->free_since + WEAK_WAITS_NS;
+    return weaker && now < lease->free_since + WEAK_DEFERS_NS;
 }
 
 /* Moments at which poolers look at a lease that has ended. Those that follow the store take it
  * first, the others if they do not. */
 static time_ns
-spread_of(const struct control *control)
+acquisition_spread(const struct control *control)
 {
     if (control->follows_store) {
-        return TAKE_SPREAD_MS * MS;
+        return ACQUIRE_SPREAD_MS * MS;
     }
-    uint32_t spread = TAKE_SPREAD_PER_POOLER_MS * control_fleet_size(control);
-    return MAX(spread, TAKE_SPREAD_OTHERS_MS) * MS;
+    uint32_t spread = ACQUIRE_SPREAD_PER_POOLER_MS * control_fleet_size(control);
+    return MAX(spread, ACQUIRE_SPREAD_OTHERS_MS) * MS;
 }
 
 /* Each taking of the lease raises the token, also by the same pooler: what an earlier one ordered
@@ -431,34 +432,34 @@
 /* True if the lease may be taken though it runs, by this pooler alone: it was left to it, or its
  * row names an earlier life of it. */
 static bool
-may_take_at_once(const struct control *control)
+may_acquire_unexpired(const struct control *control)
 {
     const struct lease *lease = &control->lease;
-    bool ceded = lease->ceded_token != 0 && lease->record.token == lease->ceded_token;
-    return has_row(control) && (ceded || is_own_earlier(control));
+    bool handed_over = lease->handover_token != 0 && lease->record.token == lease->handover_token;
+    return has_row(control) && (handed_over || names_this_pooler(control));
 }
 
 static void
-consider(struct control *control, time_ns now)
+try_acquire(struct control *control, time_ns now)
 {
     struct lease *lease = &control->lease;
     const struct lease_record *record = &lease->record;
     bool free = !has_row(control) || record->expires_ms <= lease->clock_ms;
-    bool at_once = may_take_at_once(control);
+    bool at_once = may_acquire_unexpired(control);
     if (atomic_load(&control->shared.stop_at) != 0) {
         return;
     }
     if (!has_row(control) && backend_now() < earlier_leases_end(control)) {
-        gint32 spread = (gint32)(spread_of(control) / MS);
+        gint32 spread = (gint32)(acquisition_spread(control) / MS);
         lease->next_at = earlier_leases_end(control) + (time_ns)g_random_int_range(1, spread) * MS;
         return;
     }
     if (control_lease_defers(control, free, backend_now()) && !at_once) {
-        lease->next_at = lease->free_since + WEAK_WAITS_NS;
+        lease->next_at = lease->free_since + WEAK_DEFERS_NS;
         return;
     }
     if (free || at_once) {
-        propose(control, next_token(control), false, now);
+        write_row(control, next_token(control), false, now);
         return;
     }
     control_member_set_coordinator(control, record->address);
@@ -484,28 +485,29 @@
 
 /* When the row is looked at again: as the lease ends, if it is another's. */
 static time_ns
-next_look(const struct control *control, const struct store_answer *answer, time_ns now)
+next_read_at(const struct control *control, const struct store_answer *answer, time_ns now)
 {
     const struct lease_record *record = &control->lease.record;
-    bool runs = answer->outcome == STORE_DONE && record->expires_ms > answer->clock_ms;
-    if (runs) {
+    bool running = answer->outcome == STORE_DONE && record->expires_ms > answer->clock_ms;
+    if (running) {
         time_ns left = (record->expires_ms - answer->clock_ms) * MS;
-        time_ns spread = spread_of(control);
+        time_ns spread = acquisition_spread(control);
         return now + MIN(left, LEASE_NS) +
                (time_ns)g_random_int_range(1, (gint32)(spread / MS)) * MS;
     }
-    time_ns every = control->follows_store ? LOOK_EVERY_NS : LOOK_EVERY_NS * 3;
+    time_ns every = control->follows_store ? READ_EVERY_NS : READ_EVERY_NS * 3;
     return now + every / 2 + (time_ns)g_random_int_range(0, (gint32)(every / MS)) * MS;
 }
 
 /* The holder has told others of no later change of the fleet than one lease's length before: it
  * wrote the row so often, or it was no longer the holder. */
 static void
-rely_on_row(struct control *control)
+use_row_fleet(struct control *control)
 {
     const struct lease *lease = &control->lease;
-    uint64_t told = lease->record.fleet.version;
-    bool current = has_row(control) && told != 0 && control_fleet_version(control) == told;
+    uint64_t listed_version = lease->record.fleet.version;
+    bool current =
+        has_row(control) && listed_version != 0 && control_fleet_version(control) == listed_version;
     if (current && lease->call_sent > LEASE_NS) {
         control_fleet_rely(control, lease->call_sent - LEASE_NS);
     }
@@ -514,7 +516,7 @@
 /* The row of an earlier era tells where other poolers may be found, and nothing that is relied on.
  */
 static void
-take_poolers(struct control *control, const struct store_answer *answer)
+apply_earlier_row(struct control *control, const struct store_answer *answer)
 {
     g_autofree char *key = key_of_era(control->lease.call_era);
     for (guint i = 0; i < answer->rows->len; i++) {
@@ -533,40 +535,40 @@
 }
 
 static void
-on_looked(void *user, const struct store_answer *answer)
+on_read(void *user, const struct store_answer *answer)
 {
     struct control *control = user;
     struct lease *lease = &control->lease;
     time_ns now = backend_now();
     lease->calling = false;
     control_counts_answer(&control->counts, STORE_TABLE_CONTROL, CALL_LEASE_LOOK, answer->bytes);
-    if (!take_era(control, answer)) {
-        take_poolers(control, answer);
+    if (!apply_era(control, answer)) {
+        apply_earlier_row(control, answer);
         return; /* the row of the new era is read next */
     }
     if (answer->outcome != STORE_DONE) {
-        lease->next_at = next_look(control, answer, now);
+        lease->next_at = next_read_at(control, answer, now);
         log_answer(control, "not read", answer, now);
         return;
     }
     note_clock(control, answer, now);
-    take_rows(control, answer);
-    rely_on_row(control);
-    lease->next_at = next_look(control, answer, now);
+    apply_rows(control, answer);
+    use_row_fleet(control);
+    lease->next_at = next_read_at(control, answer, now);
     log_answer(control, "read", answer, now);
-    consider(control, now);
+    try_acquire(control, now);
 }
 
 static void
-look(struct control *control, time_ns now)
+read_row(struct control *control, time_ns now)
 {
     control->lease.calling = true;
-    control->lease.invited = false;
+    control->lease.check_now = false;
     control->lease.call_sent = now;
     control->lease.call_era = control->store_era;
     control_counts_call(&control->counts, STORE_TABLE_CONTROL, CALL_LEASE_LOOK);
     g_autofree char *key = control_lease_key(control);
-    store_read_row(control->store, STORE_TABLE_CONTROL, key, on_looked, control);
+    store_read_row(control->store, STORE_TABLE_CONTROL, key, on_read, control);
 }
 
 void
@@ -575,20 +577,21 @@
     struct lease *lease = &control->lease;
     enter_era(control);
     if (lease->held && now + MARGIN_NS >= lease->until) {
-        control_lease_lost(control, "the lease could not be renewed in time");
+        control_lease_end(control, "the lease could not be renewed in time");
     }
-    if (control_lease_is_failing(control, now) && control_coordinator_cede(control, false)) {
-        control_lease_lost(control, "the store does not answer; it is left to another pooler");
+    if (control_lease_is_failing(control, now) && control_coordinator_hand_over(control, false)) {
+        control_lease_end(control, "the store does not answer; it is left to another pooler");
     }
     if (lease->calling || now < lease->next_at || lease->releasing) {
         return;
     }
     bool stopping = atomic_load(&control->shared.stop_at) != 0;
-    bool silent = now > control->granted_at + SILENCE_NS;
+    bool no_coordinator = now > control->granted_at + COORDINATOR_TIMEOUT_NS;
     if (lease->held) {
-        propose(control, lease->token, false, now);
-    } else if (silent && !stopping && (lease->invited || !control_reliance_is_led(control, now))) {
-        look(control, now);
+        write_row(control, lease->token, false, now);
+    } else if (no_coordinator && !stopping &&
+               (lease->check_now || !control_reliance_is_led(control, now))) {
+        read_row(control, now);
     }
 }
 
@@ -601,7 +604,7 @@
 time_ns
 control_lease_overdue(const struct control *control, time_ns now)
 {
-    time_ns due = control->lease.answered_at + RENEW_EVERY_NS;
+    time_ns due = control->lease.renewed_at + RENEW_EVERY_NS;
     return now > due ? now - due : 0;
 }
 
@@ -609,7 +612,7 @@
 control_lease_check_now(struct control *control)
 {
     control->lease.next_at = 0;
-    control->lease.invited = true;
+    control->lease.check_now = true;
     control_wake_soon(control);
 }
 
@@ -617,8 +620,8 @@
 control_lease_accept_handover(struct control *control, uint64_t token)
 {
     g_message("The lease under token %" PRIu64 " is left to us.", token);
-    control->lease.ceded_token = token;
-    control->lease.cessions++;
+    control->lease.handover_token = token;
+    control->lease.handovers_received++;
     control->granted_at = 0;
     control_lease_check_now(control);
 }
@@ -630,11 +633,11 @@
     if (!lease->held) {
         return;
     }
-    control_coordinator_cede(control, true);
-    control_lease_lost(control, "a planned stop");
+    control_coordinator_hand_over(control, true);
+    control_lease_end(control, "a planned stop");
     if (control_era_is_over(control, lease->row_version)) {
         return; /* there is nothing left to give up */
     }
     lease->releasing = true;
-    propose(control, lease->token, true, backend_now());
+    write_row(control, lease->token, true, backend_now());
 }
--- a/src/pooler/control/control_lease_handover.c
+++ b/src/pooler/control/control_lease_handover.c
@@ -4,16 +4,16 @@
 #include "pooler/control/control_internal.h"
 
 /* What makes a pooler fit to take the lease over. */
-#define SUCCESSOR_HEARD_NS (600 * MS)
+#define SUCCESSOR_CONTACT_NS (600 * MS)
 
 /* It has heard the store so long after this one's call went unanswered, at least. */
-#define HEARD_SINCE_MS ((uint64_t)100)
+#define ANSWERED_SINCE_MS ((uint64_t)100)
 
 /* A weak machine leads for so long at least, before it leaves the lease to a stronger one that has
  * heard the store within this: time for the fleet to be heard, and for groups without a primary to
  * get one. In milliseconds the latter. */
-#define WEAK_LEADS_NS     (1000 * MS)
-#define STRONGER_HEARD_MS ((uint64_t)1500)
+#define WEAK_HOLDS_MIN_NS         (1000 * MS)
+#define STRONGER_STORE_AGE_MAX_MS ((uint64_t)1500)
 
 /* Time since the store last answered the pooler, in milliseconds. */
 static uint64_t
@@ -42,11 +42,11 @@
     g_hash_table_iter_init(&iterator, control->poolers);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct pooler_peer *pooler = value;
-        bool good = pooler->peer != NULL && !pooler->stopping &&
-                    g_strcmp0(pooler->name, control->settings->pooler.name) != 0 &&
-                    now < pooler->contact.last_heartbeat_at + SUCCESSOR_HEARD_NS &&
-                    store_age_ms(pooler, now) < age_max_ms;
-        if (good && control_coordinator_prefers(pooler, best, now)) {
+        bool eligible = pooler->peer != NULL && !pooler->stopping &&
+                        g_strcmp0(pooler->name, control->settings->pooler.name) != 0 &&
+                        now < pooler->contact.last_heartbeat_at + SUCCESSOR_CONTACT_NS &&
+                        store_age_ms(pooler, now) < age_max_ms;
+        if (eligible && control_coordinator_prefers(pooler, best, now)) {
             best = pooler;
         }
     }
@@ -54,7 +54,7 @@
 }
 
 static void
-cede_to(struct control *control, struct pooler_peer *successor)
+hand_over_to(struct control *control, struct pooler_peer *successor)
 {
     struct pooler_grant grant;
     pooler_grant_init(&grant);
@@ -67,19 +67,20 @@
 }
 
 bool
-control_coordinator_cede(struct control *control, bool planned)
+control_coordinator_hand_over(struct control *control, bool planned)
 {
     time_ns now = backend_now();
     /* Few poolers ask the store. While it answers here, it will answer any other. Where it does
      * not, only one will do that it has answered since: a store that is silent to all is not met
      * sooner by another, and the permits would end with the lease. */
-    uint64_t silent_ms = control_lease_overdue(control, now) / MS;
-    uint64_t age_max_ms = planned ? UINT64_MAX : MAX(silent_ms, HEARD_SINCE_MS) - HEARD_SINCE_MS;
+    uint64_t overdue_ms = control_lease_overdue(control, now) / MS;
+    uint64_t age_max_ms =
+        planned ? UINT64_MAX : MAX(overdue_ms, ANSWERED_SINCE_MS) - ANSWERED_SINCE_MS;
     struct pooler_peer *successor = find_successor(control, age_max_ms, now);
     if (successor == NULL) {
         return false;
     }
-    cede_to(control, successor);
+    hand_over_to(control, successor);
     return true;
 }
 
@@ -88,20 +89,20 @@
 static struct pooler_peer *
 find_stronger(const struct control *control, time_ns now)
 {
-    struct pooler_peer *best = find_successor(control, STRONGER_HEARD_MS, now);
+    struct pooler_peer *best = find_successor(control, STRONGER_STORE_AGE_MAX_MS, now);
     bool stronger = best != NULL && best->millicores > control_millicores(control);
-    return stronger && now > control->coordinator_since + WEAK_LEADS_NS ? best : NULL;
+    return stronger && now > control->coordinator_since + WEAK_HOLDS_MIN_NS ? best : NULL;
 }
 
 /* A weak machine that took the lease, as nobody else did, leaves it to a stronger one. */
 bool
-control_coordinator_hand_over(struct control *control, time_ns now)
+control_coordinator_hand_over_to_stronger(struct control *control, time_ns now)
 {
     struct pooler_peer *stronger = find_stronger(control, now);
     if (stronger == NULL || control->lease.calling) {
         return false;
     }
-    cede_to(control, stronger);
-    control_lease_lost(control, "a stronger machine takes over");
+    hand_over_to(control, stronger);
+    control_lease_end(control, "a stronger machine takes over");
     return true;
 }
--- a/src/pooler/control/control_reports.c
+++ b/src/pooler/control/control_reports.c
@@ -4,18 +4,18 @@
 #include "pooler/control/control_internal.h"
 
 static void
-count_fault(const struct pooler_fault *fault, struct failover_opinion *opinion)
+count_fault(const struct pooler_fault *fault, struct failover_faults *faults)
 {
     switch (fault->kind) {
     case DATABASE_FAULT_UNREACHABLE:
     case DATABASE_FAULT_SILENT:
-        opinion->unreachable++;
+        faults->unreachable++;
         break;
     case DATABASE_FAULT_STALLED:
-        opinion->stalled++;
+        faults->stalled++;
         break;
     case DATABASE_FAULT_REFUSING:
-        opinion->refusing++;
+        faults->refusing++;
         break;
     default:
         break;
@@ -27,27 +27,28 @@
              struct controlled_group *group)
 {
     group->in_flight += report->in_flight;
-    if (!contact_is_fresh(contact, now)) {
+    if (!contact_is_recent(contact, now)) {
         return;
     }
     group->reporters++;
     for (size_t i = 0; i < report->faults_count; i++) {
         const struct pooler_fault *fault = &report->faults[i];
         if (g_strcmp0(fault->database, group->failover->primary) == 0 &&
-            opinion_counts(contact, fault->age_ms, now)) {
-            count_fault(fault, &group->opinion);
+            fault_report_counts(contact, fault->age_ms, now)) {
+            count_fault(fault, &group->faults);
         }
     }
 }
 
 static void
-survey_pooler(struct control *control, const struct pooler_peer *pooler, time_ns now)
+aggregate_pooler(struct control *control, const struct pooler_peer *pooler, time_ns now)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
-    control->orders_reached = MIN(control->orders_reached, pooler->orders_followed);
+    control->orders_followed_by_all = MIN(control->orders_followed_by_all, pooler->orders_followed);
     if (now <= pooler->permit_until) {
-        control->orders_held = MIN(control->orders_held, pooler->orders_followed);
+        control->orders_followed_with_permit =
+            MIN(control->orders_followed_with_permit, pooler->orders_followed);
     }
     g_hash_table_iter_init(&iterator, pooler->reports);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
@@ -60,36 +61,36 @@
 }
 
 static void
-find_fresh(struct control *control, time_ns now)
+collect_responsive(struct control *control, time_ns now)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, control->poolers);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct pooler_peer *pooler = value;
-        if (contact_is_fresh(&pooler->contact, now) && pooler->forward_address != NULL) {
-            g_hash_table_add(control->fresh, pooler->forward_address);
+        if (contact_is_recent(&pooler->contact, now) && pooler->forward_address != NULL) {
+            g_hash_table_add(control->responsive_addresses, pooler->forward_address);
         }
     }
 }
 
 /* How many poolers that were heard lately hold connections to the group's databases. */
 static uint32_t
-count_holders(struct control *control, const struct controlled_group *group, time_ns now)
+count_connection_owners(struct control *control, const struct controlled_group *group, time_ns now)
 {
     const struct service *service =
         configuration_service(control->configuration, group->failover->service);
     const fleet_owners_t *owners = service == NULL ? NULL : control_fleet_owners(control, service);
     uint32_t count = 0;
-    if (g_hash_table_size(control->fresh) == 0) {
-        find_fresh(control, now);
+    if (g_hash_table_size(control->responsive_addresses) == 0) {
+        collect_responsive(control, now);
     }
     if (owners == NULL || owners->direct) {
-        return g_hash_table_size(control->fresh);
+        return g_hash_table_size(control->responsive_addresses);
     }
     for (guint i = 0; i < owners->members->len; i++) {
         const fleet_member_t *owner = g_ptr_array_index(owners->members, i);
-        count += g_hash_table_contains(control->fresh, owner->address);
+        count += g_hash_table_contains(control->responsive_addresses, owner->address);
     }
     return count;
 }
@@ -97,32 +98,32 @@
 /* What all poolers say of all groups, in one pass over what they have told: its cost is that of the
  * connections held, not that of poolers times groups. */
 void
-control_survey(struct control *control, time_ns now)
+control_reports_aggregate(struct control *control, time_ns now)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
-    g_hash_table_remove_all(control->fresh);
-    control->orders_held = UINT64_MAX;
-    control->orders_reached = UINT64_MAX;
+    g_hash_table_remove_all(control->responsive_addresses);
+    control->orders_followed_with_permit = UINT64_MAX;
+    control->orders_followed_by_all = UINT64_MAX;
     g_hash_table_iter_init(&iterator, control->controlled);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct controlled_group *group = value;
-        group->opinion = (struct failover_opinion){0};
+        group->faults = (struct failover_faults){0};
         group->reporters = 0;
         group->in_flight = 0;
     }
     g_hash_table_iter_init(&iterator, control->poolers);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        survey_pooler(control, value, now);
+        aggregate_pooler(control, value, now);
     }
 }
 
 /* The poolers whose opinion counts are those with connections, and those that report all the same,
  * as they serve alone. Counted only where there is an opinion. */
 void
-control_survey_count_opinions(struct control *control, struct controlled_group *group, time_ns now)
+control_reports_count_poolers(struct control *control, struct controlled_group *group, time_ns now)
 {
     if (group->reporters > 0) {
-        group->opinion.poolers = MAX(count_holders(control, group, now), group->reporters);
+        group->faults.poolers = MAX(count_connection_owners(control, group, now), group->reporters);
     }
 }
--- a/src/pooler/control/database_control.c
+++ b/src/pooler/control/database_control.c
@@ -28,14 +28,14 @@
     struct event *timer;
     struct buffer in;
     struct buffer out;
-    bool started; /* the database has answered the start */
-    bool asking;  /* a command has no answer yet */
+    bool started;         /* the database has answered the start */
+    bool command_pending; /* a command has no answer yet */
     enum database_command command;
     uint64_t term;
     bool has_report;
-    bool full; /* it answered that it has no room */
+    bool at_capacity; /* it answered that it has no room */
     struct database_report report;
-    time_ns used;
+    time_ns last_used_at;
 };
 
 static void on_event(evutil_socket_t socket, short events, void *user);
@@ -84,10 +84,10 @@
 static void
 finish(struct database_control *control, const struct database_report *report, bool refused)
 {
-    if (!control->asking) {
+    if (!control->command_pending) {
         return;
     }
-    control->asking = false;
+    control->command_pending = false;
     event_del(control->timer);
     control->callback(control->user, control->service, control->database, report, refused);
 }
@@ -101,7 +101,7 @@
 
 /* It lives, and takes no further connection, or has no slot for the command. */
 static bool
-is_full(enum answer_code code)
+is_at_capacity(enum answer_code code)
 {
     return code == ANSWER_OVERLOADED || code == ANSWER_BUSY;
 }
@@ -149,7 +149,7 @@
         flush(control);
         return;
     }
-    finish(control, control->has_report ? &control->report : NULL, control->full);
+    finish(control, control->has_report ? &control->report : NULL, control->at_capacity);
 }
 
 static void
@@ -169,10 +169,11 @@
         bool refused_start = reply.kind == REPLY_ERROR && !control->started;
         bool ready = reply.kind == REPLY_READY;
         buffer_consume(&control->in, length);
-        control->full = reply.kind == REPLY_ERROR ? is_full(reply.code) : control->full;
+        control->at_capacity =
+            reply.kind == REPLY_ERROR ? is_at_capacity(reply.code) : control->at_capacity;
         if (refused_start) {
             disconnect(control);
-            finish(control, NULL, control->full);
+            finish(control, NULL, control->at_capacity);
         } else if (ready) {
             on_ready(control);
         }
@@ -222,19 +223,19 @@
 }
 
 bool
-database_control_ask(struct database_control *control, const struct sockaddr_in *address,
-                     enum database_command command, uint64_t term)
+database_control_send(struct database_control *control, const struct sockaddr_in *address,
+                      enum database_command command, uint64_t term)
 {
-    if (control->asking) {
+    if (control->command_pending) {
         return false;
     }
     struct timeval timeout = {0, COMMAND_TIMEOUT_MS * 1000};
-    control->asking = true;
+    control->command_pending = true;
     control->command = command;
     control->term = term;
     control->has_report = false;
-    control->full = false;
-    control->used = backend_now();
+    control->at_capacity = false;
+    control->last_used_at = backend_now();
     evtimer_add(control->timer, &timeout);
     if (control->socket < 0) {
         if (!connect_to(control, address)) {
@@ -253,7 +254,7 @@
 void
 database_control_close_unused(struct database_control *control, time_ns before)
 {
-    if (!control->asking && control->socket >= 0 && control->used < before) {
+    if (!control->command_pending && control->socket >= 0 && control->last_used_at < before) {
         disconnect(control);
     }
 }
--- a/src/pooler/control/database_control.h
+++ b/src/pooler/control/database_control.h
@@ -22,8 +22,8 @@
 
 /* Sends a command; the callback comes exactly once for each. A command while another runs is
  * dropped, and false is returned. */
-bool database_control_ask(struct database_control *control, const struct sockaddr_in *address,
-                          enum database_command command, uint64_t term);
+bool database_control_send(struct database_control *control, const struct sockaddr_in *address,
+                           enum database_command command, uint64_t term);
 
 /* Closes the connection if it was not used since `before`. */
 void database_control_close_unused(struct database_control *control, time_ns before);
--- a/src/pooler/control/directory.c
+++ b/src/pooler/control/directory.c
@@ -86,7 +86,7 @@
     if (group->len == 0) {
         g_hash_table_remove(directory->groups, entry->service);
     }
-    directory->gone -= entry->deleted_at != 0;
+    directory->deleted -= entry->deleted_at != 0;
 }
 
 static bool
@@ -99,13 +99,14 @@
 }
 
 static bool
-mark_gone(struct directory *directory, struct directory_entry *known, uint64_t version, time_ns now)
+mark_deleted(struct directory *directory, struct directory_entry *known, uint64_t version,
+             time_ns now)
 {
     bool changed = known->deleted_at == 0;
     known->version = version;
     if (changed) {
         known->deleted_at = now;
-        directory->gone++;
+        directory->deleted++;
     }
     return changed;
 }
@@ -113,7 +114,7 @@
 /* True if the entry is of an earlier life of the database than the known one: a write that the
  * store did late. */
 static bool
-is_of_earlier_life(const struct directory_entry *known, const struct directory_entry *entry)
+is_of_earlier_start(const struct directory_entry *known, const struct directory_entry *entry)
 {
     return entry->born_ms != 0 && entry->born_ms < known->born_ms;
 }
@@ -128,17 +129,17 @@
         return false;
     }
     if (entry == NULL) {
-        return known != NULL && mark_gone(directory, known, version, now);
+        return known != NULL && mark_deleted(directory, known, version, now);
     }
-    if (known != NULL && is_of_earlier_life(known, entry)) {
+    if (known != NULL && is_of_earlier_start(known, entry)) {
         known->version = version;
         directory_entry_free(entry);
         return false;
     }
     bool changed = known == NULL || known->deleted_at != 0 || !same_content(known, entry);
-    bool starts = known == NULL || known->deleted_at != 0 || known->born_ms != entry->born_ms;
+    bool reappears = known == NULL || known->deleted_at != 0 || known->born_ms != entry->born_ms;
     entry->version = version;
-    entry->stands_since = starts ? now : known->stands_since;
+    entry->present_since = reappears ? now : known->present_since;
     if (known != NULL) {
         leave_group(directory, known);
     }
@@ -155,7 +156,7 @@
         return false;
     }
     if (known->born_ms != entry->born_ms) {
-        return is_of_earlier_life(known, entry);
+        return is_of_earlier_start(known, entry);
     }
     return known->deleted_at != 0 || known->sequence >= entry->sequence;
 }
@@ -176,21 +177,21 @@
         return true;
     }
     return entry->deleted_at != 0 &&
-           now >= entry->deleted_at + heartbeat * DIRECTORY_GONE_AFTER_HEARTBEATS;
+           now >= entry->deleted_at + heartbeat * DIRECTORY_LEAVING_AFTER_HEARTBEATS;
 }
 
 /* True if another database of the zone stood in the directory for so long until `as_of`. */
 static bool
-zone_stood(const struct directory *directory, const struct directory_entry *gone, time_ns as_of,
-           time_ns wait)
+zone_reached_store(const struct directory *directory, const struct directory_entry *deleted,
+                   time_ns as_of, time_ns wait)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, directory->entries);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct directory_entry *entry = value;
-        bool stood = entry->deleted_at == 0 && as_of >= entry->stands_since + wait;
-        if (stood && g_str_equal(entry->zone, gone->zone)) {
+        bool present = entry->deleted_at == 0 && as_of >= entry->present_since + wait;
+        if (present && g_str_equal(entry->zone, deleted->zone)) {
             return true;
         }
     }
@@ -203,16 +204,16 @@
     time_ns wait = heartbeat * DIRECTORY_SETTLED_HEARTBEATS;
     GHashTableIter iterator;
     gpointer value = NULL;
-    if (directory->gone == 0) {
+    if (directory->deleted == 0) {
         return;
     }
     g_hash_table_iter_init(&iterator, directory->entries);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct directory_entry *entry = value;
-        bool away = entry->draining && !entry->leads && entry->deleted_at != 0 &&
-                    as_of >= entry->deleted_at + wait;
-        if (away && !entry->stays_away) {
-            entry->stays_away = zone_stood(directory, entry, as_of, wait);
+        bool departing = entry->draining && !entry->leads && entry->deleted_at != 0 &&
+                         as_of >= entry->deleted_at + wait;
+        if (departing && !entry->departed) {
+            entry->departed = zone_reached_store(directory, entry, as_of, wait);
         }
     }
 }
@@ -223,7 +224,7 @@
     guint before = g_hash_table_size(directory->entries);
     GHashTableIter iterator;
     gpointer value = NULL;
-    if (directory->gone == 0) {
+    if (directory->deleted == 0) {
         return false;
     }
     g_hash_table_iter_init(&iterator, directory->entries);
--- a/src/pooler/control/directory.h
+++ b/src/pooler/control/directory.h
@@ -12,7 +12,7 @@
 
 /* A record that is gone for this long means that its database is leaving. A store that was down
  * may have dropped the record of a database that is well, which then records itself again. */
-#define DIRECTORY_GONE_AFTER_HEARTBEATS 2
+#define DIRECTORY_LEAVING_AFTER_HEARTBEATS 2
 
 /* Heartbeats after which every living database has recorded itself at a store that answers. */
 #define DIRECTORY_SETTLED_HEARTBEATS 4
@@ -24,20 +24,20 @@
     struct sockaddr_in address;
     uint32_t slots; /* statements that it runs at once; 0: not told */
     bool draining;
-    bool leads;           /* it sees itself as primary */
-    uint64_t born_ms;     /* when it started, by its own clock, since 1970; 0: not told */
-    uint64_t sequence;    /* counts the database's writes since it started */
-    uint64_t version;     /* of the row */
-    time_ns deleted_at;   /* when the row was seen to be gone; 0 while it stands */
-    time_ns stands_since; /* when the row was first seen, or seen again after it was gone */
-    bool stays_away;      /* its row stays gone though it could renew it: directory_note_left() */
-    bool left;            /* and it does not answer the coordinator: no longer a member */
+    bool leads;            /* it sees itself as primary */
+    uint64_t born_ms;      /* when it started, by its own clock, since 1970; 0: not told */
+    uint64_t sequence;     /* counts the database's writes since it started */
+    uint64_t version;      /* of the row */
+    time_ns deleted_at;    /* when the row was seen to be gone; 0 while it stands */
+    time_ns present_since; /* when the row was first seen, or seen again after it was gone */
+    bool departed;         /* its row stays gone though it could renew it: directory_note_left() */
+    bool left;             /* and it does not answer the coordinator: no longer a member */
 };
 
 struct directory {
     GHashTable *entries; /* id -> struct directory_entry, owned; gone ones are kept for a while */
     GHashTable *groups;  /* service -> GPtrArray of its struct directory_entry, not owned */
-    uint32_t gone;       /* entries whose row is gone */
+    uint32_t deleted;    /* entries whose row is gone */
 };
 
 void directory_init(struct directory *directory);
--- a/src/pooler/control/evacuation.c
+++ b/src/pooler/control/evacuation.c
@@ -3,7 +3,7 @@
 
 /* A zone whose request is gone is taken back so much later: a store that was restored from an older
  * copy may lack the request, and operators have written it again by then. */
-#define TAKEN_BACK_AFTER_NS (1500 * NANOSECONDS_PER_MILLISECOND)
+#define WITHDRAWN_AFTER_NS (1500 * NANOSECONDS_PER_MILLISECOND)
 
 typedef struct evacuation {
     time_ns since;
@@ -26,15 +26,15 @@
 static bool
 is_over(const evacuation_t *evacuation, time_ns now)
 {
-    return evacuation->deleted_at != 0 && now >= evacuation->deleted_at + TAKEN_BACK_AFTER_NS;
+    return evacuation->deleted_at != 0 && now >= evacuation->deleted_at + WITHDRAWN_AFTER_NS;
 }
 
 bool
 evacuations_set(evacuations_t *evacuations, const char *zone, bool evacuated, time_ns now)
 {
     evacuation_t *evacuation = g_hash_table_lookup(evacuations->zones, zone);
-    bool stood = evacuation != NULL && evacuation->deleted_at == 0;
-    if (evacuated == stood) {
+    bool requested = evacuation != NULL && evacuation->deleted_at == 0;
+    if (evacuated == requested) {
         return false;
     }
     if (!evacuated) {
@@ -61,5 +61,5 @@
         return EVACUATION_NONE;
     }
     bool closed = now >= evacuation->since + evacuations->bound / 2;
-    return closed ? EVACUATION_CLOSED : EVACUATION_LEAVING;
+    return closed ? EVACUATION_CLOSED : EVACUATION_DRAINING;
 }
--- a/src/pooler/control/evacuation.h
+++ b/src/pooler/control/evacuation.h
@@ -18,8 +18,8 @@
 /** @brief How far the evacuation of a zone has come. */
 typedef enum evacuation_phase {
     EVACUATION_NONE,
-    EVACUATION_LEAVING, /* no new work; what is open may end */
-    EVACUATION_CLOSED,  /* nothing is sent there */
+    EVACUATION_DRAINING, /* no new work; what is open may end */
+    EVACUATION_CLOSED,   /* nothing is sent there */
 } evacuation_phase_t;
 
 /** @brief All zones that operators evacuate. Owned by the control thread. */
--- a/src/pooler/control/failover.c
+++ b/src/pooler/control/failover.c
@@ -10,7 +10,7 @@
 #define MINORITY_MAX_NS (1500 * MS)
 
 /* Replicas that get no further for so long confirm a stall. */
-#define STALL_SEEN_NS (350 * MS)
+#define STALL_CONFIRMED_NS (350 * MS)
 
 /* Least time between two changes for want of acknowledgements; doubles with each. */
 #define STALL_WAIT_MIN_NS (4000 * MS)
@@ -23,7 +23,7 @@
 #define SEARCH_MAX_NS (600 * MS)
 
 /* A primary is dark if all but one in so many poolers find it so. */
-#define FEW_LEFT 4
+#define REACHABLE_FEW_DIVISOR 4
 
 /* Writes wait for replicas that are still paused, and are no sign of a stall. */
 #define STALLED_BY_PAUSE_NS (1000 * MS)
@@ -88,7 +88,8 @@
 }
 
 void
-failover_set_member(struct failover *failover, const char *id, bool takes_work, bool says_leads)
+failover_set_member(struct failover *failover, const char *id, bool takes_work,
+                    bool reports_leading)
 {
     struct failover_member *member = failover_find(failover, id);
     if (member == NULL) {
@@ -98,7 +99,7 @@
     }
     member->listed = true;
     member->takes_work = takes_work;
-    member->says_leads = says_leads;
+    member->reports_leading = reports_leading;
 }
 
 void
@@ -111,7 +112,7 @@
 }
 
 bool
-failover_finds_gone(const struct failover *failover, const char *id, time_ns deleted_at)
+failover_member_has_left(const struct failover *failover, const char *id, time_ns deleted_at)
 {
     const struct failover_member *member = failover_find(failover, id);
     bool may_lead =
@@ -152,21 +153,21 @@
 }
 
 static void
-ask(struct failover *failover, struct failover_member *member, enum database_command command,
-    uint64_t term, time_ns now)
+send_command(struct failover *failover, struct failover_member *member,
+             enum database_command command, uint64_t term, time_ns now)
 {
-    member->asking = true;
-    member->asked_at = now;
-    failover->actions->ask(failover->actions->user, failover, member->id, command, term);
+    member->command_pending = true;
+    member->command_sent_at = now;
+    failover->actions->send_command(failover->actions->user, failover, member->id, command, term);
 }
 
 /* Asks unless a command is under way or was sent too lately. */
 void
-failover_ask_every(struct failover *failover, struct failover_member *member,
-                   enum database_command command, uint64_t term, time_ns every, time_ns now)
+failover_send_command(struct failover *failover, struct failover_member *member,
+                      enum database_command command, uint64_t term, time_ns every, time_ns now)
 {
-    if (!member->asking && now >= member->asked_at + every) {
-        ask(failover, member, command, term, now);
+    if (!member->command_pending && now >= member->command_sent_at + every) {
+        send_command(failover, member, command, term, now);
     }
 }
 
@@ -199,7 +200,7 @@
     for (guint i = 0; i < failover->members->len; i++) {
         struct failover_member *member = failover_member_at(failover, i);
         bool leads = member->has_report && member->answered && member->report.leads &&
-                     member->unproven_since == 0 && member->report.term >= failover->term &&
+                     member->log_unverified_since == 0 && member->report.term >= failover->term &&
                      now < member->reported_at + REPORT_FRESH_NS;
         if (leads && (leader == NULL || member->report.term > leader->report.term)) {
             leader = member;
@@ -209,7 +210,7 @@
 }
 
 void
-failover_adopt(struct failover *failover, const char *database, uint64_t term, time_ns now)
+failover_adopt_primary(struct failover *failover, const char *database, uint64_t term, time_ns now)
 {
     struct failover_member *member = failover_find(failover, database);
     failover->term = MAX(failover->term, term);
@@ -220,24 +221,24 @@
 
 /* True if the member, which does not lead, has said since the primary was opened how it stands. */
 static bool
-is_settled(const struct failover *failover, const struct failover_member *member)
+has_reported_role(const struct failover *failover, const struct failover_member *member)
 {
     return member->has_report && member->reported_at >= failover->since &&
            member->report.paused_term == 0 && !member->report.leads;
 }
 
 bool
-failover_has_questions(const struct failover *failover)
+failover_has_queries(const struct failover *failover)
 {
     if (failover->state != FAILOVER_WATCHING) {
         return failover->state == FAILOVER_SEARCHING;
     }
-    if (failover_has_unproven(failover)) {
+    if (failover_has_unverified_log(failover)) {
         return true;
     }
     for (guint i = 0; i < failover->members->len; i++) {
         const struct failover_member *member = failover_member_at(failover, i);
-        if (!failover_is_primary(failover, member) && !is_settled(failover, member)) {
+        if (!failover_is_primary(failover, member) && !has_reported_role(failover, member)) {
             return true;
         }
     }
@@ -252,12 +253,12 @@
     if (member == NULL) {
         return;
     }
-    member->asking = false;
+    member->command_pending = false;
     member->answered = report != NULL;
     if (report == NULL) {
-        member->refuses = false;
+        member->at_capacity = false;
         member->failures++;
-        member->unanswered_at = member->asked_at;
+        member->unanswered_at = member->command_sent_at;
         if (member->failing_since == 0) {
             member->failing_since = now;
         }
@@ -265,7 +266,7 @@
     }
     member->failures = 0;
     member->failing_since = 0;
-    member->refuses = false;
+    member->at_capacity = false;
     member->has_report = true;
     member->report = *report;
     member->reported_at = now;
@@ -284,18 +285,18 @@
     if (member == NULL) {
         return;
     }
-    member->asking = false;
+    member->command_pending = false;
     member->answered = true;
-    member->refuses = true;
+    member->at_capacity = true;
     member->failures = 0;
     member->failing_since = 0;
 }
 
 /* What it is can't be asked now, and its record does not say that it leads. */
 static bool
-is_full_replica(const struct failover_member *member)
+is_replica_at_capacity(const struct failover_member *member)
 {
-    return member->refuses && !member->says_leads;
+    return member->at_capacity && !member->reports_leading;
 }
 
 static bool
@@ -303,10 +304,10 @@
 {
     for (guint i = 0; i < failover->members->len; i++) {
         const struct failover_member *member = failover_member_at(failover, i);
-        bool heard =
+        bool reported =
             member->has_report && member->answered && now < member->reported_at + SEARCH_EVERY_NS;
         bool silent = member->failures >= SEARCH_FAILURES;
-        if (!heard && !silent && !is_full_replica(member)) {
+        if (!reported && !silent && !is_replica_at_capacity(member)) {
             return false;
         }
     }
@@ -314,12 +315,13 @@
 }
 
 static bool
-enough_answer(const struct failover *failover)
+enough_replicas_answer(const struct failover *failover)
 {
     uint32_t answering = 0;
     for (guint i = 0; i < failover->members->len; i++) {
         const struct failover_member *member = failover_member_at(failover, i);
-        answering += member->answered && !member->refuses && !failover_is_primary(failover, member);
+        answering +=
+            member->answered && !member->at_capacity && !failover_is_primary(failover, member);
     }
     return answering >= failover_pauses_needed(failover);
 }
@@ -327,25 +329,26 @@
 static void
 search(struct failover *failover, time_ns now)
 {
-    if (failover->waits) {
+    if (failover->queries_deferred) {
         failover->since = now;
         return;
     }
     for (guint i = 0; i < failover->members->len; i++) {
-        failover_ask_every(failover, failover_member_at(failover, i), DATABASE_COMMAND_STATUS, 0,
-                           SEARCH_EVERY_NS, now);
+        failover_send_command(failover, failover_member_at(failover, i), DATABASE_COMMAND_STATUS, 0,
+                              SEARCH_EVERY_NS, now);
     }
     if (all_reported(failover, now)) {
-        failover_prove_members(failover);
+        failover_verify_logs(failover);
     }
     struct failover_member *leader = failover_find_leader(failover, now);
     if (leader != NULL && all_reported(failover, now)) {
         failover_open(failover, leader, now);
         return;
     }
-    bool nobody = leader == NULL && all_reported(failover, now) && enough_answer(failover);
-    if (nobody && now > failover->since + SEARCH_MAX_NS) {
-        failover->former_may_live = true;
+    bool no_leader =
+        leader == NULL && all_reported(failover, now) && enough_replicas_answer(failover);
+    if (no_leader && now > failover->since + SEARCH_MAX_NS) {
+        failover->former_may_be_alive = true;
         failover_begin_change(failover, false, "nobody leads", now);
     }
 }
@@ -358,12 +361,12 @@
 
 /* True if nobody but the primary leads, by what each member said after the primary was opened. */
 static bool
-nobody_else_leads(const struct failover *failover)
+no_other_leader(const struct failover *failover)
 {
     for (guint i = 0; i < failover->members->len; i++) {
         const struct failover_member *member = failover_member_at(failover, i);
-        bool heard = member->has_report && member->reported_at >= failover->since;
-        bool settled = heard && !member->report.leads;
+        bool reported = member->has_report && member->reported_at >= failover->since;
+        bool settled = reported && !member->report.leads;
         bool paused = member->has_report && member->report.paused_term != 0;
         if (!failover_is_primary(failover, member) && !settled && !paused) {
             return false;
@@ -376,31 +379,33 @@
 static bool
 may_resume(const struct failover *failover, time_ns now)
 {
-    return now >= failover->resume_at || nobody_else_leads(failover);
+    return now >= failover->resume_at || no_other_leader(failover);
 }
 
 /* Members that were paused and left so, as by an earlier coordinator or during a partition, receive
  * again, and one that was replaced and still leads steps down. Each is asked once after the primary
  * was opened, however late it can be reached. */
 void
-failover_settle_members(struct failover *failover, time_ns now)
+failover_reconcile_members(struct failover *failover, time_ns now)
 {
     for (guint i = 0; i < failover->members->len; i++) {
         struct failover_member *member = failover_member_at(failover, i);
-        bool heard = member->has_report && member->reported_at >= failover->since;
+        bool reported = member->has_report && member->reported_at >= failover->since;
         if (failover_is_primary(failover, member)) {
             continue;
         }
         bool paused =
             member->has_report && member->report.paused_term != 0 && may_resume(failover, now);
-        bool replaced = heard && member->report.leads && member->report.term < failover->term;
+        bool replaced = reported && member->report.leads && member->report.term < failover->term;
         if (replaced) {
-            failover_ask_every(failover, member, DATABASE_COMMAND_STEP_DOWN, failover->term,
-                               ASK_EVERY_NS, now);
+            failover_send_command(failover, member, DATABASE_COMMAND_STEP_DOWN, failover->term,
+                                  COMMAND_EVERY_NS, now);
         } else if (paused) {
-            failover_ask_every(failover, member, DATABASE_COMMAND_RESUME, 0, ASK_EVERY_NS, now);
-        } else if (!heard) {
-            failover_ask_every(failover, member, DATABASE_COMMAND_STATUS, 0, SEARCH_EVERY_NS, now);
+            failover_send_command(failover, member, DATABASE_COMMAND_RESUME, 0, COMMAND_EVERY_NS,
+                                  now);
+        } else if (!reported) {
+            failover_send_command(failover, member, DATABASE_COMMAND_STATUS, 0, SEARCH_EVERY_NS,
+                                  now);
         }
     }
 }
@@ -419,16 +424,16 @@
 
 /* Asks the primary, and the others, so that no change begins that can't be carried out. */
 static void
-examine(struct failover *failover, time_ns now)
+query_members(struct failover *failover, time_ns now)
 {
     for (guint i = 0; i < failover->members->len; i++) {
-        failover_ask_every(failover, failover_member_at(failover, i), DATABASE_COMMAND_STATUS, 0,
-                           ASK_EVERY_NS, now);
+        failover_send_command(failover, failover_member_at(failover, i), DATABASE_COMMAND_STATUS, 0,
+                              COMMAND_EVERY_NS, now);
     }
 }
 
 static bool
-answers_lately(const struct failover_member *member, time_ns now)
+has_recent_answer(const struct failover_member *member, time_ns now)
 {
     return member->answered && member->has_report && now < member->reported_at + REPORT_FRESH_NS;
 }
@@ -439,13 +444,13 @@
     uint32_t answering = 0;
     for (guint i = 0; i < failover->members->len; i++) {
         const struct failover_member *member = failover_member_at(failover, i);
-        answering += !failover_is_primary(failover, member) && answers_lately(member, now);
+        answering += !failover_is_primary(failover, member) && has_recent_answer(member, now);
     }
     return answering >= failover_pauses_needed(failover);
 }
 
 static bool
-check_leaving(struct failover *failover, time_ns now)
+check_primary_leaving(struct failover *failover, time_ns now)
 {
     const struct failover_member *primary = failover_primary(failover);
     if (primary == NULL) {
@@ -462,13 +467,14 @@
 /* True if no replica has got any further for a while, and all lack what the primary holds. An
  * answer that was lost looks like a stall to its pooler, but replicas go on then. */
 static bool
-replication_stands(struct failover *failover, const struct failover_member *primary, time_ns now)
+replication_is_stalled(struct failover *failover, const struct failover_member *primary,
+                       time_ns now)
 {
     struct log_position best = {0};
     for (guint i = 0; i < failover->members->len; i++) {
         const struct failover_member *member = failover_member_at(failover, i);
-        bool heard = member->has_report && member != primary;
-        if (heard && log_position_compare(member->report.received, best) > 0) {
+        bool reported = member->has_report && member != primary;
+        if (reported && log_position_compare(member->report.received, best) > 0) {
             best = member->report.received;
         }
     }
@@ -477,52 +483,52 @@
         failover->stall_position = best;
         failover->stall_since = now;
     }
-    return now >= failover->stall_since + STALL_SEEN_NS;
+    return now >= failover->stall_since + STALL_CONFIRMED_NS;
 }
 
 /* So long after a change of primary is wanted and can't begin, the log tells why. */
-#define HELD_UP_TOLD_NS (1000 * MS)
+#define BLOCKED_LOG_AFTER_NS (1000 * MS)
 
 /* Tells the log, once for each time that the primary is doubted, why a change can't begin: an
  * operator would otherwise see a primary that most poolers find dark, and nothing done. */
 static void
-note_held_up(struct failover *failover, time_ns now)
+log_blocked_change(struct failover *failover, time_ns now)
 {
-    if (failover->held_up_since == 0) {
-        failover->held_up_since = now;
-        failover->held_up_told = false;
+    if (failover->blocked_since == 0) {
+        failover->blocked_since = now;
+        failover->blocked_logged = false;
     }
-    if (failover->held_up_told || now < failover->held_up_since + HELD_UP_TOLD_NS) {
+    if (failover->blocked_logged || now < failover->blocked_since + BLOCKED_LOG_AFTER_NS) {
         return;
     }
-    failover->held_up_told = true;
-    g_autoptr(GString) silent = g_string_new(NULL);
+    failover->blocked_logged = true;
+    g_autoptr(GString) unanswered = g_string_new(NULL);
     for (guint i = 0; i < failover->members->len; i++) {
         const struct failover_member *member = failover_member_at(failover, i);
-        if (!failover_is_primary(failover, member) && !answers_lately(member, now)) {
-            g_string_append_printf(silent, "%s%s", silent->len == 0 ? "" : " ", member->id);
+        if (!failover_is_primary(failover, member) && !has_recent_answer(member, now)) {
+            g_string_append_printf(unanswered, "%s%s", unanswered->len == 0 ? "" : " ", member->id);
         }
     }
     g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_MESSAGE, "SW_SERVICE", failover->service,
-                     "SW_PRIMARY", failover->primary, "SW_SILENT", silent->str, "MESSAGE",
+                     "SW_PRIMARY", failover->primary, "SW_SILENT", unanswered->str, "MESSAGE",
                      "Group %s: its primary is doubted and can't be replaced yet; members %s; no "
                      "answer of: %s.",
                      failover->service, failover->settled ? "known" : "not certainly known",
-                     silent->str);
+                     unanswered->str);
 }
 
 static void
-check_faults(struct failover *failover, const struct failover_opinion *opinion, time_ns now)
+check_primary_faults(struct failover *failover, const struct failover_faults *faults, time_ns now)
 {
     struct failover_member *primary = failover_primary(failover);
-    bool doubted = opinion->unreachable + opinion->stalled + opinion->refusing > 0;
+    bool doubted = faults->unreachable + faults->stalled + faults->refusing > 0;
     if (!doubted) {
         failover->minority_since = 0;
         failover->stall_since = now;
-        failover->held_up_since = 0;
+        failover->blocked_since = 0;
         return;
     }
-    examine(failover, now);
+    query_members(failover, now);
     bool fresh =
         primary->has_report && primary->answered && now < primary->reported_at + REPORT_FRESH_NS;
     if (fresh && !primary->report.leads) {
@@ -531,23 +537,23 @@
         return;
     }
     if (!replicas_answer(failover, now)) {
-        note_held_up(failover, now);
+        log_blocked_change(failover, now);
         return;
     }
-    failover->held_up_since = 0;
+    failover->blocked_since = 0;
     /* Poolers without work for it have no opinion: two answers missed here weigh as much as most.
      */
-    bool lost =
-        !primary->answered && opinion->unreachable > 0 &&
-        (opinion->unreachable * 2 >= opinion->poolers || primary->failures >= SEARCH_FAILURES);
-    if (lost) {
+    bool unreachable =
+        !primary->answered && faults->unreachable > 0 &&
+        (faults->unreachable * 2 >= faults->poolers || primary->failures >= SEARCH_FAILURES);
+    if (unreachable) {
         /* Where only a few find it dark, it may live on with the others. */
-        failover->former_may_live =
-            opinion->unreachable * FEW_LEFT < opinion->poolers * (FEW_LEFT - 1);
+        failover->former_may_be_alive = faults->unreachable * REACHABLE_FEW_DIVISOR <
+                                        faults->poolers * (REACHABLE_FEW_DIVISOR - 1);
         failover_begin_change(failover, false, "the primary does not answer", now);
         return;
     }
-    bool stalled = opinion->stalled > 0 && fresh && replication_stands(failover, primary, now);
+    bool stalled = faults->stalled > 0 && fresh && replication_is_stalled(failover, primary, now);
     if (stalled &&
         now >= MAX(failover->stall_again_at, failover->resume_at + STALLED_BY_PAUSE_NS)) {
         /* Where replicas receive nothing whoever leads, changes would never end. */
@@ -560,33 +566,33 @@
     if (failover->minority_since == 0) {
         failover->minority_since = now;
     }
-    if (opinion->unreachable > 0 && now > failover->minority_since + MINORITY_MAX_NS) {
+    if (faults->unreachable > 0 && now > failover->minority_since + MINORITY_MAX_NS) {
         failover_begin_change(failover, true, "some poolers can't reach the primary", now);
     }
 }
 
 static void
-watch(struct failover *failover, const struct failover_opinion *opinion, time_ns now)
+watch(struct failover *failover, const struct failover_faults *faults, time_ns now)
 {
-    failover_prove_members(failover);
-    if (!failover->waits) {
-        failover_settle_members(failover, now);
-        failover_ask_unproven(failover, now);
+    failover_verify_logs(failover);
+    if (!failover->queries_deferred) {
+        failover_reconcile_members(failover, now);
+        failover_query_unverified(failover, now);
     }
-    if (!check_leaving(failover, now)) {
-        check_faults(failover, opinion, now);
+    if (!check_primary_leaving(failover, now)) {
+        check_primary_faults(failover, faults, now);
     }
 }
 
 void
-failover_tick(struct failover *failover, const struct failover_opinion *opinion, time_ns now)
+failover_tick(struct failover *failover, const struct failover_faults *faults, time_ns now)
 {
     switch (failover->state) {
     case FAILOVER_SEARCHING:
         search(failover, now);
         break;
     case FAILOVER_WATCHING:
-        watch(failover, opinion, now);
+        watch(failover, faults, now);
         break;
     case FAILOVER_DRAINING:
         failover_drain(failover, now);
--- a/src/pooler/control/failover_change.c
+++ b/src/pooler/control/failover_change.c
@@ -17,7 +17,7 @@
 #define EXCLUDED_NS       (1500 * MS)
 
 /* An old primary steps down by itself within a second after it can reach the new one. */
-#define FORMER_LIVES_NS (1100 * MS)
+#define FORMER_STEPS_DOWN_NS (1100 * MS)
 
 static uint32_t
 members_count(const struct failover *failover)
@@ -30,8 +30,8 @@
 static uint32_t
 count_replicas(const struct failover *failover)
 {
-    bool forgotten = failover->primary != NULL && failover_primary(failover) == NULL;
-    return forgotten ? members_count(failover) : MAX(members_count(failover), 1) - 1;
+    bool removed = failover->primary != NULL && failover_primary(failover) == NULL;
+    return removed ? members_count(failover) : MAX(members_count(failover), 1) - 1;
 }
 
 /* So many replicas must be paused where the old primary can't be asked. Only one replica is counted
@@ -51,7 +51,7 @@
 {
     for (guint i = 0; i < failover->members->len; i++) {
         failover_member_at(failover, i)->fenced = false;
-        failover_member_at(failover, i)->asked_at = 0;
+        failover_member_at(failover, i)->command_sent_at = 0;
     }
     failover->fence_term = failover->term + 1;
     failover_set_state(failover, FAILOVER_FENCING, now);
@@ -74,7 +74,8 @@
 }
 
 void
-failover_continue(struct failover *failover, const char *candidate, uint64_t term, time_ns now)
+failover_resume_promotion(struct failover *failover, const char *candidate, uint64_t term,
+                          time_ns now)
 {
     failover->term = MAX(failover->term, term);
     if (candidate == NULL) {
@@ -127,13 +128,13 @@
 /* True of one that was replaced, and has not heard of it: it can't be paused before it steps down.
  */
 static bool
-leads_earlier(const struct failover *failover, const struct failover_member *member)
+leads_in_earlier_term(const struct failover *failover, const struct failover_member *member)
 {
     return member->has_report && member->report.leads && member->report.term < failover->fence_term;
 }
 
 static void
-fence(struct failover *failover, time_ns now)
+send_fencing_commands(struct failover *failover, time_ns now)
 {
     struct failover_member *primary = failover_primary(failover);
     bool primary_answers = primary != NULL && primary->answered && primary->has_report;
@@ -143,21 +144,22 @@
     for (guint i = 0; i < failover->members->len; i++) {
         struct failover_member *member = failover_member_at(failover, i);
         if (catching_up) {
-            failover_ask_every(failover, member, DATABASE_COMMAND_STATUS, 0, ASK_EVERY_NS / 4, now);
+            failover_send_command(failover, member, DATABASE_COMMAND_STATUS, 0,
+                                  COMMAND_EVERY_NS / 4, now);
         } else if (member->fenced) {
             continue;
-        } else if (member == primary || leads_earlier(failover, member)) {
-            failover_ask_every(failover, member, DATABASE_COMMAND_STEP_DOWN, failover->fence_term,
-                               ASK_EVERY_NS, now);
+        } else if (member == primary || leads_in_earlier_term(failover, member)) {
+            failover_send_command(failover, member, DATABASE_COMMAND_STEP_DOWN,
+                                  failover->fence_term, COMMAND_EVERY_NS, now);
         } else {
-            failover_ask_every(failover, member, DATABASE_COMMAND_PAUSE, failover->fence_term,
-                               ASK_EVERY_NS, now);
+            failover_send_command(failover, member, DATABASE_COMMAND_PAUSE, failover->fence_term,
+                                  COMMAND_EVERY_NS, now);
         }
     }
 }
 
 /* Without another candidate for so long, the old primary may lead again. */
-#define PRIMARY_AGAIN_NS (1000 * MS)
+#define PRIMARY_ELIGIBLE_AFTER_NS (1000 * MS)
 
 /* Counts fenced replicas, and finds the most advanced log among them. */
 static uint32_t
@@ -181,16 +183,16 @@
 /* A member that may lead and holds at least `need`; the most advanced one that stays. The old
  * primary only after a while: most often there is a reason why it is to be replaced. */
 static struct failover_member *
-choose(const struct failover *failover, struct log_position need, time_ns now)
+choose_candidate(const struct failover *failover, struct log_position need, time_ns now)
 {
-    bool primary_too = now > failover->since + PRIMARY_AGAIN_NS;
+    bool primary_allowed = now > failover->since + PRIMARY_ELIGIBLE_AFTER_NS;
     struct failover_member *best = NULL;
     for (guint i = 0; i < failover->members->len; i++) {
         struct failover_member *member = failover_member_at(failover, i);
-        bool good = member->fenced && member->answered && now >= member->excluded_until &&
-                    (primary_too || !failover_is_primary(failover, member)) &&
-                    log_position_covers(member->report.received, need);
-        if (!good) {
+        bool eligible = member->fenced && member->answered && now >= member->excluded_until &&
+                        (primary_allowed || !failover_is_primary(failover, member)) &&
+                        log_position_covers(member->report.received, need);
+        if (!eligible) {
             continue;
         }
         bool better = best == NULL || (member->takes_work && !best->takes_work) ||
@@ -212,21 +214,22 @@
     uint32_t fenced = count_fenced(failover, &highest);
     struct failover_member *candidate = NULL;
     bool primary_fenced = primary != NULL && primary->fenced;
-    if (primary_fenced && primary->unproven_since == 0) {
-        candidate = choose(failover, primary->report.received, now);
+    if (primary_fenced && primary->log_unverified_since == 0) {
+        candidate = choose_candidate(failover, primary->report.received, now);
     }
     if (candidate == NULL && fenced >= failover_pauses_needed(failover) &&
         failover_replicas_suffice(failover)) {
-        bool primary_ahead = primary_fenced && primary->unproven_since != 0 &&
+        bool primary_ahead = primary_fenced && primary->log_unverified_since != 0 &&
                              log_position_compare(primary->report.received, highest) > 0;
-        candidate = choose(failover, primary_ahead ? primary->report.received : highest, now);
+        candidate =
+            choose_candidate(failover, primary_ahead ? primary->report.received : highest, now);
     }
     return candidate;
 }
 
 /* Somebody else was promoted meanwhile, or the primary leads in a newer term. */
 static bool
-newer_leader(struct failover *failover, time_ns now)
+follow_newer_leader(struct failover *failover, time_ns now)
 {
     struct failover_member *leader = failover_find_leader(failover, now);
     if (leader == NULL || leader->report.term < failover->fence_term) {
@@ -239,14 +242,14 @@
 void
 failover_fence(struct failover *failover, time_ns now)
 {
-    if (newer_leader(failover, now)) {
+    if (follow_newer_leader(failover, now)) {
         return;
     }
     if (failover->term > failover->fence_term) {
         failover_start_fencing(failover, now); /* a newer term showed up */
         return;
     }
-    fence(failover, now);
+    send_fencing_commands(failover, now);
     if (!failover->actions->closed(failover->actions->user, failover)) {
         return;
     }
@@ -261,39 +264,40 @@
 }
 
 void
-failover_recorded(struct failover *failover, bool good, time_ns now)
+failover_recorded(struct failover *failover, bool eligible, time_ns now)
 {
     if (failover->state != FAILOVER_RECORDING) {
         return;
     }
-    if (!good) {
-        failover->ordered_at = now;
+    if (!eligible) {
+        failover->promotion_tried_at = now;
         return; /* tried again by the tick */
     }
     failover_set_state(failover, FAILOVER_PROMOTING, now);
-    failover->ordered_at = now;
+    failover->promotion_tried_at = now;
     failover->actions->promote(failover->actions->user, failover, failover->candidate);
 }
 
 void
-failover_ordered(struct failover *failover, enum failover_order end, time_ns now)
+failover_promotion_answered(struct failover *failover, enum failover_promotion_result result,
+                            time_ns now)
 {
     if (failover->state != FAILOVER_PROMOTING) {
         return;
     }
     struct failover_member *candidate = failover_find(failover, failover->candidate);
-    switch (end) {
-    case FAILOVER_ORDER_ACCEPTED:
+    switch (result) {
+    case FAILOVER_PROMOTION_ACCEPTED:
         failover_set_state(failover, FAILOVER_CONFIRMING, now);
         break;
-    case FAILOVER_ORDER_REFUSED:
+    case FAILOVER_PROMOTION_REFUSED:
         if (candidate != NULL) {
             candidate->excluded_until = now + EXCLUDED_NS;
         }
         failover_start_fencing(failover, now);
         break;
-    case FAILOVER_ORDER_OPEN:
-        failover->ordered_at = now; /* ordered again by the tick */
+    case FAILOVER_PROMOTION_RETRY:
+        failover->promotion_tried_at = now; /* ordered again by the tick */
         break;
     }
 }
@@ -310,10 +314,10 @@
                  candidate->reported_at > failover->since;
     if (leads) {
         failover_open(failover, candidate, now);
-        failover->resume_at = failover->former_may_live ? now + FORMER_LIVES_NS : 0;
-        failover->former_may_live = false;
+        failover->resume_at = failover->former_may_be_alive ? now + FORMER_STEPS_DOWN_NS : 0;
+        failover->former_may_be_alive = false;
         failover->actions->record(failover->actions->user, failover, true);
-        failover_settle_members(failover, now);
+        failover_reconcile_members(failover, now);
         return;
     }
     if (candidate->failing_since != 0 && now > candidate->failing_since + CANDIDATE_DEAD_NS) {
@@ -322,7 +326,8 @@
         return;
     }
     if (now > failover->since + CONFIRM_FIRST_NS) {
-        failover_ask_every(failover, candidate, DATABASE_COMMAND_STATUS, 0, CONFIRM_EVERY_NS, now);
+        failover_send_command(failover, candidate, DATABASE_COMMAND_STATUS, 0, CONFIRM_EVERY_NS,
+                              now);
     }
     if (now > failover->since + ORDER_AGAIN_NS) {
         failover_set_state(failover, FAILOVER_PROMOTING, now);
@@ -333,10 +338,11 @@
 void
 failover_retry(struct failover *failover, time_ns now)
 {
-    if (now < failover->ordered_at + ORDER_RETRY_NS || now < failover->since + ORDER_RETRY_NS) {
+    if (now < failover->promotion_tried_at + ORDER_RETRY_NS ||
+        now < failover->since + ORDER_RETRY_NS) {
         return;
     }
-    failover->ordered_at = now + ORDER_AGAIN_NS;
+    failover->promotion_tried_at = now + ORDER_AGAIN_NS;
     if (failover->state == FAILOVER_RECORDING) {
         failover->actions->record(failover->actions->user, failover, false);
     } else {
--- a/src/pooler/control/failover_internal.h
+++ b/src/pooler/control/failover_internal.h
@@ -8,7 +8,7 @@
 #define MS NANOSECONDS_PER_MILLISECOND
 
 /* Time between two commands to one database. */
-#define ASK_EVERY_NS (120 * MS)
+#define COMMAND_EVERY_NS (120 * MS)
 
 /* Time between two statuses of a database while nobody is known to lead, or its log does not count.
  */
@@ -24,21 +24,22 @@
 /* Raises the epoch and tells the poolers. */
 void failover_publish(struct failover *failover, enum group_phase phase);
 /* Asks unless a command is under way or was sent too lately. */
-void failover_ask_every(struct failover *failover, struct failover_member *member,
-                        enum database_command command, uint64_t term, time_ns every, time_ns now);
+void failover_send_command(struct failover *failover, struct failover_member *member,
+                           enum database_command command, uint64_t term, time_ns every,
+                           time_ns now);
 /* The one that leads in the newest term by a fresh report; NULL if there is none. */
 struct failover_member *failover_find_leader(const struct failover *failover, time_ns now);
 /* The member leads from now on. */
 void failover_open(struct failover *failover, struct failover_member *member, time_ns now);
 /* Members that were left paused receive again; one that was replaced steps down. */
-void failover_settle_members(struct failover *failover, time_ns now);
+void failover_reconcile_members(struct failover *failover, time_ns now);
 
 /* failover_restart.c */
 /* Lets the logs of members count again that have shown since their start that they are whole. */
-void failover_prove_members(struct failover *failover);
-bool failover_has_unproven(const struct failover *failover);
+void failover_verify_logs(struct failover *failover);
+bool failover_has_unverified_log(const struct failover *failover);
 /* Asks such members, and the primary that they are compared with. */
-void failover_ask_unproven(struct failover *failover, time_ns now);
+void failover_query_unverified(struct failover *failover, time_ns now);
 /* True if all replicas together hold each commit, once they are paused: none of them may have lost
  * one that only the old primary holds besides, or that one has lost its log as well, or is gone. */
 bool failover_replicas_suffice(const struct failover *failover);
--- a/src/pooler/control/failover_restart.c
+++ b/src/pooler/control/failover_restart.c
@@ -20,21 +20,21 @@
 
 /* What the directory tells of it stays. */
 static void
-forget(struct failover_member *member, uint64_t born_ms, time_ns now)
+reset_member(struct failover_member *member, uint64_t born_ms, time_ns now)
 {
     *member = (struct failover_member){
         .id = member->id,
         .listed = member->listed,
         .takes_work = member->takes_work,
-        .says_leads = member->says_leads,
+        .reports_leading = member->reports_leading,
         .born_ms = born_ms,
-        .unproven_since = now,
+        .log_unverified_since = now,
     };
 }
 
 /* True if a member has been chosen by what others said. */
 static bool
-has_chosen(const struct failover *failover)
+has_candidate(const struct failover *failover)
 {
     return failover->state == FAILOVER_RECORDING || failover->state == FAILOVER_PROMOTING ||
            failover->state == FAILOVER_CONFIRMING;
@@ -47,7 +47,7 @@
 }
 
 bool
-failover_note_birth(struct failover *failover, const char *id, uint64_t born_ms, time_ns now)
+failover_note_start(struct failover *failover, const char *id, uint64_t born_ms, time_ns now)
 {
     struct failover_member *member = failover_find(failover, id);
     if (member == NULL || born_ms == 0 || member->born_ms == born_ms) {
@@ -58,9 +58,9 @@
         return false;
     }
     bool counted = member->fenced || g_strcmp0(failover->candidate, id) == 0;
-    forget(member, MAX(member->born_ms, born_ms), now);
+    reset_member(member, MAX(member->born_ms, born_ms), now);
     log_start(failover, member);
-    if (has_chosen(failover) && counted) {
+    if (has_candidate(failover) && counted) {
         failover_start_fencing(failover, now); /* its pause has ended with its earlier life */
     } else if (is_led(failover) && failover_is_primary(failover, member)) {
         failover_set_state(failover, FAILOVER_SEARCHING, now);
@@ -72,19 +72,19 @@
 /* A leader keeps its log if it holds at least what all members hold that have said so since it
  * started, and one of these has not started again itself. */
 static bool
-leader_is_whole(const struct failover *failover, const struct failover_member *leader)
+leader_log_is_complete(const struct failover *failover, const struct failover_member *leader)
 {
     bool compared = false;
     for (guint i = 0; i < failover->members->len; i++) {
         const struct failover_member *member = failover_member_at(failover, i);
-        bool heard = member->has_report && member->reported_at >= leader->unproven_since;
-        if (member == leader || !heard) {
+        bool reported = member->has_report && member->reported_at >= leader->log_unverified_since;
+        if (member == leader || !reported) {
             continue;
         }
         if (!log_position_covers(leader->report.received, member->report.received)) {
             return false;
         }
-        compared = compared || member->unproven_since == 0;
+        compared = compared || member->log_unverified_since == 0;
     }
     return compared;
 }
@@ -92,27 +92,27 @@
 /* A replica holds each commit that it may have held before, once it holds what the primary held
  * after its start. */
 static bool
-replica_is_whole(const struct failover *failover, const struct failover_member *replica)
+replica_log_is_complete(const struct failover *failover, const struct failover_member *replica)
 {
     const struct failover_member *primary = failover_primary(failover);
-    return primary != NULL && primary != replica && primary->unproven_since == 0 &&
+    return primary != NULL && primary != replica && primary->log_unverified_since == 0 &&
            primary->has_report && primary->report.leads &&
-           primary->reported_at >= replica->unproven_since &&
+           primary->reported_at >= replica->log_unverified_since &&
            log_position_covers(replica->report.received, primary->report.received);
 }
 
 void
-failover_prove_members(struct failover *failover)
+failover_verify_logs(struct failover *failover)
 {
     for (guint i = 0; i < failover->members->len; i++) {
         struct failover_member *member = failover_member_at(failover, i);
-        if (member->unproven_since == 0 || !member->has_report) {
+        if (member->log_unverified_since == 0 || !member->has_report) {
             continue;
         }
-        bool whole = member->report.leads ? leader_is_whole(failover, member)
-                                          : replica_is_whole(failover, member);
-        if (whole) {
-            member->unproven_since = 0;
+        bool complete = member->report.leads ? leader_log_is_complete(failover, member)
+                                             : replica_log_is_complete(failover, member);
+        if (complete) {
+            member->log_unverified_since = 0;
             g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_INFO, "SW_SERVICE", failover->service,
                              "SW_DATABASE", member->id, "MESSAGE",
                              "Group %s: the log of %s counts again.", failover->service,
@@ -122,10 +122,10 @@
 }
 
 bool
-failover_has_unproven(const struct failover *failover)
+failover_has_unverified_log(const struct failover *failover)
 {
     for (guint i = 0; i < failover->members->len; i++) {
-        if (failover_member_at(failover, i)->unproven_since != 0) {
+        if (failover_member_at(failover, i)->log_unverified_since != 0) {
             return true;
         }
     }
@@ -133,16 +133,17 @@
 }
 
 void
-failover_ask_unproven(struct failover *failover, time_ns now)
+failover_query_unverified(struct failover *failover, time_ns now)
 {
     struct failover_member *primary = failover_primary(failover);
-    if (primary == NULL || !failover_has_unproven(failover)) {
+    if (primary == NULL || !failover_has_unverified_log(failover)) {
         return;
     }
     for (guint i = 0; i < failover->members->len; i++) {
         struct failover_member *member = failover_member_at(failover, i);
-        if (member == primary || member->unproven_since != 0) {
-            failover_ask_every(failover, member, DATABASE_COMMAND_STATUS, 0, SEARCH_EVERY_NS, now);
+        if (member == primary || member->log_unverified_since != 0) {
+            failover_send_command(failover, member, DATABASE_COMMAND_STATUS, 0, SEARCH_EVERY_NS,
+                                  now);
         }
     }
 }
@@ -151,12 +152,12 @@
 failover_replicas_suffice(const struct failover *failover)
 {
     const struct failover_member *primary = failover_primary(failover);
-    if (primary == NULL || (primary->unproven_since != 0 && primary->fenced)) {
+    if (primary == NULL || (primary->log_unverified_since != 0 && primary->fenced)) {
         return true;
     }
     for (guint i = 0; i < failover->members->len; i++) {
         const struct failover_member *member = failover_member_at(failover, i);
-        if (member != primary && member->unproven_since != 0) {
+        if (member != primary && member->log_unverified_since != 0) {
             return false;
         }
     }
--- a/src/pooler/control/fault_report.h
+++ b/src/pooler/control/fault_report.h
@@ -18,7 +18,7 @@
 
 /** @brief When the coordinator heard a pooler. Belongs to the control thread. */
 typedef struct contact {
-    time_ns listened_at;       /**< when this coordinator began to listen to poolers */
+    time_ns listening_since;   /**< when this coordinator began to listen to poolers */
     time_ns last_heartbeat_at; /**< when the last heartbeat came; 0: none has */
     time_ns returned_at; /**< when a heartbeat last came after a silence; 0: it never was silent */
 } contact_t;
@@ -27,11 +27,11 @@
 void contact_note(contact_t *contact, time_ns now);
 
 /** @return true if a heartbeat came lately: its opinions count at all. */
-bool contact_is_fresh(const contact_t *contact, time_ns now);
+bool contact_is_recent(const contact_t *contact, time_ns now);
 
 /** @return true if a fault that the last heartbeat reported counts; false if it began before the
  *  pooler's return, and the return was only just now.
  *  @param age_ms how long the fault had lasted, as that heartbeat told. */
-bool opinion_counts(const contact_t *contact, uint32_t age_ms, time_ns now);
+bool fault_report_counts(const contact_t *contact, uint32_t age_ms, time_ns now);
 
 #endif
--- a/src/pooler/control/push_limiter.h
+++ b/src/pooler/control/push_limiter.h
@@ -20,19 +20,19 @@
 #include "core/types.h"
 
 /** @brief What is known of the last push. Start from zeros. Belongs to the control thread. */
-typedef struct push_pace {
-    double bytes;     /* of the last push, its confirmations and their answers */
-    time_ns at;       /* when it went; 0: none has */
-    uint32_t at_once; /* pushes that may still go without waiting */
-} push_pace_t;
+typedef struct push_limiter {
+    double bytes;   /* of the last push, its confirmations and their answers */
+    time_ns at;     /* when it went; 0: none has */
+    uint32_t burst; /* pushes that may still go without waiting */
+} push_limiter_t;
 
 /** @return true if what is new may go to all poolers now.
  *  @param link_bytes_per_s what the machine's link carries. */
-bool push_pace_may(push_pace_t *pace, double link_bytes_per_s, time_ns now);
+bool push_limiter_allows(push_limiter_t *limiter, double link_bytes_per_s, time_ns now);
 
 /** @brief A push has gone out.
  *  @param receivers poolers that it went to.
  *  @param bytes of all its messages. */
-void push_pace_pay(push_pace_t *pace, uint32_t receivers, uint64_t bytes, time_ns now);
+void push_limiter_consume(push_limiter_t *limiter, uint32_t receivers, uint64_t bytes, time_ns now);
 
 #endif
--- a/tests/pooler/failover_rig.c
+++ b/tests/pooler/failover_rig.c
@@ -6,7 +6,7 @@
 #define MS NANOSECONDS_PER_MILLISECOND
 
 static struct rig_database *
-database_of(struct rig *rig, const char *id)
+find_database(struct rig *rig, const char *id)
 {
     for (unsigned i = 0; i < rig->count; i++) {
         if (strcmp(rig->databases[i].id, id) == 0) {
@@ -17,15 +17,15 @@
 }
 
 static void
-ask(void *user, struct failover *failover, const char *id, enum database_command command,
-    uint64_t term)
+send_command(void *user, struct failover *failover, const char *id, enum database_command command,
+             uint64_t term)
 {
-    struct rig_database *database = database_of(user, id);
-    g_assert_false(database->asking);
-    database->asking = true;
-    database->asked = command;
-    database->asked_term = term;
-    database->commands[command]++;
+    struct rig_database *database = find_database(user, id);
+    g_assert_false(database->command_pending);
+    database->command_pending = true;
+    database->command = command;
+    database->command_term = term;
+    database->command_counts[command]++;
 }
 
 static void
@@ -44,8 +44,8 @@
     rig->orders++;
     rig->order_pending = true;
     g_strlcpy(rig->promoting, candidate, sizeof rig->promoting);
-    if (rig->first_order[0] == '\0') {
-        g_strlcpy(rig->first_order, candidate, sizeof rig->first_order);
+    if (rig->first_promoted[0] == '\0') {
+        g_strlcpy(rig->first_promoted, candidate, sizeof rig->first_promoted);
     }
 }
 
@@ -71,14 +71,15 @@
 rig_new(unsigned count, uint32_t sync_replicas)
 {
     struct rig *rig = g_new0(struct rig, 1);
-    rig->actions = (struct failover_actions){ask, record, promote, publish, closed, drained, rig};
+    rig->actions =
+        (struct failover_actions){send_command, record, promote, publish, closed, drained, rig};
     rig->failover = failover_new("group", &rig->actions);
     rig->failover->sync_replicas = sync_replicas;
     rig->count = count;
     rig->closed = true;
     rig->drained = true;
     rig->now = 1000 * MS;
-    rig->opinion.poolers = 6;
+    rig->faults.poolers = 6;
     for (unsigned i = 0; i < count; i++) {
         struct rig_database *database = &rig->databases[i];
         g_snprintf(database->id, sizeof database->id, "d%u", i);
@@ -88,7 +89,7 @@
         database->received = (struct log_position){1, 100};
         database->born_ms = 1000;
         failover_set_member(rig->failover, database->id, true, i == 0);
-        failover_note_birth(rig->failover, database->id, database->born_ms, rig->now);
+        failover_note_start(rig->failover, database->id, database->born_ms, rig->now);
     }
     return rig;
 }
@@ -101,7 +102,7 @@
 }
 
 static bool
-newer_leader(const struct rig *rig)
+has_newer_leader(const struct rig *rig)
 {
     for (unsigned i = 0; i < rig->count; i++) {
         if (rig->databases[i].leads && rig->databases[i].term > 1) {
@@ -112,21 +113,21 @@
 }
 
 static void
-obey(struct rig *rig, struct rig_database *database)
+execute_command(struct rig *rig, struct rig_database *database)
 {
-    switch (database->asked) {
+    switch (database->command) {
     case DATABASE_COMMAND_PAUSE:
-        if (!database->leads && database->asked_term > database->term) {
-            database->paused = database->asked_term;
+        if (!database->leads && database->command_term > database->term) {
+            database->paused = database->command_term;
         }
         break;
     case DATABASE_COMMAND_RESUME:
-        rig->resumed_early = rig->resumed_early || !newer_leader(rig);
+        rig->resumed_early = rig->resumed_early || !has_newer_leader(rig);
         database->paused = 0;
         database->resumed_at = rig->now;
         break;
     case DATABASE_COMMAND_STEP_DOWN:
-        if (database->asked_term > database->term) {
+        if (database->command_term > database->term) {
             database->leads = false;
         }
         break;
@@ -138,18 +139,18 @@
 static void
 answer(struct rig *rig, struct rig_database *database)
 {
-    database->asking = false;
-    bool lost = database->lose > 0;
-    database->lose -= lost;
+    database->command_pending = false;
+    bool lost = database->lost_answers > 0;
+    database->lost_answers -= lost;
     if (!database->reachable || lost) {
         failover_answered(rig->failover, database->id, NULL, rig->now);
         return;
     }
-    if (database->full) {
+    if (database->at_capacity) {
         failover_refused(rig->failover, database->id, rig->now);
         return;
     }
-    obey(rig, database);
+    execute_command(rig, database);
     struct database_report report = {.leads = database->leads,
                                      .term = database->term,
                                      .received = database->received,
@@ -168,12 +169,12 @@
 }
 
 static void
-take_effect(struct rig *rig)
+finish_promotion(struct rig *rig)
 {
     if (rig->promoted_at == 0 || rig->now < rig->promoted_at) {
         return;
     }
-    struct rig_database *database = database_of(rig, rig->promoting);
+    struct rig_database *database = find_database(rig, rig->promoting);
     rig->promoted_at = 0;
     if (database->reachable && !database->leads) {
         database->term = newest_term(rig) + 1;
@@ -183,20 +184,21 @@
 }
 
 static void
-end_calls(struct rig *rig)
+answer_calls(struct rig *rig)
 {
     if (rig->record_pending) {
         rig->record_pending = false;
         failover_recorded(rig->failover, !rig->record_fails, rig->now);
     } else if (rig->order_pending) {
-        struct rig_database *database = database_of(rig, rig->promoting);
+        struct rig_database *database = find_database(rig, rig->promoting);
         bool refused = rig->orders_refused || !database->reachable;
         rig->order_pending = false;
         if (!refused) {
             rig->promoted_at = rig->now + RIG_PROMOTION_NS;
         }
-        failover_ordered(rig->failover, refused ? FAILOVER_ORDER_REFUSED : FAILOVER_ORDER_ACCEPTED,
-                         rig->now);
+        failover_promotion_answered(
+            rig->failover, refused ? FAILOVER_PROMOTION_REFUSED : FAILOVER_PROMOTION_ACCEPTED,
+            rig->now);
     }
 }
 
@@ -204,14 +206,14 @@
 step(struct rig *rig)
 {
     rig->now += RIG_STEP_NS;
-    take_effect(rig);
+    finish_promotion(rig);
     for (unsigned i = 0; i < rig->count; i++) {
-        if (rig->databases[i].asking) {
+        if (rig->databases[i].command_pending) {
             answer(rig, &rig->databases[i]);
         }
     }
-    end_calls(rig);
-    failover_tick(rig->failover, &rig->opinion, rig->now);
+    answer_calls(rig);
+    failover_tick(rig->failover, &rig->faults, rig->now);
 }
 
 void
@@ -240,10 +242,10 @@
 }
 
 void
-rig_accuse(struct rig *rig, uint32_t unreachable, uint32_t stalled)
+rig_set_faults(struct rig *rig, uint32_t unreachable, uint32_t stalled)
 {
-    rig->opinion.unreachable = unreachable;
-    rig->opinion.stalled = stalled;
+    rig->faults.unreachable = unreachable;
+    rig->faults.stalled = stalled;
 }
 
 unsigned
@@ -262,11 +264,11 @@
     struct rig_database *restarted = &rig->databases[database];
     restarted->born_ms += 1000;
     restarted->paused = 0;
-    restarted->asking = false;
+    restarted->command_pending = false;
     restarted->reachable = true;
     if (!keeps_log) {
         restarted->leads = false;
         restarted->received = (struct log_position){0};
     }
-    failover_note_birth(rig->failover, restarted->id, restarted->born_ms, rig->now);
+    failover_note_start(rig->failover, restarted->id, restarted->born_ms, rig->now);
 }
--- a/tests/pooler/failover_rig.h
+++ b/tests/pooler/failover_rig.h
@@ -15,24 +15,24 @@
 struct rig_database {
     char id[8];
     bool reachable;
-    unsigned lose; /* answers that get lost from now on */
-    bool full;     /* answers, and refuses for want of connections or slots */
+    unsigned lost_answers; /* answers that get lost from now on */
+    bool at_capacity;      /* answers, and refuses for want of connections or slots */
     time_ns resumed_at;
     bool leads;
     uint64_t term;
     struct log_position received;
     uint64_t paused;
-    enum database_command asked;
-    uint64_t asked_term;
-    bool asking;
-    unsigned commands[4]; /* counts by enum database_command */
+    enum database_command command;
+    uint64_t command_term;
+    bool command_pending;
+    unsigned command_counts[4]; /* counts by enum database_command */
     uint64_t born_ms;
 };
 
 struct rig {
     struct failover *failover;
     struct failover_actions actions;
-    struct failover_opinion opinion;
+    struct failover_faults faults;
     struct rig_database databases[RIG_DATABASES_MAX];
     unsigned count;
     time_ns now;
@@ -47,7 +47,7 @@
     bool order_pending;
     char promoting[8];
     time_ns promoted_at;
-    char first_order[8];
+    char first_promoted[8];
     bool resumed_early; /* a replica was resumed while nobody led in the new term */
 };
 
@@ -58,7 +58,7 @@
 /* Runs until the group is open under this primary; fails after two virtual minutes. */
 void rig_run_until_open(struct rig *rig, unsigned database);
 /* What poolers say of the primary from now on. */
-void rig_accuse(struct rig *rig, uint32_t unreachable, uint32_t stalled);
+void rig_set_faults(struct rig *rig, uint32_t unreachable, uint32_t stalled);
 unsigned rig_leaders(const struct rig *rig);
 /* The database starts again under its id, with its log or without, and the coordinator hears so. It
  * leads if it did; without a log it is a replica. */
--- a/tests/pooler/test_counts.c
+++ b/tests/pooler/test_counts.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 static struct pooler_grant
-grant_of(size_t orders, size_t members, size_t row_bytes)
+make_grant(size_t orders, size_t members, size_t row_bytes)
 {
     struct pooler_grant grant;
     pooler_grant_init(&grant);
@@ -38,9 +38,9 @@
 }
 
 static uint64_t
-count(control_counts_t *counts, size_t orders, size_t members, size_t row_bytes)
+count_grant(control_counts_t *counts, size_t orders, size_t members, size_t row_bytes)
 {
-    struct pooler_grant grant = grant_of(orders, members, row_bytes);
+    struct pooler_grant grant = make_grant(orders, members, row_bytes);
     GByteArray *message = pooler_grant_encode(&grant);
     uint64_t length = message->len;
     control_counts_grant(counts, PEER_SENT, PEER_BYTES_GRANT, &grant, length);
@@ -51,10 +51,10 @@
 
 /* What a message with this part alone is longer by. */
 static uint64_t
-true_size(size_t orders, size_t members, size_t row_bytes)
+encoded_size(size_t orders, size_t members, size_t row_bytes)
 {
     control_counts_t scratch = {0};
-    return count(&scratch, orders, members, row_bytes) - count(&scratch, 0, 0, 0);
+    return count_grant(&scratch, orders, members, row_bytes) - count_grant(&scratch, 0, 0, 0);
 }
 
 static void
@@ -70,11 +70,11 @@
 test_parts_of_a_message(void)
 {
     control_counts_t counts = {0};
-    uint64_t full = count(&counts, 1000, 300, 20000);
+    uint64_t full = count_grant(&counts, 1000, 300, 20000);
     const uint64_t *sent = counts.bytes[PEER_SENT];
-    assert_within_a_tenth(sent[PEER_BYTES_ORDERS], true_size(1000, 0, 0));
-    assert_within_a_tenth(sent[PEER_BYTES_FLEET], true_size(0, 300, 0));
-    assert_within_a_tenth(sent[PEER_BYTES_ROWS], true_size(0, 0, 20000));
+    assert_within_a_tenth(sent[PEER_BYTES_ORDERS], encoded_size(1000, 0, 0));
+    assert_within_a_tenth(sent[PEER_BYTES_FLEET], encoded_size(0, 300, 0));
+    assert_within_a_tenth(sent[PEER_BYTES_ROWS], encoded_size(0, 0, 20000));
     g_assert_cmpuint(sent[PEER_BYTES_GRANT], <, full / 10);
     g_assert_cmpuint(sent[PEER_BYTES_GRANT] + sent[PEER_BYTES_ORDERS] + sent[PEER_BYTES_FLEET] +
                          sent[PEER_BYTES_ROWS],
--- a/tests/pooler/test_directory.c
+++ b/tests/pooler/test_directory.c
@@ -17,7 +17,7 @@
 
 /* Takes a record whose state is as told; true if the directory changed. */
 static bool
-take(struct directory *directory, const char *id, uint64_t version, bool draining, time_ns now)
+apply(struct directory *directory, const char *id, uint64_t version, bool draining, time_ns now)
 {
     struct directory_entry *taken = entry(id, draining);
     return directory_apply_row(directory, id, version, taken, now);
@@ -34,8 +34,8 @@
 {
     struct directory directory;
     directory_init(&directory);
-    g_assert_true(take(&directory, "a", 5, true, 0));
-    g_assert_false(take(&directory, "a", 4, false, 0));
+    g_assert_true(apply(&directory, "a", 5, true, 0));
+    g_assert_false(apply(&directory, "a", 4, false, 0));
     g_assert_true(find(&directory, "a")->draining);
     directory_clear(&directory);
 }
@@ -45,8 +45,8 @@
 {
     struct directory directory;
     directory_init(&directory);
-    g_assert_true(take(&directory, "a", 1, false, 0));
-    g_assert_false(take(&directory, "a", 2, false, 0));
+    g_assert_true(apply(&directory, "a", 1, false, 0));
+    g_assert_false(apply(&directory, "a", 2, false, 0));
     directory_clear(&directory);
 }
 
@@ -55,22 +55,22 @@
 {
     struct directory directory;
     directory_init(&directory);
-    take(&directory, "a", 1, true, 0);
+    apply(&directory, "a", 1, true, 0);
     g_assert_true(directory_entry_leaves(find(&directory, "a"), 0, HEARTBEAT));
     directory_clear(&directory);
 }
 
 /* A store that was down may drop the records of databases that are well. */
 static void
-test_gone_leaves_after_two_heartbeats(void)
+test_deleted_leaves_after_two_heartbeats(void)
 {
     struct directory directory;
     directory_init(&directory);
-    take(&directory, "a", 1, false, 0);
+    apply(&directory, "a", 1, false, 0);
     g_assert_true(directory_apply_row(&directory, "a", 2, NULL, 1000 * MS));
     g_assert_false(directory_entry_leaves(find(&directory, "a"), 3300 * MS, HEARTBEAT));
     g_assert_true(directory_entry_leaves(find(&directory, "a"), 3400 * MS, HEARTBEAT));
-    g_assert_true(take(&directory, "a", 3, false, 3500 * MS));
+    g_assert_true(apply(&directory, "a", 3, false, 3500 * MS));
     g_assert_false(directory_entry_leaves(find(&directory, "a"), 9000 * MS, HEARTBEAT));
     directory_clear(&directory);
 }
@@ -80,8 +80,8 @@
 {
     struct directory directory;
     directory_init(&directory);
-    take(&directory, "a", 1, false, 0);
-    take(&directory, "b", 2, false, 0);
+    apply(&directory, "a", 1, false, 0);
+    apply(&directory, "b", 2, false, 0);
     directory_apply_row(&directory, "a", 3, NULL, 1000 * MS);
     g_assert_false(directory_forget(&directory, 1500 * MS, 1000 * MS));
     g_assert_true(directory_forget(&directory, 2000 * MS, 1000 * MS));
@@ -93,11 +93,11 @@
 /* How a record went that is gone at 10 s, what another of its zone did, and what is known. */
 struct departure {
     bool draining;
-    bool back;           /* its database has recorded itself again */
-    time_ns other_since; /* 0: nobody else is in its zone */
-    time_ns other_gone;  /* 0: it stands */
+    bool recorded_again;         /* its database has recorded itself again */
+    time_ns other_present_since; /* 0: nobody else is in its zone */
+    time_ns other_deleted_at;    /* 0: it stands */
     time_ns as_of;
-    bool stays_away;
+    bool departed;
 };
 
 static void
@@ -123,19 +123,19 @@
         const struct departure *departure = &departures[i];
         struct directory directory;
         directory_init(&directory);
-        take(&directory, "a", 1, departure->draining, 500 * MS);
+        apply(&directory, "a", 1, departure->draining, 500 * MS);
         directory_apply_row(&directory, "a", 2, NULL, 10000 * MS);
-        if (departure->other_since != 0) {
-            take(&directory, "b", 3, false, departure->other_since);
+        if (departure->other_present_since != 0) {
+            apply(&directory, "b", 3, false, departure->other_present_since);
         }
-        if (departure->other_gone != 0) {
-            directory_apply_row(&directory, "b", 4, NULL, departure->other_gone);
+        if (departure->other_deleted_at != 0) {
+            directory_apply_row(&directory, "b", 4, NULL, departure->other_deleted_at);
         }
-        if (departure->back) {
-            take(&directory, "a", 5, departure->draining, 15000 * MS);
+        if (departure->recorded_again) {
+            apply(&directory, "a", 5, departure->draining, 15000 * MS);
         }
         directory_note_left(&directory, departure->as_of, HEARTBEAT);
-        g_assert_cmpint(find(&directory, "a")->stays_away, ==, departure->stays_away);
+        g_assert_cmpint(find(&directory, "a")->departed, ==, departure->departed);
         directory_clear(&directory);
     }
 }
@@ -149,33 +149,33 @@
     primary->leads = true;
     directory_init(&directory);
     directory_apply_row(&directory, "a", 1, primary, 500 * MS);
-    take(&directory, "b", 2, false, 500 * MS);
+    apply(&directory, "b", 2, false, 500 * MS);
     directory_apply_row(&directory, "a", 3, NULL, 10000 * MS);
     directory_note_left(&directory, 15000 * MS, HEARTBEAT);
-    g_assert_false(find(&directory, "a")->stays_away);
+    g_assert_false(find(&directory, "a")->departed);
     directory_clear(&directory);
 }
 
 /* What was seen holds: its zone's cut afterwards does not make it live again, its record does. */
 static void
-test_left_before_a_cut(void)
+test_left_before_a_partition(void)
 {
     struct directory directory;
     directory_init(&directory);
-    take(&directory, "a", 1, true, 500 * MS);
-    take(&directory, "b", 2, false, 500 * MS);
+    apply(&directory, "a", 1, true, 500 * MS);
+    apply(&directory, "b", 2, false, 500 * MS);
     directory_apply_row(&directory, "a", 3, NULL, 10000 * MS);
     directory_note_left(&directory, 15000 * MS, HEARTBEAT);
     directory_apply_row(&directory, "b", 4, NULL, 16000 * MS);
     directory_note_left(&directory, 17000 * MS, HEARTBEAT);
-    g_assert_true(find(&directory, "a")->stays_away);
-    take(&directory, "a", 5, false, 18000 * MS);
-    g_assert_false(find(&directory, "a")->stays_away);
+    g_assert_true(find(&directory, "a")->departed);
+    apply(&directory, "a", 5, false, 18000 * MS);
+    g_assert_false(find(&directory, "a")->departed);
     directory_clear(&directory);
 }
 
 static bool
-take_into(struct directory *directory, const char *id, const char *service, uint64_t version)
+apply_in_group(struct directory *directory, const char *id, const char *service, uint64_t version)
 {
     struct directory_entry *taken = entry(id, false);
     g_free(taken->service);
@@ -190,13 +190,13 @@
     struct directory directory;
     directory_init(&directory);
     g_assert_cmpuint(directory_group(&directory, "ledger-1")->len, ==, 0);
-    take_into(&directory, "a", "ledger-1", 1);
-    take_into(&directory, "b", "ledger-1", 2);
-    take_into(&directory, "c", "ledger-2", 3);
+    apply_in_group(&directory, "a", "ledger-1", 1);
+    apply_in_group(&directory, "b", "ledger-1", 2);
+    apply_in_group(&directory, "c", "ledger-2", 3);
     g_assert_cmpuint(directory_group(&directory, "ledger-1")->len, ==, 2);
-    take_into(&directory, "a", "ledger-1", 4);
+    apply_in_group(&directory, "a", "ledger-1", 4);
     g_assert_cmpuint(directory_group(&directory, "ledger-1")->len, ==, 2);
-    take_into(&directory, "b", "ledger-2", 5);
+    apply_in_group(&directory, "b", "ledger-2", 5);
     g_assert_cmpuint(directory_group(&directory, "ledger-1")->len, ==, 1);
     g_assert_true(directory_group(&directory, "ledger-1")->pdata[0] == find(&directory, "a"));
     g_assert_cmpuint(directory_group(&directory, "ledger-2")->len, ==, 2);
@@ -208,7 +208,7 @@
 }
 
 static void
-take_role(struct directory *directory, const char *id, uint64_t version, bool leads)
+apply_role(struct directory *directory, const char *id, uint64_t version, bool leads)
 {
     struct directory_entry *taken = entry(id, false);
     taken->leads = leads;
@@ -221,13 +221,13 @@
 {
     struct directory directory;
     directory_init(&directory);
-    take_role(&directory, "a", 1, false);
+    apply_role(&directory, "a", 1, false);
     g_assert_null(directory_leader(&directory, "s"));
-    take_role(&directory, "b", 2, true);
+    apply_role(&directory, "b", 2, true);
     g_assert_cmpstr(directory_leader(&directory, "s"), ==, "b");
-    take_role(&directory, "a", 3, true);
+    apply_role(&directory, "a", 3, true);
     g_assert_null(directory_leader(&directory, "s"));
-    take_role(&directory, "a", 4, false);
+    apply_role(&directory, "a", 4, false);
     directory_apply_row(&directory, "b", 5, NULL, 1000 * MS);
     g_assert_null(directory_leader(&directory, "s"));
     directory_clear(&directory);
@@ -235,7 +235,7 @@
 
 /* Takes a record of a database that was started at that moment. */
 static bool
-take_born(struct directory *directory, uint64_t version, uint64_t born_ms, time_ns now)
+apply_started(struct directory *directory, uint64_t version, uint64_t born_ms, time_ns now)
 {
     struct directory_entry *taken = entry("a", false);
     taken->born_ms = born_ms;
@@ -244,17 +244,17 @@
 
 /* One that has started again is another one; what its earlier life wrote comes too late. */
 static void
-test_started_again(void)
+test_restarted(void)
 {
     struct directory directory;
     directory_init(&directory);
-    take_born(&directory, 1, 5000, 100 * MS);
-    bool renewed = take_born(&directory, 2, 5000, 200 * MS);
-    bool started = take_born(&directory, 3, 7000, 300 * MS);
+    apply_started(&directory, 1, 5000, 100 * MS);
+    bool renewed = apply_started(&directory, 2, 5000, 200 * MS);
+    bool started = apply_started(&directory, 3, 7000, 300 * MS);
     g_assert_false(renewed);
     g_assert_true(started);
-    g_assert_cmpuint(find(&directory, "a")->stands_since, ==, 300 * MS);
-    bool late = take_born(&directory, 4, 5000, 400 * MS);
+    g_assert_cmpuint(find(&directory, "a")->present_since, ==, 300 * MS);
+    bool late = apply_started(&directory, 4, 5000, 400 * MS);
     g_assert_false(late);
     g_assert_cmpuint(find(&directory, "a")->born_ms, ==, 7000);
     g_assert_cmpuint(find(&directory, "a")->version, ==, 4);
@@ -270,11 +270,11 @@
     g_test_add_func("/pooler/directory/draining", test_draining_leaves_at_once);
     g_test_add_func("/pooler/directory/left", test_left);
     g_test_add_func("/pooler/directory/left-as-primary", test_left_as_primary);
-    g_test_add_func("/pooler/directory/left-before-a-cut", test_left_before_a_cut);
-    g_test_add_func("/pooler/directory/gone", test_gone_leaves_after_two_heartbeats);
+    g_test_add_func("/pooler/directory/left-before-a-cut", test_left_before_a_partition);
+    g_test_add_func("/pooler/directory/gone", test_deleted_leaves_after_two_heartbeats);
     g_test_add_func("/pooler/directory/forget", test_forget);
     g_test_add_func("/pooler/directory/group", test_group);
     g_test_add_func("/pooler/directory/leader", test_leader);
-    g_test_add_func("/pooler/directory/started-again", test_started_again);
+    g_test_add_func("/pooler/directory/started-again", test_restarted);
     return g_test_run();
 }
--- a/tests/pooler/test_evacuation.c
+++ b/tests/pooler/test_evacuation.c
@@ -28,9 +28,9 @@
 
 /* The operator's row, as the store tells it. */
 static void
-ask(fixture_t *fixture, const char *key, uint64_t version, bool there)
+put_request(fixture_t *fixture, const char *key, uint64_t version, bool present)
 {
-    g_autoptr(GBytes) value = there ? g_bytes_new_static("{}", 2) : NULL;
+    g_autoptr(GBytes) value = present ? g_bytes_new_static("{}", 2) : NULL;
     control_take_row(fixture->control, STORE_TABLE_CONFIGURATION, key, version, value);
 }
 
@@ -46,22 +46,22 @@
 {
     time_ns before = backend_now();
     g_assert_cmpint((int)phase(fixture, "z1", before), ==, (int)EVACUATION_NONE);
-    ask(fixture, "evacuate/z1", 5, true);
+    put_request(fixture, "evacuate/z1", 5, true);
     g_assert_true(fixture->control->view_dirty);
     time_ns now = backend_now();
-    g_assert_cmpint((int)phase(fixture, "z1", now), ==, (int)EVACUATION_LEAVING);
+    g_assert_cmpint((int)phase(fixture, "z1", now), ==, (int)EVACUATION_DRAINING);
     g_assert_cmpint((int)phase(fixture, "z1", before + BOUND_NS), ==, (int)EVACUATION_CLOSED);
     g_assert_cmpint((int)phase(fixture, "z1", now + BOUND_NS * 100), ==, (int)EVACUATION_CLOSED);
     g_assert_cmpint((int)phase(fixture, "z2", now + BOUND_NS), ==, (int)EVACUATION_NONE);
-    ask(fixture, "evacuate/", 6, true);
-    ask(fixture, "evacuated/z2", 7, true);
+    put_request(fixture, "evacuate/", 6, true);
+    put_request(fixture, "evacuated/z2", 7, true);
     g_assert_cmpint((int)phase(fixture, "z2", now + BOUND_NS), ==, (int)EVACUATION_NONE);
 }
 
 /* A zone that is taken back takes work again, a moment later; asked for once more meanwhile, its
  * evacuation goes on, and asked for later, it begins anew. */
 static void
-test_taken_back(fixture_t *fixture, gconstpointer unused)
+test_withdrawn(fixture_t *fixture, gconstpointer unused)
 {
     evacuations_t *evacuations = &fixture->control->evacuations;
     time_ns at = 100 * NANOSECONDS_PER_SECOND;
@@ -77,7 +77,7 @@
     at += 10 * NANOSECONDS_PER_SECOND;
     g_assert_cmpint((int)phase(fixture, "z1", at), ==, (int)EVACUATION_NONE);
     g_assert_true(evacuations_set(evacuations, "z1", true, at));
-    g_assert_cmpint((int)phase(fixture, "z1", at), ==, (int)EVACUATION_LEAVING);
+    g_assert_cmpint((int)phase(fixture, "z1", at), ==, (int)EVACUATION_DRAINING);
 }
 
 /* A store that is restored from before the request loses it until the operator has written again:
@@ -85,13 +85,13 @@
 static void
 test_restored(fixture_t *fixture, gconstpointer unused)
 {
-    ask(fixture, "evacuate/z1", 5, true);
+    put_request(fixture, "evacuate/z1", 5, true);
     struct feed *feed = &fixture->control->feeds[STORE_TABLE_CONFIGURATION];
     feed->version = 6;
     control_rows_drop_earlier(feed, store_version(1, 4));
     feed->version = store_version(1, 4);
-    g_assert_cmpint((int)phase(fixture, "z1", backend_now()), ==, (int)EVACUATION_LEAVING);
-    ask(fixture, "evacuate/z1", store_version(1, 5), true);
+    g_assert_cmpint((int)phase(fixture, "z1", backend_now()), ==, (int)EVACUATION_DRAINING);
+    put_request(fixture, "evacuate/z1", store_version(1, 5), true);
     g_assert_cmpint((int)phase(fixture, "z1", backend_now() + BOUND_NS), ==,
                     (int)EVACUATION_CLOSED);
 }
@@ -105,11 +105,11 @@
     struct directory_entry outside = {.id = "b", .zone = "z2"};
     time_ns now = backend_now();
     g_assert_true(control_takes_work(fixture->control, &inside, now));
-    ask(fixture, "evacuate/z1", 5, true);
+    put_request(fixture, "evacuate/z1", 5, true);
     now = backend_now();
     g_assert_false(control_takes_work(fixture->control, &inside, now));
     g_assert_true(control_takes_work(fixture->control, &outside, now));
-    ask(fixture, "evacuate/z1", 6, false);
+    put_request(fixture, "evacuate/z1", 6, false);
     now = backend_now() + 5 * NANOSECONDS_PER_SECOND;
     g_assert_true(control_takes_work(fixture->control, &inside, now));
     outside.draining = true;
@@ -124,7 +124,7 @@
 {
     g_test_init(&argc, &argv, NULL);
     ADD("phases", test_phases);
-    ADD("taken-back", test_taken_back);
+    ADD("taken-back", test_withdrawn);
     ADD("restored", test_restored);
     ADD("databases", test_databases);
     return g_test_run();
