--- a/src/pooler/control/control.h
+++ b/src/pooler/control/control.h
@@ -1,5 +1,8 @@
-/* The pooler's control thread: starts the workers, follows the store, elects and obeys a
- * coordinator, and ends it all in a planned way. */
+/**
+ * @file
+ * @brief The pooler's control thread. It starts the workers, follows the store, takes part in the
+ * election of the coordinator, applies the coordinator's orders, and runs the graceful shutdown.
+ */
 #ifndef SW_POOLER_CONTROL_H
 #define SW_POOLER_CONTROL_H
 
@@ -9,8 +12,13 @@
 
 struct control;
 
-/* Runs until a planned stop is over. False with `error` if a part could not start. `reload` is
- * called on SIGHUP. The calling thread becomes the control thread. */
+/**
+ * @brief Runs the pooler until a graceful shutdown (SIGTERM) is complete. The calling thread
+ * becomes the control thread.
+ *
+ * @param reload called on SIGHUP, in the control thread.
+ * @return false with `error` if a part could not start.
+ */
 bool control_run(const struct pooler_settings *settings, void (*reload)(void), GError **error);
 
 #endif
--- a/src/pooler/control/control_internal.h
+++ b/src/pooler/control/control_internal.h
@@ -1,6 +1,11 @@
-/* The control thread: what it knows from the store and from other poolers, what it publishes to the
- * workers, and, where this pooler is the coordinator, the control of all groups. Everything here
- * belongs to that thread. */
+/**
+ * @file
+ * @brief State of the control thread: what it has learned from the store and from other poolers,
+ * what it publishes to the workers, and, if this pooler is the coordinator, the control of all
+ * groups.
+ *
+ * Only the control thread may use anything in this file.
+ */
 #ifndef SW_POOLER_CONTROL_INTERNAL_H
 #define SW_POOLER_CONTROL_INTERNAL_H
 
@@ -31,17 +36,20 @@
 
 #define MS NANOSECONDS_PER_MILLISECOND
 
-/* Bytes a second that a link of 1 Mbit/s carries. */
+/* Bytes per second of a link of 1 Mbit/s. */
 #define BYTES_PER_MEGABIT 125000.0
 
-/* Heartbeats remembered, so that an answer is counted from its question's sending. */
+/* Heartbeats whose send times are kept. The validity of a grant counts from the time at which the
+ * heartbeat that it answers was sent. */
 #define HEARTBEATS_KEPT 16
 
-/* Epochs of a coordinator start from its token, so that they are above any earlier one's. */
+/* A coordinator's epochs start at its lease token, shifted by this, and so exceed the epochs of all
+ * earlier coordinators. */
 #define EPOCH_SHIFT 32
 
-/* Tokens that are given out in an era of the store begin above all of the eras before, which the
- * store may have lost. Leaves room for a million holders in each of 4,096 eras. */
+/* Lease tokens start at the store era shifted by this. Tokens of a new era exceed all tokens of the
+ * earlier eras, which a restored store may have lost. Allows a million tokens in each of 4,096
+ * eras. */
 #define TOKEN_ERA_SHIFT 20
 
 /* An earlier value of a row, from which the difference is told to those who have it. */
@@ -131,26 +139,27 @@
     time_ns list_at;    /* it is read whole once more then, after a restore; 0: it need not be */
 };
 
-/** @brief What a pooler has told the coordinator of a group on this connection. */
+/** @brief The state of a group that this pooler last reported to the coordinator on the current
+ * connection. */
 typedef struct reported_state {
     size_t faults;
     uint32_t in_flight;
 } reported_state_t;
 
-/** @brief All that a group's published view is made of, as far as it changes. Equal inputs make
- *  an equal view. Compared as bytes. */
+/** @brief The variable inputs of a group's published view. Equal inputs give an equal view.
+ * Compared with memcmp(). */
 typedef struct view_inputs {
     uint64_t epoch;
-    uint64_t owners;  /* revision; 0: no fleet is known */
-    uint64_t members; /* digest of the directory's entries */
+    uint64_t owners;  /* revision of the group's owners; 0: no fleet is known */
+    uint64_t members; /* digest of the group's directory entries */
     uint64_t sharers; /* see pooled_group */
     uint32_t connections;
     uint32_t alone_connections;
     uint32_t sync_replicas;
-    uint32_t keyed; /* clients have keys; also in place of padding, whose content is not certain */
+    uint32_t keyed; /* 1: clients have keys. 32 bits, so that the struct has no padding */
 } view_inputs_t;
 
-/* Which database leads a group, by the newest order. */
+/* A group as this pooler serves it, by the coordinator's newest group order. */
 struct group_state {
     struct group_shared *shared;
     uint64_t epoch;
@@ -158,83 +167,82 @@
     char *primary;
     uint64_t term;
     reported_state_t reported;
-    struct pooled_group *view; /* as last published, with one reference; NULL: not yet */
-    view_inputs_t view_inputs; /* it was made of */
+    struct pooled_group *view; /* last published, one reference held; NULL: not yet */
+    view_inputs_t view_inputs; /* that `view` was built from */
 };
 
-/* The lease of the coordinator. */
+/* The coordinator's lease, as this pooler knows it. */
 struct lease {
-    uint64_t row_version; /* of the row as last seen; of number 0: there is none in this era */
-    struct lease_record record; /* as last seen */
+    uint64_t row_version;       /* of the lease row as last read; number 0: no row in this era */
+    struct lease_record record; /* content of the lease row as last read */
     bool held;
-    uint64_t token; /* under which it is held */
-    time_ns until;  /* the lease is good before this, by our clock */
+    uint64_t token; /* fencing token under which this pooler holds the lease */
+    time_ns until;  /* end of the lease that is held, by the local clock */
     bool calling;
-    bool check_now; /* this pooler may take it now, and looks at once */
+    bool check_now; /* read the row without waiting, as the lease may be free for this pooler */
     time_ns next_at;
-    time_ns clock_sent; /* bounds of the moment at which the store's clock was read */
+    time_ns clock_sent; /* the store's clock was read between these two local times */
     time_ns clock_received;
     uint64_t clock_ms;
     time_ns call_sent;
-    uint64_t call_era;       /* whose row the call is about */
-    uint64_t proposed_fleet; /* version of the fleet in that call */
+    uint64_t call_era;       /* store era whose row the call reads or writes */
+    uint64_t proposed_fleet; /* version of the fleet in the row being written */
     uint64_t proposed_token;
-    time_ns free_since; /* it was first seen to be free; 0: it is not */
-    bool releasing;
-    uint64_t handover_token;     /* its holder has left the lease to us; 0: none has */
-    uint64_t handovers_received; /* leases that were left to us so far */
-    time_ns renewed_at;          /* when it was last taken or renewed */
+    time_ns free_since;          /* when the lease was first seen free; 0: it is not free */
+    bool releasing;              /* a write that gives the lease up is in progress */
+    uint64_t handover_token;     /* of the lease that its holder handed over to us; 0: none */
+    uint64_t handovers_received; /* since the start */
+    time_ns renewed_at;          /* when the lease was last acquired or renewed */
 };
 
-/* A pooler as the coordinator knows it. */
+/* A pooler, as the coordinator sees it. */
 struct pooler_peer {
     char *name;
     struct peer *peer; /* NULL while it is not connected */
     uint64_t incarnation;
     contact_t contact;
-    time_ns permit_until; /* the last permit it was given ends by then */
+    time_ns permit_until; /* end of its last read permit, at the latest */
     bool stopping;
-    bool process_ended; /* its connection broke while it was well: its process has ended */
-    uint32_t store_age_ms;
+    bool process_ended;    /* its connection broke while its heartbeats were on time */
+    uint32_t store_age_ms; /* since the store last answered it, as of its last heartbeat */
     char *zone;
     char *forward_address;
     uint32_t workers;
-    uint32_t millicores;          /* processor that its machine grants */
-    uint64_t fleet_sent;          /* up to this version */
-    uint64_t fleet_reported;      /* the version that its last heartbeat told */
-    time_ns fleet_reported_as_of; /* which it sent after this; 0: not known */
-    uint64_t orders_sent;         /* on this connection, up to this version */
-    uint64_t orders_followed;     /* by all its workers, up to this version */
-    row_versions_t known;     /* what it knows of the store's tables, once what was sent has come */
-    row_versions_t confirmed; /* what it says that it knows */
-    time_ns rows_wait_since;  /* it lacks rows that wait for the link; 0: it does not */
-    time_ns unconfirmed_since; /* rows were sent that it has not confirmed; 0: it has */
+    uint32_t millicores;          /* processor quota of its machine */
+    uint64_t fleet_sent;          /* version of the fleet up to which changes were sent */
+    uint64_t fleet_reported;      /* version of the fleet in its last heartbeat */
+    time_ns fleet_reported_as_of; /* that heartbeat was sent after this; 0: not known */
+    uint64_t orders_sent;         /* version of the orders sent on this connection */
+    uint64_t orders_followed;     /* version of the orders that all its workers follow */
+    row_versions_t known;         /* of the store's tables, counting rows in transit to it */
+    row_versions_t confirmed;     /* of the store's tables, as its last heartbeat reported */
+    time_ns rows_wait_since;      /* rows wait for capacity of the link since then; 0: none */
+    time_ns unconfirmed_since;    /* rows were sent then and are not confirmed; 0: none */
     bool unconfirmed_logged;
-    bool follows_store;      /* by itself, beside the coordinator */
-    bool followed_store;     /* the same, before this choice of followers */
+    bool follows_store;      /* reads the store's changes itself, beside the coordinator */
+    bool followed_store;     /* the same, before the current choice of followers */
     bool lacks_store;        /* the store does not answer it */
-    bool takes_deltas;       /* it takes rows that are told by their difference */
-    bool takes_news;         /* it takes orders and members that are told packed */
-    uint64_t followers_sent; /* up to this version */
-    uint64_t mirrors_sent;   /* the same */
-    char *peer_address;      /* where it takes messages of other poolers */
-    GHashTable *reports;     /* service -> struct pooler_group_report, where there is something to
-                                report */
+    bool takes_deltas;       /* accepts rows that are sent as deltas */
+    bool takes_news;         /* accepts compressed orders and fleet members */
+    uint64_t followers_sent; /* version of the list of followers sent to it */
+    uint64_t mirrors_sent;   /* version of the list of mirrors sent to it */
+    char *peer_address;      /* where it accepts connections of other poolers */
+    GHashTable *reports;     /* service -> struct pooler_group_report; no empty reports */
 };
 
-/* A group as the coordinator controls it. */
+/* A group, as the coordinator controls it. */
 struct controlled_group {
     struct control *control;
     struct failover *failover;
     GHashTable *connections;       /* database id -> struct database_control */
-    uint64_t orders_version;       /* at its newest order */
-    struct failover_faults faults; /* of the poolers, by the newest survey */
-    uint32_t reporters;            /* poolers heard lately that report on it, by the same */
-    uint32_t in_flight;            /* open at the primary, by the same */
-    time_ns query_slot_at; /* its databases may be asked what can wait since then; 0: never yet */
-    bool active;           /* something is under way: it is looked at each time */
-    bool recording_done;
-    bool retired; /* no longer under this coordinator */
+    uint64_t orders_version;       /* of the group's newest order */
+    struct failover_faults faults; /* reported by the poolers, by the newest aggregation */
+    uint32_t reporters;            /* poolers with a recent heartbeat that report on the group */
+    uint32_t in_flight;            /* statements open at the primary, by all poolers' reports */
+    time_ns query_slot_at; /* start of its last slot for low-priority status queries; 0: none */
+    bool active;           /* processed on every tick: a change or queries in progress */
+    bool recording_done;   /* the record being written is that of a finished promotion */
+    bool retired;          /* no longer controlled here; late answers are ignored */
 };
 
 /** Poolers of other zones that are asked for a sign of life at the same time. */
@@ -264,23 +272,23 @@
     struct promotion *promotion;
     struct directory directory;
     evacuations_t evacuations;
-    bool directory_settled;        /* every living database has had the time to record itself */
-    time_ns directory_known_since; /* and the store answers; 0: not yet */
+    bool directory_settled;        /* every running database has had time to write its row */
+    time_ns directory_known_since; /* the directory has been complete since then; 0: it is not */
     struct configuration *configuration;
-    bool configuration_unread; /* the newest one could not be decoded */
-    time_ns proven_at;         /* the configuration was the store's newest then; 0: never proven */
+    bool configuration_unread; /* the newest configuration could not be decoded */
+    time_ns proven_at;         /* the configuration was the store's newest then; 0: not known */
     store_clock_t store_clock;
-    uint64_t store_era; /* the newest that the store or another pooler told */
-    time_ns era_since;  /* some pooler has known of it since, at least */
+    uint64_t store_era; /* newest store era that the store or another pooler reported */
+    time_ns era_since;  /* latest time at which a pooler first learned of that era */
     struct feed feeds[STORE_TABLE_COUNT];
     GHashTable *groups;  /* service -> struct group_state */
     GHashTable *members; /* database id -> struct member_shared, never removed */
     bool view_dirty;
-    time_ns refreshed_at; /* the view was built anew for what changes with time alone */
-    time_ns counted_at;   /* counts were logged */
+    time_ns refreshed_at; /* last periodic rebuild of the view, for what changes with time alone */
+    time_ns counted_at;   /* the counts were last logged */
     uint64_t incarnation;
-    char *address;         /* where other poolers reach our peer listener */
-    char *forward_address; /* and our listener for their statements */
+    char *address;         /* of our peer listener, as other poolers reach it */
+    char *forward_address; /* of our listener for forwarded statements, the same */
     /* As a pooler under a coordinator. */
     struct peer *coordinator; /* connection, NULL for none */
     char *coordinator_address;
@@ -326,50 +334,55 @@
     /* As the coordinator. */
     struct lease lease;
     time_ns coordinator_since;
-    time_ns predecessor_permits_until; /* the permits of a coordinator that ceded its lease end by
-                                          then */
-    uint32_t members_before;           /* poolers as counted before this lease; 0: not known */
+    /* End of all permits of a coordinator that handed its lease over to this one; 0: none. */
+    time_ns predecessor_permits_until;
+    uint32_t members_before; /* size of the fleet before this lease; 0: not known */
     time_ns started_at;
     int listener;
-    struct event *acceptable;
+    struct event *acceptable; /* the listener has a connection to accept */
     struct peer_callbacks pooler_callbacks;
     GHashTable *poolers;          /* name -> struct pooler_peer */
-    GHashTable *poolers_by_peer;  /* struct peer -> struct pooler_peer, not owned */
-    GHashTable *unconfirmed_rows; /* struct peer -> row_versions_t, sent and not confirmed yet */
-    GPtrArray *connected;         /* of struct peer, accepted */
+    GHashTable *poolers_by_peer;  /* struct peer -> struct pooler_peer, not owned: connections whose
+                                     pooler has sent its name */
+    GHashTable *unconfirmed_rows; /* struct peer -> row_versions_t: rows sent in non-authoritative
+                                     replies and not yet confirmed */
+    GPtrArray *connected;         /* of struct peer: all accepted connections */
     GHashTable *controlled;       /* service -> struct controlled_group */
     struct failover_actions failover_actions;
-    uint64_t orders_version; /* rises with each order of any group; holds the lease's token */
+    uint64_t orders_version; /* counts orders of all groups, starting at the lease's token */
     push_limiter_t push_limiter;
     news_cache_t news;      /* as the coordinator tells it */
     news_cache_t hearsay;   /* as this pooler tells it in its place */
-    bool push_pending;      /* orders, owners or rows have changed that poolers are to be told */
-    time_ns coordinated_at; /* the groups were last looked at */
-    bool coordination_due;  /* and are to be looked at again as soon as may be */
-    uint64_t orders_followed_with_permit; /* followed by all poolers that may hold a permit, by the
-                                             last survey */
-    uint64_t orders_followed_by_all;      /* followed by all poolers, by the same */
-    bool records_read;                    /* of promotions, since the lease was taken */
-    time_ns records_until;                /* they are waited for */
-    time_ns records_retry_at;  /* they are asked for again; 0: they are on their way, or known */
-    uint64_t records_token;    /* they were asked for under this token */
-    time_ns groups_checked_at; /* all of them, last */
+    bool push_pending;      /* orders or owners have changed since the last push to the poolers */
+    time_ns coordinated_at; /* last run of the coordinator's periodic work */
+    bool coordination_due;  /* run it again at the end of its minimum interval */
+    /* Versions of the orders that every pooler with a possibly valid permit follows, and that every
+     * pooler follows, by the newest aggregation. */
+    uint64_t orders_followed_with_permit;
+    uint64_t orders_followed_by_all;
+    bool records_read;         /* the records of promotions were read under this lease */
+    time_ns records_until;     /* groups are not added before, unless the records were read */
+    time_ns records_retry_at;  /* the records are read again; 0: a read is in progress or done */
+    uint64_t records_token;    /* of the lease under which the records are being read */
+    time_ns groups_checked_at; /* all groups were last processed, not just the active ones */
     control_counts_t counts;   /* since the start */
-    fleet_t *fleet;            /* the poolers that share connections */
+    fleet_t *fleet;            /* the poolers that share the connections to the databases */
     roster_t *roster;          /* those of them that count operations; NULL: none is known */
     time_ns roster_until;      /* it is relied on until then */
     time_ns fleet_at;          /* when it is decided next */
     time_ns thin_since;        /* many of it have been missing since then; 0: they are not */
-    GHashTable *responsive_addresses; /* of forward addresses: poolers heard lately, by this survey;
-                          empty until asked for */
-    bool rows_to_push;                /* and not yet told to the poolers */
-    time_ns followers_at;             /* when the followers of the store were chosen */
-    GPtrArray *followers;             /* their peer addresses, as chosen here or told last */
-    uint64_t followers_version;       /* rises with each choice that changes them */
+    /* Set of the forward addresses of poolers with a recent heartbeat. Filled by the first use in
+     * each aggregation, empty before. */
+    GHashTable *responsive_addresses;
+    bool rows_to_push;          /* rows were learned since the last push to the poolers */
+    time_ns followers_at;       /* when the followers of the store were last chosen */
+    GPtrArray *followers;       /* their peer addresses, as chosen here or told last */
+    uint64_t followers_version; /* rises with each choice that changes them */
     mirrors_t mirrors;
 };
 
 /* control.c */
+/** @brief Has all parts run once more after the current event. */
 void control_wake_soon(struct control *control);
 
 /* control_view.c */
@@ -391,19 +404,20 @@
 bool control_is_ready(const struct control *control);
 
 /* control_era.c */
-/** @brief The store, or another pooler, told this era.
- *  @param age for how long it has been known, at least. */
+/** @brief Takes the store era that the store or another pooler has reported. A newer one than the
+ *  known era means that the store was restored from a copy.
+ *  @param age minimum time for which the reporter has known the era. */
 void control_era_note(struct control *control, uint64_t era, time_ns age);
-/** @return for how long the store's era has been known, at least. */
+/** @return minimum time for which the store era has been known. */
 time_ns control_era_age(const struct control *control, time_ns now);
-/** @return true if the store's newest configuration at that moment proves which keys stand: not
- *  while it may be one that was restored. */
+/** @return true if the configuration that was the store's newest at `moment` proves which keys are
+ *  valid. It does not shortly after a restore, when it may be an outdated copy. */
 bool control_era_proves(const struct control *control, time_ns moment);
-/** @return true if the version is of an era before the newest. */
+/** @return true if the version belongs to an earlier era than the newest known one. */
 bool control_era_is_over(const struct control *control, uint64_t version);
-/** @brief Whether a row that is known from an earlier era is newer than what the copy of a restored
- *  store says of it.
- *  @param value NULL: the copy lacks the row. */
+/** @return true if a row that is known from an earlier era is newer than its state in the restored
+ *  store, and has to be kept.
+ *  @param value of the row in the restored store; NULL: the store has no such row. */
 bool control_era_keeps(const struct control *control, enum store_table table,
                        const struct known_row *known, GBytes *value);
 
@@ -580,36 +594,41 @@
 
 /* control_lease.c */
 void control_lease_tick(struct control *control, time_ns now);
-/* True if the lease holds now and for `margin` more. */
+/** @return true if this pooler holds the lease for more than `margin` from now on. */
 bool control_lease_holds(const struct control *control, time_ns now, time_ns margin);
-/* True if a pooler that sees a free lease leaves it to stronger machines for now. */
+/** @return true if this pooler does not take a free lease yet, so that a stronger machine can take
+ *  it first. */
 bool control_lease_defers(struct control *control, bool free, time_ns now);
-/* For how long the lease certainly holds; 0 if it does not. */
+/** @return for how long this pooler certainly holds the lease; 0 if it does not hold it. */
 time_ns control_lease_remaining(const struct control *control, time_ns now);
-/* Takes the lease's row out of an answer of the store; ends the lease if it is another's. */
+/** @brief Applies the lease row and the other control rows of a store answer. Ends the lease if the
+ *  row names another holder. */
 void control_lease_apply_answer(struct control *control, const struct store_answer *answer);
-/* Gives the lease up, as at a planned stop. */
+/** @brief Gives the lease up at a graceful shutdown: hands it over, or writes it as expired. */
 void control_lease_release(struct control *control);
-/** @brief Fills in the fleet, compressed where it is large, if the row stays small enough for the
- *  store. @return the row. */
+/** @brief Encodes the lease row together with the fleet. The fleet is compressed if it is large,
+ * and left out if the row would exceed the store's limit. @return the row. */
 GByteArray *control_lease_encode(const struct control *control, struct lease_record *record);
-/** @brief Reads such a row. @return false with `error` if it can't be read. */
+/** @brief Decodes such a row. @return false with `error` if it is malformed. */
 bool control_lease_decode(const uint8_t *data, gsize length, struct lease_record *out,
                           GError **error);
-/** @return the key of the lease's row in the store's era; the caller frees it. */
+/** @return the key of the lease row of the current store era; the caller frees it. */
 char *control_lease_key(const struct control *control);
-/** @return for how long the holder's renewal has been due without being done. */
+/** @return for how long the renewal of the lease that is held has been overdue; 0: it is not. */
 time_ns control_lease_overdue(const struct control *control, time_ns now);
-/* Looks at the lease at once, as this pooler may take it. */
+/** @brief Reads the lease row as soon as possible, to take the lease if it is free. */
 void control_lease_check_now(struct control *control);
-/* The holder under this token has left the lease to us. */
+/** @brief The holder of the lease with this token has handed it over to this pooler. Takes it
+ * without waiting for its expiry. */
 void control_lease_accept_handover(struct control *control, uint64_t token);
-/* True if the store does not answer the holder, so that the lease had better go to another. */
+/** @return true if the renewal is so long overdue that the lease should be handed over to a pooler
+ *  that the store still answers. */
 bool control_lease_is_failing(const struct control *control, time_ns now);
-/* The lease is no longer ours. */
-void control_lease_end(struct control *control, const char *why);
+/** @brief Stops acting as the coordinator, if this pooler holds the lease.
+ *  @param reason for the log. */
+void control_lease_end(struct control *control, const char *reason);
 
-/** @return the processor that this machine grants, in thousandths of a core. */
+/** @return the processor quota of this machine, in thousandths of a core. */
 uint32_t control_millicores(const struct control *control);
 
 /* control_member.c: as a pooler under a coordinator */
@@ -640,42 +659,48 @@
 /** @return true if a pooler of another zone runs on the machine of this address. */
 bool control_reach_is_outside(const struct control *control, const char *address);
 
-/* control_coordinator.c: towards the poolers */
+/* control_coordinator.c: the coordinator's connections to the poolers */
+/** @brief Listens for the connections of other poolers. @return false with `error` if it can't. */
 bool control_coordinator_listen(struct control *control, GError **error);
 void control_coordinator_stop(struct control *control);
+/** @brief Starts as the coordinator, once the lease is held. */
 void control_coordinator_start(struct control *control);
+/** @brief Ends as the coordinator, once the lease is no longer held. */
 void control_coordinator_end(struct control *control);
 void control_coordinator_tick(struct control *control, time_ns now);
-/** @brief Asks for a look at the groups as soon as one may be. */
+/** @brief Runs the coordinator's periodic work as soon as its minimum interval allows. */
 void control_coordinator_wake(struct control *control);
-/** @return when the groups are to be looked at next; UINT64_MAX: with the next tick. */
+/** @return when the coordinator's periodic work is due; UINT64_MAX: with the next regular tick. */
 time_ns control_coordinator_due(const struct control *control);
 /* control_lease_handover.c */
-/* Leaves the lease to a pooler that the store answers, or to any at a planned stop. False if there
- * is none. */
+/** @brief Hands the lease over to a pooler that the store answers.
+ *  @param planned at a graceful shutdown: to any responsive pooler.
+ *  @return false if there is none. */
 bool control_coordinator_hand_over(struct control *control, bool planned);
-/** @brief Sends all poolers what they lack, at the end of this look at the groups: one message for
- *  each pooler, however many groups have changed. */
+/** @brief Has changed orders and fleet members sent to the poolers at the end of this run of the
+ *  periodic work: one message to each pooler, however many groups have changed. */
 void control_coordinator_push(struct control *control);
 
-/** @return true if the lease had better be left to this pooler than to the other one (NULL: none):
- *  to a strong machine first, as it will hear all the others, then to the one that heard the store
- *  last. */
+/** @return true if `pooler` is a better successor for the lease than `than` (NULL: none). The
+ *  stronger machine is, as it will receive the heartbeats of the whole fleet; among equals, the one
+ *  with the more recent answer of the store. */
 bool control_coordinator_prefers(const struct pooler_peer *pooler, const struct pooler_peer *than,
                                  time_ns now);
-/** @brief Leaves the lease to a stronger machine, if one is at hand. @return true if it did. */
+/** @brief Hands the lease over to a stronger machine, if there is one. @return true if it did. */
 bool control_coordinator_hand_over_to_stronger(struct control *control, time_ns now);
-/** @return how many poolers share the databases' connections, as the coordinator counts them. */
+/** @return how many poolers share the connections to the databases, as the coordinator counts. */
 uint32_t control_coordinator_count(const struct control *control);
 
 /* control_reports.c */
-/** @brief Sums up what all poolers have told, into the groups and the versions of orders. */
+/** @brief Aggregates the reports of all poolers, by group, and the versions of the orders that they
+ *  follow. */
 void control_reports_aggregate(struct control *control, time_ns now);
-/** @brief Counts whose opinion of the group's primary matters, where there is one. */
+/** @brief Counts the poolers that could report a fault of the group's primary, if any reports on
+ * it. */
 void control_reports_count_poolers(struct control *control, struct controlled_group *group,
                                    time_ns now);
 
-/* control_groups.c: the groups under control */
+/* control_groups.c: the groups that this coordinator controls */
 void control_groups_start(struct control *control);
 void control_groups_end(struct control *control);
 void control_groups_tick(struct control *control, time_ns now);
