--- a/src/pooler/control/control_internal.h
+++ b/src/pooler/control/control_internal.h
@@ -273,7 +273,7 @@
     struct directory directory;
     evacuations_t evacuations;
     bool directory_settled;        /* every running database has had time to write its row */
-    time_ns directory_known_since; /* the directory has been complete since then; 0: it is not */
+    time_ns directory_known_since; /* its changes have been followed since then; 0: they are not */
     struct configuration *configuration;
     bool configuration_unread; /* the newest configuration could not be decoded */
     time_ns proven_at;         /* the configuration was the store's newest then; 0: not known */
--- a/src/pooler/control/failover.c
+++ b/src/pooler/control/failover.c
@@ -1,34 +1,39 @@
-/* The control of one group: its members, the search for a leader and the watch over it; see the
- * header. */
+/* Failover of one group: its members, the search for a primary, and its monitoring. See failover.h.
+ */
 #define G_LOG_DOMAIN "failover"
 #include "pooler/control/failover_internal.h"
 
 #include <inttypes.h>
 #include <string.h>
 
-/* A primary that some poolers can't reach, while most can, is replaced after this. */
+/* A primary that a minority of the poolers can't reach is replaced after this time. */
 #define MINORITY_MAX_NS (1500 * MS)
 
-/* Replicas that get no further for so long confirm a stall. */
+/* A stall that poolers report is confirmed if no replica advances for this time. */
 #define STALL_CONFIRMED_NS (350 * MS)
 
-/* Least time between two changes for want of acknowledgements; doubles with each. */
+/* Minimum time between two changes for missing acknowledgements. It doubles with each change, so
+ * that a group whose replicas receive nothing from any primary does not change its primary for
+ * ever. */
 #define STALL_WAIT_MIN_NS (4000 * MS)
 #define STALL_WAIT_MAX_NS (60000 * MS)
 
-/* One answer may be lost: so many in a row are taken for silence while a leader is searched. */
+/* Consecutive unanswered commands after which a database counts as unresponsive. One answer may be
+ * lost. */
 #define SEARCH_FAILURES 2
 
-/* Search without anybody leading, before another database is promoted. */
+/* If no database leads for this time, another one is promoted. */
 #define SEARCH_MAX_NS (600 * MS)
 
-/* A primary is dark if all but one in so many poolers find it so. */
+/* A primary that responds to at most one in this many poolers counts as dead. If more reach it, it
+ * may be alive and serving them. */
 #define REACHABLE_FEW_DIVISOR 4
 
-/* Writes wait for replicas that are still paused, and are no sign of a stall. */
+/* After the replicas were resumed, writes that waited for them are no sign of a stall for this
+ * time. */
 #define STALLED_BY_PAUSE_NS (1000 * MS)
 
-/* A report older than this says nothing of now. */
+/* Reports older than this are not used as the current state. */
 #define REPORT_FRESH_NS (400 * MS)
 
 static const char *const state_names[] = {"searching", "watching",  "draining",  "fencing",
@@ -137,8 +142,8 @@
                          "SW_EPOCH", epoch, "SW_TERM", term, "SW_PRIMARY",
                          failover->primary == NULL ? "" : failover->primary, "SW_CANDIDATE",
                          failover->candidate == NULL ? "" : failover->candidate, "MESSAGE",
-                         "Group %s: %s, before %s.", failover->service, state_names[state],
-                         state_names[failover->state]);
+                         "Group %s: state %s, previously %s.", failover->service,
+                         state_names[state], state_names[failover->state]);
     }
     failover->state = state;
     failover->since = now;
@@ -161,7 +166,6 @@
     failover->actions->send_command(failover->actions->user, failover, member->id, command, term);
 }
 
-/* Asks unless a command is under way or was sent too lately. */
 void
 failover_send_command(struct failover *failover, struct failover_member *member,
                       enum database_command command, uint64_t term, time_ns every, time_ns now)
@@ -192,7 +196,6 @@
     failover_publish(failover, GROUP_PHASE_OPEN);
 }
 
-/* The one that leads in the newest term by a fresh report; NULL if there is none. */
 struct failover_member *
 failover_find_leader(const struct failover *failover, time_ns now)
 {
@@ -219,7 +222,8 @@
     }
 }
 
-/* True if the member, which does not lead, has said since the primary was opened how it stands. */
+/* True if the member has reported since the primary was opened that it neither leads nor is paused.
+ */
 static bool
 has_reported_role(const struct failover *failover, const struct failover_member *member)
 {
@@ -292,7 +296,8 @@
     member->failing_since = 0;
 }
 
-/* What it is can't be asked now, and its record does not say that it leads. */
+/* True if the member has no capacity for a status query, and its row does not report that it leads.
+ */
 static bool
 is_replica_at_capacity(const struct failover_member *member)
 {
@@ -349,7 +354,7 @@
         leader == NULL && all_reported(failover, now) && enough_replicas_answer(failover);
     if (no_leader && now > failover->since + SEARCH_MAX_NS) {
         failover->former_may_be_alive = true;
-        failover_begin_change(failover, false, "nobody leads", now);
+        failover_begin_change(failover, false, "no database leads", now);
     }
 }
 
@@ -359,7 +364,8 @@
     return failover_find(failover, failover->primary);
 }
 
-/* True if nobody but the primary leads, by what each member said after the primary was opened. */
+/* True if each member but the primary has reported since the primary was opened that it does not
+ * lead, or is paused. */
 static bool
 no_other_leader(const struct failover *failover)
 {
@@ -375,16 +381,15 @@
     return true;
 }
 
-/* True if no old primary can make use of a replica that receives again. */
+/* True if no old primary can get commits acknowledged by a resumed replica. */
 static bool
 may_resume(const struct failover *failover, time_ns now)
 {
     return now >= failover->resume_at || no_other_leader(failover);
 }
 
-/* Members that were paused and left so, as by an earlier coordinator or during a partition, receive
- * again, and one that was replaced and still leads steps down. Each is asked once after the primary
- * was opened, however late it can be reached. */
+/* Members may have been left paused by an earlier coordinator or in a network partition. Each
+ * member is queried once after the primary was opened, however late it can be reached. */
 void
 failover_reconcile_members(struct failover *failover, time_ns now)
 {
@@ -422,7 +427,8 @@
     return false;
 }
 
-/* Asks the primary, and the others, so that no change begins that can't be carried out. */
+/* Queries the primary, and also the replicas: a change is started only if enough of them respond.
+ */
 static void
 query_members(struct failover *failover, time_ns now)
 {
@@ -454,18 +460,19 @@
 {
     const struct failover_member *primary = failover_primary(failover);
     if (primary == NULL) {
-        failover_begin_change(failover, false, "the primary has left", now);
+        failover_begin_change(failover, false, "the primary has left the group", now);
         return true;
     }
     if (!primary->takes_work && has_ready_replica(failover)) {
-        failover_begin_change(failover, true, "the primary is leaving", now);
+        failover_begin_change(failover, true, "the primary is draining or leaving", now);
         return true;
     }
     return false;
 }
 
-/* True if no replica has got any further for a while, and all lack what the primary holds. An
- * answer that was lost looks like a stall to its pooler, but replicas go on then. */
+/* True if no replica has advanced for a while, and none has all that the primary holds. A lost
+ * answer to a write looks like a stall to the pooler that waits for it, but then the replicas
+ * advance. */
 static bool
 replication_is_stalled(struct failover *failover, const struct failover_member *primary,
                        time_ns now)
@@ -486,11 +493,11 @@
     return now >= failover->stall_since + STALL_CONFIRMED_NS;
 }
 
-/* So long after a change of primary is wanted and can't begin, the log tells why. */
+/* A change of primary that is needed and not possible is logged after this time. */
 #define BLOCKED_LOG_AFTER_NS (1000 * MS)
 
-/* Tells the log, once for each time that the primary is doubted, why a change can't begin: an
- * operator would otherwise see a primary that most poolers find dark, and nothing done. */
+/* Logs, once for each series of fault reports, why a change can't start. Otherwise an operator
+ * would see that most poolers can't reach the primary, and no reaction. */
 static void
 log_blocked_change(struct failover *failover, time_ns now)
 {
@@ -511,9 +518,9 @@
     }
     g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_MESSAGE, "SW_SERVICE", failover->service,
                      "SW_PRIMARY", failover->primary, "SW_SILENT", unanswered->str, "MESSAGE",
-                     "Group %s: its primary is doubted and can't be replaced yet; members %s; no "
-                     "answer of: %s.",
-                     failover->service, failover->settled ? "known" : "not certainly known",
+                     "Group %s: poolers report faults of the primary, which can't be replaced yet; "
+                     "members %s; no answer from: %s.",
+                     failover->service, failover->settled ? "known" : "may be incomplete",
                      unanswered->str);
 }
 
@@ -521,17 +528,17 @@
 check_primary_faults(struct failover *failover, const struct failover_faults *faults, time_ns now)
 {
     struct failover_member *primary = failover_primary(failover);
-    bool doubted = faults->unreachable + faults->stalled + faults->refusing > 0;
-    if (!doubted) {
+    bool faulty = faults->unreachable + faults->stalled + faults->refusing > 0;
+    if (!faulty) {
         failover->minority_since = 0;
         failover->stall_since = now;
         failover->blocked_since = 0;
         return;
     }
     query_members(failover, now);
-    bool fresh =
+    bool current =
         primary->has_report && primary->answered && now < primary->reported_at + REPORT_FRESH_NS;
-    if (fresh && !primary->report.leads) {
+    if (current && !primary->report.leads) {
         failover_set_state(failover, FAILOVER_SEARCHING, now);
         failover_publish(failover, GROUP_PHASE_CLOSED);
         return;
@@ -541,22 +548,21 @@
         return;
     }
     failover->blocked_since = 0;
-    /* Poolers without work for it have no opinion: two answers missed here weigh as much as most.
-     */
+    /* Poolers without work for the primary report nothing. Two unanswered commands of this
+     * coordinator therefore count as much as reports of half of the poolers. */
     bool unreachable =
         !primary->answered && faults->unreachable > 0 &&
         (faults->unreachable * 2 >= faults->poolers || primary->failures >= SEARCH_FAILURES);
     if (unreachable) {
-        /* Where only a few find it dark, it may live on with the others. */
+        /* If few poolers report it, it may be alive and serving the others. */
         failover->former_may_be_alive = faults->unreachable * REACHABLE_FEW_DIVISOR <
                                         faults->poolers * (REACHABLE_FEW_DIVISOR - 1);
         failover_begin_change(failover, false, "the primary does not answer", now);
         return;
     }
-    bool stalled = faults->stalled > 0 && fresh && replication_is_stalled(failover, primary, now);
+    bool stalled = faults->stalled > 0 && current && replication_is_stalled(failover, primary, now);
     if (stalled &&
         now >= MAX(failover->stall_again_at, failover->resume_at + STALLED_BY_PAUSE_NS)) {
-        /* Where replicas receive nothing whoever leads, changes would never end. */
         failover->stall_wait =
             MIN(MAX(failover->stall_wait * 2, STALL_WAIT_MIN_NS), STALL_WAIT_MAX_NS);
         failover->stall_again_at = now + failover->stall_wait;
--- a/src/pooler/control/failover.h
+++ b/src/pooler/control/failover.h
@@ -1,31 +1,39 @@
-/* The coordinator's control of one group: who leads, when another database has to, and the steps to
- * it. A state machine without sockets or clock: events and time come in, commands go out through
- * `struct failover_actions`.
+/**
+ * @file
+ * @brief Failover of one group: which database is the primary, when it has to be replaced, and the
+ * steps of the change. A state machine without sockets or clock. Events and the time come in
+ * through its functions; commands go out through `struct failover_actions`.
  *
- * A change of primary goes: close the old primary at all poolers; fence it, so that it can
- * acknowledge nothing more; choose a database whose log holds every acknowledged commit; record the
- * intent under the coordinator's lease; order the promotion; wait until it leads; open it and
- * resume the others.
+ * A change of primary has these steps:
+ * 1. Close the old primary at all poolers.
+ * 2. Fence it, so that it can acknowledge no more commits.
+ * 3. Choose a candidate whose log holds every acknowledged commit.
+ * 4. Record the intent in the store, under the coordinator's lease.
+ * 5. Order the promotion, and wait until the candidate leads.
+ * 6. Open the group with the new primary, and resume the other replicas.
  *
- * Why the chosen log is whole: an acknowledged commit is on the primary and on `sync_replicas`
- * replicas. Once the old primary has itself said that it stepped down, its log holds every such
- * commit, and a replica that has received as much is whole. Where it can't be asked, so many
- * replicas are paused that each acknowledged commit is on one of them and no further one can be
- * acknowledged; the most advanced of these is whole.
+ * Why the candidate's log is complete: an acknowledged commit is on the primary and on at least
+ * `sync_replicas` replicas. If the old primary reports that it stepped down, its log holds every
+ * acknowledged commit, and so does any replica that has received as much. If it can't be queried,
+ * enough replicas are paused that each acknowledged commit is on one of them and no further commit
+ * can be acknowledged. The most advanced of these replicas then has a complete log.
  *
- * All that holds only where every member is known. A store that was down may have dropped records
- * of databases that are well, and a coordinator that has just started knows no others: until the
- * members have settled, only the old primary's own word counts.
+ * This requires that all members of the group are known. A store that was down may have dropped the
+ * rows of running databases, and a coordinator that has just started knows no others. Until the
+ * members have settled, only a step-down that the old primary itself reports allows a change.
  *
- * A database that has started again may have lost its log. Until it is seen to hold as much as
- * those that it is compared with, it neither leads by its own word, nor does its log count among
- * those that hold each commit: where a commit may have been on it and on the old primary alone, the
- * old primary's log is needed, unless that is gone for good.
+ * A restarted database may have lost its log. Until its log is seen to hold at least as much as the
+ * logs that it is compared with, the database is not accepted as the primary even if it reports
+ * that it leads, and its log does not count among those that hold each commit. If a commit may have
+ * been on that database and on the old primary only, the old primary's log is needed, unless that
+ * database has left for good.
  *
- * A replica that is resumed may still receive from an old primary that lives on, which could then
- * acknowledge commits that the new one lacks. Such a primary steps down by itself a second after it
- * can reach the new one: until then the replicas stay paused, unless it has said that it stepped
- * down, or nearly all poolers had found it dark. */
+ * A replica that is resumed may still receive from an old primary that is running. That one could
+ * then acknowledge commits that the new primary does not have. It steps down by itself within a
+ * second of being able to reach the new primary. Replicas therefore stay paused for that long,
+ * unless the old primary has reported that it stepped down, or nearly all poolers could not reach
+ * it.
+ */
 #ifndef SW_POOLER_FAILOVER_H
 #define SW_POOLER_FAILOVER_H
 
@@ -39,69 +47,74 @@
 
 enum database_command {
     DATABASE_COMMAND_STATUS,
-    DATABASE_COMMAND_PAUSE, /* receive nothing until resumed, promoted or restarted */
+    DATABASE_COMMAND_PAUSE, /* stop replicating until resumed, promoted or restarted */
     DATABASE_COMMAND_RESUME,
-    DATABASE_COMMAND_STEP_DOWN, /* stop leading if of a lower term */
+    DATABASE_COMMAND_STEP_DOWN, /* stop leading, if in a lower term */
 };
 
 enum failover_state {
-    FAILOVER_SEARCHING,  /* nobody is known to lead */
+    FAILOVER_SEARCHING,  /* no database is known to lead */
     FAILOVER_WATCHING,   /* the primary leads */
-    FAILOVER_DRAINING,   /* no new work for the primary; what is open may end */
-    FAILOVER_FENCING,    /* closed; the old primary is fenced */
+    FAILOVER_DRAINING,   /* the primary gets no new work; open work may finish */
+    FAILOVER_FENCING,    /* the group is closed and the old primary is being fenced */
     FAILOVER_RECORDING,  /* the intent is being recorded */
     FAILOVER_PROMOTING,  /* the promotion is ordered */
-    FAILOVER_CONFIRMING, /* ordered; waits until the candidate leads */
+    FAILOVER_CONFIRMING, /* the order was accepted; waits until the candidate leads */
 };
 
+/** @return the state's name for the log. */
 const char *failover_state_name(enum failover_state state);
 
-/* One database as the coordinator knows it. */
+/** @brief One database of the group, as the coordinator knows it. */
 struct failover_member {
     char *id;
     bool listed;          /* in the directory */
-    bool takes_work;      /* neither draining nor gone */
-    bool reports_leading; /* by its own record */
-    bool at_capacity;     /* the last command was refused for want of room */
-    bool answered;        /* the last command was answered */
+    bool takes_work;      /* neither draining nor leaving */
+    bool reports_leading; /* by its directory row */
+    bool at_capacity;     /* it refused the last command, for want of a connection or slot */
+    bool answered;        /* it answered the last command */
     bool has_report;
-    bool fenced;                   /* paused for this change, or stepped down */
-    struct database_report report; /* newest */
+    bool fenced;                   /* paused for the current change, or stepped down */
+    struct database_report report; /* newest status */
     time_ns reported_at;
     time_ns command_sent_at;
     bool command_pending;
-    time_ns excluded_until;       /* not a candidate before */
-    unsigned failures;            /* commands in a row that went unanswered */
-    time_ns unanswered_at;        /* the newest of these was sent then */
-    time_ns failing_since;        /* its commands go unanswered since then; 0: they are answered */
-    uint64_t born_ms;             /* when it started, by its own word; 0: not known */
-    time_ns log_unverified_since; /* it has started again: whether its log still holds what it held
-                               is not known since then; 0: it does */
+    time_ns excluded_until; /* not eligible as the candidate before */
+    unsigned failures;      /* consecutive commands without an answer */
+    time_ns unanswered_at;  /* when the newest of these was sent */
+    time_ns failing_since;  /* when the first of these timed out; 0: none */
+    uint64_t born_ms;       /* when its process started, as it reports; 0: not known */
+    /* The database restarted, and it is not known since then whether its log is still complete; 0:
+     * it is complete. */
+    time_ns log_unverified_since;
 };
 
-/* What the poolers say of the primary. Counted anew for each tick. */
+/** @brief Faults of the primary that poolers report. Counted anew for each tick. */
 struct failover_faults {
-    uint32_t poolers;     /* that were heard lately */
-    uint32_t unreachable; /* of these, for how many it is unreachable or silent */
-    uint32_t stalled;     /* for how many its writes get no answer */
-    uint32_t refusing;    /* how many it told that it does not lead */
+    uint32_t poolers;     /* with a recent heartbeat, that use the group */
+    uint32_t unreachable; /* of these, report that the primary does not respond */
+    uint32_t stalled;     /* of these, report that its writes are not acknowledged */
+    uint32_t refusing;    /* of these, report that it answers that it does not lead */
 };
 
 struct failover;
 
+/** @brief Outgoing commands of the state machine. */
 struct failover_actions {
-    /* Sends a command; the answer comes by failover_answered. */
+    /* Sends a command to a database. The answer comes by failover_answered() or
+     * failover_refused(). */
     void (*send_command)(void *user, struct failover *failover, const char *database,
                          enum database_command command, uint64_t term);
-    /* Records the intent under the lease; the end comes by failover_recorded. */
+    /* Records the intent to promote, or the finished promotion (`done`), under the lease. The
+     * result of the former comes by failover_recorded(). */
     void (*record)(void *user, struct failover *failover, bool done);
-    /* Orders the promotion of the candidate; the end comes by failover_ordered. */
+    /* Orders the promotion of the candidate. The result comes by failover_promotion_answered(). */
     void (*promote)(void *user, struct failover *failover, const char *candidate);
-    /* The order for the poolers has changed. */
+    /* Sends the changed group order to the poolers. */
     void (*publish)(void *user, struct failover *failover);
-    /* True if no pooler sends anything more to the primary by an order older than this epoch. */
+    /* True if no pooler sends more work to the primary by an order before the current epoch. */
     bool (*closed)(void *user, struct failover *failover);
-    /* True if nothing is open at the primary any more. */
+    /* True if no work is open at the primary. */
     bool (*drained)(void *user, struct failover *failover);
     void *user;
 };
@@ -109,74 +122,82 @@
 struct failover {
     char *service;
     uint32_t sync_replicas;
-    bool settled;          /* the members are certainly all of the group's */
-    bool queries_deferred; /* no questions to databases now: too many other groups have some */
+    bool settled;          /* `members` is certainly complete */
+    bool queries_deferred; /* no low-priority status queries now: too many other groups send some */
     const struct failover_actions *actions;
     GPtrArray *members; /* of struct failover_member */
     enum failover_state state;
-    time_ns since; /* of the state */
+    time_ns since; /* when the state was entered */
     uint64_t epoch;
     enum group_phase phase;
-    char *primary;       /* id; NULL: unknown */
-    uint64_t term;       /* newest that is known */
-    uint64_t fence_term; /* of the change under way */
+    char *primary;       /* id; NULL: not known */
+    uint64_t term;       /* newest known */
+    uint64_t fence_term; /* of the change in progress */
     char *candidate;
-    time_ns promotion_tried_at;
-    struct log_position stall_position; /* how far replicas had got at stall_since */
+    time_ns promotion_tried_at;         /* last attempt to record or order the promotion */
+    struct log_position stall_position; /* the most advanced replica's, at stall_since */
     time_ns stall_since;
-    time_ns stall_again_at; /* no change for want of acknowledgements before */
+    time_ns stall_again_at; /* no change for missing acknowledgements before */
     time_ns stall_wait;
-    bool former_may_be_alive; /* the old primary has not said that it stepped down, and may not be
-                               * dead
-                               */
-    time_ns resume_at;        /* replicas stay paused until then, unless it says so */
-    time_ns blocked_since;    /* the primary is doubted and can't be replaced; 0: it is not */
-    bool blocked_logged;      /* in the log */
-    time_ns minority_since;   /* some, but not most poolers can't reach the primary */
+    /* The old primary has not reported that it stepped down, and may be running. */
+    bool former_may_be_alive;
+    time_ns resume_at;     /* replicas stay paused until then, unless it reports a step-down */
+    time_ns blocked_since; /* poolers report faults and no change is possible; 0: not so */
+    bool blocked_logged;
+    time_ns minority_since; /* a minority of the poolers can't reach the primary; 0: not so */
 };
 
 struct failover *failover_new(const char *service, const struct failover_actions *actions);
 void failover_free(struct failover *failover);
 
-/* Takes the directory's word on a member; adds it if it is new. */
+/** @brief Updates a member from its directory row, and adds it if it is new. */
 void failover_set_member(struct failover *failover, const char *id, bool takes_work,
                          bool reports_leading);
-/* Takes over when the member started. True if it has started again since it was heard last: nothing
- * that it said before counts any more, and an open command to it is given up. A birth that an
- * earlier coordinator recorded may come after a later one. */
+/**
+ * @brief Notes when a member's process started. If it restarted, all its earlier reports are
+ * dropped and a pending command is given up.
+ *
+ * @param born_ms start time; 0: not known. Start times from the records of an earlier coordinator
+ * may arrive after a later one, and do not replace it.
+ * @return true if the member has restarted.
+ */
 bool failover_note_start(struct failover *failover, const char *id, uint64_t born_ms, time_ns now);
-/* The member has left the directory for good. */
+/** @brief Removes a member that has left the directory. */
 void failover_remove_member(struct failover *failover, const char *id);
 struct failover_member *failover_find(const struct failover *failover, const char *id);
-/* True if the member may be taken for gone after its row went at `deleted_at`: a command sent to it
- * since then had no answer, and it is neither the primary nor the candidate. */
+/** @return true if the member, whose row was deleted at `deleted_at`, has left: a command sent
+ * since then had no answer, and the member is neither the primary nor the candidate. */
 bool failover_member_has_left(const struct failover *failover, const char *id, time_ns deleted_at);
 
-/* Starts from what an earlier coordinator recorded: a promotion that may be under way. */
+/** @brief Starts from what an earlier coordinator recorded.
+ *  @param candidate of a promotion that may be in progress; NULL: there is none.
+ *  @param term newest known term. */
 void failover_resume_promotion(struct failover *failover, const char *candidate, uint64_t term,
                                time_ns now);
 
-/* Takes the database promoted last, by the store's record, for the primary if none is known and it
- * is no member: then all members count as its replicas. */
+/** @brief Takes the database that was promoted last, by its record, as the primary, if no primary
+ * is known and the database is no member. All members then count as its replicas. */
 void failover_note_promoted(struct failover *failover, const char *database);
 
-/* The database leads for certain, without a question to it: opens it for work. Not if it is no
- * member. `term` is the newest that is known; 0: none. */
+/** @brief Opens the group with a database that is certain to lead, without querying it. Does
+ * nothing if it is no member.
+ *  @param term newest known term; 0: none. */
 void failover_adopt_primary(struct failover *failover, const char *database, uint64_t term,
                             time_ns now);
 
-/* True if the coordinator has questions to the group's databases, which may wait: who leads, or
- * whether members that don't were left paused. */
+/** @return true if there are low-priority status queries to send: which database leads, or whether
+ *  other members were left paused. */
 bool failover_has_queries(const struct failover *failover);
 
-/* `report` is NULL if the database did not answer. */
+/** @param report NULL: the database did not answer the command. */
 void failover_answered(struct failover *failover, const char *database,
                        const struct database_report *report, time_ns now);
-/* The database answered that it can't answer now, for want of a slot or a connection. */
+/** @brief The database refused the command for want of a slot or a connection. */
 void failover_refused(struct failover *failover, const char *database, time_ns now);
-void failover_recorded(struct failover *failover, bool good, time_ns now);
+/** @param done the intent to promote was recorded. */
+void failover_recorded(struct failover *failover, bool done, time_ns now);
 
-/* How an order of promotion ended. */
+/** @brief The result of ordering a promotion. */
 enum failover_promotion_result {
     FAILOVER_PROMOTION_ACCEPTED,
     FAILOVER_PROMOTION_REFUSED, /* the candidate can't lead */
@@ -185,6 +206,8 @@
 void failover_promotion_answered(struct failover *failover, enum failover_promotion_result result,
                                  time_ns now);
 
+/** @brief Advances the state machine.
+ *  @param faults as the poolers report them now. */
 void failover_tick(struct failover *failover, const struct failover_faults *faults, time_ns now);
 
 #endif
--- a/src/pooler/control/failover_change.c
+++ b/src/pooler/control/failover_change.c
@@ -1,22 +1,25 @@
-/* A change of primary, step by step: drain, fence, choose, record, order, confirm; see the header
- * of failover.h for why it is safe. */
+/* The steps of a change of primary: drain, fence, choose, record, order, confirm. See failover.h
+ * for why they lose no acknowledged commit. */
 #define G_LOG_DOMAIN "failover"
 #include "pooler/control/failover_internal.h"
 
-/* Of questions whether the candidate leads, and the first one after the order. */
+/* Interval of the queries whether the candidate leads, and time from the order to the first one. */
 #define CONFIRM_EVERY_NS (40 * MS)
 #define CONFIRM_FIRST_NS (150 * MS)
 
-/* Longest time that open work has before a planned change closes the primary. */
+/* Time limit for open work, after which a planned change closes the primary. */
 #define DRAIN_MAX_NS (900 * MS)
 
-/* An ordered promotion that has no effect is ordered again after this. */
+/* A promotion without effect is ordered again after ORDER_AGAIN_NS, and one whose record or order
+ * failed after ORDER_RETRY_NS. A candidate that is unresponsive for CANDIDATE_DEAD_NS, or whose
+ * promotion was refused, is not chosen again for EXCLUDED_NS. */
 #define ORDER_AGAIN_NS    (1500 * MS)
 #define ORDER_RETRY_NS    (50 * MS)
 #define CANDIDATE_DEAD_NS (1200 * MS)
 #define EXCLUDED_NS       (1500 * MS)
 
-/* An old primary steps down by itself within a second after it can reach the new one. */
+/* An old primary steps down by itself within a second after it can reach the new one. 0.1 s margin.
+ */
 #define FORMER_STEPS_DOWN_NS (1100 * MS)
 
 static uint32_t
@@ -25,8 +28,8 @@
     return failover->members->len;
 }
 
-/* How many members are replicas: all but the primary. A primary that is known and no longer a
- * member, as its row is gone, may still live, and then every member is its replica. */
+/* Number of members that are replicas. A known primary that is no longer a member, as its row was
+ * deleted, may still be running, and then every member is its replica. */
 static uint32_t
 count_replicas(const struct failover *failover)
 {
@@ -34,9 +37,8 @@
     return removed ? members_count(failover) : MAX(members_count(failover), 1) - 1;
 }
 
-/* So many replicas must be paused where the old primary can't be asked. Only one replica is counted
- * on to hold a commit, whatever more a service asks for: no database tells how many it waited for.
- */
+/* Even if a service requires more synchronous replicas, a commit is assumed to be on only one:
+ * databases do not report how many they waited for. So all replicas have to be paused. */
 uint32_t
 failover_pauses_needed(const struct failover *failover)
 {
@@ -59,11 +61,11 @@
 }
 
 void
-failover_begin_change(struct failover *failover, bool planned, const char *why, time_ns now)
+failover_begin_change(struct failover *failover, bool planned, const char *reason, time_ns now)
 {
     g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_MESSAGE, "SW_SERVICE", failover->service,
                      "SW_PRIMARY", failover->primary == NULL ? "" : failover->primary, "MESSAGE",
-                     "Group %s changes its primary: %s.", failover->service, why);
+                     "Group %s: replacing its primary: %s.", failover->service, reason);
     failover->minority_since = 0;
     if (planned) {
         failover_set_state(failover, FAILOVER_DRAINING, now);
@@ -106,8 +108,8 @@
     }
 }
 
-/* True if a replica that may lead has all that the primary has; only then it steps down, as it
- * passes nothing on afterwards. */
+/* True if a replica that may lead has the primary's whole log. The primary is stepped down only
+ * then, as it stops replicating when it steps down. */
 static bool
 replica_caught_up(const struct failover *failover, const struct failover_member *primary)
 {
@@ -122,11 +124,12 @@
     return false;
 }
 
-/* How long a primary that answers may pass on what its replicas lack. */
+/* Time that a responsive primary gets to replicate the rest of its log before it is stepped down.
+ */
 #define CATCH_UP_NS (250 * MS)
 
-/* True of one that was replaced, and has not heard of it: it can't be paused before it steps down.
- */
+/* True for an old primary that does not know that it was replaced. It can't be paused before it
+ * steps down. */
 static bool
 leads_in_earlier_term(const struct failover *failover, const struct failover_member *member)
 {
@@ -158,10 +161,10 @@
     }
 }
 
-/* Without another candidate for so long, the old primary may lead again. */
+/* If no other candidate is found for this time, the old primary may lead again. */
 #define PRIMARY_ELIGIBLE_AFTER_NS (1000 * MS)
 
-/* Counts fenced replicas, and finds the most advanced log among them. */
+/* Counts the fenced replicas, and finds the most advanced log position among them. */
 static uint32_t
 count_fenced(const struct failover *failover, struct log_position *highest)
 {
@@ -180,8 +183,9 @@
     return fenced;
 }
 
-/* A member that may lead and holds at least `need`; the most advanced one that stays. The old
- * primary only after a while: most often there is a reason why it is to be replaced. */
+/* The best candidate that holds at least `need`: one that takes work before one that is leaving,
+ * then the most advanced one. The old primary is eligible only after a while, as there was a reason
+ * to replace it. */
 static struct failover_member *
 choose_candidate(const struct failover *failover, struct log_position need, time_ns now)
 {
@@ -205,7 +209,7 @@
     return best;
 }
 
-/* The member to promote; NULL as long as no log is known to be whole. */
+/* The member to promote; NULL as long as no log is known to be complete. */
 static struct failover_member *
 find_candidate(const struct failover *failover, time_ns now)
 {
@@ -227,7 +231,8 @@
     return candidate;
 }
 
-/* Somebody else was promoted meanwhile, or the primary leads in a newer term. */
+/* True if another member was promoted meanwhile, or the primary leads in a newer term. Opens the
+ * group with that one. */
 static bool
 follow_newer_leader(struct failover *failover, time_ns now)
 {
@@ -246,7 +251,7 @@
         return;
     }
     if (failover->term > failover->fence_term) {
-        failover_start_fencing(failover, now); /* a newer term showed up */
+        failover_start_fencing(failover, now); /* a member has reported a newer term */
         return;
     }
     send_fencing_commands(failover, now);
@@ -264,14 +269,14 @@
 }
 
 void
-failover_recorded(struct failover *failover, bool eligible, time_ns now)
+failover_recorded(struct failover *failover, bool done, time_ns now)
 {
     if (failover->state != FAILOVER_RECORDING) {
         return;
     }
-    if (!eligible) {
+    if (!done) {
         failover->promotion_tried_at = now;
-        return; /* tried again by the tick */
+        return; /* failover_retry() tries again */
     }
     failover_set_state(failover, FAILOVER_PROMOTING, now);
     failover->promotion_tried_at = now;
@@ -297,7 +302,7 @@
         failover_start_fencing(failover, now);
         break;
     case FAILOVER_PROMOTION_RETRY:
-        failover->promotion_tried_at = now; /* ordered again by the tick */
+        failover->promotion_tried_at = now; /* failover_retry() orders it again */
         break;
     }
 }
--- a/src/pooler/control/failover_restart.c
+++ b/src/pooler/control/failover_restart.c
@@ -1,6 +1,6 @@
-/* Members that have started again, perhaps without their log: what is believed of one ends with its
- * start, and its log counts again once it has shown what it holds. See failover.h for why. A log is
- * kept as a whole or lost as a whole. */
+/* Members that have restarted, perhaps without their log. Earlier reports of such a member are
+ * dropped, and its log counts again once its reports show that the log is complete. See failover.h
+ * for why. A restart keeps the complete log or loses all of it. */
 #define G_LOG_DOMAIN "failover"
 #include "pooler/control/failover_internal.h"
 
@@ -14,11 +14,11 @@
     g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_MESSAGE, "SW_SERVICE", failover->service,
                      "SW_DATABASE", member->id, "SW_BORN_MS", born, "SW_PRIMARY",
                      failover->primary == NULL ? "" : failover->primary, "MESSAGE",
-                     "Group %s: %s has started again; its log does not count before it is seen.",
+                     "Group %s: %s has restarted; its log does not count until it is verified.",
                      failover->service, member->id);
 }
 
-/* What the directory tells of it stays. */
+/* Drops what the member has reported, and keeps what its directory row says. */
 static void
 reset_member(struct failover_member *member, uint64_t born_ms, time_ns now)
 {
@@ -32,7 +32,7 @@
     };
 }
 
-/* True if a member has been chosen by what others said. */
+/* True if a candidate was chosen by the reports of the members. */
 static bool
 has_candidate(const struct failover *failover)
 {
@@ -61,7 +61,7 @@
     reset_member(member, MAX(member->born_ms, born_ms), now);
     log_start(failover, member);
     if (has_candidate(failover) && counted) {
-        failover_start_fencing(failover, now); /* its pause has ended with its earlier life */
+        failover_start_fencing(failover, now); /* the restart has ended its pause */
     } else if (is_led(failover) && failover_is_primary(failover, member)) {
         failover_set_state(failover, FAILOVER_SEARCHING, now);
         failover_publish(failover, GROUP_PHASE_CLOSED);
@@ -69,8 +69,8 @@
     return true;
 }
 
-/* A leader keeps its log if it holds at least what all members hold that have said so since it
- * started, and one of these has not started again itself. */
+/* A restarted leader's log is complete if it covers the logs of all members that have reported
+ * since the restart, and at least one of these has not restarted itself. */
 static bool
 leader_log_is_complete(const struct failover *failover, const struct failover_member *leader)
 {
@@ -89,8 +89,8 @@
     return compared;
 }
 
-/* A replica holds each commit that it may have held before, once it holds what the primary held
- * after its start. */
+/* A restarted replica's log is complete once it covers what the primary held after the restart:
+ * that includes each commit that the replica may have held before. */
 static bool
 replica_log_is_complete(const struct failover *failover, const struct failover_member *replica)
 {
@@ -115,7 +115,7 @@
             member->log_unverified_since = 0;
             g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_INFO, "SW_SERVICE", failover->service,
                              "SW_DATABASE", member->id, "MESSAGE",
-                             "Group %s: the log of %s counts again.", failover->service,
+                             "Group %s: the log of %s is verified as complete.", failover->service,
                              member->id);
         }
     }
--- a/src/pooler/control/probe_server.h
+++ b/src/pooler/control/probe_server.h
@@ -1,5 +1,8 @@
-/* The edge of readiness and metrics: a small server that the entry and monitoring ask. The adapter
- * implements it; it runs on the control thread's event loop. */
+/**
+ * @file
+ * @brief Interface of the server for readiness probes, which the load balancer sends, and for
+ * metrics. The adapter to a platform implements it. It runs on the control thread's event loop.
+ */
 #ifndef SW_POOLER_PROBE_SERVER_H
 #define SW_POOLER_PROBE_SERVER_H
 
@@ -10,14 +13,14 @@
 
 struct probe_server_callbacks {
     bool (*is_ready)(void *user);
-    char *(*metrics)(void *user); /* text, freed by g_free */
+    char *(*metrics)(void *user); /* text, freed with g_free() */
     void *user;
 };
 
 struct probe_server;
 
-/* `metrics_address` with port 0: no metrics are served. NULL with `error` if an address is taken.
- */
+/** @param metrics_address with port 0, no metrics are served.
+ *  @return NULL with `error` if an address is in use. */
 struct probe_server *probe_server_new(struct event_base *base,
                                       const struct sockaddr_in *ready_address,
                                       const struct sockaddr_in *metrics_address,
--- a/src/pooler/control/promotion.h
+++ b/src/pooler/control/promotion.h
@@ -1,5 +1,8 @@
-/* The edge of promotion: orders the service outside to let a named database lead. The adapter
- * implements it; the control thread calls it. */
+/**
+ * @file
+ * @brief Interface to the external service that promotes a database to primary. The adapter to a
+ * platform implements it, and the control thread calls it.
+ */
 #ifndef SW_POOLER_PROMOTION_H
 #define SW_POOLER_PROMOTION_H
 
@@ -9,23 +12,27 @@
 #include <stdint.h>
 
 enum promotion_outcome {
-    PROMOTION_ACCEPTED, /* it leads soon, or leads already */
-    PROMOTION_REFUSED,  /* the database does not run, or the fence is stale */
+    PROMOTION_ACCEPTED, /* the database will lead soon, or leads already */
+    PROMOTION_REFUSED,  /* the database is not running, or the fencing token is stale */
     PROMOTION_BUSY,     /* nothing was done; try again later */
-    PROMOTION_UNKNOWN,  /* no answer: it may have been done, or may still be */
+    PROMOTION_UNKNOWN,  /* no answer: it may have been done, or may still be done */
 };
 
+/** @return the outcome's name for the log. */
 const char *promotion_outcome_name(enum promotion_outcome outcome);
 
 typedef void promotion_callback(void *user, enum promotion_outcome outcome);
 
 struct promotion;
 
+/** @param holder name of this pooler, which holds the fencing token of each order. */
 struct promotion *promotion_new(struct event_base *base, const struct sockaddr_in *address,
                                 const char *holder);
 void promotion_free(struct promotion *promotion);
 
-/* Orders the promotion under a fencing token, which rises with each holder of the duty. */
+/** @brief Orders the promotion of a database.
+ *  @param token fencing token of the coordinator's lease. The service refuses lower tokens than the
+ *  highest it has seen. */
 void promotion_order(struct promotion *promotion, const char *service, const char *database,
                      uint64_t token, promotion_callback *callback, void *user);
 
--- a/src/pooler/control/store.h
+++ b/src/pooler/control/store.h
@@ -1,5 +1,10 @@
-/* The edge of what lasts: rows with versions, kept by a service outside. The adapter implements it.
- * All functions belong to the control thread, and answers come on its event loop. */
+/**
+ * @file
+ * @brief Interface to the store, an external service that persists versioned rows. The adapter to a
+ * platform implements it.
+ *
+ * All functions are for the control thread. Callbacks run on its event loop.
+ */
 #ifndef SW_POOLER_STORE_H
 #define SW_POOLER_STORE_H
 
@@ -9,7 +14,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Tables by what they hold. */
+/** @brief The tables of the store. */
 enum store_table {
     STORE_TABLE_CONFIGURATION, /* written by operators */
     STORE_TABLE_DIRECTORY,     /* written by databases */
@@ -17,9 +22,9 @@
     STORE_TABLE_COUNT,
 };
 
-/* Versions of rows rise with each write. A store that was restored from an older copy of itself
- * gives its own numbers out again, and tells so by the next era: a version is the era above the
- * number. */
+/* Each write raises the version of a row. A store that was restored from an older copy of itself
+ * assigns numbers again that it had assigned before the restore. It therefore counts its restores
+ * in an era, and a version has the era in its high bits and the store's number in its low bits. */
 #define STORE_ERA_SHIFT 40
 
 static inline uint64_t
@@ -34,75 +39,81 @@
     return version >> STORE_ERA_SHIFT;
 }
 
-/* The store's own number of a version. */
+/* The number that the store itself assigned. */
 static inline uint64_t
 store_number(uint64_t version)
 {
     return version & ((UINT64_C(1) << STORE_ERA_SHIFT) - 1);
 }
 
-/* The key of the configuration's row. */
+/** @brief Key of the configuration in its table. */
 extern const char *const store_configuration_key;
 
-/* The zone whose evacuation a key of the configuration's table asks for; NULL if it asks for none.
- */
+/** @return the zone whose evacuation a row with this key of the configuration table requests; NULL
+ *  if the key is of another kind. */
 const char *store_evacuated_zone(const char *key);
 
 enum store_outcome {
     STORE_DONE,
-    STORE_CONFLICT,     /* a condition did not hold; nothing was done */
+    STORE_CONFLICT,     /* the condition of a write did not hold; nothing was written */
     STORE_REFUSED,      /* nothing was done; try again later */
-    STORE_HISTORY_GONE, /* changes since that version are no longer known, or it is of another era
-                         */
-    STORE_UNKNOWN, /* no answer, or one of another era: it may have been done, or may still be */
+    STORE_HISTORY_GONE, /* the store no longer has the changes since that version, or the version is
+                           of another era */
+    STORE_UNKNOWN, /* no answer, or one of another era: a write may have been done, or may still be
+                      done */
 };
 
+/** @return the outcome's name for the log. */
 const char *store_outcome_name(enum store_outcome outcome);
 
 struct store_row {
     char *key;
     uint64_t version;
-    bool gone;
-    GBytes *value; /* NULL if gone */
+    bool gone;     /* it was deleted */
+    GBytes *value; /* NULL if it was deleted */
 };
 
 struct store_answer {
     enum store_outcome outcome;
     GPtrArray *rows;   /* of struct store_row, owned by the answer */
-    uint64_t version;  /* newest of the store, 0 if it was not told */
-    uint64_t clock_ms; /* the store's steady clock, 0 if it was not told */
+    uint64_t version;  /* newest version in the store; 0: not in the answer */
+    uint64_t clock_ms; /* the store's monotonic clock; 0: not in the answer */
     uint64_t era; /* how often the store was restored from an older copy; 0: never, or no answer */
-    uint64_t bytes; /* that the answer had */
+    uint64_t bytes; /* length of the answer */
 };
 
-/* The answer is valid during the call. */
+/** @param answer valid during the call only. */
 typedef void store_callback(void *user, const struct store_answer *answer);
 
 struct store;
 
+/** @brief Creates a client of the store at this address. */
 struct store *store_new(struct event_base *base, const struct sockaddr_in *address);
 void store_free(struct store *store);
 
-/* All rows of a table as of one moment. */
+/** @brief Reads all rows of a table, as one consistent snapshot. */
 void store_read(struct store *store, enum store_table table, store_callback *callback, void *user);
 
-/* The row under this key, with what else is as of one moment; no row if there is none. */
+/** @brief Reads the row with this key, and the store's version, clock and era at the same moment.
+ * The answer has no row if the key does not exist. */
 void store_read_row(struct store *store, enum store_table table, const char *key,
                     store_callback *callback, void *user);
 
-/* The changes after a version; waits for the first one for `wait_ms` at most. One at a time for
- * each table. */
+/** @brief Reads the changes of a table after a version. The store waits for the first change for up
+ *  to `wait_ms`. Only one such call per table may be in progress. */
 void store_watch(struct store *store, enum store_table table, uint64_t after, uint32_t wait_ms,
                  store_callback *callback, void *user);
 
-/* Writes rows of the control table if the row `condition_key` has the version `condition_version`
- * (of number 0: does not exist). Where the store tells another era than the condition's, the
- * outcome is unknown. */
+/** @brief A row to write. */
 struct store_put {
     const char *key;
     const void *value;
     size_t length;
 };
+
+/** @brief Writes rows of the control table if the row `condition_key` has the version
+ *  `condition_version` (of number 0: if it does not exist). If the store answers with another era
+ *  than that of the version, the outcome is unknown. */
 void store_write(struct store *store, const char *condition_key, uint64_t condition_version,
                  const struct store_put *puts, size_t count, store_callback *callback, void *user);
 
