--- a/src/pooler/control/control_era.c
+++ b/src/pooler/control/control_era.c
@@ -1,30 +1,31 @@
 /**
  * @file
- * @brief What changes here as the store turns out to have been restored from an older copy of
- * itself.
+ * @brief What changes in this pooler when the store turns out to have been restored from an older
+ * copy of itself.
  *
- * The store then tells the next era, and its own version numbers are given out again. Versions here
- * are the era above the number (store.h), so that they rise all the same: every comparison of
- * versions, here and between poolers, holds over a restore. What the store held last is not what it
- * holds now, so each table is read whole, or told whole by another pooler, before changes of it are
- * followed again. Operators and databases write again what was lost; until then, nothing that is
- * known here is taken back for what the copy says: no configuration, and no record of a database
- * that has written a later one.
+ * A restored store reports the next era, and assigns version numbers again that it had assigned
+ * before. Versions here have the era in their high bits (store.h), so they still rise, and every
+ * comparison of versions, here and between poolers, stays valid over a restore. The state of a
+ * table before the restore is not the base of its changes after it. Each table is therefore listed
+ * in full, from the store or from another pooler, before its changes are followed again. Operators
+ * and databases write again what the restore lost. Until then the copy does not replace newer state
+ * that is known here: no configuration, and no row of a database that has written a later one.
  *
- * Nor does the copy prove that a key still stands: it may have been revoked by a configuration that
- * is lost, and not known here.
+ * Nor does the copy prove that a key is still valid: a configuration that the restore lost, and
+ * that is not known here, may have revoked it.
  *
- * A database that recorded itself just before may be known nowhere, so the members of groups settle
- * anew. One whose record was gone, and that the copy has, may live. It renews its record without a
- * change then, which the store does not tell, or the store drops it after some heartbeats. So the
- * directory is read whole once more after these.
+ * The row of a database that started just before the restore may be lost and known to no pooler, so
+ * the members of groups have to settle again. A database whose row was deleted, and is in the copy
+ * again, may be running. If it is, it renews its row without a change, which the store does not
+ * report as one. If it is not, the store drops its row after some heartbeats. The directory is
+ * therefore listed in full once more after these heartbeats.
  */
 #define G_LOG_DOMAIN "store"
 #include "pooler/control/control_internal.h"
 
 #include <inttypes.h>
 
-/* Operators have written again what a restored store lost, so long after it answers again. */
+/* Operators have written again what a restore lost by this time after the store answers again. */
 #define REWRITTEN_AFTER_NS (1000 * MS)
 
 static void
@@ -37,10 +38,12 @@
         g_strdup_printf("%" PRIu64, store_number(feeds[STORE_TABLE_CONFIGURATION].version));
     g_autofree char *directory =
         g_strdup_printf("%" PRIu64, store_number(feeds[STORE_TABLE_DIRECTORY].version));
-    g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_MESSAGE, "SW_ERA", era, "SW_ERA_BEFORE", earlier,
-                     "SW_CONFIGURATION_TO", configuration, "SW_DIRECTORY_TO", directory, "MESSAGE",
-                     "The store was restored: era %s, before %s, known to %s and %s.", era, earlier,
-                     configuration, directory);
+    g_log_structured(
+        G_LOG_DOMAIN, G_LOG_LEVEL_MESSAGE, "SW_ERA", era, "SW_ERA_BEFORE", earlier,
+        "SW_CONFIGURATION_TO", configuration, "SW_DIRECTORY_TO", directory, "MESSAGE",
+        "The store was restored: era %s, previously %s; configuration known to version "
+        "%s, directory to %s.",
+        era, earlier, configuration, directory);
 }
 
 void
@@ -84,7 +87,7 @@
     return store_era(version) < control->store_era;
 }
 
-/* True as well if it can't be read. */
+/* True for a malformed configuration as well. */
 static bool
 is_older_configuration(const struct control *control, GBytes *value)
 {
--- a/src/pooler/control/control_lease.c
+++ b/src/pooler/control/control_lease.c
@@ -1,13 +1,18 @@
-/* The lease by which one pooler at a time is the coordinator: a row of the store that names the
- * holder, its fencing token and its end by the store's steady clock. It is renewed under the
- * condition that it is unchanged. The holder counts its lease by its own clock from before the
- * renewal was sent, so that it ends here sooner than there.
+/**
+ * @file
+ * @brief The lease by which one pooler at a time is the coordinator.
  *
- * A store that is restored from an older copy of itself may have lost a lease that runs, and tokens
- * that were given out. So each era of the store has a row of its own, which is written only once
- * all leases of the eras before have ended, and tokens of its own, above all earlier ones. A write
- * that was meant for an earlier era finds that era's row, and can't disturb this one's lease by
- * meeting a version number that is given out again. */
+ * The lease is a row of the store with the holder's name, its fencing token and the expiry time by
+ * the store's monotonic clock. It is acquired and renewed by a conditional write: the row must be
+ * unchanged. The holder counts the lease's length by its own clock from before the write was sent,
+ * so that the lease expires at the holder before it expires in the store.
+ *
+ * A store that is restored from an older copy of itself may have lost a running lease and tokens
+ * that were assigned. Each store era therefore has its own row, which is written only after all
+ * leases of earlier eras have expired, and its own tokens, above all earlier ones. A delayed write
+ * that was meant for an earlier era goes to that era's row, and can't overwrite the current lease
+ * by matching a version number that the restored store has assigned again.
+ */
 #define G_LOG_DOMAIN "lease"
 #include "pooler/control/control_internal.h"
 #include "pooler/control/packing.h"
@@ -19,32 +24,33 @@
 #define RENEW_EVERY_NS (600 * MS)
 #define RETRY_NS       (250 * MS)
 
-/* Who hears no coordinator for this long looks at the row. */
+/* A pooler without a grant from a coordinator for COORDINATOR_TIMEOUT_NS reads the lease row, and
+ * reads it again about every READ_EVERY_NS. */
 #define COORDINATOR_TIMEOUT_NS (900 * MS)
 #define READ_EVERY_NS          (450 * MS)
 
-/* A lease that is not renewed is looked at again as it ends, by poolers that follow the store
- * within this after its end: less than a tenth of the lease, so that little is lost, and longer
- * than a call at the store takes, so that most find it taken. */
+/* Poolers read the row of a running lease again when it expires. Those that follow the store do so
+ * at a random time within this after the expiry: less than a tenth of the lease, to replace a
+ * failed coordinator soon, and longer than a store call takes, so that most of them find it already
+ * taken. */
 #define ACQUIRE_SPREAD_MS 60
 
-/* The others look after those, in a spread that grows with the fleet: about a look in 8 ms, a few
- * times the length of a call, until one of them passes on who has taken it. */
+/* All other poolers spread their reads over a time that grows with the fleet: about one read in 8
+ * ms, a few times the length of a store call, until the new holder is announced to them. */
 #define ACQUIRE_SPREAD_OTHERS_MS     180
 #define ACQUIRE_SPREAD_PER_POOLER_MS 8
 
-/* A renewal that is overdue for this long, without an answer or refused each time: the store is
- * lost to the holder. Two calls have been refused by then, and a third of the lease is left to pass
- * it on.
- */
+/* If the renewal is overdue by this, without an answer or refused each time, the holder can't reach
+ * the store and hands the lease over. Two calls have been refused by then, and a third of the lease
+ * is left for the handover. */
 #define FAILING_NS (700 * MS)
 
-/* A free lease is left to stronger machines for so long: the coordinator hears all poolers, and a
- * fleet of 300 is too much for a tenth of a core. Some times a call at the store and the spread of
- * those that follow it. */
+/* A weak machine does not take a free lease for this time, so that a stronger one can: the
+ * coordinator processes the heartbeats of all poolers, and a fleet of 300 is too much for a tenth
+ * of a core. Several times the length of a store call and ACQUIRE_SPREAD_MS. */
 #define WEAK_DEFERS_NS (400 * MS)
 
-/* Kept free at the end of the lease: nothing is done in it. */
+/* Safety margin at the end of the lease, in which the holder no longer acts under it. */
 #define MARGIN_NS (150 * MS)
 
 static char *
@@ -59,7 +65,7 @@
     return key_of_era(control->store_era);
 }
 
-/* True if a pooler holds the lease in this era, or has held it. */
+/* True if the current era has a lease row, of a running or an expired lease. */
 static bool
 has_row(const struct control *control)
 {
@@ -81,7 +87,7 @@
     return valid && end < lease->until ? lease->until - end : 0;
 }
 
-/* In a new era there is no row yet that is known here. */
+/* In a new store era, drops what is known of the earlier era's row. */
 static void
 enter_era(struct control *control)
 {
@@ -97,8 +103,8 @@
     lease->next_at = 0;
 }
 
-/* Takes the answer's era. False if the call was about the row of an earlier one: it tells nothing.
- */
+/* Applies the answer's store era. False if the call was about the row of an earlier era: the answer
+ * says nothing about the current lease. */
 static bool
 apply_era(struct control *control, const struct store_answer *answer)
 {
@@ -107,7 +113,7 @@
     return control->lease.call_era == control->store_era;
 }
 
-/* Leases of earlier eras have ended by then. */
+/* When all leases of earlier eras have expired. */
 static time_ns
 earlier_leases_end(const struct control *control)
 {
@@ -126,7 +132,7 @@
     }
 }
 
-/* Puts a compressed fleet in its place. @return false with `error` if it can't be read. */
+/* Decompresses the record's fleet, if it is compressed. False with `error` if it is malformed. */
 static bool
 decompress_fleet(struct lease_record *record, GError **error)
 {
@@ -160,7 +166,7 @@
     struct lease_record record = {0};
     g_autoptr(GError) error = NULL;
     if (!control_lease_decode(data, length, &record, &error)) {
-        g_warning("The lease can't be read: %s.", error->message);
+        g_warning("The lease row is malformed and was ignored: %s.", error->message);
         lease_record_clear(&record);
         return;
     }
@@ -169,7 +175,7 @@
     lease->row_version = row->version;
 }
 
-/* The row tells since when its era has been known. */
+/* Applies the time in the row since which its era has been known. */
 static void
 apply_era_age(struct control *control, const struct store_answer *answer)
 {
@@ -179,7 +185,7 @@
     }
 }
 
-/* When the store's era was first heard of, by its clock; 0: there has been but one. */
+/* When the store era became known, by the store's clock; 0: the store was never restored. */
 static uint64_t
 era_since_by_store(const struct control *control, time_ns now, uint64_t store_now)
 {
@@ -187,7 +193,7 @@
     return control->store_era == 0 || age >= store_now ? 0 : store_now - age;
 }
 
-/* Reads the lease's row out of the control table; keeps the other rows for the groups' records. */
+/* Applies the lease row of the answer, and keeps all its rows, for the records of promotions. */
 static void
 apply_rows(struct control *control, const struct store_answer *answer)
 {
@@ -200,7 +206,7 @@
             apply_era_age(control, answer);
             control_fleet_take(control, &record->fleet);
             control_mirrors_take(control, record->mirrors, record->mirrors_count);
-            control->view_dirty = true; /* the size of the fleet may be known only now */
+            control->view_dirty = true; /* the size of the fleet may have changed */
         }
         control_take_row(control, STORE_TABLE_CONTROL, row->key, row->version,
                          row->gone ? NULL : row->value);
@@ -218,7 +224,7 @@
     control_coordinator_end(control);
 }
 
-/* True if the row names this life of this pooler. */
+/* True if the row names this process as the holder. */
 static bool
 is_own_row(const struct control *control)
 {
@@ -233,7 +239,7 @@
     apply_era(control, answer);
     apply_rows(control, answer);
     if (control->lease.held && !is_own_row(control)) {
-        control_lease_end(control, "another holds the lease");
+        control_lease_end(control, "another pooler holds the lease");
     }
 }
 
@@ -242,12 +248,12 @@
                        const struct store_answer *answer, time_ns now);
 static void try_acquire(struct control *control, time_ns now);
 
-/* The row's size, at most: in base64 it fits into the 65,536 bytes that the store takes for a row.
- * A fleet of so many poolers that it would be larger is left out; poolers that start learn it from
- * others then. */
+/* Maximum size of the row: in base64 it fits into the 65,536 bytes that the store accepts for a
+ * row. If the fleet makes the row larger, it is left out, and starting poolers learn it from other
+ * poolers. */
 #define LEASE_ROW_MAX ((guint)40 * 1024)
 
-/* From this size on the fleet is compressed, in bytes of the row. */
+/* The fleet is compressed in rows of at least this size. */
 #define LEASE_COMPRESS_FROM ((guint)4 * 1024)
 
 static void
@@ -293,7 +299,8 @@
     return lease_record_encode(record);
 }
 
-/* Proposes to hold the lease from now on, under the condition that the row is as last seen. */
+/* Acquires, renews or gives up (`give_up`) the lease, if the row is unchanged since it was last
+ * read. */
 static void
 write_row(struct control *control, uint64_t token, bool give_up, time_ns now)
 {
@@ -323,8 +330,9 @@
     g_byte_array_unref(bytes);
 }
 
-/* The row is ours: until when, by our clock? The store's clock was read between the sending and the
- * receipt of an earlier answer, so that the lease may end earlier by that much. */
+/* The write succeeded. The lease's end by the local clock: the expiry in the row was computed from
+ * the store's clock, which was read at some time between the sending and the answer of an earlier
+ * call, so the lease may expire earlier by that duration. */
 static void
 become_holder(struct control *control, time_ns proposed_at, time_ns now)
 {
@@ -340,7 +348,7 @@
     if (!renewed) {
         g_autofree char *token = g_strdup_printf("%" PRIu64, lease->token);
         g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_MESSAGE, "SW_TOKEN", token, "MESSAGE",
-                         "Coordinator under token %s.", token);
+                         "Holds the coordinator lease with token %s.", token);
         control_coordinator_start(control);
     }
 }
@@ -370,13 +378,13 @@
         note_clock(control, answer, now);
         break;
     case STORE_CONFLICT:
-        /* Ours all the same, if an earlier write without an answer was done. */
+        /* The row is our own if an earlier write was done whose answer got lost. */
         note_clock(control, answer, now);
         control_lease_apply_answer(control, answer);
         lease->next_at = now;
         if (!lease->held && !lease->releasing) {
-            try_acquire(control,
-                        now); /* the answer tells the row as it is, a reading may be behind */
+            /* The answer has the row as it is now, while a read may be outdated. */
+            try_acquire(control, now);
         }
         break;
     default:
@@ -385,8 +393,8 @@
     control_wake_soon(control);
 }
 
-/* True if the row names an earlier life of this pooler, which is over, or this one, which has lost
- * the lease meanwhile. */
+/* True if the row names this pooler: an earlier process of it, which has ended, or this process,
+ * which no longer holds the lease. */
 static bool
 names_this_pooler(const struct control *control)
 {
@@ -409,8 +417,8 @@
     return weaker && now < lease->free_since + WEAK_DEFERS_NS;
 }
 
-/* Moments at which poolers look at a lease that has ended. Those that follow the store take it
- * first, the others if they do not. */
+/* The time over which reads of an expired lease are spread. Poolers that follow the store come
+ * first, the others if none of those has taken it. */
 static time_ns
 acquisition_spread(const struct control *control)
 {
@@ -421,16 +429,16 @@
     return MAX(spread, ACQUIRE_SPREAD_OTHERS_MS) * MS;
 }
 
-/* Each taking of the lease raises the token, also by the same pooler: what an earlier one ordered
- * must rank below. */
+/* Each acquisition raises the token, also by the same pooler: orders of earlier leases must have a
+ * lower one. */
 static uint64_t
 next_token(const struct control *control)
 {
     return MAX(control->lease.record.token, control->store_era << TOKEN_ERA_SHIFT) + 1;
 }
 
-/* True if the lease may be taken though it runs, by this pooler alone: it was left to it, or its
- * row names an earlier life of it. */
+/* True if this pooler may take the lease before it expires, as it was handed over to this pooler,
+ * or as its row names this pooler as the holder. */
 static bool
 may_acquire_unexpired(const struct control *control)
 {
@@ -465,7 +473,7 @@
     control_member_set_coordinator(control, record->address);
 }
 
-/* What an answer of the store told of the lease, and how old the question was. */
+/* Logs the outcome of a call, the lease as of then, and how long the call took. */
 static void
 log_answer(const struct control *control, const char *call, const struct store_answer *answer,
            time_ns now)
@@ -478,12 +486,12 @@
     g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_INFO, "SW_OUTCOME",
                      store_outcome_name(answer->outcome), "SW_HOLDER",
                      lease->record.holder == NULL ? "" : lease->record.holder, "SW_TOKEN", token,
-                     "SW_LEFT_MS", left, "SW_TOOK_MS", took, "MESSAGE", "Lease %s: %s, holder %s.",
-                     call, store_outcome_name(answer->outcome),
+                     "SW_LEFT_MS", left, "SW_TOOK_MS", took, "MESSAGE",
+                     "Lease row %s: %s, holder %s.", call, store_outcome_name(answer->outcome),
                      lease->record.holder == NULL ? "nobody" : lease->record.holder);
 }
 
-/* When the row is looked at again: as the lease ends, if it is another's. */
+/* When to read the row again: when the lease expires, if another pooler holds it. */
 static time_ns
 next_read_at(const struct control *control, const struct store_answer *answer, time_ns now)
 {
@@ -499,8 +507,8 @@
     return now + every / 2 + (time_ns)g_random_int_range(0, (gint32)(every / MS)) * MS;
 }
 
-/* The holder has told others of no later change of the fleet than one lease's length before: it
- * wrote the row so often, or it was no longer the holder. */
+/* The fleet in the row was the coordinator's newest one lease length before the read: a holder
+ * writes the row at least that often, or is no longer the holder. */
 static void
 use_row_fleet(struct control *control)
 {
@@ -513,8 +521,8 @@
     }
 }
 
-/* The row of an earlier era tells where other poolers may be found, and nothing that is relied on.
- */
+/* The row of an earlier era gives addresses of other poolers to connect to. Nothing else in it is
+ * valid. */
 static void
 apply_earlier_row(struct control *control, const struct store_answer *answer)
 {
@@ -544,7 +552,7 @@
     control_counts_answer(&control->counts, STORE_TABLE_CONTROL, CALL_LEASE_LOOK, answer->bytes);
     if (!apply_era(control, answer)) {
         apply_earlier_row(control, answer);
-        return; /* the row of the new era is read next */
+        return; /* the next read is of the new era's row */
     }
     if (answer->outcome != STORE_DONE) {
         lease->next_at = next_read_at(control, answer, now);
@@ -580,7 +588,7 @@
         control_lease_end(control, "the lease could not be renewed in time");
     }
     if (control_lease_is_failing(control, now) && control_coordinator_hand_over(control, false)) {
-        control_lease_end(control, "the store does not answer; it is left to another pooler");
+        control_lease_end(control, "the store does not answer; handed the lease over");
     }
     if (lease->calling || now < lease->next_at || lease->releasing) {
         return;
@@ -619,7 +627,7 @@
 void
 control_lease_accept_handover(struct control *control, uint64_t token)
 {
-    g_message("The lease under token %" PRIu64 " is left to us.", token);
+    g_message("The lease with token %" PRIu64 " was handed over to this pooler.", token);
     control->lease.handover_token = token;
     control->lease.handovers_received++;
     control->granted_at = 0;
@@ -634,9 +642,9 @@
         return;
     }
     control_coordinator_hand_over(control, true);
-    control_lease_end(control, "a planned stop");
+    control_lease_end(control, "graceful shutdown");
     if (control_era_is_over(control, lease->row_version)) {
-        return; /* there is nothing left to give up */
+        return; /* the row of the new era is not ours to release */
     }
     lease->releasing = true;
     write_row(control, lease->token, true, backend_now());
--- a/src/pooler/control/control_lease_handover.c
+++ b/src/pooler/control/control_lease_handover.c
@@ -1,17 +1,18 @@
-/* Whom the coordinator leaves its lease to: at a planned stop, where the store does not answer it,
- * and where a stronger machine is at hand. */
+/* Lease handover: to which pooler the coordinator hands its lease over, at a graceful shutdown, if
+ * the store does not answer it, and if there is a stronger machine. */
 #define G_LOG_DOMAIN "coordinator"
 #include "pooler/control/control_internal.h"
 
-/* What makes a pooler fit to take the lease over. */
+/* Maximum age of a successor's last heartbeat. */
 #define SUCCESSOR_CONTACT_NS (600 * MS)
 
-/* It has heard the store so long after this one's call went unanswered, at least. */
+/* If the store does not answer this coordinator, it must have answered the successor at least this
+ * long after the renewal here became due. */
 #define ANSWERED_SINCE_MS ((uint64_t)100)
 
-/* A weak machine leads for so long at least, before it leaves the lease to a stronger one that has
- * heard the store within this: time for the fleet to be heard, and for groups without a primary to
- * get one. In milliseconds the latter. */
+/* A weak machine holds the lease at least for WEAK_HOLDS_MIN_NS before it hands it over to a
+ * stronger one: time to receive a heartbeat from each pooler, and for groups without a primary to
+ * get one. The store must have answered the stronger one within STRONGER_STORE_AGE_MAX_MS. */
 #define WEAK_HOLDS_MIN_NS         (1000 * MS)
 #define STRONGER_STORE_AGE_MAX_MS ((uint64_t)1500)
 
@@ -32,7 +33,7 @@
     return store_age_ms(pooler, now) < store_age_ms(than, now);
 }
 
-/* The best pooler that has heard the store less than so long ago; NULL if none has. */
+/* The best successor that the store answered less than `age_max_ms` ago; NULL if there is none. */
 static struct pooler_peer *
 find_successor(const struct control *control, uint64_t age_max_ms, time_ns now)
 {
@@ -61,7 +62,7 @@
     grant.coordinator = g_strdup(control->settings->pooler.name);
     grant.token = control->lease.token;
     grant.cedes = true;
-    g_message("Leaves the lease to %s.", successor->name);
+    g_message("Handing the lease over to %s.", successor->name);
     peer_send(successor->peer, pooler_grant_encode(&grant));
     pooler_grant_clear(&grant);
 }
@@ -70,9 +71,10 @@
 control_coordinator_hand_over(struct control *control, bool planned)
 {
     time_ns now = backend_now();
-    /* Few poolers ask the store. While it answers here, it will answer any other. Where it does
-     * not, only one will do that it has answered since: a store that is silent to all is not met
-     * sooner by another, and the permits would end with the lease. */
+    /* Few poolers call the store. While it answers this one, it will answer any other. If it does
+     * not answer this one, a successor is useful only if the store has answered it since: if the
+     * store answers no pooler, a handover gains nothing, and the read permits would end with the
+     * lease. */
     uint64_t overdue_ms = control_lease_overdue(control, now) / MS;
     uint64_t age_max_ms =
         planned ? UINT64_MAX : MAX(overdue_ms, ANSWERED_SINCE_MS) - ANSWERED_SINCE_MS;
@@ -84,8 +86,8 @@
     return true;
 }
 
-/* True if the lease had better be another pooler's, which is at hand: one of a stronger machine,
- * that the store answers. */
+/* A pooler on a stronger machine that the store answers; NULL if there is none, or if this lease is
+ * too young. */
 static struct pooler_peer *
 find_stronger(const struct control *control, time_ns now)
 {
@@ -94,7 +96,6 @@
     return stronger && now > control->coordinator_since + WEAK_HOLDS_MIN_NS ? best : NULL;
 }
 
-/* A weak machine that took the lease, as nobody else did, leaves it to a stronger one. */
 bool
 control_coordinator_hand_over_to_stronger(struct control *control, time_ns now)
 {
@@ -103,6 +104,6 @@
         return false;
     }
     hand_over_to(control, stronger);
-    control_lease_end(control, "a stronger machine takes over");
+    control_lease_end(control, "handed the lease over to a stronger machine");
     return true;
 }
