--- a/src/pooler/control/control_coordinator.c
+++ b/src/pooler/control/control_coordinator.c
@@ -1,5 +1,7 @@
-/* The coordinator towards the poolers: hears their heartbeats, and answers with orders, permits and
- * rows of the store that they lack. A pooler that is not the coordinator tells where that is. */
+/* The listener for the other poolers' connections. The coordinator receives their heartbeats and
+ * answers with grants: group orders, read permits and the rows of the store that they are missing.
+ * A pooler that is not the coordinator gives a non-authoritative reply with the coordinator's
+ * address. */
 #define G_LOG_DOMAIN "coordinator"
 #include "pooler/control/control_internal.h"
 #include "pooler/shared/socket.h"
@@ -7,32 +9,34 @@
 
 #include <unistd.h>
 
-/* How long a permit lasts. A change of primary waits for it where a pooler can't be heard. */
+/* Length of a read permit. A change of primary waits for the end of the permit of each unresponsive
+ * pooler. */
 #define PERMIT_MS 1000
 
-/* A pooler that was not heard for this long no longer counts. */
+/* A pooler without a heartbeat for this time is removed. */
 #define POOLER_TIMEOUT_NS (4000 * MS)
 #define LISTEN_BACKLOG    128
 
-/* A new coordinator has not heard all poolers yet, and counts at least so many for a while, unless
- * the lease's row tells. */
+/* A new coordinator has not yet received heartbeats of all poolers. For POOLERS_GATHER_NS it
+ * assumes at least this many, unless it knows the size of the fleet from the lease row. */
 #define POOLERS_ASSUMED   9
 #define POOLERS_GATHER_NS (3000 * MS)
 
-/* In its first moments it has heard a third of them, or more. */
+/* In this time after its start it has received heartbeats of at least a third of the poolers. */
 #define POOLERS_FIRST_NS     (400 * MS)
 #define POOLERS_FIRST_FACTOR 3
 
-/* A connection that breaks so soon after a heartbeat was closed by its other end, four heartbeats
- * being due in it; one to a machine that went dark or was cut off breaks after 1.5 s. */
+/* If a connection breaks within this time after a heartbeat, the peer closed it, so its process has
+ * ended. Heartbeats come four times in this time, and a connection to a failed or partitioned
+ * machine breaks only after 1.5 s. */
 #define ENDED_WITHIN_NS (1000 * MS)
 
-/* Time between two choices of the poolers that follow the store. */
+/* Interval of choosing the followers and mirrors of the store. */
 #define FOLLOWERS_EVERY_NS (500 * MS)
 
-/* Least time between two looks at all groups. What many poolers tell in a moment is looked at
- * together: at 300 poolers some 1,200 heartbeats come in a second. Short beside the shortest step
- * of a change of primary, 40 ms. */
+/* Minimum interval of the periodic work, so that heartbeats which arrive close together are
+ * processed together: 300 poolers send 1,200 heartbeats per second. Short compared to the shortest
+ * step of a change of primary, 40 ms. */
 #define COORDINATE_EVERY_NS (10 * MS)
 
 static void
@@ -42,7 +46,7 @@
     g_free(data);
 }
 
-/* Faults that a pooler tells anew, or no longer. */
+/* Logs a change of the number of faults that a pooler reports. */
 static void
 log_faults(const struct pooler_peer *pooler, const struct pooler_group_report *report)
 {
@@ -61,7 +65,7 @@
                      first == NULL ? "none" : database_fault_name(first->kind));
 }
 
-/* Takes the heartbeat's reports over. What it does not tell is as it was. */
+/* Stores the heartbeat's reports. Reports on groups that it does not mention stay as they are. */
 static void
 store_reports(struct pooler_peer *pooler, struct pooler_heartbeat *heartbeat)
 {
@@ -106,8 +110,8 @@
     return pooler;
 }
 
-/* How many poolers share the databases' connections. One that has just become the coordinator goes
- * by what the last one told; after a loss of all, it has heard only the quickest yet. */
+/* A new coordinator uses the size of the fleet that the last one announced. After a restart of all
+ * poolers there is none, and it has received only the earliest heartbeats so far. */
 uint32_t
 control_coordinator_count(const struct control *control)
 {
@@ -122,7 +126,7 @@
     return MAX(age < POOLERS_FIRST_NS ? count * POOLERS_FIRST_FACTOR : count, POOLERS_ASSUMED);
 }
 
-/* Sends, and counts what the message is made of. */
+/* Sends a grant, and counts its bytes by content. */
 static void
 send_counted(struct control *control, struct peer *peer, const struct pooler_grant *grant,
              peer_bytes_t kind)
@@ -132,14 +136,15 @@
     peer_send(peer, message);
 }
 
-/* True of the first heartbeat on a connection. */
+/* True if the heartbeat has the sender's name and addresses: the first one on a connection. */
 static bool
 has_identity(const struct pooler_heartbeat *heartbeat)
 {
     return heartbeat->name != NULL && heartbeat->name[0] != '\0';
 }
 
-/* The answer of a pooler that is not the coordinator: where that is, and what is known here. */
+/* The reply of a pooler that is not the coordinator: the coordinator's address, and the orders,
+ * fleet members and rows that are known here. They give no permit. */
 static void
 send_non_authoritative(struct control *control, struct peer *peer,
                        const struct pooler_heartbeat *heartbeat)
@@ -158,7 +163,7 @@
     pooler_grant_clear(&grant);
 }
 
-/* True if a message to the pooler would tell it something. */
+/* True if there are rows, orders, fleet members or followers to send to the pooler. */
 static bool
 has_updates_for(const struct control *control, const struct pooler_peer *pooler)
 {
@@ -171,7 +176,7 @@
            pooler->followers_sent != control->followers_version;
 }
 
-/* Answers a heartbeat, or sends the orders unasked, without a permit. */
+/* Answers a heartbeat with a grant, or (`heartbeat` NULL) pushes updates, without a permit. */
 static void
 send_grant(struct control *control, struct peer *peer, struct pooler_peer *pooler,
            const struct pooler_heartbeat *heartbeat, time_ns now)
@@ -197,14 +202,15 @@
     pooler_grant_clear(&grant);
 }
 
-/* What the pooler knows, and what it knows better. Rows that were sent meanwhile count as known. */
+/* Applies rows that the pooler knows and this one does not, and notes which rows it knows. Rows
+ * that are in transit to it count as known. */
 static void
 apply_relay(struct control *control, struct pooler_peer *pooler,
             const struct pooler_heartbeat *heartbeat)
 {
     const struct pooler_relay *relay = &heartbeat->relay;
     control_relay_take(control, relay);
-    /* It was sent after the grant whose stamp it tells. */
+    /* The heartbeat was sent after the grant whose stamp it has. */
     control_reliance_prove(control, relay, heartbeat->grant_stamp);
     control_relay_confirm(pooler, relay);
 }
@@ -216,7 +222,7 @@
     *text = g_strdup(by);
 }
 
-/* Another connection knows nothing yet of what was told on the last one. */
+/* On a new connection, everything is sent and reported from the beginning. */
 static void
 start_connection(struct control *control, struct pooler_peer *pooler, struct peer *peer,
                  const struct pooler_heartbeat *heartbeat)
@@ -236,7 +242,7 @@
     pooler->orders_sent = 0;
 }
 
-/* The first heartbeat on a connection says who sends it. */
+/* Assigns the connection to the pooler that the heartbeat names. */
 static struct pooler_peer *
 identify_pooler(struct control *control, struct peer *peer,
                 const struct pooler_heartbeat *heartbeat)
@@ -244,7 +250,7 @@
     struct pooler_peer *pooler = find_or_add_pooler(control, heartbeat->name);
     if (pooler->incarnation != heartbeat->incarnation) {
         control->followers_at = 0;
-        g_message("Pooler %s is heard, in zone %s.", heartbeat->name, heartbeat->zone);
+        g_message("Pooler %s connected, in zone %s.", heartbeat->name, heartbeat->zone);
     }
     if (pooler->peer != peer) {
         start_connection(control, pooler, peer, heartbeat);
@@ -258,8 +264,8 @@
     return pooler;
 }
 
-/* One that is not known, as this pooler has just become the coordinator, introduces itself once it
- * is answered by hearsay. */
+/* A connection without a name is from before this pooler became the coordinator. Its pooler sends
+ * its name after a non-authoritative reply. */
 static void
 handle_heartbeat(struct control *control, struct peer *peer, struct pooler_heartbeat *heartbeat)
 {
@@ -298,7 +304,7 @@
     struct pooler_heartbeat heartbeat = {0};
     g_autoptr(GError) error = NULL;
     if (!pooler_heartbeat_decode(data, length, &heartbeat, &error)) {
-        g_warning("A pooler's message can't be read: %s.", error->message);
+        g_warning("Closed a connection: malformed heartbeat of a pooler: %s.", error->message);
         return false;
     }
     control_counts_heartbeat(&control->counts, PEER_RECEIVED, &heartbeat, length);
@@ -394,8 +400,8 @@
     control_groups_start(control);
 }
 
-/* Connections stay open: closing them at once would lose what was sent last, such as the cession of
- * the lease. Heartbeats are answered by hearsay from now on. */
+/* Connections stay open: closing them at once could lose messages in transit, such as the lease
+ * handover. Heartbeats get non-authoritative replies from now on. */
 void
 control_coordinator_end(struct control *control)
 {
@@ -432,8 +438,8 @@
                          control_counts_sent(&control->counts) - before, now);
 }
 
-/* True if what is new is told to all now. Else it stays new, and the answers to heartbeats tell it
- * before a later look does. */
+/* True if updates are pushed to all poolers now. Otherwise they stay pending: answers to heartbeats
+ * carry them, or a later push. */
 static bool
 may_push(struct control *control, time_ns now)
 {
@@ -442,7 +448,7 @@
            push_limiter_allows(&control->push_limiter, link_bytes_per_s, now);
 }
 
-/* A pooler that is forgotten has to tell all again, which it does on a new connection. */
+/* A pooler that was removed has to report everything again. It does so on a new connection. */
 static void
 drop_connection(struct control *control, struct pooler_peer *pooler)
 {
@@ -480,7 +486,7 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct pooler_peer *pooler = value;
         if (now > pooler->contact.last_heartbeat_at + POOLER_TIMEOUT_NS) {
-            g_message("Pooler %s is no longer heard.", pooler->name);
+            g_message("Pooler %s removed: its heartbeats timed out.", pooler->name);
             drop_connection(control, pooler);
             g_hash_table_iter_remove(&iterator);
         }
--- a/src/pooler/control/control_groups.c
+++ b/src/pooler/control/control_groups.c
@@ -1,5 +1,5 @@
-/* The groups under this coordinator: feeds each group's failover with the directory, the poolers'
- * reports and the databases' answers, and carries out what it orders. */
+/* The groups that this coordinator controls. Passes the directory, the poolers' reports and the
+ * databases' answers to each group's failover, and executes its commands. */
 #define G_LOG_DOMAIN "failover"
 #include "pooler/control/control_internal.h"
 
@@ -7,29 +7,30 @@
 
 #define RECORD_PREFIX "group/"
 
-/* A promotion is ordered only while the lease holds for so much longer. */
+/* A promotion is ordered only if the lease is valid for longer than this. */
 #define ORDER_MARGIN_NS (300 * MS)
 
-/* Control connections without use are closed. */
+/* Idle control connections are closed after this time. */
 #define CONNECTION_KEPT_NS (1500 * MS)
 
-/* A new coordinator waits so long for the records of promotions, some calls at the store, and asks
- * the databases who leads from then on. */
+/* A new coordinator waits up to RECORDS_WAIT_NS, several store calls, for the records of
+ * promotions. After that it queries the databases which of them leads. */
 #define RECORDS_WAIT_NS  (300 * MS)
 #define RECORDS_AGAIN_NS (100 * MS)
 
-/* Groups whose databases are asked at once who leads, or whether they were left paused. Each takes
- * up to three connections and slots; with more, the answers of a fleet of a thousand groups come
- * too late on a machine of half a core, and the databases pass for silent. */
+/* Maximum number of groups with low-priority status queries at a time: which database leads, or
+ * whether replicas were left paused. Each group takes up to three connections and slots. With more
+ * groups, on a machine of half a core, the answers of a thousand groups come so late that the
+ * databases count as unresponsive. */
 #define QUERYING_GROUPS_MAX 32
 
-/* A group has its turn for so long, and the next one so long after the last began: databases that
- * don't answer must not keep other groups from asking theirs. Two commands' time, and twice that.
- */
+/* Length of a group's query slot, the time of two commands, and minimum time between the starts of
+ * two slots of one group, twice that. Groups with unresponsive databases must not keep other groups
+ * from sending their queries. */
 #define QUERY_SLOT_NS       (600 * MS)
 #define QUERY_SLOT_EVERY_NS (1200 * MS)
 
-/* All groups are looked at so often; in between, those where something is under way. */
+/* Interval of processing all groups. Active ones are processed on every tick. */
 #define CHECK_EVERY_NS (100 * MS)
 
 static struct controlled_group *
@@ -85,7 +86,7 @@
 {
     struct controlled_group *group = user;
     if (answer->outcome == STORE_CONFLICT) {
-        /* Our own renewal may have come in between: the lease's row tells whose it is. */
+        /* Our own renewal may have changed the row. The answer has it, and names its holder. */
         control_lease_apply_answer(group->control, answer);
     }
     if (!group->recording_done && !group->retired) {
@@ -95,7 +96,7 @@
     release_group(group);
 }
 
-/* The answer may come after this coordinator has ended: the call holds the group. */
+/* The call keeps a reference to the group, as the answer may come after the lease has ended. */
 static void
 record(void *user, struct failover *failover, bool done)
 {
@@ -111,7 +112,7 @@
     const struct failover_member *member = failover_find(failover, record.candidate);
     record.born_ms = member == NULL ? 0 : member->born_ms;
     if (control->lease.calling && !done) {
-        /* A renewal is under way and changes the row that this depends on. */
+        /* A renewal is in progress, and changes the lease row that this write is conditional on. */
         failover_recorded(failover, false, backend_now());
         return;
     }
@@ -143,7 +144,7 @@
 on_promotion_answered(void *user, enum promotion_outcome outcome)
 {
     struct controlled_group *group = user;
-    g_message("Group %s: the order of promotion was %s.", group->failover->service,
+    g_message("Group %s: the order of the promotion was %s.", group->failover->service,
               promotion_outcome_name(outcome));
     if (!group->retired) {
         failover_promotion_answered(group->failover, promotion_result_of(outcome), backend_now());
@@ -157,10 +158,11 @@
 {
     struct control *control = user;
     if (!control_lease_holds(control, backend_now(), ORDER_MARGIN_NS)) {
-        g_message("Group %s: no order of promotion, the lease ends too soon.", failover->service);
+        g_message("Group %s: promotion not ordered: the lease expires too soon.",
+                  failover->service);
         return;
     }
-    g_message("Group %s: orders the promotion of %s under token %" PRIu64 ".", failover->service,
+    g_message("Group %s: ordering the promotion of %s with token %" PRIu64 ".", failover->service,
               candidate, control->lease.token);
     promotion_order(control->promotion, failover->service, candidate, control->lease.token,
                     on_promotion_answered, g_rc_box_acquire(group_of(control, failover)));
@@ -208,15 +210,15 @@
     failover_free(group->failover);
 }
 
-/* Gives up one reference: the table's, or that of a call that has come back. */
+/* Drops one reference: that of the table, or of a finished call. */
 static void
 release_group(gpointer data)
 {
     g_rc_box_release_full(data, clear_group);
 }
 
-/* Takes the group's newest record of a promotion. False if there has been none, or it can't be
- * read, which is told. */
+/* Reads the group's newest record of a promotion. False if there is none, or if it is malformed,
+ * which sets `unreadable`. */
 static bool
 read_record(const struct controlled_group *group, struct promotion_record *out, bool *unreadable)
 {
@@ -232,15 +234,15 @@
     gsize length = 0;
     const uint8_t *data = g_bytes_get_data(row->value, &length);
     if (!promotion_record_decode(data, length, out, &error)) {
-        g_warning("The record of group %s can't be read: %s.", group->failover->service,
-                  error->message);
+        g_warning("Group %s: the record of its last promotion is malformed: %s.",
+                  group->failover->service, error->message);
         *unreadable = true;
         return false;
     }
     return true;
 }
 
-/* True if the database of the record has not started again since, as far as that is told. */
+/* True if the database of the record has not restarted since, as far as is known. */
 static bool
 is_same_start(const struct control *control, const struct promotion_record *record)
 {
@@ -249,9 +251,9 @@
     return record->born_ms == 0 || entry == NULL || entry->born_ms == record->born_ms;
 }
 
-/* True if no later promotion can have been recorded than what the store has. One that was restored
- * from an older copy may have lost some of the eras before: then a group's record counts as its
- * last one only if it is of this era, and a group without one may have been promoted. */
+/* True if the store certainly has the group's last promotion. A store that was restored from an
+ * older copy may have lost records of earlier eras. Then a record counts as the last one only if it
+ * is of the current era, and a group without a record may have had a promotion. */
 static bool
 is_last_record(const struct control *control, const struct promotion_record *record, bool recorded)
 {
@@ -259,10 +261,11 @@
     return control->store_era == 0 || current;
 }
 
-/* Who leads for certain, without a question to the databases: only coordinators promote, each
- * promotion is recorded before, and the records were read after the lease was taken. So it is who
- * was promoted last, or who has led from the beginning, if this database alone says that it leads.
- * NULL if that does not tell. */
+/* The database that certainly leads, found without a query; NULL if none is certain. Only
+ * coordinators promote, each promotion is recorded first, and the records were read after the lease
+ * was acquired. Therefore the database that was promoted last leads, or if there was no promotion,
+ * the one that has led from the beginning, provided that it is the only one that reports in the
+ * directory that it leads. */
 static const char *
 find_certain_leader(const struct controlled_group *group, const struct promotion_record *record,
                     bool recorded)
@@ -275,8 +278,8 @@
     return certain && agrees ? leader : NULL;
 }
 
-/* Takes a database out of the group's members. If no primary is known, the one promoted last by the
- * store's record counts as such, as it may be the removed one: then all others are its replicas. */
+/* Removes a member. If no primary is known, the database of the last recorded promotion is taken as
+ * the primary, as it may be the removed one: then all remaining members count as its replicas. */
 static void
 remove_member(struct controlled_group *group, const char *database)
 {
@@ -290,7 +293,7 @@
     promotion_record_clear(&record);
 }
 
-/* A connection to a database's earlier life is of no more use. */
+/* Notes the database's start time, and drops the connection to its earlier process. */
 static void
 note_start(struct controlled_group *group, const char *database, uint64_t born_ms, time_ns now)
 {
@@ -313,22 +316,23 @@
         failover_resume_promotion(failover, resumes ? record.candidate : NULL, record.term, now);
         note_start(group, record.candidate, record.born_ms, now);
     }
-    bool under_way = recorded && !record.done;
+    bool unfinished = recorded && !record.done;
     if (recorded && record.done) {
         failover_note_promoted(failover, record.candidate);
     }
     const char *leader =
-        under_way || unreadable ? NULL : find_certain_leader(group, &record, recorded);
+        unfinished || unreadable ? NULL : find_certain_leader(group, &record, recorded);
     if (leader != NULL) {
         failover_adopt_primary(failover, leader, recorded ? record.term : 0, now);
     }
     promotion_record_clear(&record);
 }
 
-/* True if the database is no longer to be counted as a member. One that left can't be paused, and
- * would hold up every change of primary until the directory forgets it, sixteen heartbeats later.
- * One that is only cut off from the store still answers here and stays. So do the primary, whose
- * replicas are counted beside it, and one that was ordered to lead. */
+/* True if the database has left and no longer counts as a member. It can't be paused, and as a
+ * member would block every change of primary until its entry is dropped from the directory, sixteen
+ * heartbeats later. A database that is only partitioned from the store still answers commands and
+ * stays a member. So do the primary, as the number of its replicas depends on it, and a candidate
+ * that was ordered to lead. */
 static bool
 has_left(const struct failover *failover, struct directory_entry *entry)
 {
@@ -347,8 +351,8 @@
     }
     remove_member(group, database);
     g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_INFO, "SW_SERVICE", failover->service, "SW_DATABASE",
-                     database, "MESSAGE", "Group %s: %s has left; %u members.", failover->service,
-                     database, failover->members->len);
+                     database, "MESSAGE", "Group %s: %s has left the group; %u members remain.",
+                     failover->service, database, failover->members->len);
 }
 
 static void
@@ -412,8 +416,9 @@
 
 static void on_records(void *user, const struct store_answer *answer);
 
-/* Reads the records of promotions once more: an earlier coordinator may have written some after
- * this pooler read them, and before it took the lease. None can be written by another one since. */
+/* Reads the records of promotions once more under the lease: an earlier coordinator may have
+ * written some after this pooler last read them and before it acquired the lease. No other pooler
+ * can write records since then. */
 static void
 read_records(struct control *control)
 {
@@ -428,7 +433,7 @@
 {
     struct control *control = user;
     if (!control->lease.held || control->records_token != control->lease.token) {
-        return; /* it was asked by an earlier coordinator here */
+        return; /* the read was started under an earlier lease */
     }
     if (answer->outcome == STORE_DONE) {
         control_lease_apply_answer(control, answer);
@@ -453,7 +458,7 @@
     read_records(control);
 }
 
-/* Calls under way may still come back to the group: they hold it, and find it retired. */
+/* Calls in progress keep a reference to the group, and ignore their result once it is retired. */
 static gboolean
 retire(gpointer key, gpointer value, gpointer user)
 {
@@ -483,8 +488,8 @@
     }
 }
 
-/* Ends the turns of groups that have no questions any more, or had their time. Returns how many
- * go on. */
+/* Ends the query slots of groups that have no more queries or have used up their time. Returns the
+ * number of groups whose slot continues. */
 static unsigned
 end_query_slots(struct control *control, time_ns now)
 {
@@ -501,8 +506,8 @@
         bool changing =
             failover->state != FAILOVER_WATCHING && failover->state != FAILOVER_SEARCHING;
         if (changing) {
-            group->query_slot_at =
-                0; /* replicas that it leaves paused are asked at once afterwards */
+            /* Replicas that the change leaves paused are queried at once after it. */
+            group->query_slot_at = 0;
         }
     }
     return querying;
@@ -530,8 +535,8 @@
     return querying;
 }
 
-/* Lets few groups at a time ask their databases what can wait: first those that nobody is known to
- * lead. */
+/* Lets a limited number of groups send low-priority status queries: first groups without a known
+ * primary. */
 static void
 schedule_queries(struct control *control, time_ns now)
 {
--- a/src/pooler/control/control_reports.c
+++ b/src/pooler/control/control_reports.c
@@ -1,5 +1,5 @@
-/* What the poolers tell the coordinator, summed up for each group: their opinions of its primary,
- * what is open there, and which orders all of them follow. */
+/* Aggregation of the poolers' reports to the coordinator: for each group the reported faults of its
+ * primary and the work open there, and for all groups which orders the poolers follow. */
 #define G_LOG_DOMAIN "coordinator"
 #include "pooler/control/control_internal.h"
 
@@ -74,7 +74,7 @@
     }
 }
 
-/* How many poolers that were heard lately hold connections to the group's databases. */
+/* Number of poolers with a recent heartbeat that hold connections to the group's databases. */
 static uint32_t
 count_connection_owners(struct control *control, const struct controlled_group *group, time_ns now)
 {
@@ -95,8 +95,8 @@
     return count;
 }
 
-/* What all poolers say of all groups, in one pass over what they have told: its cost is that of the
- * connections held, not that of poolers times groups. */
+/* One pass over the reports of all poolers. Its cost is proportional to the number of reports, and
+ * not to the number of poolers times the number of groups. */
 void
 control_reports_aggregate(struct control *control, time_ns now)
 {
@@ -118,8 +118,8 @@
     }
 }
 
-/* The poolers whose opinion counts are those with connections, and those that report all the same,
- * as they serve alone. Counted only where there is an opinion. */
+/* Counts the poolers that own connections of the group, and at least those that report on it:
+ * others use it by direct fallback. Only done if there are reports. */
 void
 control_reports_count_poolers(struct control *control, struct controlled_group *group, time_ns now)
 {
