--- a/src/pooler/control/control.c
+++ b/src/pooler/control/control.c
@@ -1,4 +1,4 @@
-/* The control thread: parts, event loop and planned stop; see the header. */
+/* The control thread: its parts, event loop, metrics and graceful shutdown. See control.h. */
 #define G_LOG_DOMAIN "control"
 #include "pooler/control/control_internal.h"
 
@@ -12,19 +12,20 @@
 #include <unistd.h>
 #include <urcu-bp.h>
 
-/* Looks at everything so often; events come in between. */
+/* Maximum interval of running all parts. Events run them earlier. */
 #define TICK_MS 100
 
-/* The same while a change of primary is under way here. */
+/* The same while a change of primary is in progress at this coordinator. */
 #define TICK_BUSY_MS 20
 
-/* Never sooner than this. */
+/* Minimum time from one timer tick to the next. */
 #define TICK_MIN_MS 5
 
-/* Time between two log lines of counts. */
+/* Interval of the log lines with counts. */
 #define COUNTS_EVERY_NS (10 * NANOSECONDS_PER_SECOND)
 
-/* Descriptors that are not sessions: connections to databases, poolers and the store. */
+/* File descriptors reserved for connections to databases, poolers and the store. The rest is for
+ * sessions. */
 #define DESCRIPTORS_OWN 300
 
 static void (*reload_callback)(void);
@@ -48,7 +49,7 @@
     return false;
 }
 
-/* When the next thing falls due that no event tells of. */
+/* When the next timed work of any part is due. */
 static time_ns
 next_tick_at(const struct control *control, time_ns now)
 {
@@ -58,13 +59,16 @@
     }
     due = MIN(due, control_coordinator_due(control));
     if (control->granted_at == 0 && control->relied_until > now) {
-        due = MIN(due, control->relied_until); /* the first look at the store after a start */
+        /* The first store call after the start. */
+        due = MIN(due, control->relied_until);
     }
     if (control_mirrors_is_asked(control)) {
-        due = MIN(due, now + TICK_MIN_MS * MS); /* as the link has room again */
+        /* The link may have capacity for waiting answers. */
+        due = MIN(due, now + TICK_MIN_MS * MS);
     }
     if (control->mirrors.expected) {
-        due = MIN(due, now + TICK_BUSY_MS * MS); /* a question may have to be asked again */
+        /* A request to a mirror may have to be sent again. */
+        due = MIN(due, now + TICK_BUSY_MS * MS);
     }
     return MAX(due, now + TICK_MIN_MS * MS);
 }
@@ -118,7 +122,8 @@
     return atomic_load(&sum->counters[counter]);
 }
 
-/* How often a statement met a connection of its tenant, and what limits and keys refused. */
+/* How statements got their connections, what rate limits and keys refused, and requests for tokens.
+ */
 static char *
 print_tenant_counts(const struct metrics *sum)
 {
@@ -141,8 +146,8 @@
     return control->configuration == NULL ? 0 : control->configuration->version;
 }
 
-/* So long ago the configuration in force was certainly the store's newest; since the start, if it
- * was never known to be. */
+/* Time since the configuration in force was last known to be the store's newest; since the start,
+ * if it never was. */
 static uint32_t
 configuration_age_ms(const struct control *control)
 {
@@ -150,7 +155,8 @@
     return (uint32_t)MIN((backend_now() - since) / MS, UINT32_MAX);
 }
 
-/* The share of reads at replicas, and what was opened and moved, since the start. */
+/* Logs counts since the start: reads, connections, store calls, and bytes to and from other
+ * poolers. */
 static void
 log_counts(const struct control *control)
 {
@@ -185,8 +191,8 @@
                      "SW_FORWARD_BYTES_RECEIVED", taken, "SW_TOKEN_BYTES", tokens, "SW_SIGN_BYTES",
                      sign_bytes, "SW_CONFIGURATION", version, "SW_CONFIGURATION_AGE_MS", age,
                      "SW_RELIES", control->relayed ? "others" : "store", "MESSAGE",
-                     "Counts: %s reads at replicas, %s at primaries, connections opened: %s, calls "
-                     "at the store: %s.",
+                     "Counts: %s reads at replicas, %s at primaries, connections opened: %s, store "
+                     "calls: %s.",
                      at_replica, at_primary, connections, calls);
 }
 
@@ -194,7 +200,7 @@
 on_tick(evutil_socket_t socket, short events, void *user)
 {
     struct control *control = user;
-    /* Databases leave, and heartbeats fall due, without an event. */
+    /* Some changes come with time alone, such as a deleted row that makes its database leave. */
     time_ns now = backend_now();
     if (now > control->refreshed_at + NANOSECONDS_PER_SECOND) {
         control->refreshed_at = now;
@@ -214,7 +220,7 @@
     struct control *control = user;
     uint64_t count = 0;
     if (read(control->wake, &count, sizeof count) < 0 && errno != EAGAIN) {
-        g_warning("A wake-up could not be read.");
+        g_warning("Reading the wake-up event of the control thread failed.");
     }
     run_all_parts(control);
     arm_tick(control);
@@ -233,7 +239,7 @@
     if (atomic_load(&control->shared.stop_at) != 0) {
         return;
     }
-    g_message("Planned stop: no new work, open transactions have %g s.",
+    g_message("Graceful shutdown: no new work, open transactions may finish within %g s.",
               control->settings->stop.grace_s / 2);
     atomic_store(&control->shared.stop_at, backend_now());
     control_lease_release(control);
@@ -254,7 +260,7 @@
     return control_is_ready(user);
 }
 
-/* What the groups' databases were used for. */
+/* Metrics of how much time the databases spent on which kind of use. */
 static void
 print_uses(const struct control *control, GString *out)
 {
@@ -337,7 +343,7 @@
     control->promotion = promotion_new(control->base, &promotion, control->settings->pooler.name);
 }
 
-/* Signals go to the control thread. */
+/* Signals are blocked in the workers, so that the control thread handles them. */
 static bool
 start_workers(struct control *control, GError **error)
 {
@@ -366,7 +372,8 @@
     return started;
 }
 
-/* What others are told to connect to, for what listens there. */
+/* The address of a listener that is announced to other poolers: `announce` if it is a valid
+ * address, otherwise the listener's own. */
 static char *
 announced_address(const char *announce, const char *listen)
 {
--- a/src/pooler/control/control_counts.c
+++ b/src/pooler/control/control_counts.c
@@ -1,10 +1,11 @@
-/* Calls at the store and bytes between poolers, counted; see the header. */
+/* Counters of store calls and of bytes between poolers. See control_counts.h. */
 #include "pooler/control/control_counts.h"
 
 #include <string.h>
 
-/* Bytes that an order, a member and a row take in a message beside their texts and values: keys and
- * numbers in CBOR. Estimates; together with the rest they make up the message's true length. */
+/* Estimated bytes of an order, a member and a row in a message beside their texts and values: keys
+ * and numbers in CBOR. The rest of a message's true length is counted under the message's own kind.
+ */
 #define ORDER_FIXED  16
 #define MEMBER_FIXED 8
 #define ROW_FIXED    12
@@ -71,7 +72,7 @@
     return bytes;
 }
 
-/* Counts one part of a message, and takes it off the bytes that are left of it. */
+/* Counts one part of a message, and subtracts it from the message's remaining bytes. */
 static void
 count_part(control_counts_t *counts, peer_direction_t direction, peer_bytes_t kind, uint64_t bytes,
            uint64_t *left)
--- a/src/pooler/control/database_control.c
+++ b/src/pooler/control/database_control.c
@@ -1,4 +1,4 @@
-/* Commands to databases; see the header. */
+/* Control connections to databases. See database_control.h. */
 #define G_LOG_DOMAIN "failover"
 #include "pooler/control/database_control.h"
 
@@ -10,10 +10,10 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Without an answer for this long, connecting included, the database did not answer. */
+/* Time limit of a command, including the connecting. */
 #define COMMAND_TIMEOUT_MS 300
 
-/* Who is named to the database: no statement of a client runs here. */
+/* Tenant name sent at the start of the connection, on which no client's statement runs. */
 #define OWN_TENANT "pooler"
 
 struct database_control {
@@ -28,12 +28,12 @@
     struct event *timer;
     struct buffer in;
     struct buffer out;
-    bool started;         /* the database has answered the start */
-    bool command_pending; /* a command has no answer yet */
+    bool started;         /* the database has accepted the connection */
+    bool command_pending; /* a command was sent and has no answer yet */
     enum database_command command;
     uint64_t term;
     bool has_report;
-    bool at_capacity; /* it answered that it has no room */
+    bool at_capacity; /* it answered that it has no free connection or slot */
     struct database_report report;
     time_ns last_used_at;
 };
@@ -99,7 +99,7 @@
     finish(control, NULL, false);
 }
 
-/* It lives, and takes no further connection, or has no slot for the command. */
+/* True if the database is running, but has no free connection, or no free slot for the command. */
 static bool
 is_at_capacity(enum answer_code code)
 {
