--- a/src/pooler/control/directory.c
+++ b/src/pooler/control/directory.c
@@ -1,4 +1,4 @@
-/* The directory of databases; see the header. */
+/* The directory of databases. See directory.h. */
 #include "pooler/control/directory.h"
 
 #include <string.h>
@@ -111,8 +111,8 @@
     return changed;
 }
 
-/* True if the entry is of an earlier life of the database than the known one: a write that the
- * store did late. */
+/* True if the database wrote the entry before the restart that the known entry is from. The store
+ * applied the write late. */
 static bool
 is_of_earlier_start(const struct directory_entry *known, const struct directory_entry *entry)
 {
@@ -180,7 +180,8 @@
            now >= entry->deleted_at + heartbeat * DIRECTORY_LEAVING_AFTER_HEARTBEATS;
 }
 
-/* True if another database of the zone stood in the directory for so long until `as_of`. */
+/* True if another database of the zone has had a row for the time `wait` until `as_of`, which shows
+ * that the zone reached the store. */
 static bool
 zone_reached_store(const struct directory *directory, const struct directory_entry *deleted,
                    time_ns as_of, time_ns wait)
--- a/src/pooler/control/evacuation.c
+++ b/src/pooler/control/evacuation.c
@@ -1,13 +1,13 @@
-/* Zones that are evacuated; see the header. */
+/* Evacuation of zones. See evacuation.h. */
 #include "pooler/control/evacuation.h"
 
-/* A zone whose request is gone is taken back so much later: a store that was restored from an older
- * copy may lack the request, and operators have written it again by then. */
+/* An evacuation ends this long after its request was deleted. A store that was restored from an
+ * older copy may not have the request, and operators have written it again by then. */
 #define WITHDRAWN_AFTER_NS (1500 * NANOSECONDS_PER_MILLISECOND)
 
 typedef struct evacuation {
-    time_ns since;
-    time_ns deleted_at; /* the request is gone since then; 0: it stands */
+    time_ns since;      /* when the request became known */
+    time_ns deleted_at; /* when the request was deleted; 0: it is in force */
 } evacuation_t;
 
 void
--- a/src/pooler/control/evacuation.h
+++ b/src/pooler/control/evacuation.h
@@ -1,11 +1,13 @@
 /**
  * @file
- * @brief Zones whose databases operators have asked to send nothing to. Pure: moments come in.
+ * @brief Zones whose evacuation operators have requested: no work is to be sent to their databases.
+ * Pure functions: the time is a parameter.
  *
- * As such a zone becomes known, its databases take no new work and another one is made primary, as
- * where a database is about to leave. What is still open there after half of the bound is ended,
- * and what only a database in the zone could serve is refused, so that nothing reaches them once
- * the bound is over. Replicas in the zone go on receiving.
+ * When the request becomes known, the zone's databases take no new work, and for groups with a
+ * primary in the zone a database elsewhere is made the primary, as if the primary were draining.
+ * After half of the bound, work that is still open there is ended, and requests that only a
+ * database in the zone could serve are refused. So nothing reaches these databases after the bound.
+ * Replicas in the zone continue to replicate.
  */
 #ifndef SW_POOLER_EVACUATION_H
 #define SW_POOLER_EVACUATION_H
@@ -15,25 +17,25 @@
 
 #include "core/types.h"
 
-/** @brief How far the evacuation of a zone has come. */
+/** @brief Progress of a zone's evacuation. */
 typedef enum evacuation_phase {
     EVACUATION_NONE,
-    EVACUATION_DRAINING, /* no new work; what is open may end */
-    EVACUATION_CLOSED,   /* nothing is sent there */
+    EVACUATION_DRAINING, /* no new work; open work may finish */
+    EVACUATION_CLOSED,   /* nothing is sent to the zone */
 } evacuation_phase_t;
 
-/** @brief All zones that operators evacuate. Owned by the control thread. */
+/** @brief All zones that operators evacuate. Only for the control thread. */
 typedef struct evacuations {
     GHashTable *zones; /* of struct evacuation (evacuation.c), by name; NULL: none yet */
-    time_ns bound;     /* nothing may reach a zone's databases so long after the request */
+    time_ns bound;     /* time from the request after which nothing reaches the zone's databases */
 } evacuations_t;
 
-/** @brief Starts without any zone. */
+/** @brief Initialises without any zone. */
 void evacuations_init(evacuations_t *evacuations, time_ns bound);
 void evacuations_clear(evacuations_t *evacuations);
 
-/** @brief Takes over that a zone is to be evacuated, or no more.
- *  @return true if that is news. */
+/** @brief Applies the request to evacuate a zone, or its withdrawal.
+ *  @return true if that is a change. */
 bool evacuations_set(evacuations_t *evacuations, const char *zone, bool evacuated, time_ns now);
 
 /** @return the phase of the zone's evacuation. */
--- a/src/pooler/control/fault_report.c
+++ b/src/pooler/control/fault_report.c
@@ -1,17 +1,18 @@
-/* Whether a fault that a pooler reports of a database counts; see the header. */
+/* Whether a pooler's report of a faulty database counts. See fault_report.h. */
 #include "pooler/control/fault_report.h"
 
 #define MS NANOSECONDS_PER_MILLISECOND
 
-/* A pooler counts as heard for so long after a heartbeat: almost three, of 250 ms each. */
+/* Maximum age of a recent heartbeat: almost three intervals of 250 ms. */
 #define RECENT_NS (700 * MS)
 
-/* A pooler that is well finds a new coordinator within this time. One first heard later is taken
- * for one that was away. */
+/* A running pooler finds a new coordinator within this time. If its first heartbeat comes later, it
+ * counts as returned from an interruption. */
 #define DISCOVERY_NS (2500 * MS)
 
-/* By so long after its return, a pooler has looked at each database again: it tries a dark one
- * after 0.8 s at most, and a connection's first packet, if lost, is sent again after a second. */
+/* A pooler has checked each database again within this time after its return: it tries an
+ * unreachable one again after at most 0.8 s, and the first packet of a connection, if lost, is sent
+ * again after 1 s. */
 #define RECHECK_NS (1500 * MS)
 
 void
--- a/src/pooler/control/push_limiter.c
+++ b/src/pooler/control/push_limiter.c
@@ -1,37 +1,37 @@
-/* The pace of news to all poolers; see the header. */
+/* Rate limit of pushes to all poolers. See push_limiter.h. */
 #include "pooler/control/push_limiter.h"
 
 #include <glib.h>
 
-/* The part of its link that a coordinator gives to pushes and what they cause: half of the fifth
- * that all of control may take. The other half is for heartbeats and their answers: 350 bytes a
- * second for each pooler and direction, so 105 kB/s at 300 poolers, a twelfth of a link of 10
- * Mbit/s. */
+/* The share of its link that a coordinator uses for pushes and the messages that they cause: half
+ * of the fifth that all control traffic may use. The other half is for heartbeats and their
+ * answers: 350 bytes a second for each pooler and direction, so 105 kB/s at 300 poolers, a twelfth
+ * of a link of 10 Mbit/s. */
 #define LINK_SHARE 0.1
 
-/* What one pooler's confirmation and the answer to it take, in bytes: measured 130 each. */
+/* Bytes of one pooler's confirmation and of the answer to it: 130 each. */
 #define CONFIRMATION_BYTES 260
 
-/* Pushes that go without waiting: a change of primary needs three (closed, named, open), and a lost
- * machine may cause two changes, one after the other. */
+/* Pushes that are sent without waiting. A change of primary needs three (closed, primary named,
+ * open), and the loss of a machine may cause two changes, one after the other. */
 #define BURST_PUSHES 6
 
-/* These AT_ONCE are granted anew after so long in which no push had to wait, so not amid a storm of
- * news. Shorter than the time between two lost machines' changes of primary, each of which takes
- * 450 ms of silence to be seen. */
+/* The burst is refilled after this time in which no push had to wait, so not while updates come in
+ * all the time. Shorter than the time between the changes of primary of two lost machines: each
+ * loss is detected after 450 ms without an answer. */
 #define BURST_REFILL_NS (400 * NANOSECONDS_PER_MILLISECOND)
 
-/* A push waits for WAIT_S seconds at most, unless pushes would then take more than LINK_SHARE_MOST
- * of the link: the changes of primary of a lost zone come close together, and by LINK_SHARE alone a
- * few poolers on links of 2 Mbit/s would wait for 0.24 s. */
+/* A push waits for at most WAIT_TARGET_S seconds, unless pushes would then use more than
+ * LINK_SHARE_MAX of the link. The changes of primary after the loss of a zone come close together,
+ * and by LINK_SHARE alone a few poolers on links of 2 Mbit/s would wait for 0.24 s. */
 #define WAIT_TARGET_S  0.05
 #define LINK_SHARE_MAX 0.4
 
-/* Nor ever longer than so many seconds: by then each pooler's next heartbeat has come, and its
- * answer tells the same. */
+/* Upper limit of the wait, in seconds. By then each pooler's next heartbeat has arrived, and its
+ * answer carries the same updates. */
 #define WAIT_MAX_S 0.25
 
-/* For how long after a push of so many bytes the next one waits, in seconds. */
+/* Time after a push of `bytes` bytes until the next push may be sent, in seconds. */
 static double
 wait_s_after(double bytes, double link_bytes_per_s)
 {
@@ -40,7 +40,7 @@
     return MIN(MIN(by_share, bounded), WAIT_MAX_S);
 }
 
-/* When the next push may go without using up one of AT_ONCE. */
+/* When the next push may be sent without using up the burst. */
 static time_ns
 next_allowed_at(const push_limiter_t *limiter, double link_bytes_per_s)
 {
--- a/src/pooler/control/push_limiter.h
+++ b/src/pooler/control/push_limiter.h
@@ -1,37 +1,39 @@
 /**
  * @file
- * @brief When the coordinator may tell all poolers what is new, beside answering their heartbeats.
+ * @brief Rate limit of the coordinator's pushes: updates that it sends to all poolers, beside its
+ * answers to their heartbeats.
  *
- * Each push is a message to every pooler, the heartbeat by which each confirms it, and the answer
- * to that. While a thousand groups are opened one after the other, or the databases' records come
- * in, there is something new at each look, 100 times a second: at 300 poolers that is more than a
- * link of 100 Mbit/s carries, of a few bytes each time. So pushes keep to a share of the link. Some
- * go at once, as those of a change of primary; the rest waits, and goes together. It does not wait
- * for long: the answer to a pooler's next heartbeat tells it what is new all the same.
+ * Each push costs a message to every pooler, the heartbeat with which each confirms it, and the
+ * answer to that heartbeat. While a thousand groups are opened one after the other, or the
+ * databases' rows come in, there are updates in every run of the coordinator's periodic work, 100
+ * times a second. At 300 poolers, pushing each time exceeds a link of 100 Mbit/s, even with a few
+ * bytes each. Pushes are therefore limited to a share of the link. A burst, such as that of a
+ * change of primary, is pushed without waiting; other updates wait and are pushed together. They do
+ * not wait long, as the answer to each pooler's next heartbeat carries pending updates as well.
  *
- * Pure; time comes in.
+ * Pure functions: the time is a parameter.
  */
-#ifndef SW_POOLER_PUSH_PACE_H
-#define SW_POOLER_PUSH_PACE_H
+#ifndef SW_POOLER_PUSH_LIMITER_H
+#define SW_POOLER_PUSH_LIMITER_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
 #include "core/types.h"
 
-/** @brief What is known of the last push. Start from zeros. Belongs to the control thread. */
+/** @brief State of the limiter. Initialise with zeros. Only for the control thread. */
 typedef struct push_limiter {
-    double bytes;   /* of the last push, its confirmations and their answers */
-    time_ns at;     /* when it went; 0: none has */
-    uint32_t burst; /* pushes that may still go without waiting */
+    double bytes;   /* of the last push, its confirmations and the answers to them */
+    time_ns at;     /* when the last push was sent; 0: none was */
+    uint32_t burst; /* pushes that may still be sent without waiting */
 } push_limiter_t;
 
-/** @return true if what is new may go to all poolers now.
- *  @param link_bytes_per_s what the machine's link carries. */
+/** @return true if a push to all poolers may be sent now.
+ *  @param link_bytes_per_s capacity of the machine's link. */
 bool push_limiter_allows(push_limiter_t *limiter, double link_bytes_per_s, time_ns now);
 
-/** @brief A push has gone out.
- *  @param receivers poolers that it went to.
+/** @brief Consumes capacity for a push that was sent.
+ *  @param receivers number of poolers that it was sent to.
  *  @param bytes of all its messages. */
 void push_limiter_consume(push_limiter_t *limiter, uint32_t receivers, uint64_t bytes, time_ns now);
 
