--- a/tests/pooler/control_fixture.c
+++ b/tests/pooler/control_fixture.c
@@ -1,4 +1,4 @@
-/* A control thread's state for tests; see the header. */
+/* A control thread's state for tests. See control_fixture.h. */
 #include "control_fixture.h"
 
 #include <arpa/inet.h>
--- a/tests/pooler/control_fixture.h
+++ b/tests/pooler/control_fixture.h
@@ -1,24 +1,23 @@
 /**
  * @file
- * @brief A control thread's state without its event loop, workers and sockets, for tests of what it
- * decides and passes on.
+ * @brief The state of a control thread without its event loop, workers and sockets, for tests of
+ * its decisions and of the messages that it builds.
  */
 #ifndef SW_TESTS_POOLER_CONTROL_FIXTURE_H
 #define SW_TESTS_POOLER_CONTROL_FIXTURE_H
 
 #include "pooler/control/control_internal.h"
 
-/** @brief Knows nothing yet. `settings` must outlive it. */
+/** @brief Creates the state of a pooler that has just started. `settings` must outlive it. */
 struct control *control_fixture_new(const struct pooler_settings *settings);
 
-/** @brief Has it ask the store at this port of 127.0.0.1, on the event loop, which must outlive it.
- */
+/** @brief Connects it to the store at this port of 127.0.0.1. The event loop must outlive it. */
 void control_fixture_use_store(struct control *control, struct event_base *base, uint16_t port);
 
-/** @brief Frees it with all that it has learned. */
+/** @brief Frees the state. */
 void control_fixture_free(struct control *control);
 
-/** @brief Takes an answer of the store for one who does not wait for it. */
+/** @brief A store callback that ignores the answer. */
 void control_fixture_ignore_answer(void *user, const struct store_answer *answer);
 
 #endif
--- a/tests/pooler/failover_rig.c
+++ b/tests/pooler/failover_rig.c
@@ -1,4 +1,4 @@
-/* The rig of the failover's tests; see the header. */
+/* The test rig of failover. See failover_rig.h. */
 #include "failover_rig.h"
 
 #include <string.h>
--- a/tests/pooler/failover_rig.h
+++ b/tests/pooler/failover_rig.h
@@ -1,5 +1,8 @@
-/* A group of made-up databases around the failover's state machine, on virtual time. Commands are
- * answered one step later; a promotion takes effect after a while. */
+/**
+ * @file
+ * @brief Test rig: the failover state machine with a group of simulated databases, on virtual time.
+ * Commands are answered one step later. A promotion takes effect after RIG_PROMOTION_NS.
+ */
 #ifndef SW_TESTS_POOLER_FAILOVER_RIG_H
 #define SW_TESTS_POOLER_FAILOVER_RIG_H
 
@@ -15,8 +18,8 @@
 struct rig_database {
     char id[8];
     bool reachable;
-    unsigned lost_answers; /* answers that get lost from now on */
-    bool at_capacity;      /* answers, and refuses for want of connections or slots */
+    unsigned lost_answers; /* number of its next answers that get lost */
+    bool at_capacity;      /* refuses commands for want of connections or slots */
     time_ns resumed_at;
     bool leads;
     uint64_t term;
@@ -25,7 +28,7 @@
     enum database_command command;
     uint64_t command_term;
     bool command_pending;
-    unsigned command_counts[4]; /* counts by enum database_command */
+    unsigned command_counts[4]; /* by enum database_command */
     uint64_t born_ms;
 };
 
@@ -36,7 +39,7 @@
     struct rig_database databases[RIG_DATABASES_MAX];
     unsigned count;
     time_ns now;
-    bool closed; /* what the poolers say */
+    bool closed; /* result of the action `closed` */
     bool drained;
     bool record_fails;
     bool orders_refused;
@@ -48,20 +51,23 @@
     char promoting[8];
     time_ns promoted_at;
     char first_promoted[8];
-    bool resumed_early; /* a replica was resumed while nobody led in the new term */
+    bool resumed_early; /* a replica was resumed before a new primary led */
 };
 
-/* Databases "d0", "d1"...; d0 leads term 1 at position 1.100, the others hold the same. */
+/** @brief Creates databases "d0", "d1"... d0 leads in term 1 at position 1.100, and the others hold
+ * the same log. */
 struct rig *rig_new(unsigned count, uint32_t sync_replicas);
 void rig_free(struct rig *rig);
+/** @brief Runs for this virtual time. */
 void rig_run(struct rig *rig, uint32_t ms);
-/* Runs until the group is open under this primary; fails after two virtual minutes. */
+/** @brief Runs until the group is open with this primary. Fails after two virtual minutes. */
 void rig_run_until_open(struct rig *rig, unsigned database);
-/* What poolers say of the primary from now on. */
+/** @brief Sets how many poolers report faults of the primary from now on. */
 void rig_set_faults(struct rig *rig, uint32_t unreachable, uint32_t stalled);
+/** @return number of reachable databases that lead. */
 unsigned rig_leaders(const struct rig *rig);
-/* The database starts again under its id, with its log or without, and the coordinator hears so. It
- * leads if it did; without a log it is a replica. */
+/** @brief Restarts a database, with or without its log, and notifies the coordinator. With its log
+ * it keeps its role; without, it is a replica. */
 void rig_restart(struct rig *rig, unsigned database, bool keeps_log);
 
 #endif
--- a/tests/pooler/test_failover.c
+++ b/tests/pooler/test_failover.c
@@ -1,4 +1,4 @@
-/* The control of one group, by scenario, on virtual time. */
+/* Failover of one group, by scenario, on virtual time. */
 #include "failover_rig.h"
 
 #define MS NANOSECONDS_PER_MILLISECOND
@@ -11,7 +11,7 @@
 }
 
 static void
-test_finds_the_leader(void)
+test_finds_leader(void)
 {
     struct rig *rig = rig_new(3, 1);
     rig_run_until_open(rig, 0);
@@ -19,9 +19,9 @@
     rig_free(rig);
 }
 
-/* What is known for certain is not asked for: the group is open at once, while its databases have
- * no slot for a question; what an earlier coordinator left paused receives again once it may ask.
- */
+/* A primary that is known for certain is adopted without queries: the group opens at once, while
+ * its databases have no slot for a query. A replica that an earlier coordinator left paused is
+ * resumed once queries are no longer deferred. */
 static void
 test_adopted_leader(void)
 {
@@ -45,9 +45,9 @@
     rig_free(rig);
 }
 
-/* An adopted primary that is lost is replaced as any other, in a term above the real one. */
+/* An adopted primary that fails is replaced like any other, in a term above its real one. */
 static void
-test_adopted_leader_is_lost(void)
+test_adopted_leader_fails(void)
 {
     struct rig *rig = rig_new(3, 1);
     failover_adopt_primary(rig->failover, "d0", 0, rig->now);
@@ -57,7 +57,8 @@
     rig_free(rig);
 }
 
-/* Without its turn, a group that nobody is known to lead asks nothing, and promotes nobody. */
+/* While queries are deferred, a group without a known primary sends none, and promotes no database.
+ */
 static void
 test_search_while_queries_deferred(void)
 {
@@ -90,7 +91,8 @@
     rig_free(rig);
 }
 
-/* One replica alone may lack what the other one holds: nobody is promoted until both are paused. */
+/* One replica alone may not have a commit that the other one has: no database is promoted until
+ * both are paused. */
 static void
 test_waits_for_all_replicas(void)
 {
@@ -121,18 +123,17 @@
     fail_primary(rig);
     rig_run(rig, 5000);
     g_assert_cmpuint(rig->orders, ==, 0);
-    /* It can't be carried out: the group is not even closed. */
+    /* A change is not possible, so the group is not even closed. */
     g_assert_cmpint(rig->failover->phase, ==, GROUP_PHASE_OPEN);
     rig->databases[2].reachable = true;
     rig_run_until_open(rig, 2);
     rig_free(rig);
 }
 
-/* However many replicas a service asks for, one is counted on. */
-/* A primary whose record has been given up may still live with a replica beside it: all replicas
- * have to be paused as long as one of them is a member. */
+/* A primary whose row was dropped may still be running, with a replica: all members have to be
+ * paused. */
 static void
-test_forgotten_primary_needs_all_replicas(void)
+test_dropped_primary_needs_all_replicas(void)
 {
     struct rig *rig = rig_new(3, 1);
     rig_run_until_open(rig, 0);
@@ -148,7 +149,7 @@
     rig_free(rig);
 }
 
-/* The same for a coordinator that has just begun and knows the primary by the record only. */
+/* The same for a new coordinator that knows the primary only from the record of its promotion. */
 static void
 test_promoted_database_is_no_member(void)
 {
@@ -164,6 +165,7 @@
     rig_free(rig);
 }
 
+/* A commit is assumed to be on one replica only, even if the service requires two. */
 static void
 test_two_synchronous_replicas(void)
 {
@@ -188,7 +190,7 @@
     rig->drained = true;
     rig->databases[0].received.offset = 120;
     rig_run(rig, 100);
-    /* The replicas lack what the primary holds: it goes on leading until one has it. */
+    /* No replica has the primary's whole log: it leads until one has. */
     g_assert_true(rig->databases[0].leads);
     rig->databases[1].received.offset = 120;
     rig_run_until_open(rig, 1);
@@ -196,7 +198,8 @@
     rig_free(rig);
 }
 
-/* A pooler that can't be heard may still send to the old primary: the order waits for it. */
+/* An unresponsive pooler may still send work to the old primary: the promotion waits for its
+ * permit. */
 static void
 test_waits_until_closed(void)
 {
@@ -213,7 +216,7 @@
     rig_free(rig);
 }
 
-/* No order without its record; a record that failed is tried again. */
+/* No promotion is ordered before its record is written. A failed write is tried again. */
 static void
 test_record_comes_first(void)
 {
@@ -246,7 +249,7 @@
 }
 
 static void
-test_candidate_dies_after_the_order(void)
+test_candidate_fails_after_the_order(void)
 {
     struct rig *rig = rig_new(4, 1);
     rig_run_until_open(rig, 0);
@@ -257,7 +260,7 @@
     }
     rig->databases[3].reachable = false;
     rig_run(rig, 5000);
-    /* Two of three replicas are paused, not three: its log may hold more. */
+    /* Only two of three replicas are paused, and the third may hold more. */
     g_assert_cmpuint(rig_leaders(rig), ==, 0);
     rig->databases[3].reachable = true;
     rig_run_until_open(rig, 3);
@@ -294,15 +297,15 @@
     rig_free(rig);
 }
 
-/* Most poolers have no work for the primary and say nothing of it; the coordinator hears nothing,
- * too. */
+/* Only one pooler has work for the primary and reports it as unreachable; the coordinator's
+ * commands to it are unanswered, too. */
 static void
 test_one_report_and_unanswered_commands(void)
 {
     struct rig *rig = rig_new(3, 1);
     rig_run_until_open(rig, 0);
     rig->databases[0].reachable = false;
-    rig->drained = false; /* what is open there never ends */
+    rig->drained = false; /* its open work never finishes */
     rig_set_faults(rig, 1, 0);
     rig_run(rig, 800);
     g_assert_cmpuint(rig->orders, ==, 1);
@@ -314,7 +317,7 @@
 {
     struct rig *rig = rig_new(3, 1);
     rig_run_until_open(rig, 0);
-    rig->databases[0].received.offset = 130; /* of which no replica has anything */
+    rig->databases[0].received.offset = 130; /* no replica has the new part */
     rig_set_faults(rig, 0, 2);
     rig_run(rig, 2000);
     g_assert_cmpuint(rig->orders, ==, 1);
@@ -322,7 +325,8 @@
     rig_free(rig);
 }
 
-/* Writes whose answers are lost look stalled to their poolers; replicas have everything. */
+/* If only the answers to writes are lost, poolers report a stall, but the replicas have the writes.
+ */
 static void
 test_lost_write_answers(void)
 {
@@ -339,7 +343,7 @@
     rig_free(rig);
 }
 
-/* A new primary that is alive is not deposed again, whatever the old one did. */
+/* After a change, a primary that is alive is not replaced again. */
 static void
 test_single_change(void)
 {
@@ -354,14 +358,14 @@
     rig_free(rig);
 }
 
-/* A coordinator that begins with nothing but its databases: the one that leads is dark, and the one
- * that led before it is back and was not told to step down. That one can't be paused as it is. */
+/* A new coordinator without records: the current primary is unreachable, and the one before it is
+ * back and does not know that it was replaced. The latter can't be paused before it steps down. */
 static void
 test_former_primary_still_leads(void)
 {
     struct rig *rig = rig_new(3, 1);
     struct rig_database *databases = rig->databases;
-    databases[1].leads = true; /* d1 was promoted, and lost again */
+    databases[1].leads = true; /* d1 was promoted, and failed */
     databases[1].term = databases[2].term = 2;
     databases[1].received = databases[2].received = (struct log_position){2, 104};
     databases[1].reachable = false;
@@ -380,12 +384,12 @@
     rig_free(rig);
 }
 
-/* A new coordinator whose first question to the primary has lost its answer. */
+/* A new coordinator whose first query to the primary gets no answer. */
 static void
 test_lost_answer_while_searching(void)
 {
     struct rig *rig = rig_new(3, 1);
-    rig_run(rig, 700); /* what was known is old by now */
+    rig_run(rig, 700); /* earlier reports are outdated by now */
     failover_free(rig->failover);
     rig->failover = failover_new("group", &rig->actions);
     rig->failover->sync_replicas = 1;
@@ -399,7 +403,7 @@
     rig_free(rig);
 }
 
-/* A coordinator that has just started may know some members only: it replaces nobody by them. */
+/* A new coordinator may not know all members yet: it does not replace a primary then. */
 static void
 test_members_not_settled(void)
 {
@@ -417,8 +421,8 @@
     rig_free(rig);
 }
 
-/* A primary that answers that it is full is not dead: after a loss of all poolers it still counts
- * their old connections for seconds. */
+/* A primary that answers that it has no capacity is not dead: after a restart of all poolers it
+ * still counts their old connections for seconds. */
 static void
 test_busy_primary_while_searching(void)
 {
@@ -432,7 +436,7 @@
     rig_free(rig);
 }
 
-/* A full replica does not hold up the search: its record says that it is no primary. */
+/* A replica without capacity does not block the search: its row reports that it is no primary. */
 static void
 test_busy_replica_while_searching(void)
 {
@@ -454,8 +458,8 @@
     rig_free(rig);
 }
 
-/* A replica that is resumed beside an old primary that lives on would let that one acknowledge
- * what the new primary lacks. It lives on for a second at most. */
+/* A replica that is resumed while the old primary is running would let that one acknowledge commits
+ * that the new primary does not have. The old primary steps down within a second. */
 static void
 test_replicas_stay_paused(void)
 {
@@ -473,7 +477,8 @@
     rig_free(rig);
 }
 
-/* The old primary's own word is enough, and so is that of all poolers that it is dark. */
+/* Replicas are resumed at once if the old primary reported that it stepped down, or if no pooler
+ * can reach it. */
 static void
 test_replicas_resume_at_once(void)
 {
@@ -496,8 +501,8 @@
     }
 }
 
-/* A replica that failed to answer long ago, while its record stood, has not left by that: it is
- * asked once more. */
+/* A replica that did not answer before its row was deleted has not left by that: a command sent
+ * after the deletion has to be unanswered. */
 static void
 test_left_by_recent_time_out(void)
 {
@@ -517,8 +522,8 @@
     rig_free(rig);
 }
 
-/* One that leads, or was ordered to, may go on acknowledging with the others: it is never taken
- * for gone by its silence. */
+/* A primary, or a candidate that was ordered to lead, may go on acknowledging commits with the
+ * others: it never counts as having left by being unresponsive. */
 static void
 test_possible_leader_has_not_left(void)
 {
@@ -535,8 +540,8 @@
     rig_free(rig);
 }
 
-/* A replica that has started again without its log may have held what only the primary holds
- * besides: nobody is promoted by what the replicas hold until the primary has said what it has. */
+/* A replica that restarted without its log may have lost a commit whose only other copy is at the
+ * primary: no replica is promoted by the replicas' logs until the primary has reported its own. */
 static void
 test_restarted_replica_does_not_count(void)
 {
@@ -556,7 +561,7 @@
     rig_free(rig);
 }
 
-/* Once it has received what the primary held after its start, it counts as before. */
+/* Once the replica has what the primary held after the restart, its log counts again. */
 static void
 test_restarted_replica_catches_up(void)
 {
@@ -573,7 +578,8 @@
     rig_free(rig);
 }
 
-/* A primary that has started again without its log does not go on by its own word that it leads. */
+/* A primary that restarted without its log is not accepted as the primary, although it reports to
+ * lead. */
 static void
 test_restarted_primary_without_its_log(void)
 {
@@ -587,7 +593,7 @@
     rig_free(rig);
 }
 
-/* With its log it does, once the others have said what they hold. */
+/* With its log it is, once the others have reported their logs. */
 static void
 test_restarted_primary_with_its_log(void)
 {
@@ -602,7 +608,7 @@
     rig_free(rig);
 }
 
-/* Two of three without their logs: the one that has kept its own leads. */
+/* Two of three restart without their logs: the one that still has its log leads. */
 static void
 test_restarted_primary_and_replica(void)
 {
@@ -615,7 +621,7 @@
     rig_free(rig);
 }
 
-/* All have started again, and hold what they hold: more is not to be had. */
+/* All have restarted, and no other log is left: the most advanced one leads. */
 static void
 test_all_restarted(void)
 {
@@ -629,7 +635,7 @@
     rig_free(rig);
 }
 
-/* A pause ends with the process: a choice that counted on it is made again. */
+/* A restart ends the pause of a replica: a candidate chosen with it is chosen again. */
 static void
 test_restart_during_a_change(void)
 {
@@ -644,7 +650,7 @@
     g_assert_cmpint(rig->failover->state, ==, FAILOVER_FENCING);
     g_assert_cmpuint(rig->orders, ==, 0);
     rig->record_fails = false;
-    rig->databases[0].reachable = true; /* it is needed, as the replica does not count */
+    rig->databases[0].reachable = true; /* needed, as the replica's log does not count */
     rig_set_faults(rig, 0, 0);
     for (int i = 0; i < 500 && rig->failover->phase != GROUP_PHASE_OPEN; i++) {
         rig_run(rig, 20);
@@ -653,8 +659,8 @@
     rig_free(rig);
 }
 
-/* An answer of its earlier life is no answer, and an earlier birth that a record tells leaves the
- * later one as it is. */
+/* Reports from before a restart are dropped, and an earlier start time from a record does not
+ * replace a later one. */
 static void
 test_start_times(void)
 {
@@ -674,38 +680,39 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/pooler/failover/finds-leader", test_finds_the_leader);
+    g_test_add_func("/pooler/failover/finds-leader", test_finds_leader);
     g_test_add_func("/pooler/failover/adopted", test_adopted_leader);
-    g_test_add_func("/pooler/failover/adopted-is-lost", test_adopted_leader_is_lost);
-    g_test_add_func("/pooler/failover/search-waits", test_search_while_queries_deferred);
+    g_test_add_func("/pooler/failover/adopted-fails", test_adopted_leader_fails);
+    g_test_add_func("/pooler/failover/search-deferred", test_search_while_queries_deferred);
     g_test_add_func("/pooler/failover/lost-primary", test_lost_primary_most_advanced_replica);
-    g_test_add_func("/pooler/failover/quorum", test_waits_for_all_replicas);
+    g_test_add_func("/pooler/failover/all-replicas-paused", test_waits_for_all_replicas);
     g_test_add_func("/pooler/failover/replica-lost-before", test_replica_lost_before_the_primary);
-    g_test_add_func("/pooler/failover/forgotten-primary",
-                    test_forgotten_primary_needs_all_replicas);
+    g_test_add_func("/pooler/failover/dropped-primary", test_dropped_primary_needs_all_replicas);
     g_test_add_func("/pooler/failover/promoted-no-member", test_promoted_database_is_no_member);
-    g_test_add_func("/pooler/failover/gone-by-fresh-silence", test_left_by_recent_time_out);
-    g_test_add_func("/pooler/failover/who-may-lead-is-not-gone", test_possible_leader_has_not_left);
-    g_test_add_func("/pooler/failover/two-synchronous", test_two_synchronous_replicas);
+    g_test_add_func("/pooler/failover/left-by-recent-time-out", test_left_by_recent_time_out);
+    g_test_add_func("/pooler/failover/possible-leader-has-not-left",
+                    test_possible_leader_has_not_left);
+    g_test_add_func("/pooler/failover/two-synchronous-replicas", test_two_synchronous_replicas);
     g_test_add_func("/pooler/failover/planned", test_planned_change);
     g_test_add_func("/pooler/failover/closed-first", test_waits_until_closed);
     g_test_add_func("/pooler/failover/record-first", test_record_comes_first);
     g_test_add_func("/pooler/failover/refused", test_refused_candidate);
-    g_test_add_func("/pooler/failover/candidate-dies", test_candidate_dies_after_the_order);
-    g_test_add_func("/pooler/failover/continues", test_resumes_recorded_promotion);
+    g_test_add_func("/pooler/failover/candidate-fails", test_candidate_fails_after_the_order);
+    g_test_add_func("/pooler/failover/resumes-promotion", test_resumes_recorded_promotion);
     g_test_add_func("/pooler/failover/minority", test_minority_fault_reports);
-    g_test_add_func("/pooler/failover/one-voice", test_one_report_and_unanswered_commands);
+    g_test_add_func("/pooler/failover/one-report", test_one_report_and_unanswered_commands);
     g_test_add_func("/pooler/failover/stalled", test_stalled_primary_is_replaced);
-    g_test_add_func("/pooler/failover/lost-answers", test_lost_write_answers);
-    g_test_add_func("/pooler/failover/one-change", test_single_change);
-    g_test_add_func("/pooler/failover/nobody-leads", test_no_leader_at_start);
+    g_test_add_func("/pooler/failover/lost-write-answers", test_lost_write_answers);
+    g_test_add_func("/pooler/failover/single-change", test_single_change);
+    g_test_add_func("/pooler/failover/no-leader", test_no_leader_at_start);
     g_test_add_func("/pooler/failover/former-primary-still-leads", test_former_primary_still_leads);
-    g_test_add_func("/pooler/failover/lost-while-searching", test_lost_answer_while_searching);
-    g_test_add_func("/pooler/failover/full-primary", test_busy_primary_while_searching);
-    g_test_add_func("/pooler/failover/full-replica", test_busy_replica_while_searching);
-    g_test_add_func("/pooler/failover/full-primary-watched", test_busy_primary_is_not_replaced);
-    g_test_add_func("/pooler/failover/replicas-wait", test_replicas_stay_paused);
-    g_test_add_func("/pooler/failover/replicas-do-not-wait", test_replicas_resume_at_once);
+    g_test_add_func("/pooler/failover/lost-answer-while-searching",
+                    test_lost_answer_while_searching);
+    g_test_add_func("/pooler/failover/busy-primary", test_busy_primary_while_searching);
+    g_test_add_func("/pooler/failover/busy-replica", test_busy_replica_while_searching);
+    g_test_add_func("/pooler/failover/busy-primary-watched", test_busy_primary_is_not_replaced);
+    g_test_add_func("/pooler/failover/replicas-stay-paused", test_replicas_stay_paused);
+    g_test_add_func("/pooler/failover/replicas-resume-at-once", test_replicas_resume_at_once);
     g_test_add_func("/pooler/failover/members-not-settled", test_members_not_settled);
     g_test_add_func("/pooler/failover/restarted-replica", test_restarted_replica_does_not_count);
     g_test_add_func("/pooler/failover/restarted-replica-catches-up",
@@ -718,6 +725,6 @@
                     test_restarted_primary_and_replica);
     g_test_add_func("/pooler/failover/all-restarted", test_all_restarted);
     g_test_add_func("/pooler/failover/restart-during-a-change", test_restart_during_a_change);
-    g_test_add_func("/pooler/failover/births", test_start_times);
+    g_test_add_func("/pooler/failover/start-times", test_start_times);
     return g_test_run();
 }
