--- a/src/pooler/control/control_lease.c
+++ b/src/pooler/control/control_lease.c
@@ -267,11 +267,11 @@
 compress_fleet(struct lease_record *record)
 {
     g_autoptr(GBytes) content = g_byte_array_free_to_bytes(pooler_fleet_encode(&record->fleet));
-    g_autoptr(GBytes) packed = packing_pack(content);
+    g_autoptr(GBytes) compressed = packing_pack(content);
     clear_fleet(record);
-    if (packed != NULL) {
+    if (compressed != NULL) {
         gsize size = 0;
-        gconstpointer data = g_bytes_get_data(packed, &size);
+        gconstpointer data = g_bytes_get_data(compressed, &size);
         record->packed_fleet = g_memdup2(data, size);
         record->packed_fleet_length = size;
         record->packed_fleet_unpacked = (uint32_t)g_bytes_get_size(content);
--- a/src/pooler/control/failover.c
+++ b/src/pooler/control/failover.c
@@ -311,8 +311,8 @@
         const struct failover_member *member = failover_member_at(failover, i);
         bool reported =
             member->has_report && member->answered && now < member->reported_at + SEARCH_EVERY_NS;
-        bool silent = member->failures >= SEARCH_FAILURES;
-        if (!reported && !silent && !is_replica_at_capacity(member)) {
+        bool unresponsive = member->failures >= SEARCH_FAILURES;
+        if (!reported && !unresponsive && !is_replica_at_capacity(member)) {
             return false;
         }
     }
--- a/tests/pooler/test_failover.c
+++ b/tests/pooler/test_failover.c
@@ -75,7 +75,7 @@
 }
 
 static void
-test_lost_primary_most_advanced_replica(void)
+test_failed_primary_most_advanced_replica(void)
 {
     struct rig *rig = rig_new(3, 1);
     rig_run_until_open(rig, 0);
@@ -114,7 +114,7 @@
 }
 
 static void
-test_replica_lost_before_the_primary(void)
+test_replica_fails_before_the_primary(void)
 {
     struct rig *rig = rig_new(3, 1);
     rig_run_until_open(rig, 0);
@@ -684,9 +684,9 @@
     g_test_add_func("/pooler/failover/adopted", test_adopted_leader);
     g_test_add_func("/pooler/failover/adopted-fails", test_adopted_leader_fails);
     g_test_add_func("/pooler/failover/search-deferred", test_search_while_queries_deferred);
-    g_test_add_func("/pooler/failover/lost-primary", test_lost_primary_most_advanced_replica);
+    g_test_add_func("/pooler/failover/failed-primary", test_failed_primary_most_advanced_replica);
     g_test_add_func("/pooler/failover/all-replicas-paused", test_waits_for_all_replicas);
-    g_test_add_func("/pooler/failover/replica-lost-before", test_replica_lost_before_the_primary);
+    g_test_add_func("/pooler/failover/replica-fails-before", test_replica_fails_before_the_primary);
     g_test_add_func("/pooler/failover/dropped-primary", test_dropped_primary_needs_all_replicas);
     g_test_add_func("/pooler/failover/promoted-no-member", test_promoted_database_is_no_member);
     g_test_add_func("/pooler/failover/left-by-recent-time-out", test_left_by_recent_time_out);
--- a/tests/pooler/test_fault_report.c
+++ b/tests/pooler/test_fault_report.c
@@ -56,8 +56,8 @@
     g_assert_false(fault_report_counts(&contact, 600, 17 * SECOND + 500 * MS));
 }
 
-/* A pooler also counts as returned if it was removed meanwhile, or was away before the coordinator
- * started. */
+/* A pooler also counts as returned if it was removed meanwhile, or was absent before the
+ * coordinator started. */
 static void
 test_first_heartbeat_late(void)
 {
--- a/tests/pooler/test_lease_era.c
+++ b/tests/pooler/test_lease_era.c
@@ -265,11 +265,11 @@
     g_assert_cmpuint(fixture->poolers[0]->store_era, ==, 1);
     row_store_stop(fixture->store);
     fixture->store = row_store_start(promote_nobody, NULL); /* at another port */
-    const uint64_t *looks =
+    const uint64_t *reads =
         &fixture->poolers[0]->counts.calls[STORE_TABLE_CONTROL][CALL_LEASE_LOOK];
-    uint64_t before = *looks;
+    uint64_t before = *reads;
     run_for(fixture, 3000 * MS);
-    g_assert_cmpuint(*looks - before, <, 20);
+    g_assert_cmpuint(*reads - before, <, 20);
 }
 
 /* Two restores in a row, with all poolers running: one of them holds the lease again afterwards. */
