--- a/src/pooler/control/control.c
+++ b/src/pooler/control/control.c
@@ -24,8 +24,7 @@
 /* Interval of the log lines with counts. */
 #define COUNTS_EVERY_NS (10 * NANOSECONDS_PER_SECOND)
 
-/* File descriptors reserved for connections to databases, poolers and the store. The rest is for
- * sessions. */
+/* File descriptors reserved for connections to databases, poolers and the store, not sessions. */
 #define DESCRIPTORS_OWN 300
 
 static void (*reload_callback)(void);
@@ -122,8 +121,7 @@
     return atomic_load(&sum->counters[counter]);
 }
 
-/* How statements got their connections, what rate limits and keys refused, and requests for tokens.
- */
+/* How statements got their connections, what limits and keys refused, and requests for tokens. */
 static char *
 print_tenant_counts(const struct metrics *sum)
 {
@@ -155,8 +153,7 @@
     return (uint32_t)MIN((backend_now() - since) / MS, UINT32_MAX);
 }
 
-/* Logs counts since the start: reads, connections, store calls, and bytes to and from other
- * poolers. */
+/* Logs counts since the start: reads, connections, store calls, bytes between poolers. */
 static void
 log_counts(const struct control *control)
 {
--- a/src/pooler/control/failover.c
+++ b/src/pooler/control/failover.c
@@ -1,5 +1,4 @@
-/* Failover of one group: its members, the search for a primary, and its monitoring. See failover.h.
- */
+/* Failover of one group: its members, the search for a primary, its monitoring. See failover.h. */
 #define G_LOG_DOMAIN "failover"
 #include "pooler/control/failover_internal.h"
 
@@ -12,14 +11,13 @@
 /* A stall that poolers report is confirmed if no replica advances for this time. */
 #define STALL_CONFIRMED_NS (350 * MS)
 
-/* Minimum time between two changes for missing acknowledgements. It doubles with each change, so
- * that a group whose replicas receive nothing from any primary does not change its primary for
- * ever. */
+/* Minimum time between two changes for missing acknowledgements. It doubles with each change: if
+ * the replicas receive nothing from any primary, changes do not help. */
 #define STALL_WAIT_MIN_NS (4000 * MS)
 #define STALL_WAIT_MAX_NS (60000 * MS)
 
-/* Consecutive unanswered commands after which a database counts as unresponsive. One answer may be
- * lost. */
+/* A database counts as unresponsive after this many consecutive unanswered commands. A single
+ * answer may be lost. */
 #define SEARCH_FAILURES 2
 
 /* If no database leads for this time, another one is promoted. */
@@ -222,7 +220,7 @@
     }
 }
 
-/* True if the member has reported since the primary was opened that it neither leads nor is paused.
+/* True if the member has reported, since the primary was opened, neither to lead nor to be paused.
  */
 static bool
 has_reported_role(const struct failover *failover, const struct failover_member *member)
@@ -296,8 +294,7 @@
     member->failing_since = 0;
 }
 
-/* True if the member has no capacity for a status query, and its row does not report that it leads.
- */
+/* True if the member has no capacity for a status query, and its row does not say that it leads. */
 static bool
 is_replica_at_capacity(const struct failover_member *member)
 {
@@ -427,8 +424,7 @@
     return false;
 }
 
-/* Queries the primary, and also the replicas: a change is started only if enough of them respond.
- */
+/* Queries the primary and the replicas: a change starts only if enough of them respond. */
 static void
 query_members(struct failover *failover, time_ns now)
 {
--- a/src/pooler/control/failover_change.c
+++ b/src/pooler/control/failover_change.c
@@ -18,8 +18,7 @@
 #define CANDIDATE_DEAD_NS (1200 * MS)
 #define EXCLUDED_NS       (1500 * MS)
 
-/* An old primary steps down by itself within a second after it can reach the new one. 0.1 s margin.
- */
+/* An old primary steps down within a second after it can reach the new one. 0.1 s margin. */
 #define FORMER_STEPS_DOWN_NS (1100 * MS)
 
 static uint32_t
@@ -124,8 +123,7 @@
     return false;
 }
 
-/* Time that a responsive primary gets to replicate the rest of its log before it is stepped down.
- */
+/* Time for a responsive primary to replicate the rest of its log before it is stepped down. */
 #define CATCH_UP_NS (250 * MS)
 
 /* True for an old primary that does not know that it was replaced. It can't be paused before it
