--- a/tests/pooler/test_lease_era.c
+++ b/tests/pooler/test_lease_era.c
@@ -28,7 +28,7 @@
 } fixture_t;
 
 static bool
-promote_nobody(void *user, const char *service, const char *database)
+refuse_promotion(void *user, const char *service, const char *database)
 {
     return false;
 }
@@ -77,7 +77,7 @@
 set_up(fixture_t *fixture, gconstpointer unused)
 {
     fixture->base = event_base_new();
-    fixture->store = row_store_start(promote_nobody, NULL);
+    fixture->store = row_store_start(refuse_promotion, NULL);
     fixture->newest_holder = -1;
     for (unsigned i = 0; i < POOLERS; i++) {
         fixture->poolers[i] = pooler_new(fixture, i);
@@ -264,7 +264,7 @@
     run_for(fixture, 1000 * MS);
     g_assert_cmpuint(fixture->poolers[0]->store_era, ==, 1);
     row_store_stop(fixture->store);
-    fixture->store = row_store_start(promote_nobody, NULL); /* at another port */
+    fixture->store = row_store_start(refuse_promotion, NULL); /* at another port */
     const uint64_t *reads =
         &fixture->poolers[0]->counts.calls[STORE_TABLE_CONTROL][CALL_LEASE_LOOK];
     uint64_t before = *reads;
