--- a/src/pooler/control/control_internal.h
+++ b/src/pooler/control/control_internal.h
@@ -604,7 +604,8 @@
 /** @brief Applies the lease row and the other control rows of a store answer. Ends the lease if the
  *  row names another holder. */
 void control_lease_apply_answer(struct control *control, const struct store_answer *answer);
-/** @brief Gives the lease up at a graceful shutdown: hands it over, or writes it as expired. */
+/** @brief Gives the lease up at a graceful shutdown: hands it over if there is a successor, and
+ *  writes it as expired. */
 void control_lease_release(struct control *control);
 /** @brief Encodes the lease row together with the fleet. The fleet is compressed if it is large,
  * and left out if the row would exceed the store's limit. @return the row. */
--- a/src/pooler/control/directory.h
+++ b/src/pooler/control/directory.h
@@ -39,10 +39,9 @@
 };
 
 struct directory {
-    GHashTable
-        *entries;       /* id -> struct directory_entry, owned; deleted ones are kept for a while */
-    GHashTable *groups; /* service -> GPtrArray of its struct directory_entry, not owned */
-    uint32_t deleted;   /* number of entries whose row is deleted */
+    GHashTable *entries; /* id -> struct directory_entry, owned; deleted ones for a while */
+    GHashTable *groups;  /* service -> GPtrArray of its struct directory_entry, not owned */
+    uint32_t deleted;    /* number of entries whose row is deleted */
 };
 
 void directory_init(struct directory *directory);
@@ -97,8 +96,7 @@
  * partitioned from the store, and a store that was down drops rows of running databases. If such a
  * database were not counted as a member, it and its primary could still acknowledge commits that no
  * member holds. A database has therefore departed only if all of this holds:
- * - its last row reported that it drains, and not that it leads: the last primary may hold commits
- * that no other database has;
+ * - its last row reports that it drains and does not lead: a primary may hold unique commits;
  * - its row has been deleted for DIRECTORY_SETTLED_HEARTBEATS;
  * - for the same time, another database of its zone has had a row, so the zone reaches the store.
  * Otherwise it counts as running until directory_forget().
--- a/tests/pooler/test_push_limiter.c
+++ b/tests/pooler/test_push_limiter.c
@@ -71,8 +71,8 @@
     g_assert_cmpuint(simulate(15, SLOWEST_LINK).longest_wait_ms, <=, 60);
 }
 
-/* Without other updates, the orders of a change of primary are pushed without waiting, also on the
- * slowest link, and again for the next change a second later. */
+/* Without other updates, the orders of a change of primary are pushed without waiting, also on a
+ * slow link, and again for the next change a second later. */
 static void
 test_change_of_primary_without_wait(void)
 {
