--- a/src/pooler/control/control.c
+++ b/src/pooler/control/control.c
@@ -1,4 +1,4 @@
-/* The control thread: parts, event loop and planned stop; see the header. */
+/* The control thread: its parts, event loop, metrics and graceful shutdown. See control.h. */
 #define G_LOG_DOMAIN "control"
 #include "pooler/control/control_internal.h"
 
@@ -12,25 +12,25 @@
 #include <unistd.h>
 #include <urcu-bp.h>
 
-/* Looks at everything so often; events come in between. */
+/* Maximum interval of running all parts. Events run them earlier. */
 #define TICK_MS 100
 
-/* The same while a change of primary is under way here. */
+/* The same while a change of primary is in progress at this coordinator. */
 #define TICK_BUSY_MS 20
 
-/* Never sooner than this. */
-#define TICK_LEAST_MS 5
+/* Minimum time from one timer tick to the next. */
+#define TICK_MIN_MS 5
 
-/* Time between two log lines of counts. */
+/* Interval of the log lines with counts. */
 #define COUNTS_EVERY_NS (10 * NANOSECONDS_PER_SECOND)
 
-/* Descriptors that are not sessions: connections to databases, poolers and the store. */
+/* File descriptors reserved for connections to databases, poolers and the store, not sessions. */
 #define DESCRIPTORS_OWN 300
 
 static void (*reload_callback)(void);
 
 static bool
-is_changing(const struct control *control)
+is_changing_primary(const struct control *control)
 {
     if (!control->lease.held) {
         return false;
@@ -48,37 +48,40 @@
     return false;
 }
 
-/* When the next thing falls due that no event tells of. */
+/* When the next timed work of any part is due. */
 static time_ns
-next_due(const struct control *control, time_ns now)
+next_tick_at(const struct control *control, time_ns now)
 {
-    time_ns due = now + (is_changing(control) ? TICK_BUSY_MS : TICK_MS) * MS;
+    time_ns due = now + (is_changing_primary(control) ? TICK_BUSY_MS : TICK_MS) * MS;
     if (control->coordinator != NULL) {
         due = MIN(due, control->heartbeat_at);
     }
     due = MIN(due, control_coordinator_due(control));
     if (control->granted_at == 0 && control->relied_until > now) {
-        due = MIN(due, control->relied_until); /* the first look at the store after a start */
+        /* The first store call after the start. */
+        due = MIN(due, control->relied_until);
     }
     if (control_mirrors_is_asked(control)) {
-        due = MIN(due, now + TICK_LEAST_MS * MS); /* as the link has room again */
+        /* The link may have capacity for waiting answers. */
+        due = MIN(due, now + TICK_MIN_MS * MS);
     }
     if (control->mirrors.expected) {
-        due = MIN(due, now + TICK_BUSY_MS * MS); /* a question may have to be asked again */
+        /* A request to a mirror may have to be sent again. */
+        due = MIN(due, now + TICK_BUSY_MS * MS);
     }
-    return MAX(due, now + TICK_LEAST_MS * MS);
+    return MAX(due, now + TICK_MIN_MS * MS);
 }
 
 static void
 arm_tick(struct control *control)
 {
     time_ns now = backend_now();
-    struct timeval wait = {0, (suseconds_t)((next_due(control, now) - now) / 1000)};
+    struct timeval wait = {0, (suseconds_t)((next_tick_at(control, now) - now) / 1000)};
     evtimer_add(control->tick, &wait);
 }
 
 static bool
-all_ended(const struct control *control)
+all_workers_ended(const struct control *control)
 {
     for (unsigned i = 0; i < control->workers_count; i++) {
         if (!worker_ended(control->workers[i])) {
@@ -89,7 +92,7 @@
 }
 
 static void
-look_at_everything(struct control *control)
+run_all_parts(struct control *control)
 {
     time_ns now = backend_now();
     control_mirrors_tick(control, now);
@@ -99,13 +102,13 @@
     control_member_tick(control, now);
     control_reach_tick(control, now);
     control_publish(control);
-    if (atomic_load(&control->shared.stop_at) != 0 && all_ended(control)) {
+    if (atomic_load(&control->shared.stop_at) != 0 && all_workers_ended(control)) {
         event_base_loopbreak(control->base);
     }
 }
 
 static void
-add_up(const struct control *control, struct metrics *sum)
+sum_metrics(const struct control *control, struct metrics *sum)
 {
     for (unsigned i = 0; i < control->workers_count; i++) {
         metrics_add(sum, worker_metrics(control->workers[i]));
@@ -113,12 +116,12 @@
 }
 
 static uint64_t
-count_of(const struct metrics *sum, enum metrics_counter counter)
+counter_value(const struct metrics *sum, enum metrics_counter counter)
 {
     return atomic_load(&sum->counters[counter]);
 }
 
-/* How often a statement met a connection of its tenant, and what limits and keys refused. */
+/* How statements got their connections, what limits and keys refused, and requests for tokens. */
 static char *
 print_tenant_counts(const struct metrics *sum)
 {
@@ -127,12 +130,13 @@
         ", above limits %" PRIu64 ", no home %" PRIu64 ", unknown keys %" PRIu64
         ", no proof %" PRIu64 ", tokens asked %" PRIu64 ", unanswered %" PRIu64 ", hedged %" PRIu64
         ", late %" PRIu64,
-        count_of(sum, METRICS_CONNECTIONS_REUSED), count_of(sum, METRICS_OPENED_STATEMENT),
-        count_of(sum, METRICS_CONNECTIONS_REPLACED), count_of(sum, METRICS_REFUSED_RATE),
-        count_of(sum, METRICS_REFUSED_NO_HOME), count_of(sum, METRICS_REFUSED_KEYS),
-        count_of(sum, METRICS_REFUSED_UNPROVEN), count_of(sum, METRICS_TOKENS_REQUESTED),
-        count_of(sum, METRICS_TOKENS_UNANSWERED), count_of(sum, METRICS_TOKENS_HEDGED),
-        count_of(sum, METRICS_TOKENS_LATE));
+        counter_value(sum, METRICS_CONNECTIONS_REUSED),
+        counter_value(sum, METRICS_OPENED_STATEMENT),
+        counter_value(sum, METRICS_CONNECTIONS_REPLACED), counter_value(sum, METRICS_REFUSED_RATE),
+        counter_value(sum, METRICS_REFUSED_NO_HOME), counter_value(sum, METRICS_REFUSED_KEYS),
+        counter_value(sum, METRICS_REFUSED_UNPROVEN), counter_value(sum, METRICS_TOKENS_REQUESTED),
+        counter_value(sum, METRICS_TOKENS_UNANSWERED), counter_value(sum, METRICS_TOKENS_HEDGED),
+        counter_value(sum, METRICS_TOKENS_LATE));
 }
 
 static uint64_t
@@ -141,8 +145,8 @@
     return control->configuration == NULL ? 0 : control->configuration->version;
 }
 
-/* So long ago the configuration in force was certainly the store's newest; since the start, if it
- * was never known to be. */
+/* Time since the configuration in force was last known to be the store's newest; since the start,
+ * if it never was. */
 static uint32_t
 configuration_age_ms(const struct control *control)
 {
@@ -150,12 +154,12 @@
     return (uint32_t)MIN((backend_now() - since) / MS, UINT32_MAX);
 }
 
-/* The share of reads at replicas, and what was opened and moved, since the start. */
+/* Logs counts since the start: reads, connections, store calls, bytes between poolers. */
 static void
 log_counts(const struct control *control)
 {
     struct metrics sum = {0};
-    add_up(control, &sum);
+    sum_metrics(control, &sum);
     uint64_t replica = atomic_load(&sum.counters[METRICS_READS_AT_REPLICA]);
     uint64_t primary = atomic_load(&sum.counters[METRICS_READS_AT_PRIMARY]);
     g_autofree char *at_replica = g_strdup_printf("%" G_GUINT64_FORMAT, replica);
@@ -172,9 +176,10 @@
     g_autofree char *received = control_counts_print_bytes(&control->counts, PEER_RECEIVED);
     g_autofree char *statements = g_strdup_printf("%" G_GUINT64_FORMAT, forwarded);
     g_autofree char *taken =
-        g_strdup_printf("%" PRIu64, count_of(&sum, METRICS_FORWARD_BYTES_RECEIVED));
-    g_autofree char *tokens = g_strdup_printf("%" PRIu64, count_of(&sum, METRICS_TOKEN_BYTES));
-    g_autofree char *signs = g_strdup_printf("%" PRIu64, count_of(&sum, METRICS_PING_BYTES));
+        g_strdup_printf("%" PRIu64, counter_value(&sum, METRICS_FORWARD_BYTES_RECEIVED));
+    g_autofree char *tokens = g_strdup_printf("%" PRIu64, counter_value(&sum, METRICS_TOKEN_BYTES));
+    g_autofree char *sign_bytes =
+        g_strdup_printf("%" PRIu64, counter_value(&sum, METRICS_PING_BYTES));
     g_autofree char *version = g_strdup_printf("%" PRIu64, configuration_version(control));
     g_autofree char *age = g_strdup_printf("%" PRIu32, configuration_age_ms(control));
     g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_INFO, "SW_READS_AT_REPLICA", at_replica,
@@ -182,10 +187,10 @@
                      tenants, "SW_STORE_CALLS", calls, "SW_STORE_BYTES", answers, "SW_PEER_BYTES",
                      bytes, "SW_PEER_BYTES_RECEIVED", received, "SW_FORWARD_BYTES", statements,
                      "SW_FORWARD_BYTES_RECEIVED", taken, "SW_TOKEN_BYTES", tokens, "SW_SIGN_BYTES",
-                     signs, "SW_CONFIGURATION", version, "SW_CONFIGURATION_AGE_MS", age,
+                     sign_bytes, "SW_CONFIGURATION", version, "SW_CONFIGURATION_AGE_MS", age,
                      "SW_RELIES", control->relayed ? "others" : "store", "MESSAGE",
-                     "Counts: %s reads at replicas, %s at primaries, connections opened: %s, calls "
-                     "at the store: %s.",
+                     "Counts: %s reads at replicas, %s at primaries, connections opened: %s, store "
+                     "calls: %s.",
                      at_replica, at_primary, connections, calls);
 }
 
@@ -193,7 +198,7 @@
 on_tick(evutil_socket_t socket, short events, void *user)
 {
     struct control *control = user;
-    /* Databases leave, and heartbeats fall due, without an event. */
+    /* Some changes come with time alone, such as a deleted row that makes its database leave. */
     time_ns now = backend_now();
     if (now > control->refreshed_at + NANOSECONDS_PER_SECOND) {
         control->refreshed_at = now;
@@ -203,7 +208,7 @@
         control->counted_at = now;
         log_counts(control);
     }
-    look_at_everything(control);
+    run_all_parts(control);
     arm_tick(control);
 }
 
@@ -213,9 +218,9 @@
     struct control *control = user;
     uint64_t count = 0;
     if (read(control->wake, &count, sizeof count) < 0 && errno != EAGAIN) {
-        g_warning("A wake-up could not be read.");
+        g_warning("Reading the wake-up event of the control thread failed.");
     }
-    look_at_everything(control);
+    run_all_parts(control);
     arm_tick(control);
 }
 
@@ -232,7 +237,7 @@
     if (atomic_load(&control->shared.stop_at) != 0) {
         return;
     }
-    g_message("Planned stop: no new work, open transactions have %g s.",
+    g_message("Graceful shutdown: no new work, open transactions may finish within %g s.",
               control->settings->stop.grace_s / 2);
     atomic_store(&control->shared.stop_at, backend_now());
     control_lease_release(control);
@@ -253,7 +258,7 @@
     return control_is_ready(user);
 }
 
-/* What the groups' databases were used for. */
+/* Metrics of how much time the databases spent on which kind of use. */
 static void
 print_uses(const struct control *control, GString *out)
 {
@@ -275,7 +280,7 @@
     struct metrics sum = {0};
     uint32_t sessions = 0;
     GString *out = g_string_new(NULL);
-    add_up(control, &sum);
+    sum_metrics(control, &sum);
     for (unsigned i = 0; i < control->workers_count; i++) {
         sessions += worker_sessions(control->workers[i]);
     }
@@ -285,7 +290,7 @@
     g_string_append_printf(out, "swiftworks_coordinator %d\n", control->lease.held);
     g_string_append_printf(out, "swiftworks_zone_cut_off %d\n", control->zone_reach.cut_off);
     g_string_append_printf(out, "swiftworks_leases_ceded_to_this_total %" G_GUINT64_FORMAT "\n",
-                           control->lease.cessions);
+                           control->lease.handovers_received);
     g_string_append_printf(out, "swiftworks_configuration_version %" G_GUINT64_FORMAT "\n",
                            configuration_version(control));
     g_string_append_printf(out, "swiftworks_configuration_age_seconds %.3f\n",
@@ -336,7 +341,7 @@
     control->promotion = promotion_new(control->base, &promotion, control->settings->pooler.name);
 }
 
-/* Signals go to the control thread. */
+/* Signals are blocked in the workers, so that the control thread handles them. */
 static bool
 start_workers(struct control *control, GError **error)
 {
@@ -356,18 +361,19 @@
     control->shared.sessions_max = (settings->pooler.descriptors - own) / control->workers_count;
     sigfillset(&all);
     pthread_sigmask(SIG_BLOCK, &all, &old);
-    bool good = true;
-    for (unsigned i = 0; good && i < control->workers_count; i++) {
+    bool started = true;
+    for (unsigned i = 0; started && i < control->workers_count; i++) {
         control->workers[i] = worker_start(&control->shared, i, error);
-        good = control->workers[i] != NULL;
+        started = control->workers[i] != NULL;
     }
     pthread_sigmask(SIG_SETMASK, &old, NULL);
-    return good;
+    return started;
 }
 
-/* What others are told to connect to, for what listens there. */
+/* The address of a listener that is announced to other poolers: `announce` if it is a valid
+ * address, otherwise the listener's own. */
 static char *
-announced(const char *announce, const char *listen)
+announced_address(const char *announce, const char *listen)
 {
     struct sockaddr_in address;
     bool given = parse_address(announce, &address) && address.sin_port != 0;
@@ -380,9 +386,10 @@
     struct control *control = g_new0(struct control, 1);
     control->settings = settings;
     control->incarnation = ((uint64_t)g_random_int() << 32 | g_random_int()) | 1;
-    control->address = announced(settings->pooler.peer_announce, settings->pooler.peer_listen);
+    control->address =
+        announced_address(settings->pooler.peer_announce, settings->pooler.peer_listen);
     control->forward_address =
-        announced(settings->pooler.forward_announce, settings->pooler.forward_listen);
+        announced_address(settings->pooler.forward_announce, settings->pooler.forward_listen);
     control->workers_count = settings->pooler.workers;
     control->workers = g_new0(struct worker *, control->workers_count);
     control->groups = g_hash_table_new(g_str_hash, g_str_equal);
@@ -395,7 +402,7 @@
     control_reliance_start(control);
     control->fleet = fleet_new();
     control->followers = g_ptr_array_new_with_free_func(g_free);
-    control->fresh = g_hash_table_new(g_str_hash, g_str_equal);
+    control->responsive_addresses = g_hash_table_new(g_str_hash, g_str_equal);
     return control;
 }
 
@@ -406,13 +413,13 @@
     reload_callback = reload;
     start_events(control);
     start_clients(control);
-    bool good = start_probes(control, error) && control_coordinator_listen(control, error) &&
-                start_workers(control, error);
-    if (!good) {
+    bool started = start_probes(control, error) && control_coordinator_listen(control, error) &&
+                   start_workers(control, error);
+    if (!started) {
         return false;
     }
     g_message("Started.");
-    look_at_everything(control);
+    run_all_parts(control);
     arm_tick(control);
     event_base_dispatch(control->base);
     log_counts(control);
--- a/src/pooler/control/control_coordinator.c
+++ b/src/pooler/control/control_coordinator.c
@@ -1,5 +1,7 @@
-/* The coordinator towards the poolers: hears their heartbeats, and answers with orders, permits and
- * rows of the store that they lack. A pooler that is not the coordinator tells where that is. */
+/* The listener for the other poolers' connections. The coordinator receives their heartbeats and
+ * answers with grants: group orders, read permits and the rows of the store that they are missing.
+ * A pooler that is not the coordinator gives a non-authoritative reply with the coordinator's
+ * address. */
 #define G_LOG_DOMAIN "coordinator"
 #include "pooler/control/control_internal.h"
 #include "pooler/shared/socket.h"
@@ -7,32 +9,34 @@
 
 #include <unistd.h>
 
-/* How long a permit lasts. A change of primary waits for it where a pooler can't be heard. */
+/* Length of a read permit. A change of primary waits for the end of the permit of each unresponsive
+ * pooler. */
 #define PERMIT_MS 1000
 
-/* A pooler that was not heard for this long no longer counts. */
-#define POOLER_FORGOTTEN_NS (4000 * MS)
-#define LISTEN_BACKLOG      128
+/* A pooler without a heartbeat for this time is removed. */
+#define POOLER_TIMEOUT_NS (4000 * MS)
+#define LISTEN_BACKLOG    128
 
-/* A new coordinator has not heard all poolers yet, and counts at least so many for a while, unless
- * the lease's row tells. */
+/* A new coordinator has not yet received heartbeats of all poolers. For POOLERS_GATHER_NS it
+ * assumes at least this many, unless it knows the size of the fleet from the lease row. */
 #define POOLERS_ASSUMED   9
 #define POOLERS_GATHER_NS (3000 * MS)
 
-/* In its first moments it has heard a third of them, or more. */
+/* In this time after its start it has received heartbeats of at least a third of the poolers. */
 #define POOLERS_FIRST_NS     (400 * MS)
 #define POOLERS_FIRST_FACTOR 3
 
-/* A connection that breaks so soon after a heartbeat was closed by its other end, four heartbeats
- * being due in it; one to a machine that went dark or was cut off breaks after 1.5 s. */
+/* If a connection breaks within this time after a heartbeat, the peer closed it, so its process has
+ * ended. Heartbeats come four times in this time, and a connection to a failed or partitioned
+ * machine breaks only after 1.5 s. */
 #define ENDED_WITHIN_NS (1000 * MS)
 
-/* Time between two choices of the poolers that follow the store. */
+/* Interval of choosing the followers and mirrors of the store. */
 #define FOLLOWERS_EVERY_NS (500 * MS)
 
-/* Least time between two looks at all groups. What many poolers tell in a moment is looked at
- * together: at 300 poolers some 1,200 heartbeats come in a second. Short beside the shortest step
- * of a change of primary, 40 ms. */
+/* Minimum interval of the periodic work, so that heartbeats which arrive close together are
+ * processed together: 300 poolers send 1,200 heartbeats per second. Short compared to the shortest
+ * step of a change of primary, 40 ms. */
 #define COORDINATE_EVERY_NS (10 * MS)
 
 static void
@@ -42,7 +46,7 @@
     g_free(data);
 }
 
-/* Faults that a pooler tells anew, or no longer. */
+/* Logs a change of the number of faults that a pooler reports. */
 static void
 log_faults(const struct pooler_peer *pooler, const struct pooler_group_report *report)
 {
@@ -61,9 +65,9 @@
                      first == NULL ? "none" : database_fault_name(first->kind));
 }
 
-/* Takes the heartbeat's reports over. What it does not tell is as it was. */
+/* Stores the heartbeat's reports. Reports on groups that it does not mention stay as they are. */
 static void
-take_reports(struct pooler_peer *pooler, struct pooler_heartbeat *heartbeat)
+store_reports(struct pooler_peer *pooler, struct pooler_heartbeat *heartbeat)
 {
     for (size_t i = 0; i < heartbeat->groups_count; i++) {
         struct pooler_group_report *report = g_new(struct pooler_group_report, 1);
@@ -93,21 +97,21 @@
 }
 
 static struct pooler_peer *
-pooler_of(struct control *control, const char *name)
+find_or_add_pooler(struct control *control, const char *name)
 {
     struct pooler_peer *pooler = g_hash_table_lookup(control->poolers, name);
     if (pooler == NULL) {
         pooler = g_new0(struct pooler_peer, 1);
         pooler->name = g_strdup(name);
-        pooler->contact.listened_at = control->coordinator_since;
+        pooler->contact.listening_since = control->coordinator_since;
         pooler->reports = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, report_free);
         g_hash_table_insert(control->poolers, pooler->name, pooler);
     }
     return pooler;
 }
 
-/* How many poolers share the databases' connections. One that has just become the coordinator goes
- * by what the last one told; after a loss of all, it has heard only the quickest yet. */
+/* A new coordinator uses the size of the fleet that the last one announced. After a restart of all
+ * poolers there is none, and it has received only the earliest heartbeats so far. */
 uint32_t
 control_coordinator_count(const struct control *control)
 {
@@ -122,7 +126,7 @@
     return MAX(age < POOLERS_FIRST_NS ? count * POOLERS_FIRST_FACTOR : count, POOLERS_ASSUMED);
 }
 
-/* Sends, and counts what the message is made of. */
+/* Sends a grant, and counts its bytes by content. */
 static void
 send_counted(struct control *control, struct peer *peer, const struct pooler_grant *grant,
              peer_bytes_t kind)
@@ -132,23 +136,25 @@
     peer_send(peer, message);
 }
 
-/* True of the first heartbeat on a connection. */
+/* True if the heartbeat has the sender's name and addresses: the first one on a connection. */
 static bool
-introduces_itself(const struct pooler_heartbeat *heartbeat)
+has_identity(const struct pooler_heartbeat *heartbeat)
 {
     return heartbeat->name != NULL && heartbeat->name[0] != '\0';
 }
 
-/* The answer of a pooler that is not the coordinator: where that is, and what is known here. */
+/* The reply of a pooler that is not the coordinator: the coordinator's address, and the orders,
+ * fleet members and rows that are known here. They give no permit. */
 static void
-send_hearsay(struct control *control, struct peer *peer, const struct pooler_heartbeat *heartbeat)
+send_non_authoritative(struct control *control, struct peer *peer,
+                       const struct pooler_heartbeat *heartbeat)
 {
     struct pooler_grant grant;
     pooler_grant_init(&grant);
     grant.sequence = heartbeat->sequence;
     grant.coordinator = g_strdup(control->settings->pooler.name);
     grant.coordinator_address = g_strdup(control->coordinator_address);
-    if (introduces_itself(heartbeat)) {
+    if (has_identity(heartbeat)) {
         grant.mirrors_count = control_mirrors_copy(control, &grant.mirrors);
     }
     control_news_fill_hearsay(control, heartbeat, &grant);
@@ -157,20 +163,20 @@
     pooler_grant_clear(&grant);
 }
 
-/* True if a message to the pooler would tell it something. */
+/* True if there are rows, orders, fleet members or followers to send to the pooler. */
 static bool
-has_news_for(const struct control *control, const struct pooler_peer *pooler)
+has_updates_for(const struct control *control, const struct pooler_peer *pooler)
 {
     row_versions_t here = control_relay_versions(control);
     bool rows =
         control_relay_is_confirmed(pooler) && (here.configuration > pooler->known.configuration ||
                                                here.directory > pooler->known.directory);
     return rows || pooler->orders_sent < control->orders_version ||
-           pooler->fleet_told < control_fleet_version(control) ||
-           pooler->followers_told != control->followers_version;
+           pooler->fleet_sent < control_fleet_version(control) ||
+           pooler->followers_sent != control->followers_version;
 }
 
-/* Answers a heartbeat, or sends the orders unasked, without a permit. */
+/* Answers a heartbeat with a grant, or (`heartbeat` NULL) pushes updates, without a permit. */
 static void
 send_grant(struct control *control, struct peer *peer, struct pooler_peer *pooler,
            const struct pooler_heartbeat *heartbeat, time_ns now)
@@ -183,27 +189,28 @@
     grant.members = control_coordinator_count(control);
     grant.follows_store = pooler->follows_store;
     control_news_fill(control, pooler, &grant);
-    control_followers_tell(control, pooler->followers_told, &grant);
-    pooler->followers_told = control->followers_version;
+    control_followers_tell(control, pooler->followers_sent, &grant);
+    pooler->followers_sent = control->followers_version;
     control_mirrors_tell(control, pooler, &grant);
     control_relay_fill_for(control, pooler, now, &grant.relay);
     if (heartbeat != NULL) {
         grant.sequence = heartbeat->sequence;
-        grant.permit_ms = (uint32_t)MIN(control_lease_left(control, now) / MS, PERMIT_MS);
+        grant.permit_ms = (uint32_t)MIN(control_lease_remaining(control, now) / MS, PERMIT_MS);
         pooler->permit_until = MAX(pooler->permit_until, now + grant.permit_ms * MS);
     }
     send_counted(control, peer, &grant, PEER_BYTES_GRANT);
     pooler_grant_clear(&grant);
 }
 
-/* What the pooler knows, and what it knows better. Rows that were sent meanwhile count as known. */
+/* Applies rows that the pooler knows and this one does not, and notes which rows it knows. Rows
+ * that are in transit to it count as known. */
 static void
-take_relay(struct control *control, struct pooler_peer *pooler,
-           const struct pooler_heartbeat *heartbeat)
+apply_relay(struct control *control, struct pooler_peer *pooler,
+            const struct pooler_heartbeat *heartbeat)
 {
     const struct pooler_relay *relay = &heartbeat->relay;
     control_relay_take(control, relay);
-    /* It was sent after the grant whose stamp it tells. */
+    /* The heartbeat was sent after the grant whose stamp it has. */
     control_reliance_prove(control, relay, heartbeat->grant_stamp);
     control_relay_confirm(pooler, relay);
 }
@@ -215,34 +222,35 @@
     *text = g_strdup(by);
 }
 
-/* Another connection knows nothing yet of what was told on the last one. */
+/* On a new connection, everything is sent and reported from the beginning. */
 static void
 start_connection(struct control *control, struct pooler_peer *pooler, struct peer *peer,
                  const struct pooler_heartbeat *heartbeat)
 {
     if (pooler->peer != NULL) {
-        g_hash_table_remove(control->introduced, pooler->peer);
+        g_hash_table_remove(control->poolers_by_peer, pooler->peer);
     }
     g_hash_table_remove_all(pooler->reports);
-    g_hash_table_insert(control->introduced, peer, pooler);
+    g_hash_table_insert(control->poolers_by_peer, peer, pooler);
     pooler->peer = peer;
-    pooler->ended = false;
+    pooler->process_ended = false;
     pooler->known = pooler->confirmed = (row_versions_t){0};
-    pooler->fleet_told = heartbeat->fleet_version;
-    pooler->fleet_known = 0;
-    pooler->followers_told = 0;
-    pooler->mirrors_told = 0;
+    pooler->fleet_sent = heartbeat->fleet_version;
+    pooler->fleet_reported = 0;
+    pooler->followers_sent = 0;
+    pooler->mirrors_sent = 0;
     pooler->orders_sent = 0;
 }
 
-/* The first heartbeat on a connection says who sends it. */
+/* Assigns the connection to the pooler that the heartbeat names. */
 static struct pooler_peer *
-introduce(struct control *control, struct peer *peer, const struct pooler_heartbeat *heartbeat)
+identify_pooler(struct control *control, struct peer *peer,
+                const struct pooler_heartbeat *heartbeat)
 {
-    struct pooler_peer *pooler = pooler_of(control, heartbeat->name);
+    struct pooler_peer *pooler = find_or_add_pooler(control, heartbeat->name);
     if (pooler->incarnation != heartbeat->incarnation) {
         control->followers_at = 0;
-        g_message("Pooler %s is heard, in zone %s.", heartbeat->name, heartbeat->zone);
+        g_message("Pooler %s connected, in zone %s.", heartbeat->name, heartbeat->zone);
     }
     if (pooler->peer != peer) {
         start_connection(control, pooler, peer, heartbeat);
@@ -256,35 +264,35 @@
     return pooler;
 }
 
-/* One that is not known, as this pooler has just become the coordinator, introduces itself once it
- * is answered by hearsay. */
+/* A connection without a name is from before this pooler became the coordinator. Its pooler sends
+ * its name after a non-authoritative reply. */
 static void
-take_heartbeat(struct control *control, struct peer *peer, struct pooler_heartbeat *heartbeat)
+handle_heartbeat(struct control *control, struct peer *peer, struct pooler_heartbeat *heartbeat)
 {
     time_ns now = backend_now();
-    bool introduces = introduces_itself(heartbeat);
-    struct pooler_peer *pooler = introduces ? introduce(control, peer, heartbeat)
-                                            : g_hash_table_lookup(control->introduced, peer);
+    bool identified = has_identity(heartbeat);
+    struct pooler_peer *pooler = identified ? identify_pooler(control, peer, heartbeat)
+                                            : g_hash_table_lookup(control->poolers_by_peer, peer);
     if (pooler == NULL) {
-        send_hearsay(control, peer, heartbeat);
+        send_non_authoritative(control, peer, heartbeat);
         return;
     }
-    take_relay(control, pooler, heartbeat);
+    apply_relay(control, pooler, heartbeat);
     contact_note(&pooler->contact, now);
     control_reach_heard(control, pooler->zone, now);
-    pooler->fleet_known = heartbeat->fleet_version;
-    pooler->fleet_known_as_of = heartbeat->grant_stamp;
+    pooler->fleet_reported = heartbeat->fleet_version;
+    pooler->fleet_reported_as_of = heartbeat->grant_stamp;
     pooler->stopping = heartbeat->stopping;
     pooler->store_age_ms = heartbeat->store_age_ms;
     pooler->lacks_store = heartbeat->lacks_store;
     pooler->takes_deltas = heartbeat->takes_deltas;
     pooler->takes_news = heartbeat->takes_news;
-    bool news = introduces || heartbeat->groups_count > 0 || heartbeat->relay.rows_count > 0 ||
-                heartbeat->orders_followed != pooler->orders_followed;
+    bool changed = identified || heartbeat->groups_count > 0 || heartbeat->relay.rows_count > 0 ||
+                   heartbeat->orders_followed != pooler->orders_followed;
     pooler->orders_followed = heartbeat->orders_followed;
-    take_reports(pooler, heartbeat);
+    store_reports(pooler, heartbeat);
     send_grant(control, peer, pooler, heartbeat, now);
-    if (news) {
+    if (changed) {
         control_coordinator_wake(control);
     }
 }
@@ -296,16 +304,16 @@
     struct pooler_heartbeat heartbeat = {0};
     g_autoptr(GError) error = NULL;
     if (!pooler_heartbeat_decode(data, length, &heartbeat, &error)) {
-        g_warning("A pooler's message can't be read: %s.", error->message);
+        g_warning("Closed a connection: malformed heartbeat of a pooler: %s.", error->message);
         return false;
     }
     control_counts_heartbeat(&control->counts, PEER_RECEIVED, &heartbeat, length);
     if (heartbeat.wants_tables) {
         control_mirrors_question(control, peer, &heartbeat, backend_now());
     } else if (control->lease.held) {
-        take_heartbeat(control, peer, &heartbeat);
+        handle_heartbeat(control, peer, &heartbeat);
     } else {
-        send_hearsay(control, peer, &heartbeat);
+        send_non_authoritative(control, peer, &heartbeat);
     }
     pooler_heartbeat_clear(&heartbeat);
     return true;
@@ -315,13 +323,13 @@
 on_closed(void *user, struct peer *peer)
 {
     struct control *control = user;
-    struct pooler_peer *pooler = g_hash_table_lookup(control->introduced, peer);
+    struct pooler_peer *pooler = g_hash_table_lookup(control->poolers_by_peer, peer);
     if (pooler != NULL) {
         pooler->peer = NULL;
-        pooler->ended = backend_now() < pooler->contact.heard_at + ENDED_WITHIN_NS;
-        g_hash_table_remove(control->introduced, peer);
+        pooler->process_ended = backend_now() < pooler->contact.last_heartbeat_at + ENDED_WITHIN_NS;
+        g_hash_table_remove(control->poolers_by_peer, peer);
     }
-    g_hash_table_remove(control->listeners, peer);
+    g_hash_table_remove(control->unconfirmed_rows, peer);
     control_mirrors_forget(control, peer);
     g_ptr_array_remove_fast(control->connected, peer);
 }
@@ -342,8 +350,8 @@
 {
     control->pooler_callbacks = (struct peer_callbacks){on_frame, on_closed, control};
     control->poolers = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, pooler_free);
-    control->introduced = g_hash_table_new(g_direct_hash, g_direct_equal);
-    control->listeners = g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, g_free);
+    control->poolers_by_peer = g_hash_table_new(g_direct_hash, g_direct_equal);
+    control->unconfirmed_rows = g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, g_free);
     control->connected = g_ptr_array_new();
     struct sockaddr_in address;
     parse_address(control->settings->pooler.peer_listen, &address);
@@ -366,8 +374,8 @@
         peer_free(peer);
     }
     g_ptr_array_unref(control->connected);
-    g_hash_table_unref(control->listeners);
-    g_hash_table_unref(control->introduced);
+    g_hash_table_unref(control->unconfirmed_rows);
+    g_hash_table_unref(control->poolers_by_peer);
     g_hash_table_unref(control->poolers);
     event_free(control->acceptable);
     close(control->listener);
@@ -376,15 +384,15 @@
 void
 control_coordinator_start(struct control *control)
 {
-    g_hash_table_remove_all(control->introduced);
+    g_hash_table_remove_all(control->poolers_by_peer);
     g_hash_table_remove_all(control->poolers);
     control->followers_version++;
     control->mirrors.version++;
     control->mirrors.heard = 0;
     control->coordinator_since = backend_now();
-    control->owed_until =
-        control->lease.ceded_token == 0 ? 0 : control->coordinator_since + PERMIT_MS * MS;
-    control->lease.ceded_token = 0;
+    control->predecessor_permits_until =
+        control->lease.handover_token == 0 ? 0 : control->coordinator_since + PERMIT_MS * MS;
+    control->lease.handover_token = 0;
     control->members_before = control_fleet_size(control);
     control->orders_version = control->lease.token << EPOCH_SHIFT;
     control->coordinated_at = 0;
@@ -392,13 +400,13 @@
     control_groups_start(control);
 }
 
-/* Connections stay open: closing them at once would lose what was sent last, such as the cession of
- * the lease. Heartbeats are answered by hearsay from now on. */
+/* Connections stay open: closing them at once could lose messages in transit, such as the lease
+ * handover. Heartbeats get non-authoritative replies from now on. */
 void
 control_coordinator_end(struct control *control)
 {
     control_groups_end(control);
-    g_hash_table_remove_all(control->introduced);
+    g_hash_table_remove_all(control->poolers_by_peer);
     g_hash_table_remove_all(control->poolers);
     g_clear_pointer(&control->coordinator_address, g_free);
 }
@@ -406,47 +414,47 @@
 void
 control_coordinator_push(struct control *control)
 {
-    control->push_wanted = true;
+    control->push_pending = true;
 }
 
 static void
-push(struct control *control, time_ns now)
+push_updates(struct control *control, time_ns now)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
     uint32_t receivers = 0;
     uint64_t before = control_counts_sent(&control->counts);
-    control->rows_learned = false;
-    control->push_wanted = false;
+    control->rows_to_push = false;
+    control->push_pending = false;
     g_hash_table_iter_init(&iterator, control->poolers);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct pooler_peer *pooler = value;
-        if (pooler->peer != NULL && has_news_for(control, pooler)) {
+        if (pooler->peer != NULL && has_updates_for(control, pooler)) {
             send_grant(control, pooler->peer, pooler, NULL, now);
             receivers++;
         }
     }
-    push_pace_pay(&control->push_pace, receivers, control_counts_sent(&control->counts) - before,
-                  now);
+    push_limiter_consume(&control->push_limiter, receivers,
+                         control_counts_sent(&control->counts) - before, now);
 }
 
-/* True if what is new is told to all now. Else it stays new, and the answers to heartbeats tell it
- * before a later look does. */
+/* True if updates are pushed to all poolers now. Otherwise they stay pending: answers to heartbeats
+ * carry them, or a later push. */
 static bool
 may_push(struct control *control, time_ns now)
 {
     double link_bytes_per_s = control->settings->pooler.link_mbps * BYTES_PER_MEGABIT;
-    return (control->rows_learned || control->push_wanted) &&
-           push_pace_may(&control->push_pace, link_bytes_per_s, now);
+    return (control->rows_to_push || control->push_pending) &&
+           push_limiter_allows(&control->push_limiter, link_bytes_per_s, now);
 }
 
-/* A pooler that is forgotten has to tell all again, which it does on a new connection. */
+/* A pooler that was removed has to report everything again. It does so on a new connection. */
 static void
 drop_connection(struct control *control, struct pooler_peer *pooler)
 {
     if (pooler->peer != NULL) {
-        g_hash_table_remove(control->introduced, pooler->peer);
-        g_hash_table_remove(control->listeners, pooler->peer);
+        g_hash_table_remove(control->poolers_by_peer, pooler->peer);
+        g_hash_table_remove(control->unconfirmed_rows, pooler->peer);
         control_mirrors_forget(control, pooler->peer);
         g_ptr_array_remove_fast(control->connected, pooler->peer);
         peer_free(pooler->peer);
@@ -470,15 +478,15 @@
 }
 
 static void
-forget_silent(struct control *control, time_ns now)
+remove_unresponsive(struct control *control, time_ns now)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, control->poolers);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct pooler_peer *pooler = value;
-        if (now > pooler->contact.heard_at + POOLER_FORGOTTEN_NS) {
-            g_message("Pooler %s is no longer heard.", pooler->name);
+        if (now > pooler->contact.last_heartbeat_at + POOLER_TIMEOUT_NS) {
+            g_message("Pooler %s removed: its heartbeats timed out.", pooler->name);
             drop_connection(control, pooler);
             g_hash_table_iter_remove(&iterator);
         }
@@ -497,8 +505,8 @@
     }
     control->coordinated_at = now;
     control->coordination_due = false;
-    forget_silent(control, now);
-    if (control_coordinator_hand_over(control, now)) {
+    remove_unresponsive(control, now);
+    if (control_coordinator_hand_over_to_stronger(control, now)) {
         return;
     }
     if (now > control->followers_at + FOLLOWERS_EVERY_NS) {
@@ -509,6 +517,6 @@
     control_fleet_tick(control, now);
     control_groups_tick(control, now);
     if (may_push(control, now)) {
-        push(control, now);
+        push_updates(control, now);
     }
 }
--- a/src/pooler/control/control_groups.c
+++ b/src/pooler/control/control_groups.c
@@ -1,5 +1,5 @@
-/* The groups under this coordinator: feeds each group's failover with the directory, the poolers'
- * reports and the databases' answers, and carries out what it orders. */
+/* The groups that this coordinator controls. Passes the directory, the poolers' reports and the
+ * databases' answers to each group's failover, and executes its commands. */
 #define G_LOG_DOMAIN "failover"
 #include "pooler/control/control_internal.h"
 
@@ -7,33 +7,34 @@
 
 #define RECORD_PREFIX "group/"
 
-/* A promotion is ordered only while the lease holds for so much longer. */
+/* A promotion is ordered only if the lease is valid for longer than this. */
 #define ORDER_MARGIN_NS (300 * MS)
 
-/* Control connections without use are closed. */
+/* Idle control connections are closed after this time. */
 #define CONNECTION_KEPT_NS (1500 * MS)
 
-/* A new coordinator waits so long for the records of promotions, some calls at the store, and asks
- * the databases who leads from then on. */
+/* A new coordinator waits up to RECORDS_WAIT_NS, several store calls, for the records of
+ * promotions. After that it queries the databases which of them leads. */
 #define RECORDS_WAIT_NS  (300 * MS)
 #define RECORDS_AGAIN_NS (100 * MS)
 
-/* Groups whose databases are asked at once who leads, or whether they were left paused. Each takes
- * up to three connections and slots; with more, the answers of a fleet of a thousand groups come
- * too late on a machine of half a core, and the databases pass for silent. */
-#define QUESTIONED_MAX 32
+/* Maximum number of groups with low-priority status queries at a time: which database leads, or
+ * whether replicas were left paused. Each group takes up to three connections and slots. With more
+ * groups, on a machine of half a core, the answers of a thousand groups come so late that the
+ * databases count as unresponsive. */
+#define QUERYING_GROUPS_MAX 32
 
-/* A group has its turn for so long, and the next one so long after the last began: databases that
- * don't answer must not keep other groups from asking theirs. Two commands' time, and twice that.
- */
-#define TURN_NS       (600 * MS)
-#define TURN_EVERY_NS (1200 * MS)
+/* Length of a group's query slot, the time of two commands, and minimum time between the starts of
+ * two slots of one group, twice that. Groups with unresponsive databases must not keep other groups
+ * from sending their queries. */
+#define QUERY_SLOT_NS       (600 * MS)
+#define QUERY_SLOT_EVERY_NS (1200 * MS)
 
-/* All groups are looked at so often; in between, those where something is under way. */
-#define LOOK_EVERY_NS (100 * MS)
+/* Interval of processing all groups. Active ones are processed on every tick. */
+#define CHECK_EVERY_NS (100 * MS)
 
 static struct controlled_group *
-controlled_of(struct control *control, const struct failover *failover)
+group_of(struct control *control, const struct failover *failover)
 {
     return g_hash_table_lookup(control->controlled, failover->service);
 }
@@ -41,8 +42,8 @@
 static void release_group(gpointer data);
 
 static void
-on_command(void *user, const char *service, const char *database,
-           const struct database_report *report, bool refused)
+on_command_answered(void *user, const char *service, const char *database,
+                    const struct database_report *report, bool refused)
 {
     struct controlled_group *group = user;
     group->active = true;
@@ -60,24 +61,24 @@
     struct database_control *connection = g_hash_table_lookup(group->connections, database);
     if (connection == NULL) {
         connection = database_control_new(group->control->base, group->failover->service, database,
-                                          on_command, group);
+                                          on_command_answered, group);
         g_hash_table_insert(group->connections, g_strdup(database), connection);
     }
     return connection;
 }
 
 static void
-ask(void *user, struct failover *failover, const char *database, enum database_command command,
-    uint64_t term)
+send_command(void *user, struct failover *failover, const char *database,
+             enum database_command command, uint64_t term)
 {
     struct control *control = user;
-    struct controlled_group *group = controlled_of(control, failover);
+    struct controlled_group *group = group_of(control, failover);
     const struct directory_entry *entry = g_hash_table_lookup(control->directory.entries, database);
     if (entry == NULL) {
-        failover_find(failover, database)->asking = false;
+        failover_find(failover, database)->command_pending = false;
         return;
     }
-    database_control_ask(connection_of(group, database), &entry->address, command, term);
+    database_control_send(connection_of(group, database), &entry->address, command, term);
 }
 
 static void
@@ -85,8 +86,8 @@
 {
     struct controlled_group *group = user;
     if (answer->outcome == STORE_CONFLICT) {
-        /* Our own renewal may have come in between: the lease's row tells whose it is. */
-        control_lease_take(group->control, answer);
+        /* Our own renewal may have changed the row. The answer has it, and names its holder. */
+        control_lease_apply_answer(group->control, answer);
     }
     if (!group->recording_done && !group->retired) {
         failover_recorded(group->failover, answer->outcome == STORE_DONE, backend_now());
@@ -95,12 +96,12 @@
     release_group(group);
 }
 
-/* The answer may come after this coordinator has ended: the call holds the group. */
+/* The call keeps a reference to the group, as the answer may come after the lease has ended. */
 static void
 record(void *user, struct failover *failover, bool done)
 {
     struct control *control = user;
-    struct controlled_group *group = controlled_of(control, failover);
+    struct controlled_group *group = group_of(control, failover);
     struct promotion_record record = {
         .service = failover->service,
         .candidate = done ? failover->primary : failover->candidate,
@@ -111,7 +112,7 @@
     const struct failover_member *member = failover_find(failover, record.candidate);
     record.born_ms = member == NULL ? 0 : member->born_ms;
     if (control->lease.calling && !done) {
-        /* A renewal is under way and changes the row that this depends on. */
+        /* A renewal is in progress, and changes the lease row that this write is conditional on. */
         failover_recorded(failover, false, backend_now());
         return;
     }
@@ -126,27 +127,27 @@
     g_byte_array_unref(bytes);
 }
 
-static enum failover_order
-order_of(enum promotion_outcome outcome)
+static enum failover_promotion_result
+promotion_result_of(enum promotion_outcome outcome)
 {
     switch (outcome) {
     case PROMOTION_ACCEPTED:
-        return FAILOVER_ORDER_ACCEPTED;
+        return FAILOVER_PROMOTION_ACCEPTED;
     case PROMOTION_REFUSED:
-        return FAILOVER_ORDER_REFUSED;
+        return FAILOVER_PROMOTION_REFUSED;
     default:
-        return FAILOVER_ORDER_OPEN;
+        return FAILOVER_PROMOTION_RETRY;
     }
 }
 
 static void
-on_ordered(void *user, enum promotion_outcome outcome)
+on_promotion_answered(void *user, enum promotion_outcome outcome)
 {
     struct controlled_group *group = user;
-    g_message("Group %s: the order of promotion was %s.", group->failover->service,
+    g_message("Group %s: the order of the promotion was %s.", group->failover->service,
               promotion_outcome_name(outcome));
     if (!group->retired) {
-        failover_ordered(group->failover, order_of(outcome), backend_now());
+        failover_promotion_answered(group->failover, promotion_result_of(outcome), backend_now());
     }
     control_wake_soon(group->control);
     release_group(group);
@@ -157,20 +158,21 @@
 {
     struct control *control = user;
     if (!control_lease_holds(control, backend_now(), ORDER_MARGIN_NS)) {
-        g_message("Group %s: no order of promotion, the lease ends too soon.", failover->service);
+        g_message("Group %s: promotion not ordered: the lease expires too soon.",
+                  failover->service);
         return;
     }
-    g_message("Group %s: orders the promotion of %s under token %" PRIu64 ".", failover->service,
+    g_message("Group %s: ordering the promotion of %s with token %" PRIu64 ".", failover->service,
               candidate, control->lease.token);
     promotion_order(control->promotion, failover->service, candidate, control->lease.token,
-                    on_ordered, g_rc_box_acquire(controlled_of(control, failover)));
+                    on_promotion_answered, g_rc_box_acquire(group_of(control, failover)));
 }
 
 static void
 publish(void *user, struct failover *failover)
 {
     struct control *control = user;
-    struct controlled_group *group = controlled_of(control, failover);
+    struct controlled_group *group = group_of(control, failover);
     group->active = true;
     group->orders_version = ++control->orders_version;
     control_coordinator_push(control);
@@ -181,16 +183,17 @@
 closed(void *user, struct failover *failover)
 {
     const struct control *control = user;
-    const struct controlled_group *group = controlled_of(user, failover);
-    return backend_now() > control->owed_until && control->orders_held >= group->orders_version;
+    const struct controlled_group *group = group_of(user, failover);
+    return backend_now() > control->predecessor_permits_until &&
+           control->orders_followed_with_permit >= group->orders_version;
 }
 
 static bool
 drained(void *user, struct failover *failover)
 {
     const struct control *control = user;
-    const struct controlled_group *group = controlled_of(user, failover);
-    return control->orders_reached >= group->orders_version && group->in_flight == 0;
+    const struct controlled_group *group = group_of(user, failover);
+    return control->orders_followed_by_all >= group->orders_version && group->in_flight == 0;
 }
 
 static void
@@ -207,50 +210,50 @@
     failover_free(group->failover);
 }
 
-/* Gives up one reference: the table's, or that of a call that has come back. */
+/* Drops one reference: that of the table, or of a finished call. */
 static void
 release_group(gpointer data)
 {
     g_rc_box_release_full(data, clear_group);
 }
 
-/* Takes the group's newest record of a promotion. False if there has been none, or it can't be
- * read, which is told. */
+/* Reads the group's newest record of a promotion. False if there is none, or if it is malformed,
+ * which sets `unreadable`. */
 static bool
-read_record(const struct controlled_group *group, struct promotion_record *out, bool *broken)
+read_record(const struct controlled_group *group, struct promotion_record *out, bool *unreadable)
 {
     const struct feed *records = &group->control->feeds[STORE_TABLE_CONTROL];
     g_autofree char *key = g_strconcat(RECORD_PREFIX, group->failover->service, NULL);
     const struct known_row *row = g_hash_table_lookup(records->rows, key);
     g_autoptr(GError) error = NULL;
     promotion_record_init(out);
-    *broken = false;
+    *unreadable = false;
     if (row == NULL || row->gone) {
         return false;
     }
     gsize length = 0;
     const uint8_t *data = g_bytes_get_data(row->value, &length);
     if (!promotion_record_decode(data, length, out, &error)) {
-        g_warning("The record of group %s can't be read: %s.", group->failover->service,
-                  error->message);
-        *broken = true;
+        g_warning("Group %s: the record of its last promotion is malformed: %s.",
+                  group->failover->service, error->message);
+        *unreadable = true;
         return false;
     }
     return true;
 }
 
-/* True if the database of the record has not started again since, as far as that is told. */
+/* True if the database of the record has not restarted since, as far as is known. */
 static bool
-is_same_life(const struct control *control, const struct promotion_record *record)
+is_same_start(const struct control *control, const struct promotion_record *record)
 {
     const struct directory_entry *entry =
         g_hash_table_lookup(control->directory.entries, record->candidate);
     return record->born_ms == 0 || entry == NULL || entry->born_ms == record->born_ms;
 }
 
-/* True if no later promotion can have been recorded than what the store has. One that was restored
- * from an older copy may have lost some of the eras before: then a group's record counts as its
- * last one only if it is of this era, and a group without one may have been promoted. */
+/* True if the store certainly has the group's last promotion. A store that was restored from an
+ * older copy may have lost records of earlier eras. Then a record counts as the last one only if it
+ * is of the current era, and a group without a record may have had a promotion. */
 static bool
 is_last_record(const struct control *control, const struct promotion_record *record, bool recorded)
 {
@@ -258,42 +261,43 @@
     return control->store_era == 0 || current;
 }
 
-/* Who leads for certain, without a question to the databases: only coordinators promote, each
- * promotion is recorded before, and the records were read after the lease was taken. So it is who
- * was promoted last, or who has led from the beginning, if this database alone says that it leads.
- * NULL if that does not tell. */
+/* The database that certainly leads, found without a query; NULL if none is certain. Only
+ * coordinators promote, each promotion is recorded first, and the records were read after the lease
+ * was acquired. Therefore the database that was promoted last leads, or if there was no promotion,
+ * the one that has led from the beginning, provided that it is the only one that reports in the
+ * directory that it leads. */
 static const char *
-find_leader(const struct controlled_group *group, const struct promotion_record *record,
-            bool recorded)
+find_certain_leader(const struct controlled_group *group, const struct promotion_record *record,
+                    bool recorded)
 {
     const struct control *control = group->control;
     const char *leader = directory_leader(&control->directory, group->failover->service);
     bool agrees =
-        !recorded || (g_strcmp0(leader, record->candidate) == 0 && is_same_life(control, record));
+        !recorded || (g_strcmp0(leader, record->candidate) == 0 && is_same_start(control, record));
     bool certain = control->records_read && is_last_record(control, record, recorded);
     return certain && agrees ? leader : NULL;
 }
 
-/* Takes a database out of the group's members. If no primary is known, the one promoted last by the
- * store's record counts as such, as it may be the removed one: then all others are its replicas. */
+/* Removes a member. If no primary is known, the database of the last recorded promotion is taken as
+ * the primary, as it may be the removed one: then all remaining members count as its replicas. */
 static void
 remove_member(struct controlled_group *group, const char *database)
 {
     struct promotion_record record;
-    bool broken = false;
+    bool unreadable = false;
     g_hash_table_remove(group->connections, database);
     failover_remove_member(group->failover, database);
-    if (read_record(group, &record, &broken) && record.done) {
+    if (read_record(group, &record, &unreadable) && record.done) {
         failover_note_promoted(group->failover, record.candidate);
     }
     promotion_record_clear(&record);
 }
 
-/* A connection to a database's earlier life is of no more use. */
+/* Notes the database's start time, and drops the connection to its earlier process. */
 static void
-note_birth(struct controlled_group *group, const char *database, uint64_t born_ms, time_ns now)
+note_start(struct controlled_group *group, const char *database, uint64_t born_ms, time_ns now)
 {
-    if (failover_note_birth(group->failover, database, born_ms, now)) {
+    if (failover_note_start(group->failover, database, born_ms, now)) {
         g_hash_table_remove(group->connections, database);
     }
 }
@@ -304,40 +308,42 @@
     const struct control *control = group->control;
     struct failover *failover = group->failover;
     struct promotion_record record;
-    bool broken = false;
-    bool recorded = read_record(group, &record, &broken);
-    bool stands = recorded && is_same_life(control, &record);
+    bool unreadable = false;
+    bool recorded = read_record(group, &record, &unreadable);
+    bool same_start = recorded && is_same_start(control, &record);
     if (recorded) {
-        bool goes_on = !record.done && stands && is_last_record(control, &record, recorded);
-        failover_continue(failover, goes_on ? record.candidate : NULL, record.term, now);
-        note_birth(group, record.candidate, record.born_ms, now);
+        bool resumes = !record.done && same_start && is_last_record(control, &record, recorded);
+        failover_resume_promotion(failover, resumes ? record.candidate : NULL, record.term, now);
+        note_start(group, record.candidate, record.born_ms, now);
     }
-    bool under_way = recorded && !record.done;
+    bool unfinished = recorded && !record.done;
     if (recorded && record.done) {
         failover_note_promoted(failover, record.candidate);
     }
-    const char *leader = under_way || broken ? NULL : find_leader(group, &record, recorded);
+    const char *leader =
+        unfinished || unreadable ? NULL : find_certain_leader(group, &record, recorded);
     if (leader != NULL) {
-        failover_adopt(failover, leader, recorded ? record.term : 0, now);
+        failover_adopt_primary(failover, leader, recorded ? record.term : 0, now);
     }
     promotion_record_clear(&record);
 }
 
-/* True if the database is no longer to be counted as a member. One that left can't be paused, and
- * would hold up every change of primary until the directory forgets it, sixteen heartbeats later.
- * One that is only cut off from the store still answers here and stays. So do the primary, whose
- * replicas are counted beside it, and one that was ordered to lead. */
+/* True if the database has left and no longer counts as a member. It can't be paused, and as a
+ * member would block every change of primary until its entry is dropped from the directory, sixteen
+ * heartbeats later. A database that is only partitioned from the store still answers commands and
+ * stays a member. So do the primary, as the number of its replicas depends on it, and a candidate
+ * that was ordered to lead. */
 static bool
 has_left(const struct failover *failover, struct directory_entry *entry)
 {
-    if (entry->stays_away && failover_finds_gone(failover, entry->id, entry->gone_at)) {
+    if (entry->departed && failover_member_has_left(failover, entry->id, entry->deleted_at)) {
         entry->left = true;
     }
     return entry->left;
 }
 
 static void
-remove_left(struct controlled_group *group, const char *database)
+remove_left_member(struct controlled_group *group, const char *database)
 {
     struct failover *failover = group->failover;
     if (failover_find(failover, database) == NULL) {
@@ -345,8 +351,8 @@
     }
     remove_member(group, database);
     g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_INFO, "SW_SERVICE", failover->service, "SW_DATABASE",
-                     database, "MESSAGE", "Group %s: %s has left; %u members.", failover->service,
-                     database, failover->members->len);
+                     database, "MESSAGE", "Group %s: %s has left the group; %u members remain.",
+                     failover->service, database, failover->members->len);
 }
 
 static void
@@ -364,12 +370,12 @@
     for (guint i = 0; i < entries->len; i++) {
         struct directory_entry *entry = g_ptr_array_index(entries, i);
         if (has_left(failover, entry)) {
-            remove_left(group, entry->id);
+            remove_left_member(group, entry->id);
             continue;
         }
         failover_set_member(failover, entry->id, control_takes_work(control, entry, now),
                             entry->leads);
-        note_birth(group, entry->id, entry->born_ms, now);
+        note_start(group, entry->id, entry->born_ms, now);
     }
 }
 
@@ -382,7 +388,7 @@
     group->failover->since = backend_now();
     group->failover->epoch = control->lease.token << EPOCH_SHIFT;
     group->failover->sync_replicas = service->sync_replicas;
-    group->failover->waits = true;
+    group->failover->queries_deferred = true;
     group->connections = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_connection);
     g_hash_table_insert(control->controlled, group->failover->service, group);
     update_members(control, group, backend_now());
@@ -410,13 +416,14 @@
 
 static void on_records(void *user, const struct store_answer *answer);
 
-/* Reads the records of promotions once more: an earlier coordinator may have written some after
- * this pooler read them, and before it took the lease. None can be written by another one since. */
+/* Reads the records of promotions once more under the lease: an earlier coordinator may have
+ * written some after this pooler last read them and before it acquired the lease. No other pooler
+ * can write records since then. */
 static void
 read_records(struct control *control)
 {
     control->records_token = control->lease.token;
-    control->records_again_at = 0;
+    control->records_retry_at = 0;
     control_counts_call(&control->counts, STORE_TABLE_CONTROL, CALL_RECORD);
     store_read(control->store, STORE_TABLE_CONTROL, on_records, control);
 }
@@ -426,13 +433,13 @@
 {
     struct control *control = user;
     if (!control->lease.held || control->records_token != control->lease.token) {
-        return; /* it was asked by an earlier coordinator here */
+        return; /* the read was started under an earlier lease */
     }
     if (answer->outcome == STORE_DONE) {
-        control_lease_take(control, answer);
+        control_lease_apply_answer(control, answer);
         control->records_read = control->lease.held;
     } else {
-        control->records_again_at = backend_now() + RECORDS_AGAIN_NS;
+        control->records_retry_at = backend_now() + RECORDS_AGAIN_NS;
     }
     control_coordinator_wake(control);
 }
@@ -441,7 +448,7 @@
 control_groups_start(struct control *control)
 {
     control->failover_actions = (struct failover_actions){
-        ask, record, promote, publish, closed, drained, control,
+        send_command, record, promote, publish, closed, drained, control,
     };
     if (control->controlled == NULL) {
         control->controlled = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, release_group);
@@ -451,7 +458,7 @@
     read_records(control);
 }
 
-/* Calls under way may still come back to the group: they hold it, and find it retired. */
+/* Calls in progress keep a reference to the group, and ignore their result once it is retired. */
 static gboolean
 retire(gpointer key, gpointer value, gpointer user)
 {
@@ -481,72 +488,75 @@
     }
 }
 
-/* Ends the turns of groups that have no questions any more, or had their time. Returns how many
- * go on. */
+/* Ends the query slots of groups that have no more queries or have used up their time. Returns the
+ * number of groups whose slot continues. */
 static unsigned
-end_turns(struct control *control, time_ns now)
+end_query_slots(struct control *control, time_ns now)
 {
-    unsigned asking = 0;
+    unsigned querying = 0;
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, control->controlled);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct controlled_group *group = value;
         struct failover *failover = group->failover;
-        bool over = now >= group->turn_at + TURN_NS || !failover_has_questions(failover);
-        failover->waits = failover->waits || over;
-        asking += !failover->waits;
+        bool over = now >= group->query_slot_at + QUERY_SLOT_NS || !failover_has_queries(failover);
+        failover->queries_deferred = failover->queries_deferred || over;
+        querying += !failover->queries_deferred;
         bool changing =
             failover->state != FAILOVER_WATCHING && failover->state != FAILOVER_SEARCHING;
         if (changing) {
-            group->turn_at = 0; /* replicas that it leaves paused are asked at once afterwards */
+            /* Replicas that the change leaves paused are queried at once after it. */
+            group->query_slot_at = 0;
         }
     }
-    return asking;
+    return querying;
 }
 
 static unsigned
-begin_turns(struct control *control, enum failover_state state, unsigned asking, time_ns now)
+begin_query_slots(struct control *control, enum failover_state state, unsigned querying,
+                  time_ns now)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, control->controlled);
-    while (asking < QUESTIONED_MAX && g_hash_table_iter_next(&iterator, NULL, &value)) {
+    while (querying < QUERYING_GROUPS_MAX && g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct controlled_group *group = value;
         struct failover *failover = group->failover;
-        bool rested = group->turn_at == 0 || now >= group->turn_at + TURN_EVERY_NS;
-        if (failover->state == state && failover->waits && rested &&
-            failover_has_questions(failover)) {
-            failover->waits = false;
-            group->turn_at = now;
-            asking++;
+        bool eligible =
+            group->query_slot_at == 0 || now >= group->query_slot_at + QUERY_SLOT_EVERY_NS;
+        if (failover->state == state && failover->queries_deferred && eligible &&
+            failover_has_queries(failover)) {
+            failover->queries_deferred = false;
+            group->query_slot_at = now;
+            querying++;
         }
     }
-    return asking;
+    return querying;
 }
 
-/* Lets few groups at a time ask their databases what can wait: first those that nobody is known to
- * lead. */
+/* Lets a limited number of groups send low-priority status queries: first groups without a known
+ * primary. */
 static void
-take_turns(struct control *control, time_ns now)
+schedule_queries(struct control *control, time_ns now)
 {
-    unsigned asking = end_turns(control, now);
-    asking = begin_turns(control, FAILOVER_SEARCHING, asking, now);
-    begin_turns(control, FAILOVER_WATCHING, asking, now);
+    unsigned querying = end_query_slots(control, now);
+    querying = begin_query_slots(control, FAILOVER_SEARCHING, querying, now);
+    begin_query_slots(control, FAILOVER_WATCHING, querying, now);
 }
 
 static void
-look_at_group(struct control *control, struct controlled_group *group, time_ns now)
+update_group(struct control *control, struct controlled_group *group, time_ns now)
 {
     struct failover *failover = group->failover;
     update_members(control, group, now);
     failover->settled = control->directory_settled;
-    control_survey_count_opinions(control, group, now);
-    failover_tick(failover, &group->opinion, now);
+    control_reports_count_poolers(control, group, now);
+    failover_tick(failover, &group->faults, now);
     close_unused(group, now);
-    bool questions = !failover->waits && failover_has_questions(failover);
+    bool queries = !failover->queries_deferred && failover_has_queries(failover);
     group->active =
-        failover->state != FAILOVER_WATCHING || failover->minority_since != 0 || questions;
+        failover->state != FAILOVER_WATCHING || failover->minority_since != 0 || queries;
 }
 
 void
@@ -554,22 +564,22 @@
 {
     GHashTableIter iterator;
     gpointer value = NULL;
-    bool all = now >= control->groups_looked_at + LOOK_EVERY_NS;
+    bool all = now >= control->groups_checked_at + CHECK_EVERY_NS;
     if (all) {
-        control->groups_looked_at = now;
+        control->groups_checked_at = now;
     }
-    if (control->records_again_at != 0 && now >= control->records_again_at &&
+    if (control->records_retry_at != 0 && now >= control->records_retry_at &&
         now < control->records_until) {
         read_records(control);
     }
     add_groups(control);
-    control_survey(control, now);
-    take_turns(control, now);
+    control_reports_aggregate(control, now);
+    schedule_queries(control, now);
     g_hash_table_iter_init(&iterator, control->controlled);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct controlled_group *group = value;
         if (all || group->active || group->reporters > 0) {
-            look_at_group(control, group, now);
+            update_group(control, group, now);
         }
     }
 }
--- a/src/pooler/control/control_lease.c
+++ b/src/pooler/control/control_lease.c
@@ -1,13 +1,18 @@
-/* The lease by which one pooler at a time is the coordinator: a row of the store that names the
- * holder, its fencing token and its end by the store's steady clock. It is renewed under the
- * condition that it is unchanged. The holder counts its lease by its own clock from before the
- * renewal was sent, so that it ends here sooner than there.
+/**
+ * @file
+ * @brief The lease by which one pooler at a time is the coordinator.
  *
- * A store that is restored from an older copy of itself may have lost a lease that runs, and tokens
- * that were given out. So each era of the store has a row of its own, which is written only once
- * all leases of the eras before have ended, and tokens of its own, above all earlier ones. A write
- * that was meant for an earlier era finds that era's row, and can't disturb this one's lease by
- * meeting a version number that is given out again. */
+ * The lease is a row of the store with the holder's name, its fencing token and the expiry time by
+ * the store's monotonic clock. It is acquired and renewed by a conditional write: the row must be
+ * unchanged. The holder counts the lease's length by its own clock from before the write was sent,
+ * so that the lease expires at the holder before it expires in the store.
+ *
+ * A store that is restored from an older copy of itself may have lost a running lease and tokens
+ * that were assigned. Each store era therefore has its own row, which is written only after all
+ * leases of earlier eras have expired, and its own tokens, above all earlier ones. A delayed write
+ * that was meant for an earlier era goes to that era's row, and can't overwrite the current lease
+ * by matching a version number that the restored store has assigned again.
+ */
 #define G_LOG_DOMAIN "lease"
 #include "pooler/control/control_internal.h"
 #include "pooler/control/packing.h"
@@ -19,32 +24,33 @@
 #define RENEW_EVERY_NS (600 * MS)
 #define RETRY_NS       (250 * MS)
 
-/* Who hears no coordinator for this long looks at the row. */
-#define SILENCE_NS    (900 * MS)
-#define LOOK_EVERY_NS (450 * MS)
-
-/* A lease that is not renewed is looked at again as it ends, by poolers that follow the store
- * within this after its end: less than a tenth of the lease, so that little is lost, and longer
- * than a call at the store takes, so that most find it taken. */
-#define TAKE_SPREAD_MS 60
-
-/* The others look after those, in a spread that grows with the fleet: about a look in 8 ms, a few
- * times the length of a call, until one of them passes on who has taken it. */
-#define TAKE_SPREAD_OTHERS_MS     180
-#define TAKE_SPREAD_PER_POOLER_MS 8
-
-/* A renewal that is overdue for this long, without an answer or refused each time: the store is
- * lost to the holder. Two calls have been refused by then, and a third of the lease is left to pass
- * it on.
- */
+/* A pooler without a grant from a coordinator for COORDINATOR_TIMEOUT_NS reads the lease row, and
+ * reads it again about every READ_EVERY_NS. */
+#define COORDINATOR_TIMEOUT_NS (900 * MS)
+#define READ_EVERY_NS          (450 * MS)
+
+/* Poolers read the row of a running lease again when it expires. Those that follow the store do so
+ * at a random time within this after the expiry: less than a tenth of the lease, to replace a
+ * failed coordinator soon, and longer than a store call takes, so that most of them find it already
+ * taken. */
+#define ACQUIRE_SPREAD_MS 60
+
+/* All other poolers spread their reads over a time that grows with the fleet: about one read in 8
+ * ms, a few times the length of a store call, until the new holder is announced to them. */
+#define ACQUIRE_SPREAD_OTHERS_MS     180
+#define ACQUIRE_SPREAD_PER_POOLER_MS 8
+
+/* If the renewal is overdue by this, without an answer or refused each time, the holder can't reach
+ * the store and hands the lease over. Two calls have been refused by then, and a third of the lease
+ * is left for the handover. */
 #define FAILING_NS (700 * MS)
 
-/* A free lease is left to stronger machines for so long: the coordinator hears all poolers, and a
- * fleet of 300 is too much for a tenth of a core. Some times a call at the store and the spread of
- * those that follow it. */
-#define WEAK_WAITS_NS (400 * MS)
+/* A weak machine does not take a free lease for this time, so that a stronger one can: the
+ * coordinator processes the heartbeats of all poolers, and a fleet of 300 is too much for a tenth
+ * of a core. Several times the length of a store call and ACQUIRE_SPREAD_MS. */
+#define WEAK_DEFERS_NS (400 * MS)
 
-/* Kept free at the end of the lease: nothing is done in it. */
+/* Safety margin at the end of the lease, in which the holder no longer acts under it. */
 #define MARGIN_NS (150 * MS)
 
 static char *
@@ -59,7 +65,7 @@
     return key_of_era(control->store_era);
 }
 
-/* True if a pooler holds the lease in this era, or has held it. */
+/* True if the current era has a lease row, of a running or an expired lease. */
 static bool
 has_row(const struct control *control)
 {
@@ -69,19 +75,19 @@
 bool
 control_lease_holds(const struct control *control, time_ns now, time_ns margin)
 {
-    return control_lease_left(control, now) > margin;
+    return control_lease_remaining(control, now) > margin;
 }
 
 time_ns
-control_lease_left(const struct control *control, time_ns now)
+control_lease_remaining(const struct control *control, time_ns now)
 {
     const struct lease *lease = &control->lease;
     time_ns end = now + MARGIN_NS;
-    bool stands = lease->held && !control_era_is_over(control, lease->row_version);
-    return stands && end < lease->until ? lease->until - end : 0;
+    bool valid = lease->held && !control_era_is_over(control, lease->row_version);
+    return valid && end < lease->until ? lease->until - end : 0;
 }
 
-/* In a new era there is no row yet that is known here. */
+/* In a new store era, drops what is known of the earlier era's row. */
 static void
 enter_era(struct control *control)
 {
@@ -89,7 +95,7 @@
     if (!control_era_is_over(control, lease->row_version)) {
         return;
     }
-    control_lease_lost(control, "the store was restored");
+    control_lease_end(control, "the store was restored");
     lease->row_version = store_version(control->store_era, 0);
     lease->record.expires_ms = 0;
     lease->clock_ms = 0;
@@ -97,17 +103,17 @@
     lease->next_at = 0;
 }
 
-/* Takes the answer's era. False if the call was about the row of an earlier one: it tells nothing.
- */
+/* Applies the answer's store era. False if the call was about the row of an earlier era: the answer
+ * says nothing about the current lease. */
 static bool
-take_era(struct control *control, const struct store_answer *answer)
+apply_era(struct control *control, const struct store_answer *answer)
 {
     control_era_note(control, answer->era, 0);
     enter_era(control);
     return control->lease.call_era == control->store_era;
 }
 
-/* Leases of earlier eras have ended by then. */
+/* When all leases of earlier eras have expired. */
 static time_ns
 earlier_leases_end(const struct control *control)
 {
@@ -126,9 +132,9 @@
     }
 }
 
-/* Puts a compressed fleet in its place. @return false with `error` if it can't be read. */
+/* Decompresses the record's fleet, if it is compressed. False with `error` if it is malformed. */
 static bool
-unpack_fleet(struct lease_record *record, GError **error)
+decompress_fleet(struct lease_record *record, GError **error)
 {
     if (record->packed_fleet_unpacked == 0) {
         return true;
@@ -149,18 +155,18 @@
 bool
 control_lease_decode(const uint8_t *data, gsize length, struct lease_record *out, GError **error)
 {
-    return lease_record_decode(data, length, out, error) && unpack_fleet(out, error);
+    return lease_record_decode(data, length, out, error) && decompress_fleet(out, error);
 }
 
 static void
-take_record(struct lease *lease, const struct store_row *row)
+apply_record(struct lease *lease, const struct store_row *row)
 {
     gsize length = 0;
     const uint8_t *data = g_bytes_get_data(row->value, &length);
     struct lease_record record = {0};
     g_autoptr(GError) error = NULL;
     if (!control_lease_decode(data, length, &record, &error)) {
-        g_warning("The lease can't be read: %s.", error->message);
+        g_warning("The lease row is malformed and was ignored: %s.", error->message);
         lease_record_clear(&record);
         return;
     }
@@ -169,9 +175,9 @@
     lease->row_version = row->version;
 }
 
-/* The row tells since when its era has been known. */
+/* Applies the time in the row since which its era has been known. */
 static void
-take_era_age(struct control *control, const struct store_answer *answer)
+apply_era_age(struct control *control, const struct store_answer *answer)
 {
     uint64_t since = control->lease.record.era_since_ms;
     if (since != 0 && since < answer->clock_ms) {
@@ -179,7 +185,7 @@
     }
 }
 
-/* When the store's era was first heard of, by its clock; 0: there has been but one. */
+/* When the store era became known, by the store's clock; 0: the store was never restored. */
 static uint64_t
 era_since_by_store(const struct control *control, time_ns now, uint64_t store_now)
 {
@@ -187,20 +193,20 @@
     return control->store_era == 0 || age >= store_now ? 0 : store_now - age;
 }
 
-/* Reads the lease's row out of the control table; keeps the other rows for the groups' records. */
+/* Applies the lease row of the answer, and keeps all its rows, for the records of promotions. */
 static void
-take_rows(struct control *control, const struct store_answer *answer)
+apply_rows(struct control *control, const struct store_answer *answer)
 {
     g_autofree char *key = control_lease_key(control);
     for (guint i = 0; i < answer->rows->len; i++) {
         const struct store_row *row = g_ptr_array_index(answer->rows, i);
         if (!row->gone && g_str_equal(row->key, key)) {
-            take_record(&control->lease, row);
+            apply_record(&control->lease, row);
             const struct lease_record *record = &control->lease.record;
-            take_era_age(control, answer);
+            apply_era_age(control, answer);
             control_fleet_take(control, &record->fleet);
             control_mirrors_take(control, record->mirrors, record->mirrors_count);
-            control->view_dirty = true; /* the size of the fleet may be known only now */
+            control->view_dirty = true; /* the size of the fleet may have changed */
         }
         control_take_row(control, STORE_TABLE_CONTROL, row->key, row->version,
                          row->gone ? NULL : row->value);
@@ -208,19 +214,19 @@
 }
 
 void
-control_lease_lost(struct control *control, const char *why)
+control_lease_end(struct control *control, const char *reason)
 {
     if (!control->lease.held) {
         return;
     }
-    g_message("No longer the coordinator: %s.", why);
+    g_message("No longer the coordinator: %s.", reason);
     control->lease.held = false;
     control_coordinator_end(control);
 }
 
-/* True if the row names this life of this pooler. */
+/* True if the row names this process as the holder. */
 static bool
-is_ours(const struct control *control)
+is_own_row(const struct control *control)
 {
     const struct lease_record *record = &control->lease.record;
     return record->holder != NULL && g_str_equal(record->holder, control->settings->pooler.name) &&
@@ -228,44 +234,44 @@
 }
 
 void
-control_lease_take(struct control *control, const struct store_answer *answer)
+control_lease_apply_answer(struct control *control, const struct store_answer *answer)
 {
-    take_era(control, answer);
-    take_rows(control, answer);
-    if (control->lease.held && !is_ours(control)) {
-        control_lease_lost(control, "another holds the lease");
+    apply_era(control, answer);
+    apply_rows(control, answer);
+    if (control->lease.held && !is_own_row(control)) {
+        control_lease_end(control, "another pooler holds the lease");
     }
 }
 
 static void on_written(void *user, const struct store_answer *answer);
 static void log_answer(const struct control *control, const char *call,
                        const struct store_answer *answer, time_ns now);
-static void consider(struct control *control, time_ns now);
+static void try_acquire(struct control *control, time_ns now);
 
-/* The row's size, at most: in base64 it fits into the 65,536 bytes that the store takes for a row.
- * A fleet of so many poolers that it would be larger is left out; poolers that start learn it from
- * others then. */
+/* Maximum size of the row: in base64 it fits into the 65,536 bytes that the store accepts for a
+ * row. If the fleet makes the row larger, it is left out, and starting poolers learn it from other
+ * poolers. */
 #define LEASE_ROW_MAX ((guint)40 * 1024)
 
-/* From this size on the fleet is compressed, in bytes of the row. */
-#define LEASE_PACKED_FROM ((guint)4 * 1024)
+/* The fleet is compressed in rows of at least this size. */
+#define LEASE_COMPRESS_FROM ((guint)4 * 1024)
 
 static void
-leave_out_fleet(struct lease_record *record)
+clear_fleet(struct lease_record *record)
 {
     pooler_fleet_clear(&record->fleet);
     pooler_fleet_init(&record->fleet);
 }
 
 static void
-pack_fleet(struct lease_record *record)
+compress_fleet(struct lease_record *record)
 {
     g_autoptr(GBytes) content = g_byte_array_free_to_bytes(pooler_fleet_encode(&record->fleet));
-    g_autoptr(GBytes) packed = packing_pack(content);
-    leave_out_fleet(record);
-    if (packed != NULL) {
+    g_autoptr(GBytes) compressed = packing_pack(content);
+    clear_fleet(record);
+    if (compressed != NULL) {
         gsize size = 0;
-        gconstpointer data = g_bytes_get_data(packed, &size);
+        gconstpointer data = g_bytes_get_data(compressed, &size);
         record->packed_fleet = g_memdup2(data, size);
         record->packed_fleet_length = size;
         record->packed_fleet_unpacked = (uint32_t)g_bytes_get_size(content);
@@ -277,10 +283,10 @@
 {
     control_fleet_fill(control, 0, &record->fleet);
     GByteArray *bytes = lease_record_encode(record);
-    if (bytes->len < LEASE_PACKED_FROM) {
+    if (bytes->len < LEASE_COMPRESS_FROM) {
         return bytes;
     }
-    pack_fleet(record);
+    compress_fleet(record);
     g_byte_array_unref(bytes);
     bytes = lease_record_encode(record);
     if (bytes->len <= LEASE_ROW_MAX) {
@@ -293,9 +299,10 @@
     return lease_record_encode(record);
 }
 
-/* Proposes to hold the lease from now on, under the condition that the row is as last seen. */
+/* Acquires, renews or gives up (`give_up`) the lease, if the row is unchanged since it was last
+ * read. */
 static void
-propose(struct control *control, uint64_t token, bool give_up, time_ns now)
+write_row(struct control *control, uint64_t token, bool give_up, time_ns now)
 {
     struct lease *lease = &control->lease;
     uint64_t store_now = lease->clock_ms + (now - lease->clock_received) / MS;
@@ -323,8 +330,9 @@
     g_byte_array_unref(bytes);
 }
 
-/* The row is ours: until when, by our clock? The store's clock was read between the sending and the
- * receipt of an earlier answer, so that the lease may end earlier by that much. */
+/* The write succeeded. The lease's end by the local clock: the expiry in the row was computed from
+ * the store's clock, which was read at some time between the sending and the answer of an earlier
+ * call, so the lease may expire earlier by that duration. */
 static void
 become_holder(struct control *control, time_ns proposed_at, time_ns now)
 {
@@ -333,14 +341,14 @@
     time_ns uncertainty = lease->clock_received - lease->clock_sent;
     time_ns length = LEASE_NS > uncertainty ? LEASE_NS - uncertainty : 0;
     lease->until = proposed_at + length;
-    lease->answered_at = now;
+    lease->renewed_at = now;
     lease->held = true;
     lease->token = lease->proposed_token;
     lease->next_at = now + RENEW_EVERY_NS;
     if (!renewed) {
         g_autofree char *token = g_strdup_printf("%" PRIu64, lease->token);
         g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_MESSAGE, "SW_TOKEN", token, "MESSAGE",
-                         "Coordinator under token %s.", token);
+                         "Holds the coordinator lease with token %s.", token);
         control_coordinator_start(control);
     }
 }
@@ -354,7 +362,7 @@
     lease->calling = false;
     control_counts_answer(&control->counts, STORE_TABLE_CONTROL, CALL_LEASE_WRITE, answer->bytes);
     lease->next_at = now + RETRY_NS;
-    if (!take_era(control, answer)) {
+    if (!apply_era(control, answer)) {
         return;
     }
     if (!lease->held || answer->outcome != STORE_DONE) {
@@ -370,12 +378,13 @@
         note_clock(control, answer, now);
         break;
     case STORE_CONFLICT:
-        /* Ours all the same, if an earlier write without an answer was done. */
+        /* The row is our own if an earlier write was done whose answer got lost. */
         note_clock(control, answer, now);
-        control_lease_take(control, answer);
+        control_lease_apply_answer(control, answer);
         lease->next_at = now;
         if (!lease->held && !lease->releasing) {
-            consider(control, now); /* the answer tells the row as it is, a reading may be behind */
+            /* The answer has the row as it is now, while a read may be outdated. */
+            try_acquire(control, now);
         }
         break;
     default:
@@ -384,10 +393,10 @@
     control_wake_soon(control);
 }
 
-/* True if the row names an earlier life of this pooler, which is over, or this one, which has lost
- * the lease meanwhile. */
+/* True if the row names this pooler: an earlier process of it, which has ended, or this process,
+ * which no longer holds the lease. */
 static bool
-is_own_earlier(const struct control *control)
+names_this_pooler(const struct control *control)
 {
     const struct lease_record *record = &control->lease.record;
     return record->holder != NULL && g_str_equal(record->holder, control->settings->pooler.name);
@@ -405,66 +414,66 @@
         lease->free_since = now;
     }
     bool weaker = control_millicores(control) < fleet_weight_most(control->fleet);
-    return weaker && now < lease->free_since + WEAK_WAITS_NS;
+    return weaker && now < lease->free_since + WEAK_DEFERS_NS;
 }
 
-/* Moments at which poolers look at a lease that has ended. Those that follow the store take it
- * first, the others if they do not. */
+/* The time over which reads of an expired lease are spread. Poolers that follow the store come
+ * first, the others if none of those has taken it. */
 static time_ns
-spread_of(const struct control *control)
+acquisition_spread(const struct control *control)
 {
     if (control->follows_store) {
-        return TAKE_SPREAD_MS * MS;
+        return ACQUIRE_SPREAD_MS * MS;
     }
-    uint32_t spread = TAKE_SPREAD_PER_POOLER_MS * control_fleet_size(control);
-    return MAX(spread, TAKE_SPREAD_OTHERS_MS) * MS;
+    uint32_t spread = ACQUIRE_SPREAD_PER_POOLER_MS * control_fleet_size(control);
+    return MAX(spread, ACQUIRE_SPREAD_OTHERS_MS) * MS;
 }
 
-/* Each taking of the lease raises the token, also by the same pooler: what an earlier one ordered
- * must rank below. */
+/* Each acquisition raises the token, also by the same pooler: orders of earlier leases must have a
+ * lower one. */
 static uint64_t
 next_token(const struct control *control)
 {
     return MAX(control->lease.record.token, control->store_era << TOKEN_ERA_SHIFT) + 1;
 }
 
-/* True if the lease may be taken though it runs, by this pooler alone: it was left to it, or its
- * row names an earlier life of it. */
+/* True if this pooler may take the lease before it expires, as it was handed over to this pooler,
+ * or as its row names this pooler as the holder. */
 static bool
-may_take_at_once(const struct control *control)
+may_acquire_unexpired(const struct control *control)
 {
     const struct lease *lease = &control->lease;
-    bool ceded = lease->ceded_token != 0 && lease->record.token == lease->ceded_token;
-    return has_row(control) && (ceded || is_own_earlier(control));
+    bool handed_over = lease->handover_token != 0 && lease->record.token == lease->handover_token;
+    return has_row(control) && (handed_over || names_this_pooler(control));
 }
 
 static void
-consider(struct control *control, time_ns now)
+try_acquire(struct control *control, time_ns now)
 {
     struct lease *lease = &control->lease;
     const struct lease_record *record = &lease->record;
     bool free = !has_row(control) || record->expires_ms <= lease->clock_ms;
-    bool at_once = may_take_at_once(control);
+    bool at_once = may_acquire_unexpired(control);
     if (atomic_load(&control->shared.stop_at) != 0) {
         return;
     }
     if (!has_row(control) && backend_now() < earlier_leases_end(control)) {
-        gint32 spread = (gint32)(spread_of(control) / MS);
+        gint32 spread = (gint32)(acquisition_spread(control) / MS);
         lease->next_at = earlier_leases_end(control) + (time_ns)g_random_int_range(1, spread) * MS;
         return;
     }
     if (control_lease_defers(control, free, backend_now()) && !at_once) {
-        lease->next_at = lease->free_since + WEAK_WAITS_NS;
+        lease->next_at = lease->free_since + WEAK_DEFERS_NS;
         return;
     }
     if (free || at_once) {
-        propose(control, next_token(control), false, now);
+        write_row(control, next_token(control), false, now);
         return;
     }
     control_member_set_coordinator(control, record->address);
 }
 
-/* What an answer of the store told of the lease, and how old the question was. */
+/* Logs the outcome of a call, the lease as of then, and how long the call took. */
 static void
 log_answer(const struct control *control, const char *call, const struct store_answer *answer,
            time_ns now)
@@ -477,44 +486,45 @@
     g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_INFO, "SW_OUTCOME",
                      store_outcome_name(answer->outcome), "SW_HOLDER",
                      lease->record.holder == NULL ? "" : lease->record.holder, "SW_TOKEN", token,
-                     "SW_LEFT_MS", left, "SW_TOOK_MS", took, "MESSAGE", "Lease %s: %s, holder %s.",
-                     call, store_outcome_name(answer->outcome),
+                     "SW_LEFT_MS", left, "SW_TOOK_MS", took, "MESSAGE",
+                     "Lease row %s: %s, holder %s.", call, store_outcome_name(answer->outcome),
                      lease->record.holder == NULL ? "nobody" : lease->record.holder);
 }
 
-/* When the row is looked at again: as the lease ends, if it is another's. */
+/* When to read the row again: when the lease expires, if another pooler holds it. */
 static time_ns
-next_look(const struct control *control, const struct store_answer *answer, time_ns now)
+next_read_at(const struct control *control, const struct store_answer *answer, time_ns now)
 {
     const struct lease_record *record = &control->lease.record;
-    bool runs = answer->outcome == STORE_DONE && record->expires_ms > answer->clock_ms;
-    if (runs) {
+    bool running = answer->outcome == STORE_DONE && record->expires_ms > answer->clock_ms;
+    if (running) {
         time_ns left = (record->expires_ms - answer->clock_ms) * MS;
-        time_ns spread = spread_of(control);
+        time_ns spread = acquisition_spread(control);
         return now + MIN(left, LEASE_NS) +
                (time_ns)g_random_int_range(1, (gint32)(spread / MS)) * MS;
     }
-    time_ns every = control->follows_store ? LOOK_EVERY_NS : LOOK_EVERY_NS * 3;
+    time_ns every = control->follows_store ? READ_EVERY_NS : READ_EVERY_NS * 3;
     return now + every / 2 + (time_ns)g_random_int_range(0, (gint32)(every / MS)) * MS;
 }
 
-/* The holder has told others of no later change of the fleet than one lease's length before: it
- * wrote the row so often, or it was no longer the holder. */
+/* The fleet in the row was the coordinator's newest one lease length before the read: a holder
+ * writes the row at least that often, or is no longer the holder. */
 static void
-rely_on_row(struct control *control)
+use_row_fleet(struct control *control)
 {
     const struct lease *lease = &control->lease;
-    uint64_t told = lease->record.fleet.version;
-    bool current = has_row(control) && told != 0 && control_fleet_version(control) == told;
+    uint64_t listed_version = lease->record.fleet.version;
+    bool current =
+        has_row(control) && listed_version != 0 && control_fleet_version(control) == listed_version;
     if (current && lease->call_sent > LEASE_NS) {
         control_fleet_rely(control, lease->call_sent - LEASE_NS);
     }
 }
 
-/* The row of an earlier era tells where other poolers may be found, and nothing that is relied on.
- */
+/* The row of an earlier era gives addresses of other poolers to connect to. Nothing else in it is
+ * valid. */
 static void
-take_poolers(struct control *control, const struct store_answer *answer)
+apply_earlier_row(struct control *control, const struct store_answer *answer)
 {
     g_autofree char *key = key_of_era(control->lease.call_era);
     for (guint i = 0; i < answer->rows->len; i++) {
@@ -533,40 +543,40 @@
 }
 
 static void
-on_looked(void *user, const struct store_answer *answer)
+on_read(void *user, const struct store_answer *answer)
 {
     struct control *control = user;
     struct lease *lease = &control->lease;
     time_ns now = backend_now();
     lease->calling = false;
     control_counts_answer(&control->counts, STORE_TABLE_CONTROL, CALL_LEASE_LOOK, answer->bytes);
-    if (!take_era(control, answer)) {
-        take_poolers(control, answer);
-        return; /* the row of the new era is read next */
+    if (!apply_era(control, answer)) {
+        apply_earlier_row(control, answer);
+        return; /* the next read is of the new era's row */
     }
     if (answer->outcome != STORE_DONE) {
-        lease->next_at = next_look(control, answer, now);
+        lease->next_at = next_read_at(control, answer, now);
         log_answer(control, "not read", answer, now);
         return;
     }
     note_clock(control, answer, now);
-    take_rows(control, answer);
-    rely_on_row(control);
-    lease->next_at = next_look(control, answer, now);
+    apply_rows(control, answer);
+    use_row_fleet(control);
+    lease->next_at = next_read_at(control, answer, now);
     log_answer(control, "read", answer, now);
-    consider(control, now);
+    try_acquire(control, now);
 }
 
 static void
-look(struct control *control, time_ns now)
+read_row(struct control *control, time_ns now)
 {
     control->lease.calling = true;
-    control->lease.invited = false;
+    control->lease.check_now = false;
     control->lease.call_sent = now;
     control->lease.call_era = control->store_era;
     control_counts_call(&control->counts, STORE_TABLE_CONTROL, CALL_LEASE_LOOK);
     g_autofree char *key = control_lease_key(control);
-    store_read_row(control->store, STORE_TABLE_CONTROL, key, on_looked, control);
+    store_read_row(control->store, STORE_TABLE_CONTROL, key, on_read, control);
 }
 
 void
@@ -575,20 +585,21 @@
     struct lease *lease = &control->lease;
     enter_era(control);
     if (lease->held && now + MARGIN_NS >= lease->until) {
-        control_lease_lost(control, "the lease could not be renewed in time");
+        control_lease_end(control, "the lease could not be renewed in time");
     }
-    if (control_lease_is_failing(control, now) && control_coordinator_cede(control, false)) {
-        control_lease_lost(control, "the store does not answer; it is left to another pooler");
+    if (control_lease_is_failing(control, now) && control_coordinator_hand_over(control, false)) {
+        control_lease_end(control, "the store does not answer; handed the lease over");
     }
     if (lease->calling || now < lease->next_at || lease->releasing) {
         return;
     }
     bool stopping = atomic_load(&control->shared.stop_at) != 0;
-    bool silent = now > control->granted_at + SILENCE_NS;
+    bool no_coordinator = now > control->granted_at + COORDINATOR_TIMEOUT_NS;
     if (lease->held) {
-        propose(control, lease->token, false, now);
-    } else if (silent && !stopping && (lease->invited || !control_reliance_is_led(control, now))) {
-        look(control, now);
+        write_row(control, lease->token, false, now);
+    } else if (no_coordinator && !stopping &&
+               (lease->check_now || !control_reliance_is_led(control, now))) {
+        read_row(control, now);
     }
 }
 
@@ -601,26 +612,26 @@
 time_ns
 control_lease_overdue(const struct control *control, time_ns now)
 {
-    time_ns due = control->lease.answered_at + RENEW_EVERY_NS;
+    time_ns due = control->lease.renewed_at + RENEW_EVERY_NS;
     return now > due ? now - due : 0;
 }
 
 void
-control_lease_invite(struct control *control)
+control_lease_check_now(struct control *control)
 {
     control->lease.next_at = 0;
-    control->lease.invited = true;
+    control->lease.check_now = true;
     control_wake_soon(control);
 }
 
 void
-control_lease_ceded(struct control *control, uint64_t token)
+control_lease_accept_handover(struct control *control, uint64_t token)
 {
-    g_message("The lease under token %" PRIu64 " is left to us.", token);
-    control->lease.ceded_token = token;
-    control->lease.cessions++;
+    g_message("The lease with token %" PRIu64 " was handed over to this pooler.", token);
+    control->lease.handover_token = token;
+    control->lease.handovers_received++;
     control->granted_at = 0;
-    control_lease_invite(control);
+    control_lease_check_now(control);
 }
 
 void
@@ -630,11 +641,11 @@
     if (!lease->held) {
         return;
     }
-    control_coordinator_cede(control, true);
-    control_lease_lost(control, "a planned stop");
+    control_coordinator_hand_over(control, true);
+    control_lease_end(control, "graceful shutdown");
     if (control_era_is_over(control, lease->row_version)) {
-        return; /* there is nothing left to give up */
+        return; /* the row of the new era is not ours to release */
     }
     lease->releasing = true;
-    propose(control, lease->token, true, backend_now());
+    write_row(control, lease->token, true, backend_now());
 }
--- a/src/pooler/control/evacuation.c
+++ b/src/pooler/control/evacuation.c
@@ -1,13 +1,13 @@
-/* Zones that are evacuated; see the header. */
+/* Evacuation of zones. See evacuation.h. */
 #include "pooler/control/evacuation.h"
 
-/* A zone whose request is gone is taken back so much later: a store that was restored from an older
- * copy may lack the request, and operators have written it again by then. */
-#define TAKEN_BACK_AFTER_NS (1500 * NANOSECONDS_PER_MILLISECOND)
+/* An evacuation ends this long after its request was deleted. A store that was restored from an
+ * older copy may not have the request, and operators have written it again by then. */
+#define WITHDRAWN_AFTER_NS (1500 * NANOSECONDS_PER_MILLISECOND)
 
 typedef struct evacuation {
-    time_ns since;
-    time_ns gone_at; /* the request is gone since then; 0: it stands */
+    time_ns since;      /* when the request became known */
+    time_ns deleted_at; /* when the request was deleted; 0: it is in force */
 } evacuation_t;
 
 void
@@ -26,19 +26,19 @@
 static bool
 is_over(const evacuation_t *evacuation, time_ns now)
 {
-    return evacuation->gone_at != 0 && now >= evacuation->gone_at + TAKEN_BACK_AFTER_NS;
+    return evacuation->deleted_at != 0 && now >= evacuation->deleted_at + WITHDRAWN_AFTER_NS;
 }
 
 bool
-evacuations_take(evacuations_t *evacuations, const char *zone, bool evacuated, time_ns now)
+evacuations_set(evacuations_t *evacuations, const char *zone, bool evacuated, time_ns now)
 {
     evacuation_t *evacuation = g_hash_table_lookup(evacuations->zones, zone);
-    bool stood = evacuation != NULL && evacuation->gone_at == 0;
-    if (evacuated == stood) {
+    bool requested = evacuation != NULL && evacuation->deleted_at == 0;
+    if (evacuated == requested) {
         return false;
     }
     if (!evacuated) {
-        evacuation->gone_at = now;
+        evacuation->deleted_at = now;
         return true;
     }
     if (evacuation == NULL) {
@@ -48,7 +48,7 @@
     } else if (is_over(evacuation, now)) {
         evacuation->since = now;
     }
-    evacuation->gone_at = 0;
+    evacuation->deleted_at = 0;
     return true;
 }
 
@@ -61,5 +61,5 @@
         return EVACUATION_NONE;
     }
     bool closed = now >= evacuation->since + evacuations->bound / 2;
-    return closed ? EVACUATION_CLOSED : EVACUATION_LEAVING;
+    return closed ? EVACUATION_CLOSED : EVACUATION_DRAINING;
 }
--- a/src/pooler/control/failover_restart.c
+++ b/src/pooler/control/failover_restart.c
@@ -1,6 +1,6 @@
-/* Members that have started again, perhaps without their log: what is believed of one ends with its
- * start, and its log counts again once it has shown what it holds. See failover.h for why. A log is
- * kept as a whole or lost as a whole. */
+/* Members that have restarted, perhaps without their log. Earlier reports of such a member are
+ * dropped, and its log counts again once its reports show that the log is complete. See failover.h
+ * for why. A restart keeps the complete log or loses all of it. */
 #define G_LOG_DOMAIN "failover"
 #include "pooler/control/failover_internal.h"
 
@@ -14,27 +14,27 @@
     g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_MESSAGE, "SW_SERVICE", failover->service,
                      "SW_DATABASE", member->id, "SW_BORN_MS", born, "SW_PRIMARY",
                      failover->primary == NULL ? "" : failover->primary, "MESSAGE",
-                     "Group %s: %s has started again; its log does not count before it is seen.",
+                     "Group %s: %s has restarted; its log does not count until it is verified.",
                      failover->service, member->id);
 }
 
-/* What the directory tells of it stays. */
+/* Drops what the member has reported, and keeps what its directory row says. */
 static void
-forget(struct failover_member *member, uint64_t born_ms, time_ns now)
+reset_member(struct failover_member *member, uint64_t born_ms, time_ns now)
 {
     *member = (struct failover_member){
         .id = member->id,
         .listed = member->listed,
         .takes_work = member->takes_work,
-        .says_leads = member->says_leads,
+        .reports_leading = member->reports_leading,
         .born_ms = born_ms,
-        .unproven_since = now,
+        .log_unverified_since = now,
     };
 }
 
-/* True if a member has been chosen by what others said. */
+/* True if a candidate was chosen by the reports of the members. */
 static bool
-has_chosen(const struct failover *failover)
+has_candidate(const struct failover *failover)
 {
     return failover->state == FAILOVER_RECORDING || failover->state == FAILOVER_PROMOTING ||
            failover->state == FAILOVER_CONFIRMING;
@@ -47,7 +47,7 @@
 }
 
 bool
-failover_note_birth(struct failover *failover, const char *id, uint64_t born_ms, time_ns now)
+failover_note_start(struct failover *failover, const char *id, uint64_t born_ms, time_ns now)
 {
     struct failover_member *member = failover_find(failover, id);
     if (member == NULL || born_ms == 0 || member->born_ms == born_ms) {
@@ -58,10 +58,10 @@
         return false;
     }
     bool counted = member->fenced || g_strcmp0(failover->candidate, id) == 0;
-    forget(member, MAX(member->born_ms, born_ms), now);
+    reset_member(member, MAX(member->born_ms, born_ms), now);
     log_start(failover, member);
-    if (has_chosen(failover) && counted) {
-        failover_start_fencing(failover, now); /* its pause has ended with its earlier life */
+    if (has_candidate(failover) && counted) {
+        failover_start_fencing(failover, now); /* the restart has ended its pause */
     } else if (is_led(failover) && failover_is_primary(failover, member)) {
         failover_set_state(failover, FAILOVER_SEARCHING, now);
         failover_publish(failover, GROUP_PHASE_CLOSED);
@@ -69,63 +69,63 @@
     return true;
 }
 
-/* A leader keeps its log if it holds at least what all members hold that have said so since it
- * started, and one of these has not started again itself. */
+/* A restarted leader's log is complete if it covers the logs of all members that have reported
+ * since the restart, and at least one of these has not restarted itself. */
 static bool
-leader_is_whole(const struct failover *failover, const struct failover_member *leader)
+leader_log_is_complete(const struct failover *failover, const struct failover_member *leader)
 {
     bool compared = false;
     for (guint i = 0; i < failover->members->len; i++) {
         const struct failover_member *member = failover_member_at(failover, i);
-        bool heard = member->has_report && member->reported_at >= leader->unproven_since;
-        if (member == leader || !heard) {
+        bool reported = member->has_report && member->reported_at >= leader->log_unverified_since;
+        if (member == leader || !reported) {
             continue;
         }
         if (!log_position_covers(leader->report.received, member->report.received)) {
             return false;
         }
-        compared = compared || member->unproven_since == 0;
+        compared = compared || member->log_unverified_since == 0;
     }
     return compared;
 }
 
-/* A replica holds each commit that it may have held before, once it holds what the primary held
- * after its start. */
+/* A restarted replica's log is complete once it covers what the primary held after the restart:
+ * that includes each commit that the replica may have held before. */
 static bool
-replica_is_whole(const struct failover *failover, const struct failover_member *replica)
+replica_log_is_complete(const struct failover *failover, const struct failover_member *replica)
 {
     const struct failover_member *primary = failover_primary(failover);
-    return primary != NULL && primary != replica && primary->unproven_since == 0 &&
+    return primary != NULL && primary != replica && primary->log_unverified_since == 0 &&
            primary->has_report && primary->report.leads &&
-           primary->reported_at >= replica->unproven_since &&
+           primary->reported_at >= replica->log_unverified_since &&
            log_position_covers(replica->report.received, primary->report.received);
 }
 
 void
-failover_prove_members(struct failover *failover)
+failover_verify_logs(struct failover *failover)
 {
     for (guint i = 0; i < failover->members->len; i++) {
         struct failover_member *member = failover_member_at(failover, i);
-        if (member->unproven_since == 0 || !member->has_report) {
+        if (member->log_unverified_since == 0 || !member->has_report) {
             continue;
         }
-        bool whole = member->report.leads ? leader_is_whole(failover, member)
-                                          : replica_is_whole(failover, member);
-        if (whole) {
-            member->unproven_since = 0;
+        bool complete = member->report.leads ? leader_log_is_complete(failover, member)
+                                             : replica_log_is_complete(failover, member);
+        if (complete) {
+            member->log_unverified_since = 0;
             g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_INFO, "SW_SERVICE", failover->service,
                              "SW_DATABASE", member->id, "MESSAGE",
-                             "Group %s: the log of %s counts again.", failover->service,
+                             "Group %s: the log of %s is verified as complete.", failover->service,
                              member->id);
         }
     }
 }
 
 bool
-failover_has_unproven(const struct failover *failover)
+failover_has_unverified_log(const struct failover *failover)
 {
     for (guint i = 0; i < failover->members->len; i++) {
-        if (failover_member_at(failover, i)->unproven_since != 0) {
+        if (failover_member_at(failover, i)->log_unverified_since != 0) {
             return true;
         }
     }
@@ -133,16 +133,17 @@
 }
 
 void
-failover_ask_unproven(struct failover *failover, time_ns now)
+failover_query_unverified(struct failover *failover, time_ns now)
 {
     struct failover_member *primary = failover_primary(failover);
-    if (primary == NULL || !failover_has_unproven(failover)) {
+    if (primary == NULL || !failover_has_unverified_log(failover)) {
         return;
     }
     for (guint i = 0; i < failover->members->len; i++) {
         struct failover_member *member = failover_member_at(failover, i);
-        if (member == primary || member->unproven_since != 0) {
-            failover_ask_every(failover, member, DATABASE_COMMAND_STATUS, 0, SEARCH_EVERY_NS, now);
+        if (member == primary || member->log_unverified_since != 0) {
+            failover_send_command(failover, member, DATABASE_COMMAND_STATUS, 0, SEARCH_EVERY_NS,
+                                  now);
         }
     }
 }
@@ -151,12 +152,12 @@
 failover_replicas_suffice(const struct failover *failover)
 {
     const struct failover_member *primary = failover_primary(failover);
-    if (primary == NULL || (primary->unproven_since != 0 && primary->fenced)) {
+    if (primary == NULL || (primary->log_unverified_since != 0 && primary->fenced)) {
         return true;
     }
     for (guint i = 0; i < failover->members->len; i++) {
         const struct failover_member *member = failover_member_at(failover, i);
-        if (member != primary && member->unproven_since != 0) {
+        if (member != primary && member->log_unverified_since != 0) {
             return false;
         }
     }
--- a/tests/pooler/test_counts.c
+++ b/tests/pooler/test_counts.c
@@ -1,14 +1,14 @@
 /**
  * @file
- * @brief What the control thread counts: bytes by what they tell, so that an operator of hundreds
- * of poolers sees what fills a link.
+ * @brief The control thread's counters of bytes by content, which show an operator what uses the
+ * capacity of a link.
  */
 #include "pooler/control/control_counts.h"
 
 #include <string.h>
 
 static struct pooler_grant
-grant_of(size_t orders, size_t members, size_t row_bytes)
+make_grant(size_t orders, size_t members, size_t row_bytes)
 {
     struct pooler_grant grant;
     pooler_grant_init(&grant);
@@ -38,9 +38,9 @@
 }
 
 static uint64_t
-count(control_counts_t *counts, size_t orders, size_t members, size_t row_bytes)
+count_grant(control_counts_t *counts, size_t orders, size_t members, size_t row_bytes)
 {
-    struct pooler_grant grant = grant_of(orders, members, row_bytes);
+    struct pooler_grant grant = make_grant(orders, members, row_bytes);
     GByteArray *message = pooler_grant_encode(&grant);
     uint64_t length = message->len;
     control_counts_grant(counts, PEER_SENT, PEER_BYTES_GRANT, &grant, length);
@@ -49,12 +49,12 @@
     return length;
 }
 
-/* What a message with this part alone is longer by. */
+/* Bytes that this part alone adds to an empty message. */
 static uint64_t
-true_size(size_t orders, size_t members, size_t row_bytes)
+encoded_size(size_t orders, size_t members, size_t row_bytes)
 {
     control_counts_t scratch = {0};
-    return count(&scratch, orders, members, row_bytes) - count(&scratch, 0, 0, 0);
+    return count_grant(&scratch, orders, members, row_bytes) - count_grant(&scratch, 0, 0, 0);
 }
 
 static void
@@ -64,17 +64,17 @@
     g_assert_cmpuint(counted, <=, real + real / 10);
 }
 
-/* A new pooler is told all orders, the whole fleet and some rows in one message: each kind gets
- * what it takes, within a tenth, and together they are the whole. */
+/* One message to a new pooler with all orders, the fleet and some rows: each part is counted under
+ * its kind, within a tenth of its true size, and the sum is the length of the message. */
 static void
 test_parts_of_a_message(void)
 {
     control_counts_t counts = {0};
-    uint64_t full = count(&counts, 1000, 300, 20000);
+    uint64_t full = count_grant(&counts, 1000, 300, 20000);
     const uint64_t *sent = counts.bytes[PEER_SENT];
-    assert_within_a_tenth(sent[PEER_BYTES_ORDERS], true_size(1000, 0, 0));
-    assert_within_a_tenth(sent[PEER_BYTES_FLEET], true_size(0, 300, 0));
-    assert_within_a_tenth(sent[PEER_BYTES_ROWS], true_size(0, 0, 20000));
+    assert_within_a_tenth(sent[PEER_BYTES_ORDERS], encoded_size(1000, 0, 0));
+    assert_within_a_tenth(sent[PEER_BYTES_FLEET], encoded_size(0, 300, 0));
+    assert_within_a_tenth(sent[PEER_BYTES_ROWS], encoded_size(0, 0, 20000));
     g_assert_cmpuint(sent[PEER_BYTES_GRANT], <, full / 10);
     g_assert_cmpuint(sent[PEER_BYTES_GRANT] + sent[PEER_BYTES_ORDERS] + sent[PEER_BYTES_FLEET] +
                          sent[PEER_BYTES_ROWS],
@@ -82,7 +82,7 @@
     g_assert_cmpuint(counts.bytes[PEER_RECEIVED][PEER_BYTES_GRANT], ==, 0);
 }
 
-/* Which reads of the store fill the link, and why they were made. */
+/* Bytes of store answers are counted by table and reason. */
 static void
 test_answers_of_the_store(void)
 {
--- a/tests/pooler/test_failover.c
+++ b/tests/pooler/test_failover.c
@@ -1,17 +1,17 @@
-/* The control of one group, by scenario, on virtual time. */
+/* Failover of one group, by scenario, on virtual time. */
 #include "failover_rig.h"
 
 #define MS NANOSECONDS_PER_MILLISECOND
 
 static void
-lose_primary(struct rig *rig)
+fail_primary(struct rig *rig)
 {
     rig->databases[0].reachable = false;
-    rig_accuse(rig, rig->opinion.poolers, 0);
+    rig_set_faults(rig, rig->faults.poolers, 0);
 }
 
 static void
-test_finds_the_leader(void)
+test_finds_leader(void)
 {
     struct rig *rig = rig_new(3, 1);
     rig_run_until_open(rig, 0);
@@ -19,85 +19,87 @@
     rig_free(rig);
 }
 
-/* What is known for certain is not asked for: the group is open at once, while its databases have
- * no slot for a question; what an earlier coordinator left paused receives again once it may ask.
- */
+/* A primary that is known for certain is adopted without queries: the group opens at once, while
+ * its databases have no slot for a query. A replica that an earlier coordinator left paused is
+ * resumed once queries are no longer deferred. */
 static void
 test_adopted_leader(void)
 {
     struct rig *rig = rig_new(3, 1);
-    rig->failover->waits = true;
-    rig->databases[0].full = true;
+    rig->failover->queries_deferred = true;
+    rig->databases[0].at_capacity = true;
     rig->databases[2].paused = 4;
-    failover_adopt(rig->failover, "d0", 3, rig->now);
+    failover_adopt_primary(rig->failover, "d0", 3, rig->now);
     g_assert_cmpint(rig->failover->phase, ==, GROUP_PHASE_OPEN);
     g_assert_cmpstr(rig->failover->primary, ==, "d0");
     g_assert_cmpuint(rig->published, ==, 1);
     rig_run(rig, 1000);
-    g_assert_cmpuint(rig->databases[2].commands[DATABASE_COMMAND_STATUS], ==, 0);
-    g_assert_true(failover_has_questions(rig->failover));
-    rig->failover->waits = false;
+    g_assert_cmpuint(rig->databases[2].command_counts[DATABASE_COMMAND_STATUS], ==, 0);
+    g_assert_true(failover_has_queries(rig->failover));
+    rig->failover->queries_deferred = false;
     rig_run(rig, 1000);
     g_assert_cmpuint(rig->databases[2].paused, ==, 0);
-    g_assert_cmpuint(rig->databases[0].commands[DATABASE_COMMAND_STATUS], ==, 0);
-    g_assert_false(failover_has_questions(rig->failover));
+    g_assert_cmpuint(rig->databases[0].command_counts[DATABASE_COMMAND_STATUS], ==, 0);
+    g_assert_false(failover_has_queries(rig->failover));
     g_assert_cmpuint(rig->orders, ==, 0);
     rig_free(rig);
 }
 
-/* An adopted primary that is lost is replaced as any other, in a term above the real one. */
+/* An adopted primary that fails is replaced like any other, in a term above its real one. */
 static void
-test_adopted_leader_is_lost(void)
+test_adopted_leader_fails(void)
 {
     struct rig *rig = rig_new(3, 1);
-    failover_adopt(rig->failover, "d0", 0, rig->now);
-    lose_primary(rig);
+    failover_adopt_primary(rig->failover, "d0", 0, rig->now);
+    fail_primary(rig);
     rig_run_until_open(rig, 1);
     g_assert_cmpuint(rig->failover->term, ==, 2);
     rig_free(rig);
 }
 
-/* Without its turn, a group that nobody is known to lead asks nothing, and promotes nobody. */
+/* While queries are deferred, a group without a known primary sends none, and promotes no database.
+ */
 static void
-test_search_waits_for_its_turn(void)
+test_search_while_queries_deferred(void)
 {
     struct rig *rig = rig_new(3, 1);
-    rig->failover->waits = true;
+    rig->failover->queries_deferred = true;
     rig_run(rig, 3000);
-    g_assert_cmpuint(rig->databases[0].commands[DATABASE_COMMAND_STATUS], ==, 0);
+    g_assert_cmpuint(rig->databases[0].command_counts[DATABASE_COMMAND_STATUS], ==, 0);
     g_assert_cmpuint(rig->orders, ==, 0);
-    g_assert_true(failover_has_questions(rig->failover));
-    rig->failover->waits = false;
+    g_assert_true(failover_has_queries(rig->failover));
+    rig->failover->queries_deferred = false;
     rig_run_until_open(rig, 0);
     g_assert_cmpuint(rig->orders, ==, 0);
     rig_free(rig);
 }
 
 static void
-test_lost_primary_most_advanced_replica(void)
+test_failed_primary_most_advanced_replica(void)
 {
     struct rig *rig = rig_new(3, 1);
     rig_run_until_open(rig, 0);
     rig->databases[2].received.offset = 107;
-    lose_primary(rig);
+    fail_primary(rig);
     rig_run_until_open(rig, 2);
     g_assert_cmpuint(rig->failover->term, ==, 2);
-    g_assert_cmpuint(rig->databases[1].commands[DATABASE_COMMAND_PAUSE], >, 0);
-    rig_accuse(rig, 0, 0);
+    g_assert_cmpuint(rig->databases[1].command_counts[DATABASE_COMMAND_PAUSE], >, 0);
+    rig_set_faults(rig, 0, 0);
     rig_run(rig, 1000);
     g_assert_cmpuint(rig->databases[1].paused, ==, 0);
     g_assert_false(rig->resumed_early);
     rig_free(rig);
 }
 
-/* One replica alone may lack what the other one holds: nobody is promoted until both are paused. */
+/* One replica alone may not have a commit that the other one has: no database is promoted until
+ * both are paused. */
 static void
-test_waits_for_the_quorum(void)
+test_waits_for_all_replicas(void)
 {
     struct rig *rig = rig_new(3, 1);
     rig_run_until_open(rig, 0);
     rig->databases[2].received.offset = 107;
-    lose_primary(rig);
+    fail_primary(rig);
     rig_run(rig, 200);
     rig->databases[2].reachable = false;
     rig->databases[1].received.offset = 100;
@@ -112,27 +114,26 @@
 }
 
 static void
-test_replica_lost_before_the_primary(void)
+test_replica_fails_before_the_primary(void)
 {
     struct rig *rig = rig_new(3, 1);
     rig_run_until_open(rig, 0);
     rig->databases[2].reachable = false;
     rig->databases[2].received.offset = 107;
-    lose_primary(rig);
+    fail_primary(rig);
     rig_run(rig, 5000);
     g_assert_cmpuint(rig->orders, ==, 0);
-    /* It can't be carried out: the group is not even closed. */
+    /* A change is not possible, so the group is not even closed. */
     g_assert_cmpint(rig->failover->phase, ==, GROUP_PHASE_OPEN);
     rig->databases[2].reachable = true;
     rig_run_until_open(rig, 2);
     rig_free(rig);
 }
 
-/* However many replicas a service asks for, one is counted on. */
-/* A primary whose record has been given up may still live with a replica beside it: all replicas
- * have to be paused as long as one of them is a member. */
+/* A primary whose row was dropped may still be running, with a replica: all members have to be
+ * paused. */
 static void
-test_forgotten_primary_needs_all_replicas(void)
+test_dropped_primary_needs_all_replicas(void)
 {
     struct rig *rig = rig_new(3, 1);
     rig_run_until_open(rig, 0);
@@ -148,9 +149,9 @@
     rig_free(rig);
 }
 
-/* The same for a coordinator that has just begun and knows the primary by the record only. */
+/* The same for a new coordinator that knows the primary only from the record of its promotion. */
 static void
-test_promoted_one_is_no_member(void)
+test_promoted_database_is_no_member(void)
 {
     struct rig *rig = rig_new(3, 1);
     failover_remove_member(rig->failover, "d0");
@@ -164,13 +165,14 @@
     rig_free(rig);
 }
 
+/* A commit is assumed to be on one replica only, even if the service requires two. */
 static void
-test_two_synchronous_replicas_need_no_less(void)
+test_two_synchronous_replicas(void)
 {
     struct rig *rig = rig_new(3, 2);
     rig_run_until_open(rig, 0);
     rig->databases[2].received.offset = 107;
-    lose_primary(rig);
+    fail_primary(rig);
     rig_run_until_open(rig, 2);
     rig_free(rig);
 }
@@ -188,7 +190,7 @@
     rig->drained = true;
     rig->databases[0].received.offset = 120;
     rig_run(rig, 100);
-    /* The replicas lack what the primary holds: it goes on leading until one has it. */
+    /* No replica has the primary's whole log: it leads until one has. */
     g_assert_true(rig->databases[0].leads);
     rig->databases[1].received.offset = 120;
     rig_run_until_open(rig, 1);
@@ -196,14 +198,15 @@
     rig_free(rig);
 }
 
-/* A pooler that can't be heard may still send to the old primary: the order waits for it. */
+/* An unresponsive pooler may still send work to the old primary: the promotion waits for its
+ * permit. */
 static void
 test_waits_until_closed(void)
 {
     struct rig *rig = rig_new(3, 1);
     rig_run_until_open(rig, 0);
     rig->closed = false;
-    lose_primary(rig);
+    fail_primary(rig);
     rig_run(rig, 3000);
     g_assert_cmpuint(rig->orders, ==, 0);
     g_assert_cmpint(rig->failover->phase, ==, GROUP_PHASE_CLOSED);
@@ -213,14 +216,14 @@
     rig_free(rig);
 }
 
-/* No order without its record; a record that failed is tried again. */
+/* No promotion is ordered before its record is written. A failed write is tried again. */
 static void
 test_record_comes_first(void)
 {
     struct rig *rig = rig_new(3, 1);
     rig_run_until_open(rig, 0);
     rig->record_fails = true;
-    lose_primary(rig);
+    fail_primary(rig);
     rig_run(rig, 2000);
     g_assert_cmpuint(rig->records, >, 1);
     g_assert_cmpuint(rig->orders, ==, 0);
@@ -236,28 +239,28 @@
     struct rig *rig = rig_new(3, 1);
     rig_run_until_open(rig, 0);
     rig->orders_refused = true;
-    lose_primary(rig);
+    fail_primary(rig);
     while (rig->orders == 0 || rig->order_pending) {
         rig_run(rig, 20);
     }
     rig->orders_refused = false;
-    rig_run_until_open(rig, g_str_equal(rig->first_order, "d1") ? 2 : 1);
+    rig_run_until_open(rig, g_str_equal(rig->first_promoted, "d1") ? 2 : 1);
     rig_free(rig);
 }
 
 static void
-test_candidate_dies_after_the_order(void)
+test_candidate_fails_after_the_order(void)
 {
     struct rig *rig = rig_new(4, 1);
     rig_run_until_open(rig, 0);
     rig->databases[3].received.offset = 101;
-    lose_primary(rig);
+    fail_primary(rig);
     while (rig->failover->state != FAILOVER_CONFIRMING) {
         rig_run(rig, 20);
     }
     rig->databases[3].reachable = false;
     rig_run(rig, 5000);
-    /* Two of three replicas are paused, not three: its log may hold more. */
+    /* Only two of three replicas are paused, and the third may hold more. */
     g_assert_cmpuint(rig_leaders(rig), ==, 0);
     rig->databases[3].reachable = true;
     rig_run_until_open(rig, 3);
@@ -265,45 +268,45 @@
 }
 
 static void
-test_goes_on_with_a_recorded_promotion(void)
+test_resumes_recorded_promotion(void)
 {
     struct rig *rig = rig_new(3, 1);
     rig->databases[0].leads = false;
     rig->databases[1].paused = 2;
     rig->databases[2].paused = 2;
-    failover_continue(rig->failover, "d2", 2, rig->now);
+    failover_resume_promotion(rig->failover, "d2", 2, rig->now);
     rig->record_pending = true;
     rig_run_until_open(rig, 2);
-    g_assert_cmpstr(rig->first_order, ==, "d2");
+    g_assert_cmpstr(rig->first_promoted, ==, "d2");
     rig_run(rig, 1000);
     g_assert_cmpuint(rig->databases[1].paused, ==, 0);
     rig_free(rig);
 }
 
 static void
-test_minority_does_not_depose_at_once(void)
+test_minority_fault_reports(void)
 {
     struct rig *rig = rig_new(3, 1);
     rig_run_until_open(rig, 0);
-    rig_accuse(rig, 1, 0);
+    rig_set_faults(rig, 1, 0);
     rig_run(rig, 600);
     g_assert_cmpint(rig->failover->state, ==, FAILOVER_WATCHING);
-    rig_accuse(rig, 0, 0);
+    rig_set_faults(rig, 0, 0);
     rig_run(rig, 3000);
     g_assert_cmpuint(rig->orders, ==, 0);
     rig_free(rig);
 }
 
-/* Most poolers have no work for the primary and say nothing of it; the coordinator hears nothing,
- * too. */
+/* Only one pooler has work for the primary and reports it as unreachable; the coordinator's
+ * commands to it are unanswered, too. */
 static void
-test_one_voice_and_own_silence(void)
+test_one_report_and_unanswered_commands(void)
 {
     struct rig *rig = rig_new(3, 1);
     rig_run_until_open(rig, 0);
     rig->databases[0].reachable = false;
-    rig->drained = false; /* what is open there never ends */
-    rig_accuse(rig, 1, 0);
+    rig->drained = false; /* its open work never finishes */
+    rig_set_faults(rig, 1, 0);
     rig_run(rig, 800);
     g_assert_cmpuint(rig->orders, ==, 1);
     rig_free(rig);
@@ -314,21 +317,22 @@
 {
     struct rig *rig = rig_new(3, 1);
     rig_run_until_open(rig, 0);
-    rig->databases[0].received.offset = 130; /* of which no replica has anything */
-    rig_accuse(rig, 0, 2);
+    rig->databases[0].received.offset = 130; /* no replica has the new part */
+    rig_set_faults(rig, 0, 2);
     rig_run(rig, 2000);
     g_assert_cmpuint(rig->orders, ==, 1);
     g_assert_false(rig->databases[0].leads);
     rig_free(rig);
 }
 
-/* Writes whose answers are lost look stalled to their poolers; replicas have everything. */
+/* If only the answers to writes are lost, poolers report a stall, but the replicas have the writes.
+ */
 static void
-test_lost_answers_depose_nobody(void)
+test_lost_write_answers(void)
 {
     struct rig *rig = rig_new(3, 1);
     rig_run_until_open(rig, 0);
-    rig_accuse(rig, 0, 3);
+    rig_set_faults(rig, 0, 3);
     for (int i = 0; i < 100; i++) {
         rig->databases[0].received.offset += 2;
         rig->databases[1].received.offset = rig->databases[0].received.offset - 1;
@@ -339,29 +343,29 @@
     rig_free(rig);
 }
 
-/* A new primary that is alive is not deposed again, whatever the old one did. */
+/* After a change, a primary that is alive is not replaced again. */
 static void
-test_one_change_is_enough(void)
+test_single_change(void)
 {
     struct rig *rig = rig_new(3, 1);
     rig_run_until_open(rig, 0);
-    lose_primary(rig);
+    fail_primary(rig);
     rig_run(rig, 1500);
-    rig_accuse(rig, 0, 0);
+    rig_set_faults(rig, 0, 0);
     rig_run(rig, 60000);
     g_assert_cmpuint(rig->orders, ==, 1);
     g_assert_cmpuint(rig->failover->term, ==, 2);
     rig_free(rig);
 }
 
-/* A coordinator that begins with nothing but its databases: the one that leads is dark, and the one
- * that led before it is back and was not told to step down. That one can't be paused as it is. */
+/* A new coordinator without records: the current primary is unreachable, and the one before it is
+ * back and does not know that it was replaced. The latter can't be paused before it steps down. */
 static void
 test_former_primary_still_leads(void)
 {
     struct rig *rig = rig_new(3, 1);
     struct rig_database *databases = rig->databases;
-    databases[1].leads = true; /* d1 was promoted, and lost again */
+    databases[1].leads = true; /* d1 was promoted, and failed */
     databases[1].term = databases[2].term = 2;
     databases[1].received = databases[2].received = (struct log_position){2, 104};
     databases[1].reachable = false;
@@ -371,7 +375,7 @@
 }
 
 static void
-test_nobody_leads_at_start(void)
+test_no_leader_at_start(void)
 {
     struct rig *rig = rig_new(3, 1);
     rig->databases[0].leads = false;
@@ -380,26 +384,26 @@
     rig_free(rig);
 }
 
-/* A new coordinator whose first question to the primary has lost its answer. */
+/* A new coordinator whose first query to the primary gets no answer. */
 static void
 test_lost_answer_while_searching(void)
 {
     struct rig *rig = rig_new(3, 1);
-    rig_run(rig, 700); /* what was known is old by now */
+    rig_run(rig, 700); /* earlier reports are outdated by now */
     failover_free(rig->failover);
     rig->failover = failover_new("group", &rig->actions);
     rig->failover->sync_replicas = 1;
     for (unsigned i = 0; i < rig->count; i++) {
         failover_set_member(rig->failover, rig->databases[i].id, true, i == 0);
-        rig->databases[i].asking = false;
+        rig->databases[i].command_pending = false;
     }
-    rig->databases[0].lose = 1;
+    rig->databases[0].lost_answers = 1;
     rig_run_until_open(rig, 0);
     g_assert_cmpuint(rig->orders, ==, 0);
     rig_free(rig);
 }
 
-/* A coordinator that has just started may know some members only: it replaces nobody by them. */
+/* A new coordinator may not know all members yet: it does not replace a primary then. */
 static void
 test_members_not_settled(void)
 {
@@ -417,47 +421,47 @@
     rig_free(rig);
 }
 
-/* A primary that answers that it is full is not dead: after a loss of all poolers it still counts
- * their old connections for seconds. */
+/* A primary that answers that it has no capacity is not dead: after a restart of all poolers it
+ * still counts their old connections for seconds. */
 static void
-test_full_primary_while_searching(void)
+test_busy_primary_while_searching(void)
 {
     struct rig *rig = rig_new(3, 1);
-    rig->databases[0].full = true;
+    rig->databases[0].at_capacity = true;
     rig_run(rig, 3500);
     g_assert_cmpuint(rig->orders, ==, 0);
-    rig->databases[0].full = false;
+    rig->databases[0].at_capacity = false;
     rig_run_until_open(rig, 0);
     g_assert_cmpuint(rig->orders, ==, 0);
     rig_free(rig);
 }
 
-/* A full replica does not hold up the search: its record says that it is no primary. */
+/* A replica without capacity does not block the search: its row reports that it is no primary. */
 static void
-test_full_replica_while_searching(void)
+test_busy_replica_while_searching(void)
 {
     struct rig *rig = rig_new(3, 1);
-    rig->databases[2].full = true;
+    rig->databases[2].at_capacity = true;
     rig_run_until_open(rig, 0);
     rig_free(rig);
 }
 
 static void
-test_full_primary_is_not_replaced(void)
+test_busy_primary_is_not_replaced(void)
 {
     struct rig *rig = rig_new(3, 1);
     rig_run_until_open(rig, 0);
-    rig->databases[0].full = true;
-    rig_accuse(rig, 1, 0);
+    rig->databases[0].at_capacity = true;
+    rig_set_faults(rig, 1, 0);
     rig_run(rig, 1000);
     g_assert_cmpuint(rig->orders, ==, 0);
     rig_free(rig);
 }
 
-/* A replica that is resumed beside an old primary that lives on would let that one acknowledge
- * what the new primary lacks. It lives on for a second at most. */
+/* A replica that is resumed while the old primary is running would let that one acknowledge commits
+ * that the new primary does not have. The old primary steps down within a second. */
 static void
-test_replicas_wait_for_an_old_primary(void)
+test_replicas_stay_paused(void)
 {
     struct rig *rig = rig_new(3, 1);
     rig->databases[0].reachable = false;
@@ -473,22 +477,23 @@
     rig_free(rig);
 }
 
-/* The old primary's own word is enough, and so is that of all poolers that it is dark. */
+/* Replicas are resumed at once if the old primary reported that it stepped down, or if no pooler
+ * can reach it. */
 static void
-test_replicas_do_not_wait(void)
+test_replicas_resume_at_once(void)
 {
-    for (int dark = 0; dark <= 1; dark++) {
+    for (int unreachable = 0; unreachable <= 1; unreachable++) {
         struct rig *rig = rig_new(3, 1);
         rig_run_until_open(rig, 0);
-        rig->databases[0].reachable = dark == 0;
-        rig_accuse(rig, dark * rig->opinion.poolers, 0);
-        failover_set_member(rig->failover, rig->databases[0].id, dark == 1, true);
+        rig->databases[0].reachable = unreachable == 0;
+        rig_set_faults(rig, unreachable * rig->faults.poolers, 0);
+        failover_set_member(rig->failover, rig->databases[0].id, unreachable == 1, true);
         while (!rig->databases[1].leads && !rig->databases[2].leads) {
             rig_run(rig, 20);
             g_assert_cmpuint(rig->now, <, 60 * NANOSECONDS_PER_SECOND);
         }
         time_ns led_at = rig->now;
-        rig_accuse(rig, 0, 0);
+        rig_set_faults(rig, 0, 0);
         rig_run(rig, 3000);
         unsigned replica = rig->databases[1].leads ? 2 : 1;
         g_assert_cmpuint(rig->databases[replica].resumed_at, <, led_at + 800 * MS);
@@ -496,47 +501,47 @@
     }
 }
 
-/* A replica that failed to answer long ago, while its record stood, has not left by that: it is
- * asked once more. */
+/* A replica that did not answer before its row was deleted has not left by that: a command sent
+ * after the deletion has to be unanswered. */
 static void
-test_gone_by_fresh_silence_alone(void)
+test_left_by_recent_time_out(void)
 {
     struct rig *rig = rig_new(3, 1);
     rig_run_until_open(rig, 0);
     rig->databases[2].reachable = false;
-    rig_accuse(rig, 1, 0);
+    rig_set_faults(rig, 1, 0);
     rig_run(rig, 300);
-    time_ns gone_at = rig->now + 1;
+    time_ns deleted_at = rig->now + 1;
     g_assert_cmpuint(failover_find(rig->failover, "d2")->failures, >, 0);
-    g_assert_false(failover_finds_gone(rig->failover, "d2", gone_at));
+    g_assert_false(failover_member_has_left(rig->failover, "d2", deleted_at));
     rig_run(rig, 1000);
-    g_assert_true(failover_finds_gone(rig->failover, "d2", gone_at));
+    g_assert_true(failover_member_has_left(rig->failover, "d2", deleted_at));
     rig->databases[2].reachable = true;
     rig_run(rig, 1000);
-    g_assert_false(failover_finds_gone(rig->failover, "d2", gone_at));
+    g_assert_false(failover_member_has_left(rig->failover, "d2", deleted_at));
     rig_free(rig);
 }
 
-/* One that leads, or was ordered to, may go on acknowledging with the others: it is never taken
- * for gone by its silence. */
+/* A primary, or a candidate that was ordered to lead, may go on acknowledging commits with the
+ * others: it never counts as having left by being unresponsive. */
 static void
-test_who_may_lead_is_not_gone(void)
+test_possible_leader_has_not_left(void)
 {
     struct rig *rig = rig_new(3, 1);
-    failover_continue(rig->failover, "d1", 2, rig->now);
+    failover_resume_promotion(rig->failover, "d1", 2, rig->now);
     rig->databases[1].reachable = false;
     failover_answered(rig->failover, "d1", NULL, rig->now);
-    g_assert_false(failover_finds_gone(rig->failover, "d1", 0));
+    g_assert_false(failover_member_has_left(rig->failover, "d1", 0));
     rig_free(rig);
     rig = rig_new(3, 1);
     rig_run_until_open(rig, 0);
     failover_answered(rig->failover, "d0", NULL, rig->now);
-    g_assert_false(failover_finds_gone(rig->failover, "d0", 0));
+    g_assert_false(failover_member_has_left(rig->failover, "d0", 0));
     rig_free(rig);
 }
 
-/* A replica that has started again without its log may have held what only the primary holds
- * besides: nobody is promoted by what the replicas hold until the primary has said what it has. */
+/* A replica that restarted without its log may have lost a commit whose only other copy is at the
+ * primary: no replica is promoted by the replicas' logs until the primary has reported its own. */
 static void
 test_restarted_replica_does_not_count(void)
 {
@@ -546,17 +551,17 @@
     rig->databases[0].received.offset = 107;
     rig->databases[1].received.offset = 107; /* acknowledged by these two */
     rig_restart(rig, 1, false);
-    lose_primary(rig);
+    fail_primary(rig);
     rig_run(rig, 5000);
     g_assert_cmpuint(rig->orders, ==, 0);
     rig->databases[0].reachable = true;
-    rig_accuse(rig, 0, 0);
+    rig_set_faults(rig, 0, 0);
     rig->databases[1].received = rig->databases[0].received;
     rig_run_until_open(rig, 0);
     rig_free(rig);
 }
 
-/* Once it has received what the primary held after its start, it counts as before. */
+/* Once the replica has what the primary held after the restart, its log counts again. */
 static void
 test_restarted_replica_catches_up(void)
 {
@@ -568,12 +573,13 @@
     rig->databases[1].received.offset = 107;
     rig->databases[1].received.term = 1;
     rig_run(rig, 1000);
-    lose_primary(rig);
+    fail_primary(rig);
     rig_run_until_open(rig, 1);
     rig_free(rig);
 }
 
-/* A primary that has started again without its log does not go on by its own word that it leads. */
+/* A primary that restarted without its log is not accepted as the primary, although it reports to
+ * lead. */
 static void
 test_restarted_primary_without_its_log(void)
 {
@@ -587,7 +593,7 @@
     rig_free(rig);
 }
 
-/* With its log it does, once the others have said what they hold. */
+/* With its log it is, once the others have reported their logs. */
 static void
 test_restarted_primary_with_its_log(void)
 {
@@ -602,7 +608,7 @@
     rig_free(rig);
 }
 
-/* Two of three without their logs: the one that has kept its own leads. */
+/* Two of three restart without their logs: the one that still has its log leads. */
 static void
 test_restarted_primary_and_replica(void)
 {
@@ -615,7 +621,7 @@
     rig_free(rig);
 }
 
-/* All have started again, and hold what they hold: more is not to be had. */
+/* All have restarted, and no other log is left: the most advanced one leads. */
 static void
 test_all_restarted(void)
 {
@@ -629,14 +635,14 @@
     rig_free(rig);
 }
 
-/* A pause ends with the process: a choice that counted on it is made again. */
+/* A restart ends the pause of a replica: a candidate chosen with it is chosen again. */
 static void
 test_restart_during_a_change(void)
 {
     struct rig *rig = rig_new(3, 1);
     rig_run_until_open(rig, 0);
     rig->record_fails = true;
-    lose_primary(rig);
+    fail_primary(rig);
     while (rig->failover->state != FAILOVER_RECORDING) {
         rig_run(rig, 20);
     }
@@ -644,8 +650,8 @@
     g_assert_cmpint(rig->failover->state, ==, FAILOVER_FENCING);
     g_assert_cmpuint(rig->orders, ==, 0);
     rig->record_fails = false;
-    rig->databases[0].reachable = true; /* it is needed, as the replica does not count */
-    rig_accuse(rig, 0, 0);
+    rig->databases[0].reachable = true; /* needed, as the replica's log does not count */
+    rig_set_faults(rig, 0, 0);
     for (int i = 0; i < 500 && rig->failover->phase != GROUP_PHASE_OPEN; i++) {
         rig_run(rig, 20);
     }
@@ -653,20 +659,20 @@
     rig_free(rig);
 }
 
-/* An answer of its earlier life is no answer, and an earlier birth that a record tells leaves the
- * later one as it is. */
+/* Reports from before a restart are dropped, and an earlier start time from a record does not
+ * replace a later one. */
 static void
-test_births(void)
+test_start_times(void)
 {
     struct rig *rig = rig_new(3, 1);
     rig_run_until_open(rig, 0);
-    g_assert_false(failover_note_birth(rig->failover, "d1", 1000, rig->now));
-    g_assert_false(failover_note_birth(rig->failover, "d1", 0, rig->now));
-    g_assert_false(failover_note_birth(rig->failover, "d9", 2000, rig->now));
-    g_assert_true(failover_note_birth(rig->failover, "d1", 500, rig->now));
+    g_assert_false(failover_note_start(rig->failover, "d1", 1000, rig->now));
+    g_assert_false(failover_note_start(rig->failover, "d1", 0, rig->now));
+    g_assert_false(failover_note_start(rig->failover, "d9", 2000, rig->now));
+    g_assert_true(failover_note_start(rig->failover, "d1", 500, rig->now));
     g_assert_cmpuint(failover_find(rig->failover, "d1")->born_ms, ==, 1000);
     g_assert_false(failover_find(rig->failover, "d1")->has_report);
-    g_assert_true(failover_has_questions(rig->failover));
+    g_assert_true(failover_has_queries(rig->failover));
     rig_free(rig);
 }
 
@@ -674,38 +680,39 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/pooler/failover/finds-leader", test_finds_the_leader);
+    g_test_add_func("/pooler/failover/finds-leader", test_finds_leader);
     g_test_add_func("/pooler/failover/adopted", test_adopted_leader);
-    g_test_add_func("/pooler/failover/adopted-is-lost", test_adopted_leader_is_lost);
-    g_test_add_func("/pooler/failover/search-waits", test_search_waits_for_its_turn);
-    g_test_add_func("/pooler/failover/lost-primary", test_lost_primary_most_advanced_replica);
-    g_test_add_func("/pooler/failover/quorum", test_waits_for_the_quorum);
-    g_test_add_func("/pooler/failover/replica-lost-before", test_replica_lost_before_the_primary);
-    g_test_add_func("/pooler/failover/forgotten-primary",
-                    test_forgotten_primary_needs_all_replicas);
-    g_test_add_func("/pooler/failover/promoted-no-member", test_promoted_one_is_no_member);
-    g_test_add_func("/pooler/failover/gone-by-fresh-silence", test_gone_by_fresh_silence_alone);
-    g_test_add_func("/pooler/failover/who-may-lead-is-not-gone", test_who_may_lead_is_not_gone);
-    g_test_add_func("/pooler/failover/two-synchronous", test_two_synchronous_replicas_need_no_less);
+    g_test_add_func("/pooler/failover/adopted-fails", test_adopted_leader_fails);
+    g_test_add_func("/pooler/failover/search-deferred", test_search_while_queries_deferred);
+    g_test_add_func("/pooler/failover/failed-primary", test_failed_primary_most_advanced_replica);
+    g_test_add_func("/pooler/failover/all-replicas-paused", test_waits_for_all_replicas);
+    g_test_add_func("/pooler/failover/replica-fails-before", test_replica_fails_before_the_primary);
+    g_test_add_func("/pooler/failover/dropped-primary", test_dropped_primary_needs_all_replicas);
+    g_test_add_func("/pooler/failover/promoted-no-member", test_promoted_database_is_no_member);
+    g_test_add_func("/pooler/failover/left-by-recent-time-out", test_left_by_recent_time_out);
+    g_test_add_func("/pooler/failover/possible-leader-has-not-left",
+                    test_possible_leader_has_not_left);
+    g_test_add_func("/pooler/failover/two-synchronous-replicas", test_two_synchronous_replicas);
     g_test_add_func("/pooler/failover/planned", test_planned_change);
     g_test_add_func("/pooler/failover/closed-first", test_waits_until_closed);
     g_test_add_func("/pooler/failover/record-first", test_record_comes_first);
     g_test_add_func("/pooler/failover/refused", test_refused_candidate);
-    g_test_add_func("/pooler/failover/candidate-dies", test_candidate_dies_after_the_order);
-    g_test_add_func("/pooler/failover/continues", test_goes_on_with_a_recorded_promotion);
-    g_test_add_func("/pooler/failover/minority", test_minority_does_not_depose_at_once);
-    g_test_add_func("/pooler/failover/one-voice", test_one_voice_and_own_silence);
+    g_test_add_func("/pooler/failover/candidate-fails", test_candidate_fails_after_the_order);
+    g_test_add_func("/pooler/failover/resumes-promotion", test_resumes_recorded_promotion);
+    g_test_add_func("/pooler/failover/minority", test_minority_fault_reports);
+    g_test_add_func("/pooler/failover/one-report", test_one_report_and_unanswered_commands);
     g_test_add_func("/pooler/failover/stalled", test_stalled_primary_is_replaced);
-    g_test_add_func("/pooler/failover/lost-answers", test_lost_answers_depose_nobody);
-    g_test_add_func("/pooler/failover/one-change", test_one_change_is_enough);
-    g_test_add_func("/pooler/failover/nobody-leads", test_nobody_leads_at_start);
+    g_test_add_func("/pooler/failover/lost-write-answers", test_lost_write_answers);
+    g_test_add_func("/pooler/failover/single-change", test_single_change);
+    g_test_add_func("/pooler/failover/no-leader", test_no_leader_at_start);
     g_test_add_func("/pooler/failover/former-primary-still-leads", test_former_primary_still_leads);
-    g_test_add_func("/pooler/failover/lost-while-searching", test_lost_answer_while_searching);
-    g_test_add_func("/pooler/failover/full-primary", test_full_primary_while_searching);
-    g_test_add_func("/pooler/failover/full-replica", test_full_replica_while_searching);
-    g_test_add_func("/pooler/failover/full-primary-watched", test_full_primary_is_not_replaced);
-    g_test_add_func("/pooler/failover/replicas-wait", test_replicas_wait_for_an_old_primary);
-    g_test_add_func("/pooler/failover/replicas-do-not-wait", test_replicas_do_not_wait);
+    g_test_add_func("/pooler/failover/lost-answer-while-searching",
+                    test_lost_answer_while_searching);
+    g_test_add_func("/pooler/failover/busy-primary", test_busy_primary_while_searching);
+    g_test_add_func("/pooler/failover/busy-replica", test_busy_replica_while_searching);
+    g_test_add_func("/pooler/failover/busy-primary-watched", test_busy_primary_is_not_replaced);
+    g_test_add_func("/pooler/failover/replicas-stay-paused", test_replicas_stay_paused);
+    g_test_add_func("/pooler/failover/replicas-resume-at-once", test_replicas_resume_at_once);
     g_test_add_func("/pooler/failover/members-not-settled", test_members_not_settled);
     g_test_add_func("/pooler/failover/restarted-replica", test_restarted_replica_does_not_count);
     g_test_add_func("/pooler/failover/restarted-replica-catches-up",
@@ -718,6 +725,6 @@
                     test_restarted_primary_and_replica);
     g_test_add_func("/pooler/failover/all-restarted", test_all_restarted);
     g_test_add_func("/pooler/failover/restart-during-a-change", test_restart_during_a_change);
-    g_test_add_func("/pooler/failover/births", test_births);
+    g_test_add_func("/pooler/failover/start-times", test_start_times);
     return g_test_run();
 }
--- a/tests/pooler/test_records.c
+++ b/tests/pooler/test_records.c
@@ -182,16 +182,16 @@
     apply_row(control, "a", 2, VALID_RECORD);
     apply_row(control, "c", 3, VALID_RECORD);
     apply_row(control, "a", 4, "no record");
-    g_assert_cmpuint(find(control, "a")->gone_at, !=, 0);
+    g_assert_cmpuint(find(control, "a")->deleted_at, !=, 0);
     g_assert_true(directory_entry_leaves(find(control, "a"),
-                                         find(control, "a")->gone_at + 6000 * MS, 3000 * MS));
+                                         find(control, "a")->deleted_at + 6000 * MS, 3000 * MS));
     g_assert_cmpuint(directory_group(&control->directory, "ledger")->len, ==, 2);
-    g_assert_cmpuint(find(control, "c")->gone_at, ==, 0);
+    g_assert_cmpuint(find(control, "c")->deleted_at, ==, 0);
     g_assert_cmpuint(control->counts.records_unusable, ==, 2);
     apply_row(control, "a", 3, VALID_RECORD); /* an older version is ignored */
-    g_assert_cmpuint(find(control, "a")->gone_at, !=, 0);
+    g_assert_cmpuint(find(control, "a")->deleted_at, !=, 0);
     apply_row(control, "a", 5, VALID_RECORD);
-    g_assert_cmpuint(find(control, "a")->gone_at, ==, 0);
+    g_assert_cmpuint(find(control, "a")->deleted_at, ==, 0);
     control_fixture_free(control);
 }
 
