--- a/src/pooler/control/packing.c
+++ b/src/pooler/control/compression.c
@@ -1,5 +1,5 @@
 /* Compressed contents of rows; see the header. */
-#include "pooler/control/packing.h"
+#include "pooler/control/compression.h"
 
 #include "core/error.h"
 #include "generated/errors.h"
@@ -11,7 +11,7 @@
 #define LEVEL 1
 
 GBytes *
-packing_pack(GBytes *content)
+compression_compress(GBytes *content)
 {
     gsize length = 0;
     const Bytef *data = g_bytes_get_data(content, &length);
@@ -24,10 +24,10 @@
 }
 
 GBytes *
-packing_unpack(const void *data, gsize size, gsize length, GError **error)
+compression_decompress(const void *data, gsize size, gsize length, GError **error)
 {
     uLongf unpacked = (uLongf)length;
-    if (length > PACKING_MAX) {
+    if (length > COMPRESSION_MAX) {
         g_set_error(error, SW_ERROR, ERROR_KIND_BAD_REQUEST, "packed content of %zu bytes", length);
         return NULL;
     }
--- a/src/pooler/control/control.c
+++ b/src/pooler/control/control.c
@@ -57,10 +57,11 @@
         due = MIN(due, control->heartbeat_at);
     }
     due = MIN(due, control_coordinator_due(control));
-    if (control->granted_at == 0 && control->relied_until > now) {
-        due = MIN(due, control->relied_until); /* the first look at the store after a start */
+    if (control->granted_at == 0 && control->relayed_valid_until > now) {
+        due =
+            MIN(due, control->relayed_valid_until); /* the first look at the store after a start */
     }
-    if (control_mirrors_is_asked(control)) {
+    if (control_mirrors_has_requests(control)) {
         due = MIN(due, now + TICK_LEAST_MS * MS); /* as the link has room again */
     }
     if (control->mirrors.expected) {
@@ -97,7 +98,7 @@
     control_lease_tick(control, now);
     control_coordinator_tick(control, now);
     control_member_tick(control, now);
-    control_reach_tick(control, now);
+    control_reachability_tick(control, now);
     control_publish(control);
     if (atomic_load(&control->shared.stop_at) != 0 && all_ended(control)) {
         event_base_loopbreak(control->base);
@@ -283,7 +284,8 @@
     print_uses(control, out);
     g_string_append_printf(out, "swiftworks_sessions %u\n", sessions);
     g_string_append_printf(out, "swiftworks_coordinator %d\n", control->lease.held);
-    g_string_append_printf(out, "swiftworks_zone_cut_off %d\n", control->zone_reach.cut_off);
+    g_string_append_printf(out, "swiftworks_zone_cut_off %d\n",
+                           control->zone_reachability.partitioned);
     g_string_append_printf(out, "swiftworks_leases_ceded_to_this_total %" G_GUINT64_FORMAT "\n",
                            control->lease.cessions);
     g_string_append_printf(out, "swiftworks_configuration_version %" G_GUINT64_FORMAT "\n",
@@ -392,7 +394,7 @@
     lease_record_init(&control->lease.record);
     control->started_at = backend_now();
     control_feeds_start(control);
-    control_reliance_start(control);
+    control_relayed_start(control);
     control->fleet = fleet_new();
     control->followers = g_ptr_array_new_with_free_func(g_free);
     control->fresh = g_hash_table_new(g_str_hash, g_str_equal);
--- a/src/pooler/control/control_coordinator.c
+++ b/src/pooler/control/control_coordinator.c
@@ -151,8 +151,8 @@
     if (introduces_itself(heartbeat)) {
         grant.mirrors_count = control_mirrors_copy(control, &grant.mirrors);
     }
-    control_news_fill_hearsay(control, heartbeat, &grant);
-    control_relay_fill_hearsay(control, peer, heartbeat, backend_now(), &grant.relay);
+    control_news_fill_nonauthoritative(control, heartbeat, &grant);
+    control_relay_fill_nonauthoritative(control, peer, heartbeat, backend_now(), &grant.relay);
     send_counted(control, peer, &grant, PEER_BYTES_HEARSAY);
     pooler_grant_clear(&grant);
 }
@@ -183,10 +183,10 @@
     grant.members = control_coordinator_count(control);
     grant.follows_store = pooler->follows_store;
     control_news_fill(control, pooler, &grant);
-    control_followers_tell(control, pooler->followers_told, &grant);
+    control_followers_announce(control, pooler->followers_told, &grant);
     pooler->followers_told = control->followers_version;
-    control_mirrors_tell(control, pooler, &grant);
-    control_relay_fill_for(control, pooler, now, &grant.relay);
+    control_mirrors_announce(control, pooler, &grant);
+    control_relay_fill_pooler(control, pooler, now, &grant.relay);
     if (heartbeat != NULL) {
         grant.sequence = heartbeat->sequence;
         grant.permit_ms = (uint32_t)MIN(control_lease_left(control, now) / MS, PERMIT_MS);
@@ -204,7 +204,7 @@
     const struct pooler_relay *relay = &heartbeat->relay;
     control_relay_take(control, relay);
     /* It was sent after the grant whose stamp it tells. */
-    control_reliance_prove(control, relay, heartbeat->grant_stamp);
+    control_relayed_accept_proofs(control, relay, heartbeat->grant_stamp);
     control_relay_confirm(pooler, relay);
 }
 
@@ -271,7 +271,7 @@
     }
     take_relay(control, pooler, heartbeat);
     contact_note(&pooler->contact, now);
-    control_reach_heard(control, pooler->zone, now);
+    control_reachability_note_contact(control, pooler->zone, now);
     pooler->fleet_known = heartbeat->fleet_version;
     pooler->fleet_known_as_of = heartbeat->grant_stamp;
     pooler->stopping = heartbeat->stopping;
@@ -301,7 +301,7 @@
     }
     control_counts_heartbeat(&control->counts, PEER_RECEIVED, &heartbeat, length);
     if (heartbeat.wants_tables) {
-        control_mirrors_question(control, peer, &heartbeat, backend_now());
+        control_mirrors_request(control, peer, &heartbeat, backend_now());
     } else if (control->lease.held) {
         take_heartbeat(control, peer, &heartbeat);
     } else {
@@ -322,7 +322,7 @@
         g_hash_table_remove(control->introduced, peer);
     }
     g_hash_table_remove(control->listeners, peer);
-    control_mirrors_forget(control, peer);
+    control_mirrors_cancel(control, peer);
     g_ptr_array_remove_fast(control->connected, peer);
 }
 
@@ -447,7 +447,7 @@
     if (pooler->peer != NULL) {
         g_hash_table_remove(control->introduced, pooler->peer);
         g_hash_table_remove(control->listeners, pooler->peer);
-        control_mirrors_forget(control, pooler->peer);
+        control_mirrors_cancel(control, pooler->peer);
         g_ptr_array_remove_fast(control->connected, pooler->peer);
         peer_free(pooler->peer);
         pooler->peer = NULL;
--- a/src/pooler/control/control_era.c
+++ b/src/pooler/control/control_era.c
@@ -60,7 +60,7 @@
     control->store_clock = (store_clock_t){0};
     control->directory_settled = false;
     control->directory_known_since = 0;
-    control_fleet_row_lost(control);
+    control_fleet_forget_stored(control);
     time_ns lapsed = control->settings->store.heartbeat_ms * MS * DIRECTORY_SETTLED_HEARTBEATS;
     control->feeds[STORE_TABLE_DIRECTORY].list_at = now + lapsed;
     log_era(control, before);
--- a/src/pooler/control/control_fleet.c
+++ b/src/pooler/control/control_fleet.c
@@ -125,9 +125,9 @@
 }
 
 void
-control_fleet_rely(struct control *control, time_ns moment)
+control_fleet_extend_validity(struct control *control, time_ns moment)
 {
-    control->roster_until = MAX(control->roster_until, moment + ROSTER_CURRENT_NS);
+    control->roster_valid_until = MAX(control->roster_valid_until, moment + ROSTER_CURRENT_NS);
 }
 
 static bool
@@ -320,13 +320,13 @@
     if (member->seen_version != member->version) {
         member->seen_version = member->version;
         member->seen_at = now;
-        member->row_told_at = 0;
+        member->row_stored_at = 0;
     }
     return MAX(member->seen_at, control->coordinator_since);
 }
 
 void
-control_fleet_row_told(struct control *control, uint64_t version, time_ns now)
+control_fleet_note_stored(struct control *control, uint64_t version, time_ns now)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
@@ -334,20 +334,20 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         fleet_member_t *member = value;
         bool seen = member->seen_version == member->version;
-        if (seen && member->row_told_at == 0 && member->version <= version) {
-            member->row_told_at = now;
+        if (seen && member->row_stored_at == 0 && member->version <= version) {
+            member->row_stored_at = now;
         }
     }
 }
 
 void
-control_fleet_row_lost(struct control *control)
+control_fleet_forget_stored(struct control *control)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, fleet_members(control->fleet));
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        ((fleet_member_t *)value)->row_told_at = 0;
+        ((fleet_member_t *)value)->row_stored_at = 0;
     }
 }
 
@@ -378,7 +378,7 @@
         fleet_member_t *member = value;
         const roster_standing_t standing = standing_of(control, hearing, member, now);
         if (is_listed(member) &&
-            !roster_has_heard(&standing, version, entering->row_told_at, now)) {
+            !roster_has_heard(&standing, version, entering->row_stored_at, now)) {
             return false;
         }
     }
@@ -471,7 +471,7 @@
 }
 
 bool
-control_fleet_early(const struct control *control, time_ns now)
+control_fleet_is_gathering(const struct control *control, time_ns now)
 {
     bool complete = control->members_before > 0 &&
                     g_hash_table_size(control->poolers) >= control->members_before;
@@ -483,7 +483,7 @@
 control_fleet_tick(struct control *control, time_ns now)
 {
     if (control->configuration == NULL || now < control->fleet_at ||
-        control_fleet_early(control, now)) {
+        control_fleet_is_gathering(control, now)) {
         return;
     }
     control->fleet_at = now + DECIDE_EVERY_NS;
--- a/src/pooler/control/control_followers.c
+++ b/src/pooler/control/control_followers.c
@@ -114,7 +114,7 @@
 }
 
 void
-control_followers_tell(const struct control *control, uint64_t told, struct pooler_grant *grant)
+control_followers_announce(const struct control *control, uint64_t told, struct pooler_grant *grant)
 {
     if (told == control->followers_version) {
         return;
--- a/src/pooler/control/control_internal.h
+++ b/src/pooler/control/control_internal.h
@@ -25,7 +25,7 @@
 #include "pooler/control/opinion.h"
 #include "pooler/control/push_pace.h"
 #include "pooler/control/store.h"
-#include "pooler/control/zone_reach.h"
+#include "pooler/control/zone_reachability.h"
 #include "pooler/shared/view.h"
 #include "pooler/worker/worker.h"
 
@@ -296,29 +296,29 @@
     time_ns answered_at; /* when any pooler last answered a heartbeat */
     time_ns connected_at;
     bool connect_now; /* the coordinator's address has changed */
-    uint32_t members_told;
-    uint64_t news_told;     /* of the workers' news, those that were last told */
-    uint64_t orders_taken;  /* version up to which orders have come from this coordinator */
-    uint64_t orders_view;   /* number of the view that holds them */
-    uint64_t orders_told;   /* version that was told as followed */
-    uint64_t view_number;   /* of the newest view */
-    uint64_t view_revision; /* of the newest state of a group in a view */
-    bool follows_store;     /* by itself, as the coordinator asked */
-    bool relayed;           /* others told what the store holds, as of the last look */
-    uint64_t orders_known;  /* version of the newest orders that any coordinator gave */
-    bool introduced_self;   /* the pooler at the other end has been told who we are */
-    unsigned next_address;  /* place in the order of addresses that are tried */
-    time_ns hearsay_at;     /* another pooler last told what it follows of the store */
-    bool start_answered;    /* another pooler has answered since the start */
-    time_ns told_as_of;     /* what others told was the store's newest then; 0: nothing yet */
-    time_ns relied_until;   /* what others told of the store is relied on until then */
-    row_versions_t told;    /* what the coordinator knew of the store's tables */
-    row_versions_t offered; /* rows up to these were sent to it, and not confirmed yet */
+    uint32_t fleet_count;
+    uint64_t news_told;          /* of the workers' news, those that were last told */
+    uint64_t orders_taken;       /* version up to which orders have come from this coordinator */
+    uint64_t orders_view;        /* number of the view that holds them */
+    uint64_t orders_told;        /* version that was told as followed */
+    uint64_t view_number;        /* of the newest view */
+    uint64_t view_revision;      /* of the newest state of a group in a view */
+    bool follows_store;          /* by itself, as the coordinator asked */
+    bool relayed;                /* others told what the store holds, as of the last look */
+    uint64_t orders_known;       /* version of the newest orders that any coordinator gave */
+    bool introduced_self;        /* the pooler at the other end has been told who we are */
+    unsigned next_address;       /* place in the order of addresses that are tried */
+    time_ns hearsay_at;          /* another pooler last told what it follows of the store */
+    bool start_answered;         /* another pooler has answered since the start */
+    time_ns told_as_of;          /* what others told was the store's newest then; 0: nothing yet */
+    time_ns relayed_valid_until; /* what others told of the store is relied on until then */
+    row_versions_t told;         /* what the coordinator knew of the store's tables */
+    row_versions_t offered;      /* rows up to these were sent to it, and not confirmed yet */
     time_ns offered_at;
     double row_bytes; /* that may be sent to other poolers now, beside all else on the link */
     time_ns row_bytes_at;
     struct peer_callbacks coordinator_callbacks;
-    zone_reach_t zone_reach;
+    zone_reachability_t zone_reachability;
     reach_question_t reach_questions[REACH_QUESTIONS];
     unsigned reach_turn;      /* place of the pooler that is asked next */
     time_ns reach_at;         /* the next look at it, at the earliest */
@@ -346,18 +346,18 @@
     time_ns coordinated_at; /* the groups were last looked at */
     bool coordination_due;  /* and are to be looked at again as soon as may be */
     uint64_t orders_held;   /* followed by all poolers that may hold a permit, by the last survey */
-    uint64_t orders_reached;  /* followed by all poolers, by the same */
-    bool records_read;        /* of promotions, since the lease was taken */
-    time_ns records_until;    /* they are waited for */
-    time_ns records_again_at; /* they are asked for again; 0: they are on their way, or known */
-    uint64_t records_token;   /* they were asked for under this token */
-    time_ns groups_looked_at; /* all of them, last */
-    control_counts_t counts;  /* since the start */
-    fleet_t *fleet;           /* the poolers that share connections */
-    roster_t *roster;         /* those of them that count operations; NULL: none is known */
-    time_ns roster_until;     /* it is relied on until then */
-    time_ns fleet_at;         /* when it is decided next */
-    time_ns thin_since;       /* many of it have been missing since then; 0: they are not */
+    uint64_t orders_reached;    /* followed by all poolers, by the same */
+    bool records_read;          /* of promotions, since the lease was taken */
+    time_ns records_until;      /* they are waited for */
+    time_ns records_again_at;   /* they are asked for again; 0: they are on their way, or known */
+    uint64_t records_token;     /* they were asked for under this token */
+    time_ns groups_looked_at;   /* all of them, last */
+    control_counts_t counts;    /* since the start */
+    fleet_t *fleet;             /* the poolers that share connections */
+    roster_t *roster;           /* those of them that count operations; NULL: none is known */
+    time_ns roster_valid_until; /* it is relied on until then */
+    time_ns fleet_at;           /* when it is decided next */
+    time_ns thin_since;         /* many of it have been missing since then; 0: they are not */
     GHashTable *fresh;    /* of forward addresses: poolers heard lately, by this survey; empty until
                              asked for */
     bool rows_learned;    /* and not yet told to the poolers */
@@ -444,12 +444,12 @@
 /** @brief Fills in what a pooler under this coordinator lacks, and notes it as sent. Rows wait
  * until those before are confirmed: where they come quicker than a link carries them, the newest
  * ones are sent, and orders and permits are not held up behind the rest. */
-void control_relay_fill_for(struct control *control, struct pooler_peer *pooler, time_ns now,
-                            struct pooler_relay *relay);
+void control_relay_fill_pooler(struct control *control, struct pooler_peer *pooler, time_ns now,
+                               struct pooler_relay *relay);
 /** @brief The same for a pooler that asks one that is not the coordinator, by what it knows. */
-void control_relay_fill_hearsay(struct control *control, struct peer *peer,
-                                const struct pooler_heartbeat *heartbeat, time_ns now,
-                                struct pooler_relay *relay);
+void control_relay_fill_nonauthoritative(struct control *control, struct peer *peer,
+                                         const struct pooler_heartbeat *heartbeat, time_ns now,
+                                         struct pooler_relay *relay);
 /** @brief Fills in what this pooler knows and the coordinator may lack, once in a while. Up to
  * which version it knows each table is told in any case, also where the rows are too many. */
 void control_relay_fill_offer(struct control *control, time_ns now, struct pooler_relay *relay);
@@ -465,37 +465,38 @@
 /** @brief Takes sent bytes of rows off that room. */
 void control_relay_pay(struct control *control, size_t bytes);
 
-/* control_reliance.c */
+/* control_relayed.c */
 /** @brief Puts off this pooler's own look at the store, while others may tell it. */
-void control_reliance_start(struct control *control);
+void control_relayed_start(struct control *control);
 /** @brief Puts it off once more, as another pooler has answered this one's first heartbeat. */
-void control_reliance_peer_answered(struct control *control, time_ns now);
+void control_relayed_peer_answered(struct control *control, time_ns now);
 /** @brief Takes over, after the rows, how new the other pooler knows the tables to be, and relies
  * on them for as long as that allows.
  *  @param asked when that pooler was sent what it answers, by our clock; 0: it is not known. */
-void control_reliance_renew(struct control *control, const struct pooler_relay *relay,
+void control_relayed_accept(struct control *control, const struct pooler_relay *relay,
                             time_ns asked);
 /** @brief The same for tables that a mirror has told. */
-void control_reliance_take_tables(struct control *control, const struct pooler_relay *relay,
-                                  time_ns asked);
+void control_relayed_accept_tables(struct control *control, const struct pooler_relay *relay,
+                                   time_ns asked);
 /** @brief Takes over, after the rows, how new the other pooler knows the tables to be. Parameters
- * as of control_reliance_renew().
+ * as of control_relayed_accept().
  *  @return when all that is known here was the store's newest, by that; 0: it is not told. */
-time_ns control_reliance_prove(struct control *control, const struct pooler_relay *relay,
-                               time_ns asked);
+time_ns control_relayed_accept_proofs(struct control *control, const struct pooler_relay *relay,
+                                      time_ns asked);
 /** @return true if other poolers tell this one what the store holds. */
-bool control_reliance_holds(const struct control *control, time_ns now);
+bool control_relayed_is_valid(const struct control *control, time_ns now);
 /** @return true if others tell this pooler what the store holds, and have told it lately. */
-bool control_reliance_is_told(const struct control *control, time_ns now);
+bool control_relayed_is_recent(const struct control *control, time_ns now);
 /** @return true if others follow the store for this pooler, so that they see to the lease as well.
  */
-bool control_reliance_is_led(const struct control *control, time_ns now);
+bool control_relayed_covers_lease(const struct control *control, time_ns now);
 /** @return true if this pooler has to ask the store about the table by itself. */
-bool control_reliance_asks(const struct control *control, enum store_table table, time_ns now);
+bool control_relayed_needs_store(const struct control *control, enum store_table table,
+                                 time_ns now);
 /** @return true if the store does not answer this pooler. */
-bool control_reliance_lacks_store(const struct control *control);
+bool control_relayed_store_fails(const struct control *control);
 /** @return milliseconds since the store last answered this pooler; UINT32_MAX for never. */
-uint32_t control_reliance_store_age_ms(const struct control *control, time_ns now);
+uint32_t control_relayed_store_age_ms(const struct control *control, time_ns now);
 
 /* control_news.c */
 /** @brief Fills in the orders and members that a pooler under this coordinator lacks, and notes
@@ -504,8 +505,9 @@
                        struct pooler_grant *grant);
 /** @brief Fills in what a pooler lacks that asks one that is not the coordinator: the orders as
  * this one follows them, which permit nothing, and the members. */
-void control_news_fill_hearsay(struct control *control, const struct pooler_heartbeat *heartbeat,
-                               struct pooler_grant *grant);
+void control_news_fill_nonauthoritative(struct control *control,
+                                        const struct pooler_heartbeat *heartbeat,
+                                        struct pooler_grant *grant);
 /** @brief Puts what came packed in its place. @return false with `error` if it can't be read. */
 bool control_news_unpack(struct pooler_grant *grant, GError **error);
 /** @brief Frees what a cache holds; it may be filled again. */
@@ -513,8 +515,8 @@
 
 /* control_followers.c */
 /** @brief Tells who the followers are, if not yet told. */
-void control_followers_tell(const struct control *control, uint64_t told,
-                            struct pooler_grant *grant);
+void control_followers_announce(const struct control *control, uint64_t told,
+                                struct pooler_grant *grant);
 /** @brief Takes over who the followers are. */
 void control_followers_take(struct control *control, const struct pooler_grant *grant);
 /** @brief Chooses, at the coordinator, which poolers follow the store beside it. */
@@ -526,18 +528,18 @@
 /** @brief Copies the mirrors that are known. @return how many. */
 size_t control_mirrors_copy(const struct control *control, struct pooler_mirror **out);
 /** @brief Tells a pooler under this coordinator who they are, if it was not told yet. */
-void control_mirrors_tell(const struct control *control, struct pooler_peer *pooler,
-                          struct pooler_grant *grant);
+void control_mirrors_announce(const struct control *control, struct pooler_peer *pooler,
+                              struct pooler_grant *grant);
 /** @brief Takes over who they are; nothing if none are told. */
 void control_mirrors_take(struct control *control, const struct pooler_mirror *mirrors,
                           size_t count);
 /** @brief A pooler asks for the tables. */
-void control_mirrors_question(struct control *control, struct peer *peer,
-                              const struct pooler_heartbeat *question, time_ns now);
+void control_mirrors_request(struct control *control, struct peer *peer,
+                             const struct pooler_heartbeat *question, time_ns now);
 /** @brief The connection of a pooler that may have asked is over. */
-void control_mirrors_forget(struct control *control, const struct peer *peer);
+void control_mirrors_cancel(struct control *control, const struct peer *peer);
 /** @return true while questions to this pooler wait. */
-bool control_mirrors_is_asked(const struct control *control);
+bool control_mirrors_has_requests(const struct control *control);
 /** @brief Fills in the tables as a whole, or what has changed since `known`, whatever its size. */
 void control_mirrors_fill(struct control *control, const row_versions_t *known, bool takes_deltas,
                           time_ns now, struct pooler_grant *grant);
@@ -561,16 +563,16 @@
 /** @brief Takes over what another pooler tells, or the lease's row. */
 void control_fleet_take(struct control *control, const struct pooler_fleet *told);
 /** @return true while a new coordinator expects to hear more poolers before it decides. */
-bool control_fleet_early(const struct control *control, time_ns now);
+bool control_fleet_is_gathering(const struct control *control, time_ns now);
 /** @brief Decides who belongs to the fleet. @return true if anything has changed. */
 /** @return the roster as it is to be published; NULL if no fleet is known. */
 roster_t *control_fleet_roster(struct control *control);
 /** @brief The fleet as it is known here was the coordinator's at that moment, or later. */
-void control_fleet_rely(struct control *control, time_ns moment);
+void control_fleet_extend_validity(struct control *control, time_ns moment);
 /** @brief Notes that the store's row holds the fleet of this version. */
-void control_fleet_row_told(struct control *control, uint64_t version, time_ns now);
+void control_fleet_note_stored(struct control *control, uint64_t version, time_ns now);
 /** @brief Notes that the store may have no row that holds the fleet. */
-void control_fleet_row_lost(struct control *control);
+void control_fleet_forget_stored(struct control *control);
 /** @brief Decides who belongs to the fleet. @return true if anything has changed. */
 bool control_fleet_decide(struct control *control, time_ns now);
 /** @brief Decides from time to time, at the coordinator, and tells the poolers of changes. */
@@ -614,7 +616,7 @@
 void control_member_tick(struct control *control, time_ns now);
 /** @return true if this pooler had better connect to the coordinator at the address that it was
  * told by another one: it is not the one that it knows, or a newer one has come up there. */
-bool control_member_moves(const struct control *control, const char *address, time_ns now);
+bool control_member_must_reconnect(const struct control *control, const char *address, time_ns now);
 void control_member_set_coordinator(struct control *control, const char *address);
 /** @brief Notes that the pooler at the other end is the coordinator, as it sent a grant, and tells
  * its address to others from now on. It may have been found by the lease's row, by what another
@@ -627,16 +629,16 @@
 const char *control_member_next_address(struct control *control);
 void control_member_stop(struct control *control);
 
-/* control_reach.c */
+/* control_reachability.c */
 /** @brief Asks poolers of other zones while none is heard, and decides whether this zone is cut
  *  off. */
-void control_reach_tick(struct control *control, time_ns now);
+void control_reachability_tick(struct control *control, time_ns now);
 /** @brief A pooler of this zone was heard; counts if it is another zone than ours. */
-void control_reach_heard(struct control *control, const char *zone, time_ns now);
+void control_reachability_note_contact(struct control *control, const char *zone, time_ns now);
 /** @return what the decision needs of the fleet and the store. */
-zone_reach_view_t control_reach_view(const struct control *control);
+zone_reachability_inputs_t control_reachability_inputs(const struct control *control);
 /** @return true if a pooler of another zone runs on the machine of this address. */
-bool control_reach_is_outside(const struct control *control, const char *address);
+bool control_reachability_is_other_zone(const struct control *control, const char *address);
 
 /* control_coordinator.c: towards the poolers */
 bool control_coordinator_listen(struct control *control, GError **error);
--- a/src/pooler/control/control_lease.c
+++ b/src/pooler/control/control_lease.c
@@ -10,7 +10,7 @@
  * meeting a version number that is given out again. */
 #define G_LOG_DOMAIN "lease"
 #include "pooler/control/control_internal.h"
-#include "pooler/control/packing.h"
+#include "pooler/control/compression.h"
 
 #include <inttypes.h>
 #include <string.h>
@@ -133,8 +133,8 @@
     if (record->packed_fleet_unpacked == 0) {
         return true;
     }
-    g_autoptr(GBytes) content = packing_unpack(record->packed_fleet, record->packed_fleet_length,
-                                               record->packed_fleet_unpacked, error);
+    g_autoptr(GBytes) content = compression_decompress(
+        record->packed_fleet, record->packed_fleet_length, record->packed_fleet_unpacked, error);
     gsize length = 0;
     const uint8_t *data = content == NULL ? NULL : g_bytes_get_data(content, &length);
     struct pooler_fleet fleet = {0};
@@ -261,7 +261,7 @@
 pack_fleet(struct lease_record *record)
 {
     g_autoptr(GBytes) content = g_byte_array_free_to_bytes(pooler_fleet_encode(&record->fleet));
-    g_autoptr(GBytes) packed = packing_pack(content);
+    g_autoptr(GBytes) packed = compression_compress(content);
     leave_out_fleet(record);
     if (packed != NULL) {
         gsize size = 0;
@@ -365,7 +365,7 @@
         lease->row_version = answer->version;
         if (!lease->releasing) {
             become_holder(control, lease->call_sent, now);
-            control_fleet_row_told(control, lease->proposed_fleet, now);
+            control_fleet_note_stored(control, lease->proposed_fleet, now);
         }
         note_clock(control, answer, now);
         break;
@@ -404,7 +404,7 @@
     if (lease->free_since == 0) {
         lease->free_since = now;
     }
-    bool weaker = control_millicores(control) < fleet_weight_most(control->fleet);
+    bool weaker = control_millicores(control) < fleet_max_weight(control->fleet);
     return weaker && now < lease->free_since + WEAK_WAITS_NS;
 }
 
@@ -507,7 +507,7 @@
     uint64_t told = lease->record.fleet.version;
     bool current = has_row(control) && told != 0 && control_fleet_version(control) == told;
     if (current && lease->call_sent > LEASE_NS) {
-        control_fleet_rely(control, lease->call_sent - LEASE_NS);
+        control_fleet_extend_validity(control, lease->call_sent - LEASE_NS);
     }
 }
 
@@ -587,7 +587,8 @@
     bool silent = now > control->granted_at + SILENCE_NS;
     if (lease->held) {
         propose(control, lease->token, false, now);
-    } else if (silent && !stopping && (lease->invited || !control_reliance_is_led(control, now))) {
+    } else if (silent && !stopping &&
+               (lease->invited || !control_relayed_covers_lease(control, now))) {
         look(control, now);
     }
 }
--- a/src/pooler/control/control_member.c
+++ b/src/pooler/control/control_member.c
@@ -166,12 +166,12 @@
     out->sequence = ++control->sequence;
     out->fleet_version = control_fleet_version(control);
     out->orders_known = control->orders_known;
-    out->lacks_store = control_reliance_lacks_store(control);
+    out->lacks_store = control_relayed_store_fails(control);
     out->takes_deltas = true;
     out->takes_news = true;
     control_relay_fill_offer(control, now, &out->relay);
     out->grant_stamp = control->grant_stamp;
-    out->store_age_ms = control_reliance_store_age_ms(control, now);
+    out->store_age_ms = control_relayed_store_age_ms(control, now);
     out->stopping = atomic_load(&control->shared.stop_at) != 0;
     /* Before what is open is counted: what these orders end is no more begun from then on. */
     out->orders_followed = control->orders_told = orders_followed(control);
@@ -313,19 +313,19 @@
     control->newest_token = grant->token;
     control->granted_at = now;
     control->grant_stamp = grant->stamp;
-    if (grant->members != 0 && grant->members != control->members_told) {
-        control->members_told = grant->members;
+    if (grant->members != 0 && grant->members != control->fleet_count) {
+        control->fleet_count = grant->members;
         control->view_dirty = true;
     }
     take_orders(control, grant);
     take_permits(control, grant->token, sent == 0 ? 0 : sent + grant->permit_ms * MS);
     control_fleet_take(control, &grant->fleet);
     if (sent != 0 && control_fleet_version(control) >= grant->fleet.version) {
-        control_fleet_rely(control, sent);
+        control_fleet_extend_validity(control, sent);
     }
     control_relay_take(control, &grant->relay);
     control->follows_store = grant->follows_store;
-    control_reliance_renew(control, &grant->relay, sent);
+    control_relayed_accept(control, &grant->relay, sent);
     control_followers_take(control, grant);
     control_mirrors_take(control, grant->mirrors, grant->mirrors_count);
     control->next_address = 0;
@@ -349,12 +349,12 @@
     control_fleet_take(control, &grant->fleet);
     control_mirrors_take(control, grant->mirrors, grant->mirrors_count);
     control_relay_take(control, &grant->relay);
-    control_reliance_renew(control, &grant->relay, sending_of(control, grant->sequence));
+    control_relayed_accept(control, &grant->relay, sending_of(control, grant->sequence));
     control_publish(control);
 }
 
 bool
-control_member_moves(const struct control *control, const char *address, time_ns now)
+control_member_must_reconnect(const struct control *control, const char *address, time_ns now)
 {
     if (address == NULL || address[0] == '\0') {
         return false;
@@ -393,7 +393,7 @@
         control_lease_invite(control);
         return false;
     }
-    if (control_member_moves(control, address, now)) {
+    if (control_member_must_reconnect(control, address, now)) {
         control_member_set_coordinator(control, address);
         control->redirected_at = now;
         control->connect_now = true;
@@ -425,9 +425,9 @@
     }
     control->answered_at = backend_now();
     if (control->coordinator_outside) {
-        zone_reach_heard(&control->zone_reach, control->answered_at);
+        zone_reachability_note_contact(&control->zone_reachability, control->answered_at);
     }
-    control_reliance_peer_answered(control, control->answered_at);
+    control_relayed_peer_answered(control, control->answered_at);
     bool keep = take_answer(control, &grant);
     pooler_grant_clear(&grant);
     control_wake_soon(control);
@@ -512,7 +512,7 @@
     if (text == NULL || !parse_address(text, &address)) {
         return;
     }
-    control->coordinator_outside = control_reach_is_outside(control, text);
+    control->coordinator_outside = control_reachability_is_other_zone(control, text);
     control->coordinator_callbacks = (struct peer_callbacks){on_frame, on_closed, control};
     forget_told(control);
     control->orders_taken = control->orders_told = 0;
@@ -537,7 +537,7 @@
 {
     bool useful = now < control->hearsay_at + GRANT_TIMEOUT_NS &&
                   control->hearsay_at > control->connected_at &&
-                  control_reliance_holds(control, now);
+                  control_relayed_is_valid(control, now);
     return useful ? HEARSAY_KEPT_NS : GRANT_TIMEOUT_NS;
 }
 
--- a/src/pooler/control/control_mirrors.c
+++ b/src/pooler/control/control_mirrors.c
@@ -7,11 +7,11 @@
  * A mirror that has nothing yet, or whose link is taken, gives a sign of life at once and answers
  * in the order of the questions. One that has nothing and that the store does not answer declines,
  * and asks another mirror itself. What it sends tells its age, as all rows do that poolers pass on,
- * and is relied on by that (control_reliance.c). A lost connection is a question without an answer.
+ * and is relied on by that (control_relayed.c). A lost connection is a question without an answer.
  */
 #define G_LOG_DOMAIN "mirrors"
 #include "pooler/control/control_internal.h"
-#include "pooler/control/packing.h"
+#include "pooler/control/compression.h"
 
 #include "wire/address.h"
 
@@ -110,8 +110,8 @@
 }
 
 void
-control_mirrors_tell(const struct control *control, struct pooler_peer *pooler,
-                     struct pooler_grant *grant)
+control_mirrors_announce(const struct control *control, struct pooler_peer *pooler,
+                         struct pooler_grant *grant)
 {
     if (pooler->mirrors_told != control->mirrors.version) {
         grant->mirrors_count = control_mirrors_copy(control, &grant->mirrors);
@@ -165,7 +165,7 @@
     pooler_relay_clear(&whole);
     snapshot->through = control_relay_versions(control);
     snapshot->length = (uint32_t)g_bytes_get_size(content);
-    snapshot->packed = packing_pack(content);
+    snapshot->packed = compression_compress(content);
     if (snapshot->packed == NULL) { /* a handful of rows: unpacked, it is no larger */
         snapshot->packed = g_bytes_ref(content);
         snapshot->length = 0;
@@ -263,8 +263,8 @@
 }
 
 void
-control_mirrors_question(struct control *control, struct peer *peer,
-                         const struct pooler_heartbeat *question, time_ns now)
+control_mirrors_request(struct control *control, struct peer *peer,
+                        const struct pooler_heartbeat *question, time_ns now)
 {
     const mirror_request_t request = {
         .peer = peer,
@@ -288,7 +288,7 @@
 }
 
 void
-control_mirrors_forget(struct control *control, const struct peer *peer)
+control_mirrors_cancel(struct control *control, const struct peer *peer)
 {
     GArray *waiting = control->mirrors.waiting;
     for (guint i = waiting == NULL ? 0 : waiting->len; i > 0; i--) {
@@ -318,7 +318,7 @@
 }
 
 bool
-control_mirrors_is_asked(const struct control *control)
+control_mirrors_has_requests(const struct control *control)
 {
     return control->mirrors.waiting != NULL && control->mirrors.waiting->len > 0;
 }
@@ -349,7 +349,7 @@
     g_autoptr(GBytes) content =
         grant->tables_unpacked == 0
             ? g_bytes_new(grant->tables, length)
-            : packing_unpack(grant->tables, length, grant->tables_unpacked, error);
+            : compression_decompress(grant->tables, length, grant->tables_unpacked, error);
     if (content == NULL) {
         return false;
     }
@@ -363,7 +363,7 @@
         pooler_relay_clear(&whole);
     }
     control_relay_take(control, &grant->relay);
-    control_reliance_take_tables(control, &grant->relay, asked);
+    control_relayed_accept_tables(control, &grant->relay, asked);
     return true;
 }
 
@@ -504,7 +504,7 @@
         mirrors->expected = false;
         return;
     }
-    if (mirrors->lacks_since == 0 && now >= control->relied_until) {
+    if (mirrors->lacks_since == 0 && now >= control->relayed_valid_until) {
         mirrors->lacks_since = now;
     }
     const mirror_view_t view = view_of(control);
--- a/src/pooler/control/control_news.c
+++ b/src/pooler/control/control_news.c
@@ -8,7 +8,7 @@
  */
 #define G_LOG_DOMAIN "coordinator"
 #include "pooler/control/control_internal.h"
-#include "pooler/control/packing.h"
+#include "pooler/control/compression.h"
 
 /* News that encode to fewer bytes are sent uncompressed. */
 #define PACKED_MIN 1024
@@ -99,7 +99,7 @@
     gsize length = g_bytes_get_size(content);
     if (length >= PACKED_MIN) {
         out->length = (uint32_t)length;
-        out->packed = packing_pack(content);
+        out->packed = compression_compress(content);
     }
     return out;
 }
@@ -193,8 +193,9 @@
 }
 
 void
-control_news_fill_hearsay(struct control *control, const struct pooler_heartbeat *heartbeat,
-                          struct pooler_grant *grant)
+control_news_fill_nonauthoritative(struct control *control,
+                                   const struct pooler_heartbeat *heartbeat,
+                                   struct pooler_grant *grant)
 {
     bool orders = heartbeat->orders_known < control->orders_known;
     uint64_t orders_from = orders ? 0 : control->orders_known; /* all of them, or none */
@@ -226,7 +227,7 @@
         return true;
     }
     g_autoptr(GBytes) content =
-        packing_unpack(grant->news, grant->news_length, grant->news_unpacked, error);
+        compression_decompress(grant->news, grant->news_length, grant->news_unpacked, error);
     gsize length = 0;
     const uint8_t *data = content == NULL ? NULL : g_bytes_get_data(content, &length);
     if (data == NULL || !pooler_news_decode(data, length, &news, error)) {
--- a/src/pooler/control/control_reach.c
+++ b/src/pooler/control/control_reachability.c
@@ -1,6 +1,7 @@
 /* Asks poolers of other zones for a sign of life while none is heard, so that a zone that is cut
- * off is known to be (zone_reach.h). A pooler that answers is asked again on the same connection;
- * so a zone whose coordinator is its own costs each of its poolers two small messages a second. */
+ * off is known to be (zone_reachability.h). A pooler that answers is asked again on the same
+ * connection; so a zone whose coordinator is its own costs each of its poolers two small messages a
+ * second. */
 #define G_LOG_DOMAIN "reach"
 #include "pooler/control/control_internal.h"
 
@@ -29,7 +30,7 @@
 {
     reach_question_t *question = user;
     question->asked_at = 0;
-    zone_reach_heard(&question->control->zone_reach, backend_now());
+    zone_reachability_note_contact(&question->control->zone_reachability, backend_now());
     return true;
 }
 
@@ -41,10 +42,10 @@
 }
 
 void
-control_reach_heard(struct control *control, const char *zone, time_ns now)
+control_reachability_note_contact(struct control *control, const char *zone, time_ns now)
 {
     if (g_strcmp0(zone, control->settings->pooler.zone) != 0) {
-        zone_reach_heard(&control->zone_reach, now);
+        zone_reachability_note_contact(&control->zone_reachability, now);
     }
 }
 
@@ -71,7 +72,7 @@
 }
 
 bool
-control_reach_is_outside(const struct control *control, const char *address)
+control_reachability_is_other_zone(const struct control *control, const char *address)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
@@ -87,7 +88,7 @@
 
 /* The next pooler of another zone, in turn; NULL if there is none. */
 static const fleet_member_t *
-next_outside(struct control *control, const zone_reach_view_t *view)
+next_outside(struct control *control, const zone_reachability_inputs_t *view)
 {
     if (view->outside == 0) {
         return NULL;
@@ -104,10 +105,11 @@
     return NULL;
 }
 
-zone_reach_view_t
-control_reach_view(const struct control *control)
+zone_reachability_inputs_t
+control_reachability_inputs(const struct control *control)
 {
-    zone_reach_view_t view = {.store_known_at = control->feeds[STORE_TABLE_CONFIGURATION].as_of};
+    zone_reachability_inputs_t view = {.store_known_at =
+                                           control->feeds[STORE_TABLE_CONFIGURATION].as_of};
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, fleet_members(control->fleet));
@@ -120,7 +122,8 @@
 }
 
 static void
-ask(struct control *control, reach_question_t *question, const zone_reach_view_t *view, time_ns now)
+ask(struct control *control, reach_question_t *question, const zone_reachability_inputs_t *view,
+    time_ns now)
 {
     struct forward_ask sign;
     if (question->peer == NULL) {
@@ -150,9 +153,9 @@
 }
 
 static void
-log_change(const struct control *control, const zone_reach_view_t *view, time_ns now)
+log_change(const struct control *control, const zone_reachability_inputs_t *view, time_ns now)
 {
-    const zone_reach_t *reach = &control->zone_reach;
+    const zone_reachability_t *reach = &control->zone_reachability;
     g_autofree char *heard = age_text(reach->heard_at, now);
     g_autofree char *store = age_text(view->store_known_at, now);
     g_autofree char *unanswered = g_strdup_printf("%u", reach->unanswered);
@@ -160,35 +163,36 @@
         G_LOG_DOMAIN, G_LOG_LEVEL_MESSAGE, "SW_HEARD", heard, "SW_STORE", store, "SW_UNANSWERED",
         unanswered, "MESSAGE", "Zone %s is %s; another zone was heard %s, the store %s.",
         control->settings->pooler.zone,
-        reach->cut_off ? "cut off from all others, clients are better served there: not ready"
-                       : "no longer cut off",
+        reach->partitioned ? "cut off from all others, clients are better served there: not ready"
+                           : "no longer cut off",
         heard, store);
 }
 
 void
-control_reach_tick(struct control *control, time_ns now)
+control_reachability_tick(struct control *control, time_ns now)
 {
-    zone_reach_t *reach = &control->zone_reach;
-    bool due = now >= control->reach_at && (zone_reach_asks(reach, now) || reach->cut_off);
+    zone_reachability_t *reach = &control->zone_reachability;
+    bool due = now >= control->reach_at &&
+               (zone_reachability_needs_ping(reach, now) || reach->partitioned);
     if (!due) {
         return;
     }
     control->reach_at = now + LOOK_EVERY_NS;
-    const zone_reach_view_t view = control_reach_view(control);
+    const zone_reachability_inputs_t view = control_reachability_inputs(control);
     for (unsigned i = 0; i < REACH_QUESTIONS; i++) {
         reach_question_t *question = &control->reach_questions[i];
         if (question->asked_at != 0 && now >= question->asked_at + ANSWER_NS) {
-            zone_reach_unanswered(reach, question->asked_at);
+            zone_reachability_note_timeout(reach, question->asked_at);
             close_question(question);
         }
         bool enough = i > 0 && reach->unanswered == 0; /* one that answers is enough */
-        if (question->asked_at == 0 && !enough && zone_reach_asks(reach, now)) {
+        if (question->asked_at == 0 && !enough && zone_reachability_needs_ping(reach, now)) {
             ask(control, question, &view, now);
         }
     }
-    if (zone_reach_decide(reach, &view, now)) {
+    if (zone_reachability_evaluate(reach, &view, now)) {
         log_change(control, &view, now);
-        atomic_store(&control->shared.cut_off_at, reach->cut_off ? now : 0);
+        atomic_store(&control->shared.cut_off_at, reach->partitioned ? now : 0);
         for (unsigned i = 0; i < control->workers_count; i++) {
             worker_wake(control->workers[i]);
         }
--- a/src/pooler/control/control_relay.c
+++ b/src/pooler/control/control_relay.c
@@ -15,7 +15,7 @@
 #include "core/error.h"
 #include "generated/errors.h"
 #include "pooler/control/delta.h"
-#include "pooler/control/packing.h"
+#include "pooler/control/compression.h"
 
 #include <inttypes.h>
 
@@ -72,8 +72,9 @@
 {
     if (known->value != NULL && !known->is_packed) {
         known->is_packed = true;
-        known->packed =
-            g_bytes_get_size(known->value) < PACKING_MIN ? NULL : packing_pack(known->value);
+        known->packed = g_bytes_get_size(known->value) < COMPRESSION_MIN
+                            ? NULL
+                            : compression_compress(known->value);
     }
     if (known->packed == NULL) {
         return (content_t){.bytes = known->value};
@@ -101,8 +102,9 @@
 {
     if (past->delta == NULL) {
         past->delta = delta_make(past->value, known->value);
-        past->packed =
-            g_bytes_get_size(past->delta) < PACKING_MIN ? NULL : packing_pack(past->delta);
+        past->packed = g_bytes_get_size(past->delta) < COMPRESSION_MIN
+                           ? NULL
+                           : compression_compress(past->delta);
     }
     if (known->hash == 0) {
         known->hash = delta_hash(known->value);
@@ -362,8 +364,8 @@
 }
 
 void
-control_relay_fill_for(struct control *control, struct pooler_peer *pooler, time_ns now,
-                       struct pooler_relay *relay)
+control_relay_fill_pooler(struct control *control, struct pooler_peer *pooler, time_ns now,
+                          struct pooler_relay *relay)
 {
     if (!control_relay_is_confirmed(pooler)) {
         control_relay_fill_nothing(control, &pooler->known, now, relay);
@@ -384,9 +386,9 @@
 }
 
 void
-control_relay_fill_hearsay(struct control *control, struct peer *peer,
-                           const struct pooler_heartbeat *heartbeat, time_ns now,
-                           struct pooler_relay *relay)
+control_relay_fill_nonauthoritative(struct control *control, struct peer *peer,
+                                    const struct pooler_heartbeat *heartbeat, time_ns now,
+                                    struct pooler_relay *relay)
 {
     const row_versions_t known = {heartbeat->relay.configuration_row,
                                   heartbeat->relay.directory_row};
@@ -461,7 +463,7 @@
     g_autoptr(GBytes) told =
         row->unpacked_length == 0
             ? g_bytes_new(row->value, row->value_length)
-            : packing_unpack(row->value, row->value_length, row->unpacked_length, error);
+            : compression_decompress(row->value, row->value_length, row->unpacked_length, error);
     if (told == NULL || row->delta_base == 0) {
         return g_steal_pointer(&told);
     }
--- a/src/pooler/control/control_reliance.c
+++ b/src/pooler/control/control_relayed.c
@@ -39,7 +39,8 @@
 }
 
 time_ns
-control_reliance_prove(struct control *control, const struct pooler_relay *relay, time_ns asked)
+control_relayed_accept_proofs(struct control *control, const struct pooler_relay *relay,
+                              time_ns asked)
 {
     struct feed *configuration = &control->feeds[STORE_TABLE_CONFIGURATION];
     struct feed *directory = &control->feeds[STORE_TABLE_DIRECTORY];
@@ -81,53 +82,53 @@
 }
 
 void
-control_reliance_renew(struct control *control, const struct pooler_relay *relay, time_ns asked)
+control_relayed_accept(struct control *control, const struct pooler_relay *relay, time_ns asked)
 {
-    control_reliance_take_tables(control, relay, asked);
+    control_relayed_accept_tables(control, relay, asked);
     note_told(control, relay);
 }
 
 void
-control_reliance_take_tables(struct control *control, const struct pooler_relay *relay,
-                             time_ns asked)
+control_relayed_accept_tables(struct control *control, const struct pooler_relay *relay,
+                              time_ns asked)
 {
-    time_ns known_at = control_reliance_prove(control, relay, asked);
+    time_ns known_at = control_relayed_accept_proofs(control, relay, asked);
     note_missing(control, relay);
     if (known_at != 0) {
         control->told_as_of = MAX(control->told_as_of, known_at);
         double bound = (double)(control->settings->store.apply_ms * MS);
         time_ns until = known_at + (time_ns)(bound * RELIED_ON_PART);
-        control->relied_until = MAX(control->relied_until, until);
+        control->relayed_valid_until = MAX(control->relayed_valid_until, until);
     }
 }
 
 bool
-control_reliance_is_told(const struct control *control, time_ns now)
+control_relayed_is_recent(const struct control *control, time_ns now)
 {
     return !control->lease.held && control->told_as_of != 0 && now < control->told_as_of + LED_NS;
 }
 
 bool
-control_reliance_holds(const struct control *control, time_ns now)
+control_relayed_is_valid(const struct control *control, time_ns now)
 {
-    return !control->lease.held && !control->follows_store && now <= control->relied_until;
+    return !control->lease.held && !control->follows_store && now <= control->relayed_valid_until;
 }
 
 bool
-control_reliance_is_led(const struct control *control, time_ns now)
+control_relayed_covers_lease(const struct control *control, time_ns now)
 {
-    return !control->follows_store && control_reliance_is_told(control, now);
+    return !control->follows_store && control_relayed_is_recent(control, now);
 }
 
 bool
-control_reliance_asks(const struct control *control, enum store_table table, time_ns now)
+control_relayed_needs_store(const struct control *control, enum store_table table, time_ns now)
 {
-    bool asks = !control_reliance_holds(control, now) || control->feeds[table].missing;
+    bool asks = !control_relayed_is_valid(control, now) || control->feeds[table].missing;
     return asks && !control->mirrors.expected;
 }
 
 bool
-control_reliance_lacks_store(const struct control *control)
+control_relayed_store_fails(const struct control *control)
 {
     return control->feeds[STORE_TABLE_CONFIGURATION].failures >= LACKING_FAILURES ||
            control->feeds[STORE_TABLE_DIRECTORY].failures >= LACKING_FAILURES;
@@ -141,7 +142,7 @@
 }
 
 uint32_t
-control_reliance_store_age_ms(const struct control *control, time_ns now)
+control_relayed_store_age_ms(const struct control *control, time_ns now)
 {
     return MIN(answered_ms_ago(&control->feeds[STORE_TABLE_CONFIGURATION], now),
                answered_ms_ago(&control->feeds[STORE_TABLE_DIRECTORY], now));
@@ -160,24 +161,24 @@
 }
 
 void
-control_reliance_start(struct control *control)
+control_relayed_start(struct control *control)
 {
     time_ns now = backend_now();
     /* A live pooler answers within a few milliseconds, from another zone as well; after the loss of
      * all nobody does, and each millisecond more is one without service. */
     gint32 longest = (gint32)control->settings->pooler.start_wait_ms;
     time_ns wait = (time_ns)g_random_int_range(longest / 2, longest) * MS;
-    control->relied_until = is_known_address(control) ? 0 : now + wait;
-    control->lease.next_at = control->relied_until;
+    control->relayed_valid_until = is_known_address(control) ? 0 : now + wait;
+    control->lease.next_at = control->relayed_valid_until;
 }
 
 void
-control_reliance_peer_answered(struct control *control, time_ns now)
+control_relayed_peer_answered(struct control *control, time_ns now)
 {
-    bool starting = control->granted_at == 0 && control->relied_until > now;
+    bool starting = control->granted_at == 0 && control->relayed_valid_until > now;
     if (starting && !control->start_answered) {
         control->start_answered = true;
-        control->relied_until = MAX(control->relied_until, now + START_ANSWERED_NS);
-        control->lease.next_at = control->relied_until;
+        control->relayed_valid_until = MAX(control->relayed_valid_until, now + START_ANSWERED_NS);
+        control->lease.next_at = control->relayed_valid_until;
     }
 }
--- a/src/pooler/control/control_store.c
+++ b/src/pooler/control/control_store.c
@@ -82,7 +82,7 @@
 static bool
 is_in_reserve(const struct control *control, time_ns now)
 {
-    return control->follows_store && control_reliance_is_told(control, now);
+    return control->follows_store && control_relayed_is_recent(control, now);
 }
 
 void
@@ -299,7 +299,7 @@
 static void
 note_relayed(struct control *control, time_ns now)
 {
-    bool relayed = control_reliance_holds(control, now);
+    bool relayed = control_relayed_is_valid(control, now);
     bool lost = control->relayed && is_last_resort(control);
     if (relayed != control->relayed && control->feeds[STORE_TABLE_CONFIGURATION].version != 0) {
         log_reliance(control, relayed, now);
@@ -325,7 +325,7 @@
     note_relayed(control, now);
     for (int table = 0; table < STORE_TABLE_CONTROL; table++) {
         struct feed *feed = &control->feeds[table];
-        bool asks = control_reliance_asks(control, feed->table, now);
+        bool asks = control_relayed_needs_store(control, feed->table, now);
         bool rests = now < feed->reserve_until && is_in_reserve(control, now);
         if (asks && !rests && !feed->calling && now >= feed->next_at) {
             call(feed);
--- a/src/pooler/control/control_view.c
+++ b/src/pooler/control/control_view.c
@@ -48,7 +48,7 @@
 uint32_t
 control_fleet_size(const struct control *control)
 {
-    return control->members_told > 0 ? control->members_told : control->lease.record.poolers;
+    return control->fleet_count > 0 ? control->fleet_count : control->lease.record.poolers;
 }
 
 uint32_t
@@ -312,7 +312,7 @@
     /* After the view: a worker that sees this moment sees the configuration that it is told of. */
     atomic_store(&control->shared.configuration_proven_at, control->proven_at);
     if (control->shared.counting != NULL) {
-        counting_rely_until(control->shared.counting, control->roster_until);
+        counting_rely_until(control->shared.counting, control->roster_valid_until);
     }
 }
 
@@ -345,5 +345,6 @@
 control_is_ready(const struct control *control)
 {
     return control->configuration != NULL && atomic_load(&control->shared.stop_at) == 0 &&
-           may_serve_keys(control) && any_database_answers(control) && !control->zone_reach.cut_off;
+           may_serve_keys(control) && any_database_answers(control) &&
+           !control->zone_reachability.partitioned;
 }
--- a/src/pooler/control/delta.c
+++ b/src/pooler/control/delta.c
@@ -5,7 +5,7 @@
 
 #include "core/error.h"
 #include "generated/errors.h"
-#include "pooler/control/packing.h"
+#include "pooler/control/compression.h"
 
 #include <arpa/inet.h>
 #include <string.h>
@@ -157,7 +157,7 @@
     gsize copied = number_at(data + sizeof(uint32_t));
     gsize literal = number_at(data + 2 * sizeof(uint32_t));
     bool good = offset <= from_length && copied <= from_length - offset &&
-                literal <= left - STEP_SIZE && out->len + copied + literal <= PACKING_MAX;
+                literal <= left - STEP_SIZE && out->len + copied + literal <= COMPRESSION_MAX;
     if (!good) {
         return 0;
     }
--- a/src/pooler/control/fleet.c
+++ b/src/pooler/control/fleet.c
@@ -101,7 +101,7 @@
 }
 
 uint32_t
-fleet_weight_most(const fleet_t *fleet)
+fleet_max_weight(const fleet_t *fleet)
 {
     uint32_t most = 0;
     for (guint i = 0; i < fleet->living->len; i++) {
--- a/src/pooler/control/fleet.h
+++ b/src/pooler/control/fleet.h
@@ -37,7 +37,7 @@
     /* For the coordinator: when it first saw the member's state of this version. */
     uint64_t seen_version;
     time_ns seen_at;
-    time_ns row_told_at; /* when the store's row was seen to hold that state; 0: not yet */
+    time_ns row_stored_at; /* when the store's row was seen to hold that state; 0: not yet */
 } fleet_member_t;
 
 /** @brief Who holds the connections to one group's databases. */
@@ -92,7 +92,7 @@
 uint32_t fleet_size(const fleet_t *fleet);
 
 /** @return the weight of the strongest member; 0 if there is none. */
-uint32_t fleet_weight_most(const fleet_t *fleet);
+uint32_t fleet_max_weight(const fleet_t *fleet);
 
 /** @return the highest version of any change. */
 uint64_t fleet_version(const fleet_t *fleet);
--- a/src/pooler/control/zone_reach.c
+++ b/src/pooler/control/zone_reachability.c
@@ -1,5 +1,5 @@
 /* Whether this pooler's zone is cut off; see the header. */
-#include "pooler/control/zone_reach.h"
+#include "pooler/control/zone_reachability.h"
 
 #define MS NANOSECONDS_PER_MILLISECOND
 
@@ -18,7 +18,7 @@
 #define STORE_KNOWN_NS (1500 * MS)
 
 void
-zone_reach_heard(zone_reach_t *reach, time_ns now)
+zone_reachability_note_contact(zone_reachability_t *reach, time_ns now)
 {
     reach->heard_at = now;
     reach->asked_since = 0;
@@ -26,7 +26,7 @@
 }
 
 void
-zone_reach_unanswered(zone_reach_t *reach, time_ns asked)
+zone_reachability_note_timeout(zone_reachability_t *reach, time_ns asked)
 {
     if (asked <= reach->heard_at) {
         return; /* another one has been heard since */
@@ -38,7 +38,7 @@
 }
 
 bool
-zone_reach_asks(const zone_reach_t *reach, time_ns now)
+zone_reachability_needs_ping(const zone_reachability_t *reach, time_ns now)
 {
     return now >= reach->heard_at + QUIET_NS;
 }
@@ -46,7 +46,7 @@
 /* A process that has heard nobody yet counts as unanswered at once: one that starts inside a zone
  * that is cut off and called itself ready would draw the zone's clients back. */
 static bool
-nobody_answers(const zone_reach_t *reach, time_ns now)
+nobody_answers(const zone_reachability_t *reach, time_ns now)
 {
     if (reach->heard_at == 0) {
         return true;
@@ -55,11 +55,12 @@
 }
 
 bool
-zone_reach_decide(zone_reach_t *reach, const zone_reach_view_t *view, time_ns now)
+zone_reachability_evaluate(zone_reachability_t *reach, const zone_reachability_inputs_t *view,
+                           time_ns now)
 {
-    bool before = reach->cut_off;
+    bool before = reach->partitioned;
     bool most_outside = view->outside * 2 > view->members;
     bool store_unknown = now > view->store_known_at + STORE_KNOWN_NS;
-    reach->cut_off = most_outside && store_unknown && nobody_answers(reach, now);
-    return reach->cut_off != before;
+    reach->partitioned = most_outside && store_unknown && nobody_answers(reach, now);
+    return reach->partitioned != before;
 }
--- a/src/pooler/control/zone_reach.h
+++ b/src/pooler/control/zone_reachability.h
@@ -17,38 +17,39 @@
  * closed as well (let_clients_go() in worker.c); without that, readiness alone changes little. What
  * it is worth stands in docs/design/cut-off-zones.md.
  */
-#ifndef SW_POOLER_ZONE_REACH_H
-#define SW_POOLER_ZONE_REACH_H
+#ifndef SW_POOLER_ZONE_REACHABILITY_H
+#define SW_POOLER_ZONE_REACHABILITY_H
 
 #include <stdbool.h>
 
 #include "core/types.h"
 
 /** @brief What was heard of other zones. Start from zeros. Belongs to the control thread. */
-typedef struct zone_reach {
+typedef struct zone_reachability {
     time_ns heard_at;    /* when a pooler of another zone was last heard; 0: never */
     time_ns asked_since; /* when the first of `unanswered` was sent; 0: there is none */
     unsigned unanswered; /* questions without an answer since one was heard */
-    bool cut_off;        /* as decided last */
-} zone_reach_t;
+    bool partitioned;    /* as decided last */
+} zone_reachability_t;
 
 /** @brief What the decision needs of the fleet and the store. */
-typedef struct zone_reach_view {
+typedef struct zone_reachability_inputs {
     unsigned members;       /* poolers known */
     unsigned outside;       /* of these, in other zones */
     time_ns store_known_at; /* what is known here was certainly the store's newest then; 0: never */
-} zone_reach_view_t;
+} zone_reachability_inputs_t;
 
 /** @brief A pooler of another zone was heard. */
-void zone_reach_heard(zone_reach_t *reach, time_ns now);
+void zone_reachability_note_contact(zone_reachability_t *reach, time_ns now);
 
 /** @brief A pooler of another zone that was asked at `asked` has not answered in time. */
-void zone_reach_unanswered(zone_reach_t *reach, time_ns asked);
+void zone_reachability_note_timeout(zone_reachability_t *reach, time_ns asked);
 
 /** @return true if none was heard for so long that one should be asked now. */
-bool zone_reach_asks(const zone_reach_t *reach, time_ns now);
+bool zone_reachability_needs_ping(const zone_reachability_t *reach, time_ns now);
 
 /** @brief Decides anew. @return true if the decision has changed. */
-bool zone_reach_decide(zone_reach_t *reach, const zone_reach_view_t *view, time_ns now);
+bool zone_reachability_evaluate(zone_reachability_t *reach, const zone_reachability_inputs_t *view,
+                                time_ns now);
 
 #endif
--- a/tests/pooler/test_lease_era.c
+++ b/tests/pooler/test_lease_era.c
@@ -341,7 +341,7 @@
     run_for(fixture, 300 * MS);
     g_assert_cmpuint(starting->store_era, ==, 1);
     g_assert_cmpuint(fleet_size(starting->fleet), ==, 1);
-    g_assert_cmpuint(starting->roster_until, ==, 0);
+    g_assert_cmpuint(starting->roster_valid_until, ==, 0);
 }
 
 /* That the row of an earlier era held a list of members says nothing of the new one's. */
@@ -352,12 +352,12 @@
     fleet_join(control->fleet, "10.0.0.7:7440", "z1", 1, 120, 5);
     fleet_member_t *member = g_hash_table_lookup(fleet_members(control->fleet), "10.0.0.7:7440");
     member->seen_version = member->version;
-    control_fleet_row_told(control, 5, backend_now());
-    g_assert_cmpuint(member->row_told_at, !=, 0);
+    control_fleet_note_stored(control, 5, backend_now());
+    g_assert_cmpuint(member->row_stored_at, !=, 0);
     control_era_note(control, 1, 0);
-    g_assert_cmpuint(member->row_told_at, ==, 0);
-    control_fleet_row_told(control, 5, backend_now());
-    g_assert_cmpuint(member->row_told_at, !=, 0);
+    g_assert_cmpuint(member->row_stored_at, ==, 0);
+    control_fleet_note_stored(control, 5, backend_now());
+    g_assert_cmpuint(member->row_stored_at, !=, 0);
 }
 
 /* A promotion's record, as a coordinator of this token writes it. */
--- a/tests/pooler/test_mirrors.c
+++ b/tests/pooler/test_mirrors.c
@@ -315,7 +315,7 @@
     g_assert_cmpuint(g_hash_table_size(fixture->starting->directory.entries), ==, 1200);
     g_assert_cmpuint(g_hash_table_size(fixture->starting->configuration->routes), ==, 1200);
     g_assert_cmpuint(control_relay_versions(fixture->starting).directory, ==, 6);
-    g_assert_true(control_reliance_holds(fixture->starting, backend_now()));
+    g_assert_true(control_relayed_is_valid(fixture->starting, backend_now()));
     g_assert_false(fixture->starting->feeds[STORE_TABLE_DIRECTORY].missing);
     g_assert_cmpuint(bytes, <, 60000); /* of 390 kB; 40 kB at the store for each start at most */
 }
--- a/tests/pooler/test_news.c
+++ b/tests/pooler/test_news.c
@@ -202,18 +202,18 @@
     pooler_grant_init(&plain);
     for (unsigned i = 0; i < 140; i++) {
         pooler_grant_clear(&packed);
-        control_news_fill_hearsay(control, &newer, &packed);
+        control_news_fill_nonauthoritative(control, &newer, &packed);
         g_assert_cmpuint(packed.news_unpacked, >, 0);
     }
     g_assert_cmpuint(control->hearsay.kept->len, ==, 1);
     g_assert_true(control_news_unpack(&packed, NULL));
-    control_news_fill_hearsay(control, &older, &plain);
+    control_news_fill_nonauthoritative(control, &older, &plain);
     g_assert_cmpuint(plain.groups_count, ==, GROUPS);
     assert_same(&packed, &plain);
     pooler_grant_clear(&packed);
     newer.orders_known = control->orders_known;
     newer.fleet_version = control_fleet_version(control);
-    control_news_fill_hearsay(control, &newer, &packed);
+    control_news_fill_nonauthoritative(control, &newer, &packed);
     g_assert_cmpuint(packed.news_unpacked + packed.groups_count + packed.fleet.version, ==, 0);
     pooler_grant_clear(&packed);
     pooler_grant_clear(&plain);
--- a/tests/pooler/test_owners.c
+++ b/tests/pooler/test_owners.c
@@ -536,7 +536,7 @@
     g_assert_cmpuint(control_direct_share(control, service), ==, 2);
     control->lease.record.poolers = 90;
     g_assert_cmpuint(control_direct_share(control, service), ==, 0);
-    control->members_told = 3;
+    control->fleet_count = 3;
     g_assert_cmpuint(control_direct_share(control, service), ==, 4);
 }
 
@@ -551,16 +551,16 @@
     control->coordinator_address = g_strdup("10.0.0.1:8082");
     control->newest_token = 1;
     control->orders_known = UINT64_C(1) << EPOCH_SHIFT;
-    g_assert_false(control_member_moves(control, NULL, now));
-    g_assert_false(control_member_moves(control, "10.0.0.1:8082", now));
-    g_assert_true(control_member_moves(control, "10.0.0.2:8082", now));
+    g_assert_false(control_member_must_reconnect(control, NULL, now));
+    g_assert_false(control_member_must_reconnect(control, "10.0.0.1:8082", now));
+    g_assert_true(control_member_must_reconnect(control, "10.0.0.2:8082", now));
     control->orders_known = (UINT64_C(2) << EPOCH_SHIFT) + 3;
-    g_assert_true(control_member_moves(control, "10.0.0.1:8082", now));
+    g_assert_true(control_member_must_reconnect(control, "10.0.0.1:8082", now));
     control->redirected_at = now - NANOSECONDS_PER_MILLISECOND;
-    g_assert_false(control_member_moves(control, "10.0.0.1:8082", now));
+    g_assert_false(control_member_must_reconnect(control, "10.0.0.1:8082", now));
     control->redirected_at = 0;
     control->at_coordinator = true;
-    g_assert_false(control_member_moves(control, "10.0.0.1:8082", now));
+    g_assert_false(control_member_must_reconnect(control, "10.0.0.1:8082", now));
     g_clear_pointer(&control->coordinator_address, g_free);
 }
 
@@ -655,10 +655,10 @@
     confirm(fixture, version, NULL);
     bool entering = is_entering_after(fixture, address, 250);
     g_assert_true(entering); /* the row may tell an older list */
-    control_fleet_row_told(control, version - 1, fixture->now);
+    control_fleet_note_stored(control, version - 1, fixture->now);
     entering = is_entering_after(fixture, address, 10);
     g_assert_true(entering);
-    control_fleet_row_told(control, version, fixture->now);
+    control_fleet_note_stored(control, version, fixture->now);
     entering = is_entering_after(fixture, address, 250);
     g_assert_true(entering); /* they were heard before that */
     confirm(fixture, version, "front-2");
@@ -678,18 +678,18 @@
     control->workers_count = 1;
     control->coordinator_since = fixture->now;
     control->members_before = 6;
-    control->members_told = 6;
+    control->fleet_count = 6;
     configure(fixture, 16);
     for (unsigned i = 0; i < 5; i++) {
         add_pooler(fixture, i);
     }
-    g_assert_true(control_fleet_early(control, fixture->now + 500 * MS));
-    g_assert_false(control_fleet_early(control, fixture->now + 2000 * MS));
+    g_assert_true(control_fleet_is_gathering(control, fixture->now + 500 * MS));
+    g_assert_false(control_fleet_is_gathering(control, fixture->now + 2000 * MS));
     configure(fixture, 6); /* too few for each */
-    g_assert_true(control_fleet_early(control, fixture->now + 300 * MS));
-    g_assert_false(control_fleet_early(control, fixture->now + 500 * MS));
+    g_assert_true(control_fleet_is_gathering(control, fixture->now + 300 * MS));
+    g_assert_false(control_fleet_is_gathering(control, fixture->now + 500 * MS));
     add_pooler(fixture, 5);
-    g_assert_false(control_fleet_early(control, fixture->now));
+    g_assert_false(control_fleet_is_gathering(control, fixture->now));
 }
 
 #define ADD(name, test) g_test_add("/pooler/owners/" name, fixture_t, NULL, set_up, test, tear_down)
@@ -705,7 +705,7 @@
         add_pooler(fixture, i);
     }
     decide(fixture);
-    const zone_reach_view_t before = control_reach_view(fixture->control);
+    const zone_reachability_inputs_t before = control_reachability_inputs(fixture->control);
     for (unsigned i = 0; i < 9; i++) {
         g_autofree char *address = g_strdup_printf("10.0.0.%u:7440", i + 1);
         if (i % ZONES != 0) {
@@ -713,7 +713,7 @@
                         fleet_version(fixture->control->fleet) + 1);
         }
     }
-    const zone_reach_view_t after = control_reach_view(fixture->control);
+    const zone_reachability_inputs_t after = control_reachability_inputs(fixture->control);
     g_assert_cmpuint(before.outside, >, before.members / 2);
     g_assert_cmpuint(after.outside, ==, before.outside);
     g_assert_cmpuint(after.members, ==, before.members);
--- a/tests/pooler/test_relay.c
+++ b/tests/pooler/test_relay.c
@@ -135,23 +135,24 @@
     g_assert_true(grant.relay.configuration_incomplete);
     g_assert_cmpuint(grant.relay.rows_count, ==, 0);
     control_relay_take(fixture->to, &grant.relay);
-    fixture->to->relied_until = now + 500 * MS; /* others told it, lately, what there was before */
-    control_reliance_renew(fixture->to, &grant.relay, now);
+    fixture->to->relayed_valid_until =
+        now + 500 * MS; /* others told it, lately, what there was before */
+    control_relayed_accept(fixture->to, &grant.relay, now);
     g_assert_cmpuint(control_relay_versions(fixture->to).configuration, ==, 0);
-    g_assert_true(control_reliance_asks(fixture->to, STORE_TABLE_CONFIGURATION, now));
-    g_assert_false(control_reliance_asks(fixture->to, STORE_TABLE_DIRECTORY, now));
-    g_assert_true(control_reliance_asks(fixture->to, STORE_TABLE_DIRECTORY, now + 600 * MS));
+    g_assert_true(control_relayed_needs_store(fixture->to, STORE_TABLE_CONFIGURATION, now));
+    g_assert_false(control_relayed_needs_store(fixture->to, STORE_TABLE_DIRECTORY, now));
+    g_assert_true(control_relayed_needs_store(fixture->to, STORE_TABLE_DIRECTORY, now + 600 * MS));
     pooler_grant_clear(&grant);
     fixture->to->feeds[STORE_TABLE_CONFIGURATION].failures = 1;
-    g_assert_false(control_reliance_lacks_store(fixture->to));
+    g_assert_false(control_relayed_store_fails(fixture->to));
     fixture->to->feeds[STORE_TABLE_CONFIGURATION].failures = 2;
-    g_assert_true(control_reliance_lacks_store(fixture->to));
+    g_assert_true(control_relayed_store_fails(fixture->to));
     pooler_grant_init(&grant);
     control_relay_fill(fixture->from, &(relay_receiver_t){.lacks_store = true}, now, &grant.relay);
     control_relay_take(fixture->to, &grant.relay);
-    control_reliance_renew(fixture->to, &grant.relay, now);
+    control_relayed_accept(fixture->to, &grant.relay, now);
     g_assert_cmpuint(control_relay_versions(fixture->to).configuration, ==, 6);
-    g_assert_false(control_reliance_asks(fixture->to, STORE_TABLE_CONFIGURATION, now));
+    g_assert_false(control_relayed_needs_store(fixture->to, STORE_TABLE_CONFIGURATION, now));
     pooler_grant_clear(&grant);
 }
 
@@ -165,7 +166,7 @@
         struct pooler_relay message;
         learn(fixture->from, "a", version, 1000);
         pooler_relay_init(&message);
-        control_relay_fill_for(fixture->from, &pooler, backend_now(), &message);
+        control_relay_fill_pooler(fixture->from, &pooler, backend_now(), &message);
         sent += message.rows_count;
         g_assert_cmpuint(message.configuration_row, ==, version <= 20 ? 1 : 21);
         pooler_relay_clear(&message);
@@ -191,7 +192,7 @@
         for (unsigned i = 0; i < G_N_ELEMENTS(poolers); i++) {
             struct pooler_relay message;
             pooler_relay_init(&message);
-            control_relay_fill_for(fixture->from, &poolers[i], start + ms * MS, &message);
+            control_relay_fill_pooler(fixture->from, &poolers[i], start + ms * MS, &message);
             sent += message.rows_count > 0;
             left_to_store += message.configuration_incomplete;
             pooler_relay_clear(&message);
@@ -236,7 +237,8 @@
     for (unsigned i = 0; i < 20; i++) {
         struct pooler_relay message;
         pooler_relay_init(&message);
-        control_relay_fill_hearsay(fixture->from, peer, &heartbeat, backend_now(), &message);
+        control_relay_fill_nonauthoritative(fixture->from, peer, &heartbeat, backend_now(),
+                                            &message);
         sent += message.rows_count > 0;
         pooler_relay_clear(&message);
     }
@@ -369,7 +371,7 @@
     learn_large(fixture->from, 4, 0, 0);
     learn_large(fixture->from, 9, 100, 9);
     learn_large(fixture->to, 6, 100, 6); /* learned at the store, which the other one has missed */
-    fixture->to->relied_until = backend_now() + 1000 * MS;
+    fixture->to->relayed_valid_until = backend_now() + 1000 * MS;
     pooler_relay_init(&message);
     row_versions_t known = control_relay_versions(fixture->to);
     control_relay_fill(fixture->from, &(relay_receiver_t){known, false, true}, backend_now(),
@@ -378,9 +380,10 @@
     GLogLevelFlags fatal = g_log_set_always_fatal(G_LOG_FATAL_MASK); /* it warns */
     control_relay_take(fixture->to, &message);
     g_log_set_always_fatal(fatal);
-    control_reliance_renew(fixture->to, &message, backend_now());
+    control_relayed_accept(fixture->to, &message, backend_now());
     g_assert_cmpuint(control_relay_versions(fixture->to).configuration, ==, 6);
-    g_assert_true(control_reliance_asks(fixture->to, STORE_TABLE_CONFIGURATION, backend_now()));
+    g_assert_true(
+        control_relayed_needs_store(fixture->to, STORE_TABLE_CONFIGURATION, backend_now()));
     pooler_relay_clear(&message);
 }
 
@@ -418,26 +421,27 @@
     time_ns now = backend_now();
     pooler_relay_init(&message);
     control_relay_fill(fixture->from, &(relay_receiver_t){0}, now, &message);
-    control_reliance_renew(to, &message, now);
-    g_assert_false(control_reliance_holds(to, now)); /* what it knows is not known yet */
+    control_relayed_accept(to, &message, now);
+    g_assert_false(control_relayed_is_valid(to, now)); /* what it knows is not known yet */
     control_relay_take(to, &message);
-    control_reliance_renew(to, &message, now);
-    g_assert_true(control_reliance_holds(to, now + 1500 * MS));
-    g_assert_false(control_reliance_holds(to, now + 2000 * MS));
-    g_assert_true(control_reliance_is_led(to, now + 1000 * MS));
-    g_assert_false(control_reliance_is_led(to, now + 1600 * MS)); /* whoever told may be gone */
-    g_assert_cmpuint(to->told.configuration, ==, 4);              /* and is not told it back */
+    control_relayed_accept(to, &message, now);
+    g_assert_true(control_relayed_is_valid(to, now + 1500 * MS));
+    g_assert_false(control_relayed_is_valid(to, now + 2000 * MS));
+    g_assert_true(control_relayed_covers_lease(to, now + 1000 * MS));
+    g_assert_false(
+        control_relayed_covers_lease(to, now + 1600 * MS)); /* whoever told may be gone */
+    g_assert_cmpuint(to->told.configuration, ==, 4);        /* and is not told it back */
     message.configuration_age_ms = 4000;
-    control_reliance_renew(to, &message, now + 2500 * MS);
-    g_assert_false(control_reliance_holds(to, now + 2500 * MS));
+    control_relayed_accept(to, &message, now + 2500 * MS);
+    g_assert_false(control_relayed_is_valid(to, now + 2500 * MS));
     message.configuration_age_ms = 1;
     message.directory_age_ms = 0; /* it knows more of that table than it tells */
-    control_reliance_renew(to, &message, now + 2500 * MS);
-    g_assert_false(control_reliance_holds(to, now + 2500 * MS));
+    control_relayed_accept(to, &message, now + 2500 * MS);
+    g_assert_false(control_relayed_is_valid(to, now + 2500 * MS));
     to->follows_store = true;
     message.directory_age_ms = 1;
-    control_reliance_renew(to, &message, now + 2500 * MS);
-    g_assert_false(control_reliance_holds(to, now + 2500 * MS));
+    control_relayed_accept(to, &message, now + 2500 * MS);
+    g_assert_false(control_relayed_is_valid(to, now + 2500 * MS));
     pooler_relay_clear(&message);
 }
 
@@ -478,13 +482,13 @@
     g_assert_false(
         ((struct pooler_peer *)g_hash_table_lookup(from->poolers, "strong-2"))->follows_store);
     pooler_grant_init(&grant);
-    control_followers_tell(from, version, &grant);
+    control_followers_announce(from, version, &grant);
     g_assert_cmpuint(grant.followers_count, ==, 3);
     control_followers_take(fixture->to, &grant);
     g_assert_cmpuint(fixture->to->followers->len, ==, 3);
     pooler_grant_clear(&grant);
     pooler_grant_init(&grant);
-    control_followers_tell(from, from->followers_version, &grant);
+    control_followers_announce(from, from->followers_version, &grant);
     g_assert_cmpuint(grant.followers_count, ==, 0);
     control_followers_take(fixture->to, &grant);
     g_assert_cmpuint(fixture->to->followers->len, ==, 3);
@@ -495,24 +499,25 @@
 /* Only a coordinator that the store answers is relied on, and for a while only: three fifths of the
  * bound on a configuration, from when the store was sure to have nothing newer. */
 static void
-test_reliance(fixture_t *fixture, gconstpointer unused)
+test_relayed(fixture_t *fixture, gconstpointer unused)
 {
     struct pooler_relay relay;
     time_ns now = backend_now();
     pooler_relay_init(&relay);
     relay.configuration_age_ms = 300;
     relay.directory_age_ms = 100;
-    control_reliance_renew(fixture->to, &relay, now);
-    g_assert_false(control_reliance_asks(fixture->to, STORE_TABLE_DIRECTORY, now + 1400 * MS));
-    g_assert_true(control_reliance_asks(fixture->to, STORE_TABLE_DIRECTORY, now + 1600 * MS));
-    fixture->to->relied_until = 0;
+    control_relayed_accept(fixture->to, &relay, now);
+    g_assert_false(
+        control_relayed_needs_store(fixture->to, STORE_TABLE_DIRECTORY, now + 1400 * MS));
+    g_assert_true(control_relayed_needs_store(fixture->to, STORE_TABLE_DIRECTORY, now + 1600 * MS));
+    fixture->to->relayed_valid_until = 0;
     relay.configuration_age_ms = 4000;
-    control_reliance_renew(fixture->to, &relay, now);
-    g_assert_true(control_reliance_asks(fixture->to, STORE_TABLE_DIRECTORY, now + 1));
+    control_relayed_accept(fixture->to, &relay, now);
+    g_assert_true(control_relayed_needs_store(fixture->to, STORE_TABLE_DIRECTORY, now + 1));
     relay.configuration_age_ms = 300;
     fixture->to->follows_store = true;
-    control_reliance_renew(fixture->to, &relay, now);
-    g_assert_true(control_reliance_asks(fixture->to, STORE_TABLE_DIRECTORY, now + 1));
+    control_relayed_accept(fixture->to, &relay, now);
+    g_assert_true(control_relayed_needs_store(fixture->to, STORE_TABLE_DIRECTORY, now + 1));
     pooler_relay_clear(&relay);
 }
 
@@ -528,15 +533,16 @@
     control->address = g_strdup("10.0.0.2:8782");
     fixture->settings.pooler.start_wait_ms = 50;
     control->started_at = backend_now();
-    control_reliance_start(control);
-    g_assert_false(control_reliance_asks(control, STORE_TABLE_DIRECTORY, control->started_at));
-    g_assert_true(
-        control_reliance_asks(control, STORE_TABLE_DIRECTORY, control->started_at + 100 * MS));
+    control_relayed_start(control);
+    g_assert_false(
+        control_relayed_needs_store(control, STORE_TABLE_DIRECTORY, control->started_at));
+    g_assert_true(control_relayed_needs_store(control, STORE_TABLE_DIRECTORY,
+                                              control->started_at + 100 * MS));
     time_ns now = control->started_at + 5 * MS;
-    control_reliance_peer_answered(control, now);
-    g_assert_false(control_reliance_asks(control, STORE_TABLE_DIRECTORY, now + 100 * MS));
-    control_reliance_peer_answered(control, now + 100 * MS);
-    g_assert_true(control_reliance_asks(control, STORE_TABLE_DIRECTORY, now + 200 * MS));
+    control_relayed_peer_answered(control, now);
+    g_assert_false(control_relayed_needs_store(control, STORE_TABLE_DIRECTORY, now + 100 * MS));
+    control_relayed_peer_answered(control, now + 100 * MS);
+    g_assert_true(control_relayed_needs_store(control, STORE_TABLE_DIRECTORY, now + 200 * MS));
     g_assert_cmpuint(control->lease.next_at, <, now + 200 * MS);
 }
 
@@ -553,9 +559,9 @@
     control_relay_fill_offer(fixture->to, now, &offer);
     control_relay_take(fixture->from, &offer);
     control_relay_confirm(pooler, &offer);
-    control_relay_fill_for(fixture->from, pooler, now, &answer);
+    control_relay_fill_pooler(fixture->from, pooler, now, &answer);
     control_relay_take(fixture->to, &answer);
-    control_reliance_renew(fixture->to, &answer, now);
+    control_relayed_accept(fixture->to, &answer, now);
     pooler_relay_clear(&offer);
     pooler_relay_clear(&answer);
 }
@@ -599,13 +605,13 @@
         control_feed_prove(&fixture->from->feeds[STORE_TABLE_CONFIGURATION], now);
         control_feed_prove(&fixture->from->feeds[STORE_TABLE_DIRECTORY], now);
         beat(fixture, &pooler, now);
-        if (control_reliance_asks(fixture->to, STORE_TABLE_CONFIGURATION, now)) {
+        if (control_relayed_needs_store(fixture->to, STORE_TABLE_CONFIGURATION, now)) {
             reads++;
             read_whole(fixture->to, 4, now);
         }
     }
     g_assert_cmpuint(reads, ==, 1);
-    g_assert_true(control_reliance_holds(fixture->to, start + 20000 * MS));
+    g_assert_true(control_relayed_is_valid(fixture->to, start + 20000 * MS));
 }
 
 /* What the other side said before it heard that the store was read makes nobody read it again. */
@@ -618,10 +624,10 @@
     read_whole(fixture->to, 4, now);
     pooler_relay_init(&message);
     message.configuration_incomplete = true;
-    control_reliance_renew(fixture->to, &message, now);
+    control_relayed_accept(fixture->to, &message, now);
     g_assert_false(feed->missing);
     message.configuration_base = message.configuration_row = 4; /* it has heard, and knows more */
-    control_reliance_renew(fixture->to, &message, now);
+    control_relayed_accept(fixture->to, &message, now);
     g_assert_true(feed->missing);
     pooler_relay_clear(&message);
 }
@@ -648,7 +654,7 @@
     ADD("many-rows", test_many_rows);
     ADD("hearsay", test_hearsay);
     ADD("followers", test_followers);
-    ADD("reliance", test_reliance);
+    ADD("reliance", test_relayed);
     ADD("start", test_start);
     ADD("large-tables-read-once", test_large_tables_read_once);
     ADD("outdated-word-of-missing-rows", test_outdated_word_of_missing_rows);
--- a/tests/pooler/test_reliance.c
+++ b/tests/pooler/test_relayed.c
@@ -103,9 +103,9 @@
     pooler->known.configuration = MAX(pooler->known.configuration, told.configuration_row);
     pooler->known.directory = MAX(pooler->known.directory, told.directory_row);
     pooler_grant_init(&grant);
-    control_relay_fill_for(fixture->coordinator, pooler, fixture->now, &grant.relay);
+    control_relay_fill_pooler(fixture->coordinator, pooler, fixture->now, &grant.relay);
     control_relay_take(fixture->member, &grant.relay);
-    control_reliance_renew(fixture->member, &grant.relay, asked);
+    control_relayed_accept(fixture->member, &grant.relay, asked);
     pooler_relay_clear(&told);
     pooler_grant_clear(&grant);
 }
@@ -177,7 +177,8 @@
         fixture->pooler.known = (row_versions_t){9, 9};
     }
     g_assert_cmpuint(version_of(fixture->member), ==, 4);
-    g_assert_true(control_reliance_asks(fixture->member, STORE_TABLE_CONFIGURATION, fixture->now));
+    g_assert_true(
+        control_relayed_needs_store(fixture->member, STORE_TABLE_CONFIGURATION, fixture->now));
 }
 
 /* A coordinator that the store no longer answers is left in time to ask the store before the bound,
@@ -194,12 +195,14 @@
         time_ns asked = fixture->now + HEARTBEAT_NS;
         fixture->now = asked + 1;
         pooler_grant_init(&grant);
-        control_relay_fill_for(fixture->coordinator, &fixture->pooler, fixture->now, &grant.relay);
+        control_relay_fill_pooler(fixture->coordinator, &fixture->pooler, fixture->now,
+                                  &grant.relay);
         control_relay_take(fixture->member, &grant.relay);
-        control_reliance_renew(fixture->member, &grant.relay, asked);
+        control_relayed_accept(fixture->member, &grant.relay, asked);
         pooler_grant_clear(&grant);
     }
-    g_assert_true(control_reliance_asks(fixture->member, STORE_TABLE_CONFIGURATION, fixture->now));
+    g_assert_true(
+        control_relayed_needs_store(fixture->member, STORE_TABLE_CONFIGURATION, fixture->now));
 }
 
 /* A message that was long on its way, or lay in the buffer of a process that stood still, is as old
@@ -214,13 +217,15 @@
     time_ns asked = fixture->now;
     refresh(fixture);
     pooler_grant_init(&grant);
-    control_relay_fill_for(fixture->coordinator, &fixture->pooler, fixture->now, &grant.relay);
+    control_relay_fill_pooler(fixture->coordinator, &fixture->pooler, fixture->now, &grant.relay);
     fixture->now += BOUND_NS;
     control_relay_take(fixture->member, &grant.relay);
-    control_reliance_renew(fixture->member, &grant.relay, asked);
-    g_assert_true(control_reliance_asks(fixture->member, STORE_TABLE_CONFIGURATION, fixture->now));
-    control_reliance_renew(fixture->member, &grant.relay, 0); /* sent unasked: of an unknown age */
-    g_assert_true(control_reliance_asks(fixture->member, STORE_TABLE_CONFIGURATION, fixture->now));
+    control_relayed_accept(fixture->member, &grant.relay, asked);
+    g_assert_true(
+        control_relayed_needs_store(fixture->member, STORE_TABLE_CONFIGURATION, fixture->now));
+    control_relayed_accept(fixture->member, &grant.relay, 0); /* sent unasked: of an unknown age */
+    g_assert_true(
+        control_relayed_needs_store(fixture->member, STORE_TABLE_CONFIGURATION, fixture->now));
     pooler_grant_clear(&grant);
 }
 
@@ -233,12 +238,12 @@
         exchange(fixture);
         g_assert_cmpuint(version_of(fixture->member), ==, version);
         g_assert_false(
-            control_reliance_asks(fixture->member, STORE_TABLE_CONFIGURATION, fixture->now));
+            control_relayed_needs_store(fixture->member, STORE_TABLE_CONFIGURATION, fixture->now));
     }
 }
 
 #define ADD(name, test)                                                                            \
-    g_test_add("/pooler/reliance/" name, fixture_t, NULL, set_up, test, tear_down)
+    g_test_add("/pooler/relayed/" name, fixture_t, NULL, set_up, test, tear_down)
 
 int
 main(int argc, char **argv)
--- a/tests/pooler/test_store_era.c
+++ b/tests/pooler/test_store_era.c
@@ -104,9 +104,9 @@
     control_relay_take(fixture->coordinator, &told);
     control_relay_confirm(&fixture->pooler, &told);
     pooler_grant_init(&grant);
-    control_relay_fill_for(fixture->coordinator, &fixture->pooler, now, &grant.relay);
+    control_relay_fill_pooler(fixture->coordinator, &fixture->pooler, now, &grant.relay);
     control_relay_take(fixture->member, &grant.relay);
-    control_reliance_renew(fixture->member, &grant.relay, now);
+    control_relayed_accept(fixture->member, &grant.relay, now);
     pooler_relay_clear(&told);
     pooler_grant_clear(&grant);
 }
@@ -229,9 +229,9 @@
         g_assert_cmpuint(relay.directory_age_ms, ==, 0);
         relay.configuration_row = relay.directory_row = store_version(eras[i][0], 60);
         relay.configuration_age_ms = relay.directory_age_ms = 10;
-        control_reliance_renew(asker, &relay, now);
+        control_relayed_accept(asker, &relay, now);
         g_assert_cmpuint(asker->feeds[STORE_TABLE_CONFIGURATION].as_of, ==, now - BOUND_NS);
-        g_assert_false(control_reliance_holds(asker, now));
+        g_assert_false(control_relayed_is_valid(asker, now));
         pooler_relay_clear(&relay);
         control_fixture_free(teller);
         control_fixture_free(asker);
