--- a/src/pooler/control/compression.h
+++ b/src/pooler/control/compression.h
@@ -13,7 +13,7 @@
 #define COMPRESSION_MIN 512
 
 /** @brief Longest content that is unpacked, in bytes: what the platform takes for a row or object,
- *  and some room. */
+ *  and some capacity. */
 #define COMPRESSION_MAX ((gsize)16 * 1024 * 1024)
 
 /** @return the packed content; NULL if it would not be smaller. */
--- a/src/pooler/control/control_coordinator.c
+++ b/src/pooler/control/control_coordinator.c
@@ -380,7 +380,7 @@
     g_hash_table_remove_all(control->poolers);
     control->followers_version++;
     control->mirrors.version++;
-    control->mirrors.heard = 0;
+    control->mirrors.candidates = 0;
     control->coordinator_since = backend_now();
     control->owed_until =
         control->lease.ceded_token == 0 ? 0 : control->coordinator_since + PERMIT_MS * MS;
--- a/src/pooler/control/control_fleet.c
+++ b/src/pooler/control/control_fleet.c
@@ -16,19 +16,19 @@
 #include <inttypes.h>
 #include <string.h>
 
-#define DECIDE_EVERY_NS (250 * MS)
+#define DECIDE_INTERVAL_NS (250 * MS)
 
 /** A pooler that was not heard for this long owns nothing. */
-#define OWNER_HEARD_NS (1200 * MS)
+#define OWNER_CONTACT_NS (1200 * MS)
 
 /** One that a new coordinator has never heard has so long to come. As long as a pooler is
  *  remembered. */
-#define UNHEARD_KEPT_NS (4000 * MS)
+#define UNSEEN_KEPT_NS (4000 * MS)
 
 /** Where more than one in so many are missing, they stay for so long: longer than the partitions
  * and losses of power that machines come back from (2 to 12 s were seen). */
-#define MISSING_SHARE 4
-#define THIN_KEPT_NS  (15000 * MS)
+#define MISSING_SHARE        4
+#define MANY_MISSING_KEPT_NS (15000 * MS)
 
 /** A new coordinator waits until it hears as many poolers as the one before, but no longer than
  *  this: a little where nothing is served without owners, longer where owners are at work, or all
@@ -195,47 +195,47 @@
 }
 
 /** @brief What this coordinator knows of the poolers, by forward address. */
-typedef struct hearing {
-    GHashTable *heard; /* lately */
-    GHashTable *ended; /* stopping, or its process has ended */
-    GHashTable *known; /* heard at any time under this coordinator, and remembered; address ->
-                          struct pooler_peer */
-    bool thin;         /* many are missing: neither heard nor known to have ended */
-} hearing_t;
+typedef struct contacts {
+    GHashTable *recent; /* lately */
+    GHashTable *ended;  /* stopping, or its process has ended */
+    GHashTable *known;  /* heard at any time under this coordinator, and remembered; address ->
+                           struct pooler_peer */
+    bool many_missing;  /* many are missing: neither heard nor known to have ended */
+} contacts_t;
 
 static void
-hearing_init(hearing_t *hearing)
+contacts_init(contacts_t *contacts)
 {
-    hearing->heard = g_hash_table_new(g_str_hash, g_str_equal);
-    hearing->ended = g_hash_table_new(g_str_hash, g_str_equal);
-    hearing->known = g_hash_table_new(g_str_hash, g_str_equal);
-    hearing->thin = false;
+    contacts->recent = g_hash_table_new(g_str_hash, g_str_equal);
+    contacts->ended = g_hash_table_new(g_str_hash, g_str_equal);
+    contacts->known = g_hash_table_new(g_str_hash, g_str_equal);
+    contacts->many_missing = false;
 }
 
 static void
-hearing_clear(hearing_t *hearing)
+contacts_clear(contacts_t *contacts)
 {
-    g_hash_table_unref(hearing->heard);
-    g_hash_table_unref(hearing->ended);
-    g_hash_table_unref(hearing->known);
+    g_hash_table_unref(contacts->recent);
+    g_hash_table_unref(contacts->ended);
+    g_hash_table_unref(contacts->known);
 }
 
 static void
-sort_pooler(hearing_t *hearing, const struct pooler_peer *pooler, time_ns now)
+classify_pooler(contacts_t *contacts, const struct pooler_peer *pooler, time_ns now)
 {
     if (pooler->forward_address == NULL || pooler->forward_address[0] == '\0') {
         return;
     }
-    g_hash_table_insert(hearing->known, pooler->forward_address, (gpointer)pooler);
+    g_hash_table_insert(contacts->known, pooler->forward_address, (gpointer)pooler);
     if (pooler->stopping || (pooler->peer == NULL && pooler->ended)) {
-        g_hash_table_add(hearing->ended, pooler->forward_address);
-    } else if (pooler->peer != NULL && now < pooler->contact.heard_at + OWNER_HEARD_NS) {
-        g_hash_table_add(hearing->heard, pooler->forward_address);
+        g_hash_table_add(contacts->ended, pooler->forward_address);
+    } else if (pooler->peer != NULL && now < pooler->contact.heard_at + OWNER_CONTACT_NS) {
+        g_hash_table_add(contacts->recent, pooler->forward_address);
     }
 }
 
 static uint32_t
-join_heard(struct control *control, uint64_t version, hearing_t *hearing, time_ns now)
+join_recent(struct control *control, uint64_t version, contacts_t *contacts, time_ns now)
 {
     uint32_t joined = 0;
     GHashTableIter iterator;
@@ -243,9 +243,9 @@
     g_hash_table_iter_init(&iterator, control->poolers);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct pooler_peer *pooler = value;
-        sort_pooler(hearing, pooler, now);
+        classify_pooler(contacts, pooler, now);
         if (pooler->forward_address != NULL &&
-            g_hash_table_contains(hearing->heard, pooler->forward_address)) {
+            g_hash_table_contains(contacts->recent, pooler->forward_address)) {
             joined += fleet_join(control->fleet, pooler->forward_address, pooler->zone,
                                  pooler->workers, pooler->millicores, version);
         }
@@ -254,28 +254,28 @@
 }
 
 static bool
-is_missing(const hearing_t *hearing, const fleet_member_t *member)
+is_missing(const contacts_t *contacts, const fleet_member_t *member)
 {
-    return !member->gone && !g_hash_table_contains(hearing->heard, member->address) &&
-           !g_hash_table_contains(hearing->ended, member->address);
+    return !member->gone && !g_hash_table_contains(contacts->recent, member->address) &&
+           !g_hash_table_contains(contacts->ended, member->address);
 }
 
 /* Notes whether many members are missing, and since when. */
 static void
-find_thin(struct control *control, hearing_t *hearing, time_ns now)
+note_many_missing(struct control *control, contacts_t *contacts, time_ns now)
 {
     uint32_t missing = 0;
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, fleet_members(control->fleet));
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        missing += is_missing(hearing, value);
+        missing += is_missing(contacts, value);
     }
-    hearing->thin = missing > fleet_size(control->fleet) / MISSING_SHARE;
-    if (!hearing->thin) {
-        control->thin_since = 0;
-    } else if (control->thin_since == 0) {
-        control->thin_since = now;
+    contacts->many_missing = missing > fleet_size(control->fleet) / MISSING_SHARE;
+    if (!contacts->many_missing) {
+        control->many_missing_since = 0;
+    } else if (control->many_missing_since == 0) {
+        control->many_missing_since = now;
     }
 }
 
@@ -284,21 +284,21 @@
  * taken for this coordinator that is slow or cut off, and who was never heard under it gets the
  * time to come. */
 static bool
-stays(const struct control *control, const hearing_t *hearing, const fleet_member_t *member,
-      time_ns now)
+is_kept(const struct control *control, const contacts_t *contacts, const fleet_member_t *member,
+        time_ns now)
 {
-    if (!is_missing(hearing, member)) {
-        return g_hash_table_contains(hearing->heard, member->address);
+    if (!is_missing(contacts, member)) {
+        return g_hash_table_contains(contacts->recent, member->address);
     }
-    if (hearing->thin) {
-        return now < control->thin_since + THIN_KEPT_NS;
+    if (contacts->many_missing) {
+        return now < control->many_missing_since + MANY_MISSING_KEPT_NS;
     }
-    return !g_hash_table_contains(hearing->known, member->address) &&
-           now < control->coordinator_since + UNHEARD_KEPT_NS;
+    return !g_hash_table_contains(contacts->known, member->address) &&
+           now < control->coordinator_since + UNSEEN_KEPT_NS;
 }
 
 static uint32_t
-leave_missing(struct control *control, uint64_t version, const hearing_t *hearing, time_ns now)
+leave_missing(struct control *control, uint64_t version, const contacts_t *contacts, time_ns now)
 {
     uint32_t left = 0;
     GHashTableIter iterator;
@@ -306,7 +306,7 @@
     g_hash_table_iter_init(&iterator, fleet_members(control->fleet));
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const fleet_member_t *member = value;
-        if (!member->gone && !stays(control, hearing, member, now)) {
+        if (!member->gone && !is_kept(control, contacts, member, now)) {
             left += fleet_leave(control->fleet, member->address, version);
         }
     }
@@ -352,9 +352,10 @@
 }
 
 static roster_standing_t
-standing_of(struct control *control, const hearing_t *hearing, fleet_member_t *member, time_ns now)
+standing_of(struct control *control, const contacts_t *contacts, fleet_member_t *member,
+            time_ns now)
 {
-    const struct pooler_peer *pooler = g_hash_table_lookup(hearing->known, member->address);
+    const struct pooler_peer *pooler = g_hash_table_lookup(contacts->known, member->address);
     roster_standing_t standing = {.away = member->gone,
                                   .away_since = settled_since(control, member, now)};
     if (pooler != NULL) {
@@ -367,8 +368,8 @@
 /* True if no other member counts shares any more that this one has taken over: all of them have
  * heard of the list in which it has them, or have stopped. */
 static bool
-all_have_heard(struct control *control, const hearing_t *hearing, const fleet_member_t *entering,
-               time_ns now)
+all_have_confirmed(struct control *control, const contacts_t *contacts,
+                   const fleet_member_t *entering, time_ns now)
 {
     uint64_t version = MAX(entering->version, control->lease.token << EPOCH_SHIFT);
     GHashTableIter iterator;
@@ -376,7 +377,7 @@
     g_hash_table_iter_init(&iterator, fleet_members(control->fleet));
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         fleet_member_t *member = value;
-        const roster_standing_t standing = standing_of(control, hearing, member, now);
+        const roster_standing_t standing = standing_of(control, contacts, member, now);
         if (is_listed(member) &&
             !roster_has_heard(&standing, version, entering->row_stored_at, now)) {
             return false;
@@ -386,25 +387,25 @@
 }
 
 static bool
-begins_to_count(struct control *control, const hearing_t *hearing, const fleet_member_t *member,
+starts_counting(struct control *control, const contacts_t *contacts, const fleet_member_t *member,
                 time_ns since, time_ns now)
 {
     if (member->gone || !member->entering) {
         return false;
     }
-    bool heard = all_have_heard(control, hearing, member, now);
-    bool begins = heard || roster_may_count(true, since, now);
-    if (begins) {
+    bool heard = all_have_confirmed(control, contacts, member, now);
+    bool starts = heard || roster_may_count(true, since, now);
+    if (starts) {
         g_info("The pooler at %s counts operations, %" PRIu64 " ms after it came%s.",
                member->address, (now - since) / MS, heard ? ": all others know" : "");
     }
-    return begins;
+    return starts;
 }
 
 /* Who is away for long loses its place in counting operations; who has had one for long enough that
  * whoever had it before has stopped, counts. */
 static uint32_t
-settle_counting(struct control *control, const hearing_t *hearing, uint64_t version, time_ns now)
+settle_counting(struct control *control, const contacts_t *contacts, uint64_t version, time_ns now)
 {
     uint32_t changed = 0;
     GHashTableIter iterator;
@@ -414,7 +415,7 @@
         fleet_member_t *member = value;
         time_ns since = settled_since(control, member, now);
         bool lost = roster_loses_place(member->away, since, now);
-        bool entered = begins_to_count(control, hearing, member, since, now);
+        bool entered = starts_counting(control, contacts, member, since, now);
         if (lost || entered) {
             changed += fleet_set_counting(control->fleet, member->address, member->away && !lost,
                                           member->entering && !entered, version);
@@ -434,14 +435,14 @@
 bool
 control_fleet_decide(struct control *control, time_ns now)
 {
-    hearing_t hearing;
-    hearing_init(&hearing);
+    contacts_t contacts;
+    contacts_init(&contacts);
     uint64_t version = MAX(control_fleet_version(control), control->lease.token << EPOCH_SHIFT) + 1;
-    uint32_t joined = join_heard(control, version, &hearing, now);
-    find_thin(control, &hearing, now);
-    uint32_t left = leave_missing(control, version, &hearing, now);
-    uint32_t settled = settle_counting(control, &hearing, version, now);
-    hearing_clear(&hearing);
+    uint32_t joined = join_recent(control, version, &contacts, now);
+    note_many_missing(control, &contacts, now);
+    uint32_t left = leave_missing(control, version, &contacts, now);
+    uint32_t settled = settle_counting(control, &contacts, version, now);
+    contacts_clear(&contacts);
     uint32_t size = fleet_size(control->fleet);
     uint32_t counted = count_damped(fleet_counted(control->fleet), size);
     bool changed = joined + left + settled > 0 || counted != fleet_counted(control->fleet);
@@ -486,7 +487,7 @@
         control_fleet_is_gathering(control, now)) {
         return;
     }
-    control->fleet_at = now + DECIDE_EVERY_NS;
+    control->fleet_at = now + DECIDE_INTERVAL_NS;
     if (control_fleet_decide(control, now)) {
         control_coordinator_push(control);
     }
--- a/src/pooler/control/control_followers.c
+++ b/src/pooler/control/control_followers.c
@@ -11,12 +11,12 @@
 
 /* One that follows the store, and that the store has not answered for so long, gives way to
  * another: three looks. In milliseconds. */
-#define FOLLOWER_LOST_MS 2700
+#define FOLLOWER_FAILING_MS 2700
 
 static bool
-is_lost_follower(const struct pooler_peer *pooler)
+is_failing_follower(const struct pooler_peer *pooler)
 {
-    return pooler->followed_store && pooler->store_age_ms > FOLLOWER_LOST_MS;
+    return pooler->followed_store && pooler->store_age_ms > FOLLOWER_FAILING_MS;
 }
 
 /* Those that the store answers, as far as they ask it. Then strong machines first, as a follower
@@ -27,8 +27,8 @@
 {
     const struct pooler_peer *first = *(struct pooler_peer *const *)a;
     const struct pooler_peer *second = *(struct pooler_peer *const *)b;
-    if (is_lost_follower(first) != is_lost_follower(second)) {
-        return is_lost_follower(first) ? 1 : -1;
+    if (is_failing_follower(first) != is_failing_follower(second)) {
+        return is_failing_follower(first) ? 1 : -1;
     }
     if (first->millicores != second->millicores) {
         return first->millicores > second->millicores ? -1 : 1;
@@ -39,7 +39,7 @@
 }
 
 static bool
-zone_follows(const GPtrArray *poolers, const char *zone)
+zone_has_follower(const GPtrArray *poolers, const char *zone)
 {
     for (guint i = 0; i < poolers->len; i++) {
         const struct pooler_peer *pooler = g_ptr_array_index(poolers, i);
@@ -71,9 +71,9 @@
     return poolers;
 }
 
-/* Poolers that lose the coordinator ask the followers, so all are told who these are. */
+/* Poolers that lose the coordinator ask the followers, so all are known_version who these are. */
 static void
-name_followers(struct control *control, const GPtrArray *poolers)
+update_followers(struct control *control, const GPtrArray *poolers)
 {
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
     for (guint i = 0; i < poolers->len; i++) {
@@ -103,20 +103,21 @@
     for (int other_zones = 1; other_zones >= 0; other_zones--) {
         for (guint i = 0; i < poolers->len && chosen < FOLLOWERS; i++) {
             struct pooler_peer *pooler = g_ptr_array_index(poolers, i);
-            bool good = !pooler->follows_store &&
-                        (other_zones == 0 ||
-                         (!zone_follows(poolers, pooler->zone) && !is_lost_follower(pooler)));
-            pooler->follows_store = pooler->follows_store || good;
-            chosen += good;
+            bool eligible = !pooler->follows_store &&
+                            (other_zones == 0 || (!zone_has_follower(poolers, pooler->zone) &&
+                                                  !is_failing_follower(pooler)));
+            pooler->follows_store = pooler->follows_store || eligible;
+            chosen += eligible;
         }
     }
-    name_followers(control, poolers);
+    update_followers(control, poolers);
 }
 
 void
-control_followers_announce(const struct control *control, uint64_t told, struct pooler_grant *grant)
+control_followers_announce(const struct control *control, uint64_t known_version,
+                           struct pooler_grant *grant)
 {
-    if (told == control->followers_version) {
+    if (known_version == control->followers_version) {
         return;
     }
     grant->followers = g_new0(char *, control->followers->len + 1);
--- a/src/pooler/control/control_internal.h
+++ b/src/pooler/control/control_internal.h
@@ -41,15 +41,15 @@
 #define EPOCH_SHIFT 32
 
 /* Tokens that are given out in an era of the store begin above all of the eras before, which the
- * store may have lost. Leaves room for a million holders in each of 4,096 eras. */
+ * store may have lost. Leaves capacity for a million holders in each of 4,096 eras. */
 #define TOKEN_ERA_SHIFT 20
 
 /* An earlier value of a row, from which the difference is told to those who have it. */
 typedef struct past_value {
     uint64_t version;
     GBytes *value;
-    GBytes *delta;  /* from it to the row's value; NULL: not made yet */
-    GBytes *packed; /* the same packed; NULL: not worth it, or not made yet */
+    GBytes *delta;      /* from it to the row's value; NULL: not made yet */
+    GBytes *compressed; /* the same packed; NULL: not worth it, or not made yet */
 } past_value_t;
 
 /* One row of the store as last seen, kept to pass it on to poolers that the store turns away. */
@@ -58,10 +58,10 @@
     uint64_t version;
     bool gone;
     GBytes *value;
-    GBytes *packed; /* NULL: not worth it, or not packed yet */
-    bool is_packed; /* it was tried */
-    uint64_t hash;  /* of the value; 0: not worked out yet */
-    GQueue past;    /* of past_value_t, newest first, of large rows */
+    GBytes *compressed;     /* NULL: not worth it, or not packed yet */
+    bool compression_tried; /* it was tried */
+    uint64_t hash;          /* of the value; 0: not worked out yet */
+    GQueue past;            /* of past_value_t, newest first, of large rows */
     time_ns learned_at;
 };
 
@@ -81,30 +81,30 @@
 /** @brief Compressed messages of orders and members, one for each pair of versions that receivers
  * already know, so that many receivers get the same bytes. */
 typedef struct news_cache {
-    GPtrArray *kept; /* of packed_news_t (control_news.c); NULL: nothing yet */
-    uint64_t orders; /* version of the orders that all of them lead up to */
-    uint64_t fleet;  /* the same of the members */
+    GPtrArray *entries; /* of packed_news_t (control_news.c); NULL: nothing yet */
+    uint64_t orders;    /* version of the orders that all of them lead up to */
+    uint64_t fleet;     /* the same of the members */
 } news_cache_t;
 
 /** @brief All rows of both tables, as one compressed message for every pooler that lacks them. */
 typedef struct table_snapshot {
-    GBytes *packed;         /* NULL: not made yet */
+    GBytes *compressed;     /* NULL: not made yet */
     uint32_t length;        /* bytes before compression; 0: it is not compressed */
     row_versions_t through; /* it holds the tables up to these */
 } table_snapshot_t;
 
 /** @brief Whom this pooler asks for the store's tables, and who asks it. Starts from zeros. */
 typedef struct mirrors {
-    GPtrArray *known; /* of struct pooler_mirror, as chosen here or told last; NULL: none */
-    uint64_t version; /* rises with each choice that changes them */
-    size_t heard;     /* poolers to choose from, as of the last look */
-    mirror_questions_t questions;
-    char *asked;       /* the one that was asked last; NULL: none */
-    struct peer *peer; /* the connection to it; NULL: there is none */
+    GPtrArray *known;  /* of struct pooler_mirror, as chosen here or told last; NULL: none */
+    uint64_t version;  /* rises with each choice that changes them */
+    size_t candidates; /* poolers to choose from, as of the last look */
+    mirror_requests_t requests;
+    char *last_address; /* the one that was asked last; NULL: none */
+    struct peer *peer;  /* the connection to it; NULL: there is none */
     struct peer_callbacks callbacks;
-    time_ns lacks_since; /* see mirror_view_t; 0: nothing is lacking, or it is waited for */
-    bool expected;       /* the tables come from mirrors: the store is left alone */
-    GArray *waiting;     /* questions to this one that wait; NULL: none has come yet */
+    time_ns missing_since; /* see mirror_inputs_t; 0: nothing is lacking, or it is waited for */
+    bool expected;         /* the tables come from mirrors: the store is left alone */
+    GArray *pending;       /* questions to this one that wait; NULL: none has come yet */
     table_snapshot_t snapshot;
 } mirrors_t;
 
@@ -118,17 +118,17 @@
     uint64_t changed_version; /* highest of the rows */
     gsize largest;            /* value that a row has had, in bytes */
     time_ns as_of;            /* what is known was certainly the store's newest then; 0: never */
-    time_ns current_at;       /* when the store last answered this pooler about it; 0: never */
+    time_ns last_answer_at;   /* when the store last answered this pooler about it; 0: never */
     bool calling;
     time_ns call_sent;
     call_reason_t reason; /* of the call that is on its way */
     time_ns next_at;
     time_ns
-        reserve_until;  /* a follower asks again then, while the coordinator tells it; 0: at once */
-    uint32_t failures;  /* in a row */
-    uint32_t forgotten; /* questions for changes that the store could not answer, in a row */
-    bool missing;       /* another pooler knows more, which was too large to be told */
-    time_ns list_at;    /* it is read whole once more then, after a restore; 0: it need not be */
+        standby_until; /* a follower asks again then, while the coordinator tells it; 0: at once */
+    uint32_t failures; /* in a row */
+    uint32_t history_failures; /* questions for changes that the store could not answer, in a row */
+    bool missing;              /* another pooler knows more, which was too large to be told */
+    time_ns list_at; /* it is read whole once more then, after a restore; 0: it need not be */
 };
 
 /** @brief What a pooler has told the coordinator of a group on this connection. */
@@ -238,15 +238,15 @@
 };
 
 /** Poolers of other zones that are asked for a sign of life at the same time. */
-#define REACH_QUESTIONS 2
+#define REACHABILITY_PINGS 2
 
 /** @brief A connection to such a pooler, and the question on it. */
-typedef struct reach_question {
+typedef struct reachability_ping {
     struct control *control;
     struct peer *peer; /* NULL while there is no connection */
     struct peer_callbacks callbacks;
-    time_ns asked_at; /* when the open question was sent; 0: none is open */
-} reach_question_t;
+    time_ns sent_at; /* when the open question was sent; 0: none is open */
+} reachability_ping_t;
 
 struct control {
     const struct pooler_settings *settings;
@@ -297,10 +297,10 @@
     time_ns connected_at;
     bool connect_now; /* the coordinator's address has changed */
     uint32_t fleet_count;
-    uint64_t news_told;          /* of the workers' news, those that were last told */
-    uint64_t orders_taken;       /* version up to which orders have come from this coordinator */
+    uint64_t news_sent;          /* of the workers' news, those that were last told */
+    uint64_t orders_received;    /* version up to which orders have come from this coordinator */
     uint64_t orders_view;        /* number of the view that holds them */
-    uint64_t orders_told;        /* version that was told as followed */
+    uint64_t orders_reported;    /* version that was told as followed */
     uint64_t view_number;        /* of the newest view */
     uint64_t view_revision;      /* of the newest state of a group in a view */
     bool follows_store;          /* by itself, as the coordinator asked */
@@ -308,21 +308,21 @@
     uint64_t orders_known;       /* version of the newest orders that any coordinator gave */
     bool introduced_self;        /* the pooler at the other end has been told who we are */
     unsigned next_address;       /* place in the order of addresses that are tried */
-    time_ns hearsay_at;          /* another pooler last told what it follows of the store */
+    time_ns nonauthoritative_at; /* another pooler last told what it follows of the store */
     bool start_answered;         /* another pooler has answered since the start */
-    time_ns told_as_of;          /* what others told was the store's newest then; 0: nothing yet */
+    time_ns relayed_as_of;       /* what others told was the store's newest then; 0: nothing yet */
     time_ns relayed_valid_until; /* what others told of the store is relied on until then */
-    row_versions_t told;         /* what the coordinator knew of the store's tables */
-    row_versions_t offered;      /* rows up to these were sent to it, and not confirmed yet */
+    row_versions_t coordinator_rows; /* what the coordinator knew of the store's tables */
+    row_versions_t offered;          /* rows up to these were sent to it, and not confirmed yet */
     time_ns offered_at;
-    double row_bytes; /* that may be sent to other poolers now, beside all else on the link */
-    time_ns row_bytes_at;
+    double row_budget; /* that may be sent to other poolers now, beside all else on the link */
+    time_ns row_budget_at;
     struct peer_callbacks coordinator_callbacks;
     zone_reachability_t zone_reachability;
-    reach_question_t reach_questions[REACH_QUESTIONS];
-    unsigned reach_turn;      /* place of the pooler that is asked next */
-    time_ns reach_at;         /* the next look at it, at the earliest */
-    bool coordinator_outside; /* the connection is to a pooler of another zone */
+    reachability_ping_t reachability_pings[REACHABILITY_PINGS];
+    unsigned reachability_next;     /* place of the pooler that is asked next */
+    time_ns reachability_due_at;    /* the next look at it, at the earliest */
+    bool coordinator_in_other_zone; /* the connection is to a pooler of another zone */
     /* As the coordinator. */
     struct lease lease;
     time_ns coordinator_since;
@@ -340,8 +340,8 @@
     struct failover_actions failover_actions;
     uint64_t orders_version; /* rises with each order of any group; holds the lease's token */
     push_pace_t push_pace;
-    news_cache_t news;      /* as the coordinator tells it */
-    news_cache_t hearsay;   /* as this pooler tells it in its place */
+    news_cache_t news;                  /* as the coordinator tells it */
+    news_cache_t nonauthoritative_news; /* as this pooler tells it in its place */
     bool push_wanted;       /* orders, owners or rows have changed that poolers are to be told */
     time_ns coordinated_at; /* the groups were last looked at */
     bool coordination_due;  /* and are to be looked at again as soon as may be */
@@ -357,7 +357,7 @@
     roster_t *roster;           /* those of them that count operations; NULL: none is known */
     time_ns roster_valid_until; /* it is relied on until then */
     time_ns fleet_at;           /* when it is decided next */
-    time_ns thin_since;         /* many of it have been missing since then; 0: they are not */
+    time_ns many_missing_since; /* many of it have been missing since then; 0: they are not */
     GHashTable *fresh;    /* of forward addresses: poolers heard lately, by this survey; empty until
                              asked for */
     bool rows_learned;    /* and not yet told to the poolers */
@@ -424,7 +424,7 @@
 void control_feed_answered(struct feed *feed, time_ns now);
 /** @return true if the table is read whole, as that is less than the changes that may have been
  *  missed. */
-bool control_feed_lists(const struct feed *feed, time_ns now);
+bool control_feed_needs_listing(const struct feed *feed, time_ns now);
 /** @brief What is known here of the table was the store's newest at that moment (0: nothing is
  *  told). */
 void control_feed_prove(struct feed *feed, time_ns moment);
@@ -435,8 +435,8 @@
 void control_relay_fill(const struct control *control, const relay_receiver_t *to, time_ns now,
                         struct pooler_relay *relay);
 /** @brief Fills in no rows: what is known there stays as it is. */
-void control_relay_fill_nothing(const struct control *control, const row_versions_t *known,
-                                time_ns now, struct pooler_relay *relay);
+void control_relay_fill_versions(const struct control *control, const row_versions_t *known,
+                                 time_ns now, struct pooler_relay *relay);
 /** @return true if the pooler has confirmed all rows that it was sent. */
 bool control_relay_is_confirmed(const struct pooler_peer *pooler);
 /** @brief Takes over what a pooler says that it knows. */
@@ -459,11 +459,11 @@
 row_versions_t control_relay_versions(const struct control *control);
 
 /** @brief Fills in all rows of both tables, whatever their size, uncompressed. */
-void control_relay_fill_whole(const struct control *control, struct pooler_relay *relay);
-/** @return true if the link has room for rows to other poolers now. */
-bool control_relay_may_send(struct control *control, time_ns now);
-/** @brief Takes sent bytes of rows off that room. */
-void control_relay_pay(struct control *control, size_t bytes);
+void control_relay_fill_full(const struct control *control, struct pooler_relay *relay);
+/** @return true if the link has capacity for rows to other poolers now. */
+bool control_relay_has_budget(struct control *control, time_ns now);
+/** @brief Takes sent bytes of rows off that capacity. */
+void control_relay_consume_budget(struct control *control, size_t bytes);
 
 /* control_relayed.c */
 /** @brief Puts off this pooler's own look at the store, while others may tell it. */
@@ -509,7 +509,7 @@
                                         const struct pooler_heartbeat *heartbeat,
                                         struct pooler_grant *grant);
 /** @brief Puts what came packed in its place. @return false with `error` if it can't be read. */
-bool control_news_unpack(struct pooler_grant *grant, GError **error);
+bool control_news_decompress(struct pooler_grant *grant, GError **error);
 /** @brief Frees what a cache holds; it may be filled again. */
 void control_news_clear(news_cache_t *cache);
 
--- a/src/pooler/control/control_member.c
+++ b/src/pooler/control/control_member.c
@@ -9,15 +9,15 @@
 #include <inttypes.h>
 #include <string.h>
 
-#define HEARTBEAT_EVERY_NS (250 * MS)
+#define HEARTBEAT_INTERVAL_NS (250 * MS)
 
 /* A coordinator that does not answer for this long is connected to anew. */
-#define GRANT_TIMEOUT_NS (800 * MS)
-#define CONNECT_EVERY_NS (250 * MS)
+#define GRANT_TIMEOUT_NS    (800 * MS)
+#define CONNECT_INTERVAL_NS (250 * MS)
 
 /* One that is not the coordinator, but tells what the store holds, is stayed with for this long: as
  * long as a lease lasts, after which another pooler leads. */
-#define HEARSAY_KEPT_NS (2200 * MS)
+#define NONAUTHORITATIVE_KEEP_NS (2200 * MS)
 
 /* A new connection without any answer for so long is tried anew: the first packet may have met a
  * machine that was still dark, and is sent again by the kernel only after a second. */
@@ -27,11 +27,11 @@
  * outdated: each try in vain costs ANSWER_TIMEOUT_NS without what another pooler tells. Without it
  * poolers stayed with others for up to 7 s after a restart of the coordinator, and what needs it
  * (permits, counting of operations) was gone. */
-#define REDIRECT_EVERY_NS (1000 * MS)
+#define REDIRECT_INTERVAL_NS (1000 * MS)
 
 /* Wait before a pooler that is not the coordinator yet is asked again. */
-#define NOT_YET_NS     (40 * MS)
-#define NOT_YET_FOR_NS (200 * MS)
+#define NOT_READY_RETRY_NS  (40 * MS)
+#define NOT_READY_WINDOW_NS (200 * MS)
 
 static uint64_t
 epoch_followed(const struct control *control, const struct group_state *group)
@@ -59,7 +59,8 @@
 static uint64_t
 orders_followed(const struct control *control)
 {
-    return is_applied(control, control->orders_view) ? control->orders_taken : control->orders_told;
+    return is_applied(control, control->orders_view) ? control->orders_received
+                                                     : control->orders_reported;
 }
 
 static uint32_t
@@ -108,7 +109,7 @@
 /* True if the coordinator does not know this of the group. Notes it as told. Without a report all
  * is well, and nothing is under way: most poolers have nothing to tell of most groups. */
 static bool
-is_news(struct group_state *group, const struct pooler_group_report *report)
+has_changed(struct group_state *group, const struct pooler_group_report *report)
 {
     const told_report_t now = {report->faults_count, report->in_flight};
     const told_report_t before = group->told;
@@ -118,7 +119,7 @@
 
 /* Another coordinator, or another connection to it, knows nothing yet. */
 static void
-forget_told(struct control *control)
+clear_reported(struct control *control)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
@@ -149,10 +150,10 @@
 
 /* True if there is nothing to tell of the group, nor was last time. So it is with nearly all. */
 static bool
-is_quiet(const struct control *control, const struct group_state *group)
+has_nothing_to_report(const struct control *control, const struct group_state *group)
 {
-    bool resting = group->phase == GROUP_PHASE_OPEN || in_flight(control, group) == 0;
-    return resting && group->told.faults == 0 && group->told.in_flight == 0 &&
+    bool idle = group->phase == GROUP_PHASE_OPEN || in_flight(control, group) == 0;
+    return idle && group->told.faults == 0 && group->told.in_flight == 0 &&
            atomic_load(&group->shared->faults) == 0;
 }
 
@@ -174,18 +175,18 @@
     out->store_age_ms = control_relayed_store_age_ms(control, now);
     out->stopping = atomic_load(&control->shared.stop_at) != 0;
     /* Before what is open is counted: what these orders end is no more begun from then on. */
-    out->orders_followed = control->orders_told = orders_followed(control);
+    out->orders_followed = control->orders_reported = orders_followed(control);
     out->groups = g_new0(struct pooler_group_report, g_hash_table_size(control->groups) + 1);
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, control->groups);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct pooler_group_report *report = &out->groups[out->groups_count];
-        if (is_quiet(control, value)) {
+        if (has_nothing_to_report(control, value)) {
             continue;
         }
         fill_report(control, value, now, report);
-        if (is_news(value, report)) {
+        if (has_changed(value, report)) {
             out->groups_count++;
         } else {
             pooler_group_report_clear(report);
@@ -200,7 +201,7 @@
     pooler_heartbeat_init(&heartbeat);
     fill_heartbeat(control, now, &heartbeat);
     control->sent_at[heartbeat.sequence % HEARTBEATS_KEPT] = now;
-    control->heartbeat_at = now + HEARTBEAT_EVERY_NS;
+    control->heartbeat_at = now + HEARTBEAT_INTERVAL_NS;
     GByteArray *message = pooler_heartbeat_encode(&heartbeat);
     control_counts_heartbeat(&control->counts, PEER_SENT, &heartbeat, message->len);
     peer_send(control->coordinator, message);
@@ -209,7 +210,7 @@
 
 /* When the heartbeat of this sequence was sent; 0 if it is no longer known. */
 static time_ns
-sending_of(const struct control *control, uint64_t sequence)
+sent_time(const struct control *control, uint64_t sequence)
 {
     bool known = sequence != 0 && sequence <= control->sequence &&
                  sequence + HEARTBEATS_KEPT > control->sequence;
@@ -304,11 +305,11 @@
 static void
 take_grant(struct control *control, const struct pooler_grant *grant, time_ns now)
 {
-    time_ns sent = sending_of(control, grant->sequence);
+    time_ns sent = sent_time(control, grant->sequence);
     control_member_found_coordinator(control);
     if (grant->token != control->newest_token) {
-        forget_told(control);
-        control->orders_taken = control->orders_told = 0;
+        clear_reported(control);
+        control->orders_received = control->orders_reported = 0;
     }
     control->newest_token = grant->token;
     control->granted_at = now;
@@ -331,8 +332,8 @@
     control->next_address = 0;
     control->orders_known = MAX(control->orders_known, grant->orders_version);
     control_publish(control);
-    if (grant->orders_version > control->orders_taken) {
-        control->orders_taken = grant->orders_version;
+    if (grant->orders_version > control->orders_received) {
+        control->orders_received = grant->orders_version;
         control->orders_view = control->view_number;
     }
 }
@@ -340,16 +341,16 @@
 /* What a pooler knows that is not the coordinator: enough to serve by, where neither the store nor
  * a coordinator can be reached. It permits nothing, and obeys nobody. */
 static void
-take_hearsay(struct control *control, const struct pooler_grant *grant, time_ns now)
+take_nonauthoritative(struct control *control, const struct pooler_grant *grant, time_ns now)
 {
-    control->hearsay_at = now;
+    control->nonauthoritative_at = now;
     control->orders_known = MAX(control->orders_known, grant->orders_version);
 
     take_orders(control, grant);
     control_fleet_take(control, &grant->fleet);
     control_mirrors_take(control, grant->mirrors, grant->mirrors_count);
     control_relay_take(control, &grant->relay);
-    control_relayed_accept(control, &grant->relay, sending_of(control, grant->sequence));
+    control_relayed_accept(control, &grant->relay, sent_time(control, grant->sequence));
     control_publish(control);
 }
 
@@ -364,7 +365,7 @@
     }
     /* Others follow orders of a later one than that which granted anything here. */
     bool newer = control->orders_known >> EPOCH_SHIFT > control->newest_token;
-    return newer && !control->at_coordinator && now > control->redirected_at + REDIRECT_EVERY_NS;
+    return newer && !control->at_coordinator && now > control->redirected_at + REDIRECT_INTERVAL_NS;
 }
 
 /* False if the connection is of no more use. */
@@ -383,8 +384,8 @@
         }
         return current;
     }
-    take_hearsay(control, grant, now);
-    forget_told(control);
+    take_nonauthoritative(control, grant, now);
+    clear_reported(control);
     bool unknown = control->introduced_self;
     control->introduced_self = false;
     const char *address = grant->coordinator_address;
@@ -400,9 +401,9 @@
         return false;
     }
     /* It may be about to learn that it is the coordinator, or may not know us any more. */
-    bool early = now < control->connected_at + NOT_YET_FOR_NS ||
+    bool early = now < control->connected_at + NOT_READY_WINDOW_NS ||
                  (unknown && g_strcmp0(address, control->coordinator_address) == 0);
-    control->heartbeat_at = now + (early ? NOT_YET_NS : HEARTBEAT_EVERY_NS);
+    control->heartbeat_at = now + (early ? NOT_READY_RETRY_NS : HEARTBEAT_INTERVAL_NS);
     return true;
 }
 
@@ -418,13 +419,13 @@
     }
     peer_bytes_t kind = grant.token == 0 ? PEER_BYTES_HEARSAY : PEER_BYTES_GRANT;
     control_counts_grant(&control->counts, PEER_RECEIVED, kind, &grant, length);
-    if (!control_news_unpack(&grant, &error)) {
+    if (!control_news_decompress(&grant, &error)) {
         g_warning("A coordinator's news can't be read: %s.", error->message);
         pooler_grant_clear(&grant);
         return false;
     }
     control->answered_at = backend_now();
-    if (control->coordinator_outside) {
+    if (control->coordinator_in_other_zone) {
         zone_reachability_note_contact(&control->zone_reachability, control->answered_at);
     }
     control_relayed_peer_answered(control, control->answered_at);
@@ -501,7 +502,7 @@
         control->coordinator = NULL;
     }
     control->connected_at = now;
-    control->told = control_relay_versions(control);
+    control->coordinator_rows = control_relay_versions(control);
     control->offered_at = 0;
     control->grant_stamp = 0;
     control->introduced_self = false;
@@ -512,51 +513,53 @@
     if (text == NULL || !parse_address(text, &address)) {
         return;
     }
-    control->coordinator_outside = control_reachability_is_other_zone(control, text);
+    control->coordinator_in_other_zone = control_reachability_is_other_zone(control, text);
     control->coordinator_callbacks = (struct peer_callbacks){on_frame, on_closed, control};
-    forget_told(control);
-    control->orders_taken = control->orders_told = 0;
+    clear_reported(control);
+    control->orders_received = control->orders_reported = 0;
     control->coordinator = peer_connect(control->base, &address, &control->coordinator_callbacks);
     control->heartbeat_at = now;
 }
 
 /* A new fault, work that has ended, and orders that are followed from now on are told at once. */
 static bool
-has_news(struct control *control)
+has_updates(struct control *control)
 {
     uint64_t news = atomic_load(&control->shared.news);
-    bool changed = news != control->news_told;
-    control->news_told = news;
-    return changed || orders_followed(control) != control->orders_told;
+    bool changed = news != control->news_sent;
+    control->news_sent = news;
+    return changed || orders_followed(control) != control->orders_reported;
 }
 
 /* How long to stay with a pooler that does not grant anything. One that follows the store is worth
  * to be kept to for a while; it may still be that only this pooler has lost the coordinator. */
 static time_ns
-patience(const struct control *control, time_ns now)
+silence_timeout(const struct control *control, time_ns now)
 {
-    bool useful = now < control->hearsay_at + GRANT_TIMEOUT_NS &&
-                  control->hearsay_at > control->connected_at &&
+    bool useful = now < control->nonauthoritative_at + GRANT_TIMEOUT_NS &&
+                  control->nonauthoritative_at > control->connected_at &&
                   control_relayed_is_valid(control, now);
-    return useful ? HEARSAY_KEPT_NS : GRANT_TIMEOUT_NS;
+    return useful ? NONAUTHORITATIVE_KEEP_NS : GRANT_TIMEOUT_NS;
 }
 
 void
 control_member_tick(struct control *control, time_ns now)
 {
-    bool quiet = now > MAX(control->granted_at, control->connected_at) + patience(control, now);
+    bool silent =
+        now > MAX(control->granted_at, control->connected_at) + silence_timeout(control, now);
     bool unanswered = control->coordinator != NULL &&
                       control->answered_at < control->connected_at &&
                       now > control->connected_at + ANSWER_TIMEOUT_NS;
-    bool missing = control->coordinator == NULL && now > control->connected_at + CONNECT_EVERY_NS;
-    if (quiet || unanswered || missing || control->connect_now) {
+    bool missing =
+        control->coordinator == NULL && now > control->connected_at + CONNECT_INTERVAL_NS;
+    if (silent || unanswered || missing || control->connect_now) {
         connect_anew(control, now);
         control->connect_now = false;
     }
     if (control->coordinator == NULL) {
         return;
     }
-    if (has_news(control) || now >= control->heartbeat_at) {
+    if (has_updates(control) || now >= control->heartbeat_at) {
         send_heartbeat(control, now);
     }
 }
--- a/src/pooler/control/control_mirrors.c
+++ b/src/pooler/control/control_mirrors.c
@@ -2,12 +2,13 @@
  * @file
  * @brief The control thread's part in mirrors (mirrors.h): the coordinator names them, a pooler
  * that lacks the store's tables asks one over a connection of its own, and a mirror sends its
- * tables as one compressed message, made once for all who ask.
+ * tables as one compressed message, made once for all who send_request.
  *
- * A mirror that has nothing yet, or whose link is taken, gives a sign of life at once and answers
- * in the order of the questions. One that has nothing and that the store does not answer declines,
- * and asks another mirror itself. What it sends tells its age, as all rows do that poolers pass on,
- * and is relied on by that (control_relayed.c). A lost connection is a question without an answer.
+ * A mirror that has nothing yet, or whose link is taken, gives a acknowledgement of life at once
+ * and answers in the order of the requests. One that has nothing and that the store does not answer
+ * declines, and asks another mirror itself. What it sends tells its age, as all rows do that
+ * poolers pass on, and is relied on by that (control_relayed.c). A lost connection is a request
+ * without an answer.
  */
 #define G_LOG_DOMAIN "mirrors"
 #include "pooler/control/control_internal.h"
@@ -17,7 +18,7 @@
 
 #include <inttypes.h>
 
-/** A pooler whose question waits. */
+/** A pooler whose request waits. */
 typedef struct mirror_request {
     struct peer *peer;
     uint64_t sequence;
@@ -79,14 +80,14 @@
         mirrors_choose((mirror_candidate_t *)(void *)candidates->data, candidates->len);
     const mirror_gathering_t gathering = {
         .since = control->coordinator_since,
-        .heard = candidates->len,
-        .heard_before = control->mirrors.heard,
+        .candidates = candidates->len,
+        .candidates_before = control->mirrors.candidates,
         .known = known_mirrors(control)->len,
         .chosen = chosen->len,
     };
-    control->mirrors.heard = candidates->len;
+    control->mirrors.candidates = candidates->len;
     if (mirrors_equal(chosen, known_mirrors(control)) ||
-        !mirrors_are_gathered(&gathering, backend_now())) {
+        !mirrors_choice_is_settled(&gathering, backend_now())) {
         g_ptr_array_unref(chosen);
         return;
     }
@@ -147,7 +148,7 @@
 current_snapshot(struct control *control, time_ns now)
 {
     table_snapshot_t *snapshot = &control->mirrors.snapshot;
-    if (snapshot->packed != NULL) {
+    if (snapshot->compressed != NULL) {
         struct pooler_relay since;
         pooler_relay_init(&since);
         control_relay_fill(control, &(relay_receiver_t){.known = snapshot->through}, now, &since);
@@ -156,18 +157,19 @@
         if (small) {
             return snapshot;
         }
-        g_clear_pointer(&snapshot->packed, g_bytes_unref);
+        g_clear_pointer(&snapshot->compressed, g_bytes_unref);
     }
     struct pooler_relay whole;
     pooler_relay_init(&whole);
-    control_relay_fill_whole(control, &whole);
+    control_relay_fill_full(control, &whole);
     g_autoptr(GBytes) content = g_byte_array_free_to_bytes(pooler_relay_encode(&whole));
     pooler_relay_clear(&whole);
     snapshot->through = control_relay_versions(control);
     snapshot->length = (uint32_t)g_bytes_get_size(content);
-    snapshot->packed = compression_compress(content);
-    if (snapshot->packed == NULL) { /* a handful of rows: unpacked, it is no larger */
-        snapshot->packed = g_bytes_ref(content);
+    snapshot->compressed = compression_compress(content);
+    if (snapshot->compressed ==
+        NULL) { /* a handful of rows: uncompressed_length, it is no larger */
+        snapshot->compressed = g_bytes_ref(content);
         snapshot->length = 0;
     }
     return snapshot;
@@ -175,7 +177,7 @@
 
 /* True of who knows nothing of a table. */
 static bool
-lacks_all(const row_versions_t *known)
+lacks_table(const row_versions_t *known)
 {
     return known->configuration == 0 || known->directory == 0;
 }
@@ -185,10 +187,10 @@
                      time_ns now, struct pooler_grant *grant)
 {
     relay_receiver_t to = {*known, true, takes_deltas};
-    if (lacks_all(known)) {
+    if (lacks_table(known)) {
         const table_snapshot_t *snapshot = current_snapshot(control, now);
         gsize size = 0;
-        gconstpointer data = g_bytes_get_data(snapshot->packed, &size);
+        gconstpointer data = g_bytes_get_data(snapshot->compressed, &size);
         grant->tables = g_memdup2(data, size);
         grant->tables_length = size;
         grant->tables_unpacked = snapshot->length;
@@ -202,7 +204,7 @@
 {
     GByteArray *message = pooler_grant_encode(grant);
     control_counts_grant(&control->counts, PEER_SENT, PEER_BYTES_HEARSAY, grant, message->len);
-    control_relay_pay(control, message->len);
+    control_relay_consume_budget(control, message->len);
     peer_send(peer, message);
 }
 
@@ -226,9 +228,9 @@
     pooler_grant_clear(&grant);
 }
 
-/* A sign of life; with `declines` the tables won't come from here. */
+/* A acknowledgement of life; with `declines` the tables won't come from here. */
 static void
-send_sign(struct control *control, const mirror_request_t *request, bool declines)
+send_acknowledgement(struct control *control, const mirror_request_t *request, bool declines)
 {
     struct pooler_grant grant;
     init_answer(control, request, &grant);
@@ -248,7 +250,7 @@
 
 /* The store does not tell the tables to this mirror, which has none. */
 static bool
-is_without(const struct control *control)
+has_no_source(const struct control *control)
 {
     bool fails = control->feeds[STORE_TABLE_CONFIGURATION].failures > 0 ||
                  control->feeds[STORE_TABLE_DIRECTORY].failures > 0;
@@ -259,41 +261,41 @@
 may_answer(struct control *control, const mirror_request_t *request, time_ns now)
 {
     return has_tables(control) && knows_more(control, &request->known) &&
-           control_relay_may_send(control, now);
+           control_relay_has_budget(control, now);
 }
 
 void
 control_mirrors_request(struct control *control, struct peer *peer,
-                        const struct pooler_heartbeat *question, time_ns now)
+                        const struct pooler_heartbeat *heartbeat, time_ns now)
 {
     const mirror_request_t request = {
         .peer = peer,
-        .sequence = question->sequence,
-        .known = {question->relay.configuration_row, question->relay.directory_row},
-        .takes_deltas = question->takes_deltas,
+        .sequence = heartbeat->sequence,
+        .known = {heartbeat->relay.configuration_row, heartbeat->relay.directory_row},
+        .takes_deltas = heartbeat->takes_deltas,
     };
-    if (control->mirrors.waiting == NULL) {
-        control->mirrors.waiting = g_array_new(FALSE, FALSE, sizeof(mirror_request_t));
+    if (control->mirrors.pending == NULL) {
+        control->mirrors.pending = g_array_new(FALSE, FALSE, sizeof(mirror_request_t));
     }
-    if (control->mirrors.waiting->len == 0 && may_answer(control, &request, now)) {
+    if (control->mirrors.pending->len == 0 && may_answer(control, &request, now)) {
         answer(control, &request, now);
         return;
     }
-    send_sign(control, &request, is_without(control));
-    if (is_without(control)) {
+    send_acknowledgement(control, &request, has_no_source(control));
+    if (has_no_source(control)) {
         return;
     }
-    g_array_append_val(control->mirrors.waiting, request);
+    g_array_append_val(control->mirrors.pending, request);
     control_wake_soon(control);
 }
 
 void
 control_mirrors_cancel(struct control *control, const struct peer *peer)
 {
-    GArray *waiting = control->mirrors.waiting;
-    for (guint i = waiting == NULL ? 0 : waiting->len; i > 0; i--) {
-        if (g_array_index(waiting, mirror_request_t, i - 1).peer == peer) {
-            g_array_remove_index(waiting, i - 1);
+    GArray *pending = control->mirrors.pending;
+    for (guint i = pending == NULL ? 0 : pending->len; i > 0; i--) {
+        if (g_array_index(pending, mirror_request_t, i - 1).peer == peer) {
+            g_array_remove_index(pending, i - 1);
         }
     }
 }
@@ -301,16 +303,16 @@
 static void
 answer_waiting(struct control *control, time_ns now)
 {
-    GArray *waiting = control->mirrors.waiting;
-    while (waiting != NULL && waiting->len > 0) {
-        const mirror_request_t request = g_array_index(waiting, mirror_request_t, 0);
-        bool declines = is_without(control);
+    GArray *pending = control->mirrors.pending;
+    while (pending != NULL && pending->len > 0) {
+        const mirror_request_t request = g_array_index(pending, mirror_request_t, 0);
+        bool declines = has_no_source(control);
         if (!declines && !may_answer(control, &request, now)) {
             return;
         }
-        g_array_remove_index(waiting, 0);
+        g_array_remove_index(pending, 0);
         if (declines) {
-            send_sign(control, &request, true);
+            send_acknowledgement(control, &request, true);
         } else {
             answer(control, &request, now);
         }
@@ -320,25 +322,25 @@
 bool
 control_mirrors_has_requests(const struct control *control)
 {
-    return control->mirrors.waiting != NULL && control->mirrors.waiting->len > 0;
+    return control->mirrors.pending != NULL && control->mirrors.pending->len > 0;
 }
 
 /* ---- as a pooler that lacks the tables ---- */
 
-/* The open question is over; without an answer it has failed. */
+/* The open request is over; without an answer it has failed. */
 static void
-end_question(struct control *control, time_ns failed_at)
+end_request(struct control *control, time_ns failed_at)
 {
-    control->mirrors.questions.asked_at = 0;
-    control->mirrors.questions.signed_on = false;
-    control->mirrors.questions.failed_at = failed_at;
+    control->mirrors.requests.sent_at = 0;
+    control->mirrors.requests.acknowledged = false;
+    control->mirrors.requests.failed_at = failed_at;
 }
 
 static void
-close_question(struct control *control)
+close_request(struct control *control)
 {
     g_clear_pointer(&control->mirrors.peer, peer_free);
-    end_question(control, 0);
+    end_request(control, 0);
 }
 
 bool
@@ -372,15 +374,15 @@
 {
     const mirrors_t *mirrors = &control->mirrors;
     g_autofree char *bytes = g_strdup_printf("%zu", length);
-    g_autofree char *took = g_strdup_printf("%" PRIu64, (now - mirrors->questions.asked_at) / MS);
-    g_autofree char *turn = g_strdup_printf("%u", mirrors->questions.asked);
-    g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_INFO, "SW_MIRROR", mirrors->asked, "SW_BYTES", bytes,
-                     "SW_TOOK_MS", took, "SW_TURN", turn, "MESSAGE",
-                     "The store's tables come from %s: %s bytes, %s ms.", mirrors->asked, bytes,
-                     took);
+    g_autofree char *took = g_strdup_printf("%" PRIu64, (now - mirrors->requests.sent_at) / MS);
+    g_autofree char *turn = g_strdup_printf("%u", mirrors->requests.sent);
+    g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_INFO, "SW_MIRROR", mirrors->last_address, "SW_BYTES",
+                     bytes, "SW_TOOK_MS", took, "SW_TURN", turn, "MESSAGE",
+                     "The store's tables come from %s: %s bytes, %s ms.", mirrors->last_address,
+                     bytes, took);
 }
 
-/* False closes the connection: the question has its answer, or none that can be read. */
+/* False closes the connection: the request has its answer, or none that can be read. */
 static bool
 on_frame(void *user, struct peer *peer, const uint8_t *data, size_t length)
 {
@@ -393,11 +395,11 @@
         return false;
     }
     control_counts_grant(&control->counts, PEER_RECEIVED, PEER_BYTES_HEARSAY, &grant, length);
-    bool sign = grant.relay.configuration_row == 0 && grant.relay.directory_row == 0;
-    bool declines = sign && grant.relay.configuration_incomplete;
-    if (sign) {
-        mirrors->questions.signed_on = true;
-    } else if (control_mirrors_take_tables(control, &grant, mirrors->questions.asked_at, &error)) {
+    bool acknowledgement = grant.relay.configuration_row == 0 && grant.relay.directory_row == 0;
+    bool declines = acknowledgement && grant.relay.configuration_incomplete;
+    if (acknowledgement) {
+        mirrors->requests.acknowledged = true;
+    } else if (control_mirrors_take_tables(control, &grant, mirrors->requests.sent_at, &error)) {
         control->counts.tables_received++;
         log_taken(control, length, backend_now());
         control_publish(control);
@@ -406,7 +408,7 @@
     }
     pooler_grant_clear(&grant);
     control_wake_soon(control);
-    return sign && !declines;
+    return acknowledgement && !declines;
 }
 
 static void
@@ -414,39 +416,39 @@
 {
     struct control *control = user;
     control->mirrors.peer = NULL;
-    end_question(control, backend_now());
+    end_request(control, backend_now());
     control_wake_soon(control);
 }
 
 static void
-ask(struct control *control, const char *address, time_ns now)
+send_request(struct control *control, const char *address, time_ns now)
 {
     struct sockaddr_in socket_address;
     mirrors_t *mirrors = &control->mirrors;
-    close_question(control);
-    mirrors->questions.asked++;
-    mirrors->questions.first_at =
-        mirrors->questions.first_at == 0 ? now : mirrors->questions.first_at;
-    g_free(mirrors->asked);
-    mirrors->asked = g_strdup(address);
+    close_request(control);
+    mirrors->requests.sent++;
+    mirrors->requests.first_sent_at =
+        mirrors->requests.first_sent_at == 0 ? now : mirrors->requests.first_sent_at;
+    g_free(mirrors->last_address);
+    mirrors->last_address = g_strdup(address);
     mirrors->callbacks = (struct peer_callbacks){on_frame, on_closed, control};
     if (parse_address(address, &socket_address)) {
         mirrors->peer = peer_connect(control->base, &socket_address, &mirrors->callbacks);
     }
     if (mirrors->peer == NULL) {
-        end_question(control, now);
+        end_request(control, now);
         return;
     }
     row_versions_t known = control_relay_versions(control);
-    struct pooler_heartbeat question;
-    pooler_heartbeat_init(&question);
-    question.wants_tables = true;
-    question.takes_deltas = true;
-    question.relay.configuration_row = known.configuration;
-    question.relay.directory_row = known.directory;
-    mirrors->questions.asked_at = now;
-    peer_send(mirrors->peer, pooler_heartbeat_encode(&question));
-    pooler_heartbeat_clear(&question);
+    struct pooler_heartbeat request;
+    pooler_heartbeat_init(&request);
+    request.wants_tables = true;
+    request.takes_deltas = true;
+    request.relay.configuration_row = known.configuration;
+    request.relay.directory_row = known.directory;
+    mirrors->requests.sent_at = now;
+    peer_send(mirrors->peer, pooler_heartbeat_encode(&request));
+    pooler_heartbeat_clear(&request);
 }
 
 static bool
@@ -458,36 +460,36 @@
 
 /* Somebody may name the mirrors: a coordinator, or the lease's row, which was not read yet. */
 static bool
-may_be_told(const struct control *control)
+may_learn_mirrors(const struct control *control)
 {
     return control->lease.clock_received == 0 || control->granted_at != 0;
 }
 
-static mirror_view_t
-view_of(const struct control *control)
+static mirror_inputs_t
+make_inputs(const struct control *control)
 {
     const GPtrArray *known = known_mirrors(control);
     row_versions_t here = control_relay_versions(control);
-    bool starts = lacks_all(&here);
-    bool mirror = is_mirror(control) && !is_without(control);
+    bool starts = lacks_table(&here);
+    bool mirror = is_mirror(control) && !has_no_source(control);
     bool follows = control->follows_store && !starts; /* until then it is told sooner */
-    return (mirror_view_t){
+    return (mirror_inputs_t){
         .starts = starts,
         .bound = control->settings->store.apply_ms * MS,
         .reads_store = control->lease.held || follows || mirror,
-        .may_be_told = may_be_told(control),
+        .may_learn_mirrors = may_learn_mirrors(control),
         .mirrors = mirrors_count_others(known, control->address),
-        .lacks_since = control->mirrors.lacks_since,
+        .missing_since = control->mirrors.missing_since,
     };
 }
 
 /* The store is read by this pooler after all; it is told once. */
 static void
-log_helps_itself(const struct control *control)
+log_fallback_to_store(const struct control *control)
 {
-    if (control->mirrors.questions.asked > 0) {
-        g_message("None of %u questions to mirrors was answered by tables, the last to %s.",
-                  control->mirrors.questions.asked, control->mirrors.asked);
+    if (control->mirrors.requests.sent > 0) {
+        g_message("None of %u requests to mirrors was answered by tables, the last to %s.",
+                  control->mirrors.requests.sent, control->mirrors.last_address);
     }
 }
 
@@ -497,27 +499,27 @@
     mirrors_t *mirrors = &control->mirrors;
     answer_waiting(control, now);
     row_versions_t here = control_relay_versions(control);
-    if (!lacks_all(&here) && !is_missing(control)) {
-        close_question(control);
-        mirrors->questions = (mirror_questions_t){0};
-        mirrors->lacks_since = 0;
+    if (!lacks_table(&here) && !is_missing(control)) {
+        close_request(control);
+        mirrors->requests = (mirror_requests_t){0};
+        mirrors->missing_since = 0;
         mirrors->expected = false;
         return;
     }
-    if (mirrors->lacks_since == 0 && now >= control->relayed_valid_until) {
-        mirrors->lacks_since = now;
+    if (mirrors->missing_since == 0 && now >= control->relayed_valid_until) {
+        mirrors->missing_since = now;
     }
-    const mirror_view_t view = view_of(control);
-    mirror_step_t step = mirror_next_step(&mirrors->questions, &view, now);
-    if (step == MIRROR_STEP_ASK) {
+    const mirror_inputs_t view = make_inputs(control);
+    mirror_step_t step = mirror_next_step(&mirrors->requests, &view, now);
+    if (step == MIRROR_STEP_REQUEST) {
         guint seed = g_str_hash(control->settings->pooler.name);
-        ask(control,
-            mirrors_at(mirrors->known, control->settings->pooler.zone, control->address, seed,
-                       mirrors->questions.asked),
-            now);
+        send_request(control,
+                     mirrors_at(mirrors->known, control->settings->pooler.zone, control->address,
+                                seed, mirrors->requests.sent),
+                     now);
     } else if (step == MIRROR_STEP_STORE && mirrors->expected) {
-        log_helps_itself(control);
-        close_question(control);
+        log_fallback_to_store(control);
+        close_request(control);
     }
     mirrors->expected = step != MIRROR_STEP_STORE;
 }
--- a/src/pooler/control/control_news.c
+++ b/src/pooler/control/control_news.c
@@ -4,39 +4,39 @@
  *
  * A new coordinator tells every pooler all groups, and every new pooler all members. At 300 poolers
  * and 1,000 groups that is 20 MB from one link. What many poolers lack is the same for all of them:
- * it is put together and packed once, and the same bytes go to each.
+ * it is put together and compressed once, and the same bytes go to each.
  */
 #define G_LOG_DOMAIN "coordinator"
 #include "pooler/control/control_internal.h"
 #include "pooler/control/compression.h"
 
 /* News that encode to fewer bytes are sent uncompressed. */
-#define PACKED_MIN 1024
+#define NEWS_COMPRESSION_MIN 1024
 
 /* Messages kept at most, one for each pair of versions that receivers know. In use are a few: most
  * receivers know the last push, or a state between two pushes. */
-#define KEPT_MOST 32
+#define CACHE_MAX 32
 
 /* The message for receivers that know orders and fleet up to these versions. */
-typedef struct packed_news {
+typedef struct compressed_news {
     uint64_t orders_from;
     uint64_t fleet_from;
-    GBytes *packed;  /* NULL: it is small and sent uncompressed */
-    uint32_t length; /* bytes before compression */
-} packed_news_t;
+    GBytes *compressed; /* NULL: it is small and sent uncompressed */
+    uint32_t length;    /* bytes before compression */
+} compressed_news_t;
 
 static void
-packed_free(gpointer data)
+compressed_news_free(gpointer data)
 {
-    packed_news_t *news = data;
-    g_clear_pointer(&news->packed, g_bytes_unref);
+    compressed_news_t *news = data;
+    g_clear_pointer(&news->compressed, g_bytes_unref);
     g_free(news);
 }
 
 void
 control_news_clear(news_cache_t *cache)
 {
-    g_clear_pointer(&cache->kept, g_ptr_array_unref);
+    g_clear_pointer(&cache->entries, g_ptr_array_unref);
 }
 
 static void
@@ -73,7 +73,7 @@
 
 /* The orders as this pooler follows them. */
 static void
-add_followed(const struct control *control, struct pooler_grant *grant)
+add_followed_orders(const struct control *control, struct pooler_grant *grant)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
@@ -89,38 +89,38 @@
 }
 
 /* Compresses the grant's groups and fleet, unless they are small. The grant keeps them. */
-static packed_news_t *
-pack(const struct pooler_grant *grant, uint64_t orders_from, uint64_t fleet_from)
+static compressed_news_t *
+compress_news(const struct pooler_grant *grant, uint64_t orders_from, uint64_t fleet_from)
 {
     const struct pooler_news news = {grant->groups, grant->groups_count, grant->fleet};
-    packed_news_t *out = g_new0(packed_news_t, 1);
-    *out = (packed_news_t){.orders_from = orders_from, .fleet_from = fleet_from};
+    compressed_news_t *out = g_new0(compressed_news_t, 1);
+    *out = (compressed_news_t){.orders_from = orders_from, .fleet_from = fleet_from};
     g_autoptr(GBytes) content = g_byte_array_free_to_bytes(pooler_news_encode(&news));
     gsize length = g_bytes_get_size(content);
-    if (length >= PACKED_MIN) {
+    if (length >= NEWS_COMPRESSION_MIN) {
         out->length = (uint32_t)length;
-        out->packed = compression_compress(content);
+        out->compressed = compression_compress(content);
     }
     return out;
 }
 
 /* Empties the cache if orders or fleet have changed since it was filled. */
 static void
-forget_outdated(news_cache_t *cache, uint64_t orders, uint64_t fleet)
+clear_outdated(news_cache_t *cache, uint64_t orders, uint64_t fleet)
 {
-    if (cache->kept == NULL || cache->orders != orders || cache->fleet != fleet) {
+    if (cache->entries == NULL || cache->orders != orders || cache->fleet != fleet) {
         control_news_clear(cache);
-        cache->kept = g_ptr_array_new_with_free_func(packed_free);
+        cache->entries = g_ptr_array_new_with_free_func(compressed_news_free);
         cache->orders = orders;
         cache->fleet = fleet;
     }
 }
 
-static const packed_news_t *
-find_packed(const news_cache_t *cache, uint64_t orders_from, uint64_t fleet_from)
+static const compressed_news_t *
+find_compressed(const news_cache_t *cache, uint64_t orders_from, uint64_t fleet_from)
 {
-    for (guint i = 0; i < cache->kept->len; i++) {
-        const packed_news_t *news = g_ptr_array_index(cache->kept, i);
+    for (guint i = 0; i < cache->entries->len; i++) {
+        const compressed_news_t *news = g_ptr_array_index(cache->entries, i);
         if (news->orders_from == orders_from && news->fleet_from == fleet_from) {
             return news;
         }
@@ -129,7 +129,7 @@
 }
 
 static void
-drop_plain(struct pooler_grant *grant)
+clear_plain(struct pooler_grant *grant)
 {
     struct pooler_news plain = {grant->groups, grant->groups_count, grant->fleet};
     pooler_news_clear(&plain);
@@ -141,14 +141,14 @@
 /* Puts the compressed message into the grant, in place of its groups and fleet. False if there is
  * none. */
 static bool
-use_packed(const packed_news_t *news, struct pooler_grant *grant)
+use_compressed(const compressed_news_t *news, struct pooler_grant *grant)
 {
-    if (news == NULL || news->packed == NULL) {
+    if (news == NULL || news->compressed == NULL) {
         return false;
     }
     gsize size = 0;
-    gconstpointer data = g_bytes_get_data(news->packed, &size);
-    drop_plain(grant);
+    gconstpointer data = g_bytes_get_data(news->compressed, &size);
+    clear_plain(grant);
     grant->news = g_memdup2(data, size);
     grant->news_length = size;
     grant->news_unpacked = news->length;
@@ -157,14 +157,14 @@
 
 /* Compresses what the grant tells, keeps that for others who lack the same, and uses it. */
 static void
-keep_packed(news_cache_t *cache, uint64_t orders_from, uint64_t fleet_from,
-            struct pooler_grant *grant)
+cache_compressed(news_cache_t *cache, uint64_t orders_from, uint64_t fleet_from,
+                 struct pooler_grant *grant)
 {
-    bool known = find_packed(cache, orders_from, fleet_from) != NULL; /* and so is small */
-    if (!known && cache->kept->len < KEPT_MOST) {
-        packed_news_t *news = pack(grant, orders_from, fleet_from);
-        g_ptr_array_add(cache->kept, news);
-        use_packed(news, grant);
+    bool known = find_compressed(cache, orders_from, fleet_from) != NULL; /* and so is small */
+    if (!known && cache->entries->len < CACHE_MAX) {
+        compressed_news_t *news = compress_news(grant, orders_from, fleet_from);
+        g_ptr_array_add(cache->entries, news);
+        use_compressed(news, grant);
     }
 }
 
@@ -180,15 +180,15 @@
     }
     pooler->orders_sent = MAX(orders_from, control->orders_version);
     pooler->fleet_told = MAX(fleet_from, fleet);
-    forget_outdated(&control->news, control->orders_version, fleet);
+    clear_outdated(&control->news, control->orders_version, fleet);
     if (pooler->takes_news &&
-        use_packed(find_packed(&control->news, orders_from, fleet_from), grant)) {
+        use_compressed(find_compressed(&control->news, orders_from, fleet_from), grant)) {
         return;
     }
     add_orders(control, orders_from, grant);
     control_fleet_fill(control, fleet_from, &grant->fleet);
     if (pooler->takes_news) {
-        keep_packed(&control->news, orders_from, fleet_from, grant);
+        cache_compressed(&control->news, orders_from, fleet_from, grant);
     }
 }
 
@@ -205,22 +205,23 @@
     if (!orders && fleet_from >= fleet) {
         return;
     }
-    forget_outdated(&control->hearsay, control->orders_known, fleet);
+    clear_outdated(&control->nonauthoritative_news, control->orders_known, fleet);
     if (heartbeat->takes_news &&
-        use_packed(find_packed(&control->hearsay, orders_from, fleet_from), grant)) {
+        use_compressed(find_compressed(&control->nonauthoritative_news, orders_from, fleet_from),
+                       grant)) {
         return;
     }
     if (orders) {
-        add_followed(control, grant);
+        add_followed_orders(control, grant);
     }
     control_fleet_fill(control, fleet_from, &grant->fleet);
     if (heartbeat->takes_news) {
-        keep_packed(&control->hearsay, orders_from, fleet_from, grant);
+        cache_compressed(&control->nonauthoritative_news, orders_from, fleet_from, grant);
     }
 }
 
 bool
-control_news_unpack(struct pooler_grant *grant, GError **error)
+control_news_decompress(struct pooler_grant *grant, GError **error)
 {
     struct pooler_news news = {0};
     if (grant->news_unpacked == 0) {
@@ -233,7 +234,7 @@
     if (data == NULL || !pooler_news_decode(data, length, &news, error)) {
         return false;
     }
-    drop_plain(grant);
+    clear_plain(grant);
     grant->groups = news.groups;
     grant->groups_count = news.groups_count;
     grant->fleet = news.fleet;
--- a/src/pooler/control/control_reachability.c
+++ b/src/pooler/control/control_reachability.c
@@ -1,5 +1,5 @@
-/* Asks poolers of other zones for a sign of life while none is heard, so that a zone that is cut
- * off is known to be (zone_reachability.h). A pooler that answers is asked again on the same
+/* Asks poolers of other zones for a request of life while none is contact, so that a zone that is
+ * cut off is known to be (zone_reachability.h). A pooler that answers is asked again on the same
  * connection; so a zone whose coordinator is its own costs each of its poolers two small messages a
  * second. */
 #define G_LOG_DOMAIN "reach"
@@ -12,33 +12,33 @@
 
 /* A look goes through all members of the fleet, hundreds of them; the decision takes more than half
  * a second, so looks may be this far apart. */
-#define LOOK_EVERY_NS (50 * MS)
+#define CHECK_INTERVAL_NS (50 * MS)
 
-/* A question counts as unanswered after so long. Usually an answer from another zone takes some
+/* A ping counts as timeouts after so long. Usually an answer from another zone takes some
  * milliseconds; on a machine that has used up its processor quota, up to a tenth of a second. */
-#define ANSWER_NS (250 * MS)
+#define PING_TIMEOUT_NS (250 * MS)
 
 static void
-close_question(reach_question_t *question)
+close_ping(reachability_ping_t *ping)
 {
-    g_clear_pointer(&question->peer, peer_free);
-    question->asked_at = 0;
+    g_clear_pointer(&ping->peer, peer_free);
+    ping->sent_at = 0;
 }
 
 static bool
 on_frame(void *user, struct peer *peer, const uint8_t *data, size_t length)
 {
-    reach_question_t *question = user;
-    question->asked_at = 0;
-    zone_reachability_note_contact(&question->control->zone_reachability, backend_now());
+    reachability_ping_t *ping = user;
+    ping->sent_at = 0;
+    zone_reachability_note_contact(&ping->control->zone_reachability, backend_now());
     return true;
 }
 
 static void
 on_closed(void *user, struct peer *peer)
 {
-    reach_question_t *question = user;
-    question->peer = NULL; /* freed by the caller; counted as unanswered once its time is over */
+    reachability_ping_t *ping = user;
+    ping->peer = NULL; /* freed by the caller; counted as timeouts once its time is over */
 }
 
 void
@@ -66,7 +66,7 @@
 }
 
 static bool
-is_outside(const struct control *control, const fleet_member_t *member)
+is_in_other_zone(const struct control *control, const fleet_member_t *member)
 {
     return is_expected(member) && !g_str_equal(member->zone, control->settings->pooler.zone);
 }
@@ -88,17 +88,17 @@
 
 /* The next pooler of another zone, in turn; NULL if there is none. */
 static const fleet_member_t *
-next_outside(struct control *control, const zone_reachability_inputs_t *view)
+next_in_other_zone(struct control *control, const zone_reachability_inputs_t *inputs)
 {
-    if (view->outside == 0) {
+    if (inputs->in_other_zones == 0) {
         return NULL;
     }
-    unsigned place = control->reach_turn++ % view->outside;
+    unsigned place = control->reachability_next++ % inputs->in_other_zones;
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, fleet_members(control->fleet));
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        if (is_outside(control, value) && place-- == 0) {
+        if (is_in_other_zone(control, value) && place-- == 0) {
             return value;
         }
     }
@@ -108,39 +108,39 @@
 zone_reachability_inputs_t
 control_reachability_inputs(const struct control *control)
 {
-    zone_reachability_inputs_t view = {.store_known_at =
-                                           control->feeds[STORE_TABLE_CONFIGURATION].as_of};
+    zone_reachability_inputs_t inputs = {.store_known_at =
+                                             control->feeds[STORE_TABLE_CONFIGURATION].as_of};
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, fleet_members(control->fleet));
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const fleet_member_t *member = value;
-        view.members += is_expected(member);
-        view.outside += is_outside(control, member);
+        inputs.members += is_expected(member);
+        inputs.in_other_zones += is_in_other_zone(control, member);
     }
-    return view;
+    return inputs;
 }
 
 static void
-ask(struct control *control, reach_question_t *question, const zone_reachability_inputs_t *view,
-    time_ns now)
+send_ping(struct control *control, reachability_ping_t *ping,
+          const zone_reachability_inputs_t *inputs, time_ns now)
 {
-    struct forward_ask sign;
-    if (question->peer == NULL) {
-        const fleet_member_t *member = next_outside(control, view);
+    struct forward_ask request;
+    if (ping->peer == NULL) {
+        const fleet_member_t *member = next_in_other_zone(control, inputs);
         struct sockaddr_in address;
         if (member == NULL || !parse_address(member->address, &address)) {
             return;
         }
-        question->control = control;
-        question->callbacks = (struct peer_callbacks){on_frame, on_closed, question};
-        question->peer = peer_connect(control->base, &address, &question->callbacks);
+        ping->control = control;
+        ping->callbacks = (struct peer_callbacks){on_frame, on_closed, ping};
+        ping->peer = peer_connect(control->base, &address, &ping->callbacks);
     }
-    question->asked_at = now;
-    if (question->peer != NULL) {
-        forward_ask_init(&sign); /* channel 0: asks for a sign of life */
-        peer_send(question->peer, forward_ask_encode(&sign));
-        forward_ask_clear(&sign);
+    ping->sent_at = now;
+    if (ping->peer != NULL) {
+        forward_ask_init(&request); /* channel 0: asks for a request of life */
+        peer_send(ping->peer, forward_ask_encode(&request));
+        forward_ask_clear(&request);
     }
 }
 
@@ -153,45 +153,45 @@
 }
 
 static void
-log_change(const struct control *control, const zone_reachability_inputs_t *view, time_ns now)
+log_change(const struct control *control, const zone_reachability_inputs_t *inputs, time_ns now)
 {
     const zone_reachability_t *reach = &control->zone_reachability;
-    g_autofree char *heard = age_text(reach->heard_at, now);
-    g_autofree char *store = age_text(view->store_known_at, now);
-    g_autofree char *unanswered = g_strdup_printf("%u", reach->unanswered);
+    g_autofree char *contact = age_text(reach->last_contact_at, now);
+    g_autofree char *store = age_text(inputs->store_known_at, now);
+    g_autofree char *timeouts = g_strdup_printf("%u", reach->timeouts);
     g_log_structured(
-        G_LOG_DOMAIN, G_LOG_LEVEL_MESSAGE, "SW_HEARD", heard, "SW_STORE", store, "SW_UNANSWERED",
-        unanswered, "MESSAGE", "Zone %s is %s; another zone was heard %s, the store %s.",
+        G_LOG_DOMAIN, G_LOG_LEVEL_MESSAGE, "SW_HEARD", contact, "SW_STORE", store, "SW_UNANSWERED",
+        timeouts, "MESSAGE", "Zone %s is %s; another zone was heard %s, the store %s.",
         control->settings->pooler.zone,
         reach->partitioned ? "cut off from all others, clients are better served there: not ready"
                            : "no longer cut off",
-        heard, store);
+        contact, store);
 }
 
 void
 control_reachability_tick(struct control *control, time_ns now)
 {
     zone_reachability_t *reach = &control->zone_reachability;
-    bool due = now >= control->reach_at &&
+    bool due = now >= control->reachability_due_at &&
                (zone_reachability_needs_ping(reach, now) || reach->partitioned);
     if (!due) {
         return;
     }
-    control->reach_at = now + LOOK_EVERY_NS;
-    const zone_reachability_inputs_t view = control_reachability_inputs(control);
-    for (unsigned i = 0; i < REACH_QUESTIONS; i++) {
-        reach_question_t *question = &control->reach_questions[i];
-        if (question->asked_at != 0 && now >= question->asked_at + ANSWER_NS) {
-            zone_reachability_note_timeout(reach, question->asked_at);
-            close_question(question);
+    control->reachability_due_at = now + CHECK_INTERVAL_NS;
+    const zone_reachability_inputs_t inputs = control_reachability_inputs(control);
+    for (unsigned i = 0; i < REACHABILITY_PINGS; i++) {
+        reachability_ping_t *ping = &control->reachability_pings[i];
+        if (ping->sent_at != 0 && now >= ping->sent_at + PING_TIMEOUT_NS) {
+            zone_reachability_note_timeout(reach, ping->sent_at);
+            close_ping(ping);
         }
-        bool enough = i > 0 && reach->unanswered == 0; /* one that answers is enough */
-        if (question->asked_at == 0 && !enough && zone_reachability_needs_ping(reach, now)) {
-            ask(control, question, &view, now);
+        bool enough = i > 0 && reach->timeouts == 0; /* one that answers is enough */
+        if (ping->sent_at == 0 && !enough && zone_reachability_needs_ping(reach, now)) {
+            send_ping(control, ping, &inputs, now);
         }
     }
-    if (zone_reachability_evaluate(reach, &view, now)) {
-        log_change(control, &view, now);
+    if (zone_reachability_evaluate(reach, &inputs, now)) {
+        log_change(control, &inputs, now);
         atomic_store(&control->shared.cut_off_at, reach->partitioned ? now : 0);
         for (unsigned i = 0; i < control->workers_count; i++) {
             worker_wake(control->workers[i]);
--- a/src/pooler/control/control_relay.c
+++ b/src/pooler/control/control_relay.c
@@ -45,11 +45,11 @@
 #define OFFER_AGAIN_NS (2000 * MS)
 
 /** To one that the store does not answer, more is passed on all the same. */
-#define RELAYED_MAX_LACKING ((gsize)4 * 1024 * 1024)
+#define RELAYED_MAX_NO_STORE ((gsize)4 * 1024 * 1024)
 
-/* Room for one more row; doubles, as most messages carry none. */
+/* Room for one more row; doubles, as max_bytes messages carry none. */
 static struct pooler_row *
-next_row(struct pooler_relay *relay)
+append_row(struct pooler_relay *relay)
 {
     size_t count = relay->rows_count++;
     if ((count & (count - 1)) == 0) {
@@ -61,31 +61,32 @@
 
 /* What travels of a row. */
 typedef struct content {
-    GBytes *bytes;       /* not owned; NULL: the row is gone */
-    gsize unpacked;      /* length before it was packed; 0: it is not */
-    uint64_t delta_base; /* it is the difference from this version; 0: it is whole */
+    GBytes *bytes;             /* not owned; NULL: the row is gone */
+    gsize uncompressed_length; /* length before it was compressed; 0: it is not */
+    uint64_t delta_base;       /* it is the difference from this version; 0: it is whole */
 } content_t;
 
-/* The whole value: packed once, for all receivers. */
+/* The whole value: compressed once, for all receivers. */
 static content_t
-whole_of(struct known_row *known)
+full_content(struct known_row *known)
 {
-    if (known->value != NULL && !known->is_packed) {
-        known->is_packed = true;
-        known->packed = g_bytes_get_size(known->value) < COMPRESSION_MIN
-                            ? NULL
-                            : compression_compress(known->value);
+    if (known->value != NULL && !known->compression_tried) {
+        known->compression_tried = true;
+        known->compressed = g_bytes_get_size(known->value) < COMPRESSION_MIN
+                                ? NULL
+                                : compression_compress(known->value);
     }
-    if (known->packed == NULL) {
+    if (known->compressed == NULL) {
         return (content_t){.bytes = known->value};
     }
-    return (content_t){.bytes = known->packed, .unpacked = g_bytes_get_size(known->value)};
+    return (content_t){.bytes = known->compressed,
+                       .uncompressed_length = g_bytes_get_size(known->value)};
 }
 
 /* The newest value that a receiver has who knows the table up to `base`; NULL if it is not known
  * here any more. */
 static past_value_t *
-past_at(struct known_row *known, uint64_t base)
+find_past_value(struct known_row *known, uint64_t base)
 {
     for (GList *link = known->past.head; link != NULL; link = link->next) {
         past_value_t *past = link->data;
@@ -98,37 +99,37 @@
 
 /* The difference: made once for all receivers that have the same value. */
 static content_t
-delta_of(struct known_row *known, past_value_t *past)
+delta_content(struct known_row *known, past_value_t *past)
 {
     if (past->delta == NULL) {
         past->delta = delta_make(past->value, known->value);
-        past->packed = g_bytes_get_size(past->delta) < COMPRESSION_MIN
-                           ? NULL
-                           : compression_compress(past->delta);
+        past->compressed = g_bytes_get_size(past->delta) < COMPRESSION_MIN
+                               ? NULL
+                               : compression_compress(past->delta);
     }
     if (known->hash == 0) {
         known->hash = delta_hash(known->value);
     }
     content_t content = {.bytes = past->delta, .delta_base = past->version};
-    if (past->packed != NULL) {
-        content.bytes = past->packed;
-        content.unpacked = g_bytes_get_size(past->delta);
+    if (past->compressed != NULL) {
+        content.bytes = past->compressed;
+        content.uncompressed_length = g_bytes_get_size(past->delta);
     }
     return content;
 }
 
 static content_t
-content_of(struct known_row *known, uint64_t base, bool deltas)
+row_content(struct known_row *known, uint64_t base, bool deltas)
 {
-    past_value_t *past = known->value == NULL || !deltas ? NULL : past_at(known, base);
-    return past == NULL ? whole_of(known) : delta_of(known, past);
+    past_value_t *past = known->value == NULL || !deltas ? NULL : find_past_value(known, base);
+    return past == NULL ? full_content(known) : delta_content(known, past);
 }
 
 static void
 add_row(struct pooler_relay *relay, enum store_table table, const struct known_row *known,
         const content_t *content)
 {
-    struct pooler_row *row = next_row(relay);
+    struct pooler_row *row = append_row(relay);
     row->table = (uint32_t)table;
     row->key = g_strdup(known->key);
     row->version = known->version;
@@ -138,7 +139,7 @@
         gconstpointer data = g_bytes_get_data(content->bytes, &len);
         row->value = g_memdup2(data, len);
         row->value_length = len;
-        row->unpacked_length = (uint32_t)content->unpacked;
+        row->unpacked_length = (uint32_t)content->uncompressed_length;
         row->delta_base = content->delta_base;
         row->hash = content->delta_base == 0 ? 0 : known->hash;
     }
@@ -147,7 +148,7 @@
 /* Adds the table's changes above the base. False if they are too large, so that the table is not
  * told any further than the base. */
 static bool
-add_changes(const struct feed *feed, uint64_t base, gsize most, bool deltas,
+add_changes(const struct feed *feed, uint64_t base, gsize max_bytes, bool deltas,
             struct pooler_relay *relay)
 {
     size_t before = relay->rows_count;
@@ -160,9 +161,9 @@
         if (row->version <= base) {
             continue;
         }
-        content_t content = content_of(row, base, deltas);
+        content_t content = row_content(row, base, deltas);
         size += content.bytes == NULL ? 0 : g_bytes_get_size(content.bytes);
-        if (size > most) {
+        if (size > max_bytes) {
             while (relay->rows_count > before) {
                 pooler_row_clear(&relay->rows[--relay->rows_count]);
             }
@@ -174,7 +175,7 @@
 }
 
 static uint64_t
-fill_table(const struct feed *feed, uint64_t base, gsize most, bool deltas, bool *incomplete,
+fill_table(const struct feed *feed, uint64_t base, gsize max_bytes, bool deltas, bool *incomplete,
            struct pooler_relay *relay)
 {
     if (feed->version <= base) {
@@ -183,7 +184,7 @@
     if (feed->changed_version <= base) {
         return feed->version; /* the store's version rises with every table's changes */
     }
-    if (add_changes(feed, base, most, deltas, relay)) {
+    if (add_changes(feed, base, max_bytes, deltas, relay)) {
         return feed->version;
     }
     *incomplete = true;
@@ -193,7 +194,7 @@
 /* How long ago what the receiver knows after this message was the newest; 0: it lacks something
  * that is known here, it is not known how old that is, or it knows the table in another era. */
 static uint32_t
-age_to_tell(const struct feed *feed, uint64_t told, time_ns now)
+age_to_report(const struct feed *feed, uint64_t told, time_ns now)
 {
     bool comparable = feed->changed_version <= told && store_era(told) == store_era(feed->version);
     return comparable ? evidence_age_ms(feed->as_of, now) : 0;
@@ -213,8 +214,9 @@
 {
     const struct feed *feeds = control->feeds;
     relay->configuration_age_ms =
-        age_to_tell(&feeds[STORE_TABLE_CONFIGURATION], relay->configuration_row, now);
-    relay->directory_age_ms = age_to_tell(&feeds[STORE_TABLE_DIRECTORY], relay->directory_row, now);
+        age_to_report(&feeds[STORE_TABLE_CONFIGURATION], relay->configuration_row, now);
+    relay->directory_age_ms =
+        age_to_report(&feeds[STORE_TABLE_DIRECTORY], relay->directory_row, now);
     bool known = relay->configuration_age_ms != 0 && relay->directory_age_ms != 0;
     fill_era(control, now, relay);
     relay->store_age_ms =
@@ -222,8 +224,8 @@
 }
 
 void
-control_relay_fill_nothing(const struct control *control, const row_versions_t *known, time_ns now,
-                           struct pooler_relay *relay)
+control_relay_fill_versions(const struct control *control, const row_versions_t *known, time_ns now,
+                            struct pooler_relay *relay)
 {
     relay->configuration_base = relay->configuration_row = known->configuration;
     relay->directory_base = relay->directory_row = known->directory;
@@ -231,17 +233,17 @@
 }
 
 static void
-fill_within(const struct control *control, const row_versions_t *known, gsize most, bool deltas,
-            time_ns now, struct pooler_relay *relay)
+fill_within(const struct control *control, const row_versions_t *known, gsize max_bytes,
+            bool deltas, time_ns now, struct pooler_relay *relay)
 {
     const struct feed *configuration = &control->feeds[STORE_TABLE_CONFIGURATION];
     const struct feed *directory = &control->feeds[STORE_TABLE_DIRECTORY];
     relay->configuration_base = known->configuration;
     relay->directory_base = known->directory;
-    relay->configuration_row = fill_table(configuration, known->configuration, most, deltas,
+    relay->configuration_row = fill_table(configuration, known->configuration, max_bytes, deltas,
                                           &relay->configuration_incomplete, relay);
-    relay->directory_row =
-        fill_table(directory, known->directory, most, deltas, &relay->directory_incomplete, relay);
+    relay->directory_row = fill_table(directory, known->directory, max_bytes, deltas,
+                                      &relay->directory_incomplete, relay);
     fill_ages(control, now, relay);
 }
 
@@ -249,8 +251,8 @@
 control_relay_fill(const struct control *control, const relay_receiver_t *to, time_ns now,
                    struct pooler_relay *relay)
 {
-    gsize most = to->lacks_store ? RELAYED_MAX_LACKING : RELAYED_MAX;
-    fill_within(control, &to->known, most, to->takes_deltas, now, relay);
+    gsize max_bytes = to->lacks_store ? RELAYED_MAX_NO_STORE : RELAYED_MAX;
+    fill_within(control, &to->known, max_bytes, to->takes_deltas, now, relay);
 }
 
 /* Rows that are gone say nothing to who knows none. */
@@ -269,7 +271,7 @@
 }
 
 void
-control_relay_fill_whole(const struct control *control, struct pooler_relay *relay)
+control_relay_fill_full(const struct control *control, struct pooler_relay *relay)
 {
     add_table(&control->feeds[STORE_TABLE_CONFIGURATION], relay);
     add_table(&control->feeds[STORE_TABLE_DIRECTORY], relay);
@@ -294,33 +296,33 @@
 
 /* How many bytes of rows may go out now. */
 static double
-row_bytes(struct control *control, time_ns now)
+refill_row_budget(struct control *control, time_ns now)
 {
     double per_s = control->settings->pooler.link_mbps * BYTES_PER_MEGABIT * ROWS_LINK_SHARE;
-    double most = MAX(per_s * ROWS_BURST_S, (double)RELAYED_MAX);
-    double passed_s = (double)(now - control->row_bytes_at) / (double)NANOSECONDS_PER_SECOND;
-    control->row_bytes_at = now;
-    control->row_bytes = MIN(control->row_bytes + passed_s * per_s, most);
-    return control->row_bytes;
+    double max_bytes = MAX(per_s * ROWS_BURST_S, (double)RELAYED_MAX);
+    double passed_s = (double)(now - control->row_budget_at) / (double)NANOSECONDS_PER_SECOND;
+    control->row_budget_at = now;
+    control->row_budget = MIN(control->row_budget + passed_s * per_s, max_bytes);
+    return control->row_budget;
 }
 
 bool
-control_relay_may_send(struct control *control, time_ns now)
+control_relay_has_budget(struct control *control, time_ns now)
 {
-    return row_bytes(control, now) > 0;
+    return refill_row_budget(control, now) > 0;
 }
 
 void
-control_relay_pay(struct control *control, size_t bytes)
+control_relay_consume_budget(struct control *control, size_t bytes)
 {
-    control->row_bytes -= (double)bytes;
+    control->row_budget -= (double)bytes;
 }
 
 static void
-pay_for_rows(struct control *control, const struct pooler_relay *relay)
+consume_for_rows(struct control *control, const struct pooler_relay *relay)
 {
     for (size_t i = 0; i < relay->rows_count; i++) {
-        control_relay_pay(control, relay->rows[i].value_length);
+        control_relay_consume_budget(control, relay->rows[i].value_length);
     }
 }
 
@@ -330,7 +332,7 @@
               struct pooler_relay *relay)
 {
     row_versions_t here = control_relay_versions(control);
-    control_relay_fill_nothing(control, &pooler->known, now, relay);
+    control_relay_fill_versions(control, &pooler->known, now, relay);
     if (here.configuration <= pooler->known.configuration &&
         here.directory <= pooler->known.directory) {
         pooler->rows_wait_since = 0;
@@ -368,19 +370,19 @@
                           struct pooler_relay *relay)
 {
     if (!control_relay_is_confirmed(pooler)) {
-        control_relay_fill_nothing(control, &pooler->known, now, relay);
+        control_relay_fill_versions(control, &pooler->known, now, relay);
         note_unconfirmed(pooler, now);
         return;
     }
     pooler->unconfirmed_since = 0;
     pooler->unconfirmed_logged = false;
-    if (row_bytes(control, now) <= 0) {
+    if (refill_row_budget(control, now) <= 0) {
         wait_for_link(control, pooler, now, relay);
         return;
     }
     const relay_receiver_t to = {pooler->known, pooler->lacks_store, pooler->takes_deltas};
     control_relay_fill(control, &to, now, relay);
-    pay_for_rows(control, relay);
+    consume_for_rows(control, relay);
     pooler->rows_wait_since = 0;
     pooler->known = (row_versions_t){relay->configuration_row, relay->directory_row};
 }
@@ -395,13 +397,13 @@
     const row_versions_t *sent = g_hash_table_lookup(control->listeners, peer);
     bool confirmed = sent == NULL || (known.configuration >= sent->configuration &&
                                       known.directory >= sent->directory);
-    if (!confirmed || row_bytes(control, now) <= 0) {
-        control_relay_fill_nothing(control, &known, now, relay);
+    if (!confirmed || refill_row_budget(control, now) <= 0) {
+        control_relay_fill_versions(control, &known, now, relay);
         return;
     }
     const relay_receiver_t to = {known, heartbeat->lacks_store, heartbeat->takes_deltas};
     control_relay_fill(control, &to, now, relay);
-    pay_for_rows(control, relay);
+    consume_for_rows(control, relay);
     row_versions_t *noted = g_new(row_versions_t, 1);
     *noted = (row_versions_t){relay->configuration_row, relay->directory_row};
     g_hash_table_replace(control->listeners, peer, noted);
@@ -426,7 +428,7 @@
 void
 control_relay_fill_offer(struct control *control, time_ns now, struct pooler_relay *relay)
 {
-    row_versions_t known = control->told;
+    row_versions_t known = control->coordinator_rows;
     if (now < control->offered_at + OFFER_AGAIN_NS) {
         known.configuration = MAX(known.configuration, control->offered.configuration);
         known.directory = MAX(known.directory, control->offered.directory);
@@ -484,7 +486,7 @@
 static bool
 take_rows(struct control *control, const struct pooler_relay *relay)
 {
-    bool good = true;
+    bool complete = true;
     for (size_t i = 0; i < relay->rows_count; i++) {
         const struct pooler_row *row = &relay->rows[i];
         g_autoptr(GError) error = NULL;
@@ -496,12 +498,12 @@
         if (error != NULL) {
             g_warning("Row %s from another pooler can't be read: %s.", row->key, error->message);
             feed->missing = true;
-            good = false;
+            complete = false;
             continue;
         }
         control_take_row(control, (enum store_table)row->table, row->key, row->version, value);
     }
-    return good;
+    return complete;
 }
 
 static void
--- a/src/pooler/control/control_rows.c
+++ b/src/pooler/control/control_rows.c
@@ -24,7 +24,7 @@
 {
     past_value_t *past = data;
     g_clear_pointer(&past->delta, g_bytes_unref);
-    g_clear_pointer(&past->packed, g_bytes_unref);
+    g_clear_pointer(&past->compressed, g_bytes_unref);
     g_bytes_unref(past->value);
     g_free(past);
 }
@@ -35,7 +35,7 @@
     struct known_row *row = data;
     g_free(row->key);
     g_queue_clear_full(&row->past, free_past);
-    g_clear_pointer(&row->packed, g_bytes_unref);
+    g_clear_pointer(&row->compressed, g_bytes_unref);
     g_clear_pointer(&row->value, g_bytes_unref);
     g_free(row);
 }
@@ -99,7 +99,7 @@
 
 /* What has changed, for the log. */
 static const char *
-change_of(const struct directory_entry *entry, GBytes *value)
+describe_change(const struct directory_entry *entry, GBytes *value)
 {
     if (value == NULL) {
         return "is gone";
@@ -114,7 +114,7 @@
 take_directory_row(struct control *control, const char *id, uint64_t version, GBytes *value)
 {
     struct directory_entry *entry = value == NULL ? NULL : read_record(control, id, version, value);
-    const char *change = change_of(entry, value);
+    const char *change = describe_change(entry, value);
     if (directory_take(&control->directory, id, version, entry, backend_now())) {
         g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_INFO, "SW_DATABASE", id, "MESSAGE",
                          "Database %s: its record %s.", id, change);
@@ -124,7 +124,7 @@
 
 /* Takes the earlier values over from the row as it was known before. */
 static void
-keep_past(struct known_row *row, struct known_row *before)
+keep_past_values(struct known_row *row, struct known_row *before)
 {
     if (row->value == NULL || before->value == NULL ||
         g_bytes_get_size(row->value) < DELTA_FROM_SIZE) {
@@ -133,7 +133,7 @@
     for (GList *link = before->past.head; link != NULL; link = link->next) {
         past_value_t *past = link->data; /* its difference was to a value that is no longer told */
         g_clear_pointer(&past->delta, g_bytes_unref);
-        g_clear_pointer(&past->packed, g_bytes_unref);
+        g_clear_pointer(&past->compressed, g_bytes_unref);
     }
     row->past = before->past;
     g_queue_init(&before->past);
@@ -147,7 +147,7 @@
 }
 
 static void
-remember(struct feed *feed, const char *key, uint64_t version, GBytes *value)
+put_row(struct feed *feed, const char *key, uint64_t version, GBytes *value)
 {
     struct known_row *row = g_new0(struct known_row, 1);
     struct known_row *before = g_hash_table_lookup(feed->rows, key);
@@ -157,7 +157,7 @@
     row->value = value == NULL ? NULL : g_bytes_ref(value);
     row->learned_at = backend_now();
     if (before != NULL) {
-        keep_past(row, before);
+        keep_past_values(row, before);
     }
     feed->changed_version = MAX(feed->changed_version, version);
     feed->largest = MAX(feed->largest, value == NULL ? 0 : g_bytes_get_size(value));
@@ -177,7 +177,7 @@
     g_autofree char *key = g_strdup(known->key);
     g_autoptr(GBytes) kept = known->value == NULL ? NULL : g_bytes_ref(known->value);
     g_autofree char *row = g_strdup_printf("%" PRIu64, store_number(version));
-    remember(feed, key, version, kept);
+    put_row(feed, key, version, kept);
     if (feed->table == STORE_TABLE_DIRECTORY) {
         directory_confirm(&control->directory, key, version);
     }
@@ -226,7 +226,7 @@
         control->rows_learned = control->rows_learned || table != STORE_TABLE_CONTROL;
         return;
     }
-    remember(feed, key, version, value);
+    put_row(feed, key, version, value);
     control->rows_learned = control->rows_learned || table != STORE_TABLE_CONTROL;
     if (table == STORE_TABLE_DIRECTORY) {
         take_directory_row(control, key, version, value);
--- a/src/pooler/control/control_store.c
+++ b/src/pooler/control/control_store.c
@@ -10,7 +10,7 @@
 
 /* Time between two looks at the directory. Changes of the primary come from the coordinator, and a
  * draining database may take work for seconds, so this need not be short. */
-#define DIRECTORY_EVERY_NS (900 * MS)
+#define DIRECTORY_POLL_NS (900 * MS)
 
 /* A directory that was certainly the newest within this is current. */
 #define CURRENT_NS (2000 * MS)
@@ -19,13 +19,13 @@
  * choice: with the 16,000 calls a second of a fleet of 300, each looks once in 2 s at each table;
  * half of it would be over the bound below, twice of it costs twice the calls for news that come
  * 1 s sooner. */
-#define LAST_RESORT_SHARE  0.01
-#define LAST_RESORT_TABLES 2
+#define DIRECT_POLL_SHARE  0.01
+#define DIRECT_POLL_TABLES 2
 
 /* But each of them looks this often, as a share of the bound within which news must be in force:
  * three fifths of it may have passed while others were relied on, and a tenth is left for the call.
  */
-#define LAST_RESORT_PART 0.3
+#define DIRECT_POLL_BOUND_PART 0.3
 
 /* A pooler that last knew all so long ago may have missed several changes; rows from this size on
  * are not read twice. */
@@ -33,8 +33,8 @@
 #define LARGE_ROW ((gsize)32 * 1024)
 
 /* Time between two questions of a follower in reserve. Less than the silence after which another
- * one is chosen (FOLLOWER_LOST_MS), with a question's own second. */
-#define RESERVE_EVERY_NS (1500 * MS)
+ * one is chosen (FOLLOWER_FAILING_MS), with a question's own second. */
+#define STANDBY_POLL_NS (1500 * MS)
 
 #define RETRY_MIN_NS (150 * MS)
 #define RETRY_MAX_NS (1200 * MS)
@@ -54,33 +54,34 @@
 /* Time between two looks at a table by which all poolers together would keep to their share of the
  * store's calls, if nobody told any of them anything. */
 static time_ns
-shared_every(const struct control *control)
+shared_poll_interval(const struct control *control)
 {
-    double calls_per_s = control->settings->store.reads_per_s * LAST_RESORT_SHARE;
-    double every_s = control_fleet_size(control) * LAST_RESORT_TABLES / calls_per_s;
+    double calls_per_s = control->settings->store.reads_per_s * DIRECT_POLL_SHARE;
+    double every_s = control_fleet_size(control) * DIRECT_POLL_TABLES / calls_per_s;
     return (time_ns)(every_s * (double)NANOSECONDS_PER_SECOND);
 }
 
 /* The same within the bound on a configuration. */
 static time_ns
-last_resort_every(const struct control *control)
+direct_poll_interval(const struct control *control)
 {
     double bound = (double)(control->settings->store.apply_ms * MS);
-    return MIN(shared_every(control), (time_ns)(bound * LAST_RESORT_PART));
+    return MIN(shared_poll_interval(control), (time_ns)(bound * DIRECT_POLL_BOUND_PART));
 }
 
 /* True if this pooler has to keep to such a share. A few poolers may ask as often as they like. */
 static bool
-is_last_resort(const struct control *control)
+must_limit_polling(const struct control *control)
 {
     return !control->lease.held && !control->follows_store &&
-           shared_every(control) > DIRECTORY_EVERY_NS;
+           shared_poll_interval(control) > DIRECTORY_POLL_NS;
 }
 
-/* True of a follower whose coordinator tells it what the store holds. It asks now and then, so that
- * it is known to reach the store, and as often as the coordinator once it is no longer told. */
+/* True of a follower whose coordinator tells it what the store holds. It needed now and then, so
+ * that it is known to reach the store, and as often as the coordinator once it is no longer told.
+ */
 static bool
-is_in_reserve(const struct control *control, time_ns now)
+is_standby(const struct control *control, time_ns now)
 {
     return control->follows_store && control_relayed_is_recent(control, now);
 }
@@ -95,19 +96,19 @@
     feed->failures = 0;
     feed->missing =
         false; /* until another pooler says so again: not read over and over meanwhile */
-    feed->current_at = now;
-    feed->next_at = feed->table == STORE_TABLE_DIRECTORY ? now + DIRECTORY_EVERY_NS : now;
-    feed->reserve_until = 0;
-    if (is_last_resort(feed->control)) {
-        feed->next_at = now + last_resort_every(feed->control);
-    } else if (is_in_reserve(feed->control, now)) {
-        feed->reserve_until = now + RESERVE_EVERY_NS;
+    feed->last_answer_at = now;
+    feed->next_at = feed->table == STORE_TABLE_DIRECTORY ? now + DIRECTORY_POLL_NS : now;
+    feed->standby_until = 0;
+    if (must_limit_polling(feed->control)) {
+        feed->next_at = now + direct_poll_interval(feed->control);
+    } else if (is_standby(feed->control, now)) {
+        feed->standby_until = now + STANDBY_POLL_NS;
     }
 }
 
 /* Doubles with each time in a row, spread by chance over its second half. */
 static time_ns
-pause_after(uint32_t times)
+retry_delay(uint32_t times)
 {
     time_ns wait = MIN(RETRY_MIN_NS << MIN(times, 4), RETRY_MAX_NS);
     return wait / 2 + (time_ns)g_random_int_range(0, (gint32)(wait / 2000)) * 1000;
@@ -120,7 +121,7 @@
         g_message("The store does not serve table %d: %s.", (int)feed->table,
                   store_outcome_name(outcome));
     }
-    feed->next_at = now + pause_after(feed->failures);
+    feed->next_at = now + retry_delay(feed->failures);
     feed->failures++;
 }
 
@@ -135,8 +136,8 @@
                   (int)feed->table);
     }
     feed->history_gone = true;
-    feed->next_at = feed->forgotten == 0 ? now : now + pause_after(feed->forgotten);
-    feed->forgotten++;
+    feed->next_at = feed->history_failures == 0 ? now : now + retry_delay(feed->history_failures);
+    feed->history_failures++;
 }
 
 /* The call is over. An answer that was given before a restore of which this pooler has heard counts
@@ -196,7 +197,7 @@
     } else {
         control_rows_take(feed, answer);
         feed->version = MAX(feed->version, answer->version);
-        feed->forgotten = 0;
+        feed->history_failures = 0;
         control_feed_answered(feed, now);
         note_proof(feed, answer, now);
     }
@@ -207,13 +208,13 @@
  * row is large, the table as it stands is less: a pooler that was behind by four configurations of
  * 200 KB read them all, over a link of 2 Mbit/s. */
 bool
-control_feed_lists(const struct feed *feed, time_ns now)
+control_feed_needs_listing(const struct feed *feed, time_ns now)
 {
     if (feed->list_at != 0 && now >= feed->list_at) {
         return true;
     }
-    time_ns usual = is_last_resort(feed->control) ? last_resort_every(feed->control) : 0;
-    bool behind = feed->missing || now > feed->as_of + usual + BEHIND_NS;
+    time_ns interval = must_limit_polling(feed->control) ? direct_poll_interval(feed->control) : 0;
+    bool behind = feed->missing || now > feed->as_of + interval + BEHIND_NS;
     return feed->table == STORE_TABLE_CONFIGURATION && behind && feed->largest >= LARGE_ROW;
 }
 
@@ -245,11 +246,11 @@
     feed->reason = reason_of(feed);
     control_counts_call(&control->counts, feed->table, feed->reason);
     bool unknown = feed->version == 0 || control_era_is_over(control, feed->version);
-    if (unknown || feed->history_gone || control_feed_lists(feed, backend_now())) {
+    if (unknown || feed->history_gone || control_feed_needs_listing(feed, backend_now())) {
         store_read(control->store, feed->table, on_listing, feed);
         return;
     }
-    bool waits = feed->table == STORE_TABLE_CONFIGURATION && !is_last_resort(control);
+    bool waits = feed->table == STORE_TABLE_CONFIGURATION && !must_limit_polling(control);
     uint32_t wait_ms = waits ? CONFIGURATION_WAIT_MS : 0;
     store_watch(control->store, feed->table, feed->version, wait_ms, on_changes, feed);
 }
@@ -279,7 +280,7 @@
 
 /* Whom this pooler believes about the store from now on, and what it knows at this moment. */
 static void
-log_reliance(const struct control *control, bool relayed, time_ns now)
+log_relayed(const struct control *control, bool relayed, time_ns now)
 {
     const struct feed *feed = &control->feeds[STORE_TABLE_CONFIGURATION];
     uint64_t version = control->configuration == NULL ? 0 : control->configuration->version;
@@ -294,21 +295,21 @@
                      configuration, age);
 }
 
-/* Once nobody tells this pooler what the store holds, it asks by itself, and so may hundreds of
+/* Once nobody tells this pooler what the store holds, it needed by itself, and so may hundreds of
  * others: not all at once. */
 static void
 note_relayed(struct control *control, time_ns now)
 {
     bool relayed = control_relayed_is_valid(control, now);
-    bool lost = control->relayed && is_last_resort(control);
+    bool lost = control->relayed && must_limit_polling(control);
     if (relayed != control->relayed && control->feeds[STORE_TABLE_CONFIGURATION].version != 0) {
-        log_reliance(control, relayed, now);
+        log_relayed(control, relayed, now);
     }
     control->relayed = relayed;
     if (relayed || !lost) {
         return;
     }
-    gint32 spread = (gint32)(last_resort_every(control) / MS);
+    gint32 spread = (gint32)(direct_poll_interval(control) / MS);
     for (int table = 0; table < STORE_TABLE_CONTROL; table++) {
         struct feed *feed = &control->feeds[table];
         if (feed->version != 0) { /* else it has just started, and can't serve before */
@@ -325,9 +326,9 @@
     note_relayed(control, now);
     for (int table = 0; table < STORE_TABLE_CONTROL; table++) {
         struct feed *feed = &control->feeds[table];
-        bool asks = control_relayed_needs_store(control, feed->table, now);
-        bool rests = now < feed->reserve_until && is_in_reserve(control, now);
-        if (asks && !rests && !feed->calling && now >= feed->next_at) {
+        bool needed = control_relayed_needs_store(control, feed->table, now);
+        bool deferred = now < feed->standby_until && is_standby(control, now);
+        if (needed && !deferred && !feed->calling && now >= feed->next_at) {
             call(feed);
         }
     }
--- a/src/pooler/control/control_view.c
+++ b/src/pooler/control/control_view.c
@@ -12,10 +12,10 @@
 #define CONNECTIONS_SPARE 3
 
 /* Connections to each database of a pooler that nobody has told how many poolers there are. */
-#define CONNECTIONS_UNTOLD 1
+#define CONNECTIONS_FLEET_UNKNOWN 1
 
 /* A pooler that starts opens no connections before: with many poolers, these would be too many. */
-#define TOLD_SOON_NS (600 * MS)
+#define FLEET_SIZE_WAIT_NS (600 * MS)
 
 /* That of an earlier life stays, as workers may still have it. */
 struct member_shared *
@@ -55,21 +55,21 @@
 control_direct_share(const struct control *control, const struct service *service)
 {
     uint32_t members = control_fleet_size(control);
-    uint32_t room = service->max_connections > CONNECTIONS_SPARE
-                        ? service->max_connections - CONNECTIONS_SPARE
-                        : 1;
-    return members == 0 ? 0 : room / (members * control->workers_count);
+    uint32_t capacity = service->max_connections > CONNECTIONS_SPARE
+                            ? service->max_connections - CONNECTIONS_SPARE
+                            : 1;
+    return members == 0 ? 0 : capacity / (members * control->workers_count);
 }
 
 /* A pooler that starts while neither the store nor a coordinator is there opens a few connections
  * after a while. */
 static uint32_t
-connections_of(const struct control *control, const struct service *service)
+direct_connections(const struct control *control, const struct service *service)
 {
     if (control_fleet_size(control) > 0) {
         return control_direct_share(control, service);
     }
-    return backend_now() < control->started_at + TOLD_SOON_NS ? 0 : CONNECTIONS_UNTOLD;
+    return backend_now() < control->started_at + FLEET_SIZE_WAIT_NS ? 0 : CONNECTIONS_FLEET_UNKNOWN;
 }
 
 static bool
@@ -105,12 +105,12 @@
 {
     guint start = g_str_hash(control->settings->pooler.name);
     out->owners = g_new0(owner_view_t, owners->members->len);
-    for (int near = 1; near >= 0; near--) {
+    for (int same = 1; same >= 0; same--) {
         for (guint i = 0; i < owners->members->len; i++) {
             const fleet_member_t *owner =
                 g_ptr_array_index(owners->members, (start + i) % owners->members->len);
             bool same_zone = g_str_equal(owner->zone, control->settings->pooler.zone);
-            if (same_zone == (near == 1)) {
+            if (same_zone == (same == 1)) {
                 add_owner(control, owner, same_zone, out);
             }
         }
@@ -118,7 +118,7 @@
 }
 
 static evacuation_phase_t
-phase_of(const struct control *control, const struct directory_entry *entry, time_ns now)
+evacuation_phase(const struct control *control, const struct directory_entry *entry, time_ns now)
 {
     return evacuations_phase(&control->evacuations, entry->zone, now);
 }
@@ -128,7 +128,7 @@
 {
     time_ns heartbeat = control->settings->store.heartbeat_ms * MS;
     return !directory_entry_leaves(entry, now, heartbeat) &&
-           phase_of(control, entry, now) == EVACUATION_NONE;
+           evacuation_phase(control, entry, now) == EVACUATION_NONE;
 }
 
 static void
@@ -140,7 +140,7 @@
     out->zone = g_intern_string(entry->zone);
     out->same_zone = g_str_equal(entry->zone, control->settings->pooler.zone);
     out->takes_work = control_takes_work(control, entry, now);
-    out->closed = phase_of(control, entry, now) == EVACUATION_CLOSED;
+    out->closed = evacuation_phase(control, entry, now) == EVACUATION_CLOSED;
     out->slots = entry->slots;
 }
 
@@ -160,7 +160,7 @@
  * leads: a replaced one can acknowledge nothing, and reads there are proven by the databases'
  * statuses. */
 static void
-fill_unordered(struct control *control, const struct service *service, struct group_state *assumed)
+assume_primary(struct control *control, const struct service *service, struct group_state *assumed)
 {
     if (assumed->epoch == 0 && service->sync_replicas > 0) {
         assumed->primary = (char *)directory_leader(&control->directory, service->name);
@@ -177,7 +177,7 @@
         const struct directory_entry *entry = g_ptr_array_index(entries, i);
         const uint64_t state[] = {entry->version, entry->gone_at,
                                   control_takes_work(control, entry, now),
-                                  phase_of(control, entry, now), g_str_hash(entry->id)};
+                                  evacuation_phase(control, entry, now), g_str_hash(entry->id)};
         digest ^= XXH3_64bits(state, sizeof state);
     }
     return digest;
@@ -196,8 +196,8 @@
 /* Who opens connections to the group's databases: this pooler, as many as it is told, or its
  * owners. */
 static void
-find_inputs(const struct control *control, const struct service *service,
-            const struct group_state *state, time_ns now, view_inputs_t *out)
+compute_inputs(const struct control *control, const struct service *service,
+               const struct group_state *state, time_ns now, view_inputs_t *out)
 {
     const fleet_owners_t *owners = control_fleet_owners(control, service);
     const GPtrArray *entries = directory_group(&control->directory, service->name);
@@ -210,7 +210,7 @@
         .keyed = control->configuration->keys != NULL,
     };
     if (owners == NULL || owners->direct) {
-        out->connections = connections_of(control, service);
+        out->connections = direct_connections(control, service);
     } else if (is_owner(control, owners)) {
         out->connections = owners->connections;
     } else {
@@ -241,7 +241,7 @@
 {
     struct group_state assumed = *state;
     struct pooled_group *out = pooled_group_new();
-    fill_unordered(control, service, &assumed);
+    assume_primary(control, service, &assumed);
     out->shared = state->shared;
     out->revision = ++control->view_revision;
     out->epoch = assumed.epoch;
@@ -266,7 +266,7 @@
 {
     struct group_state *state = control_group(control, service->name);
     view_inputs_t inputs;
-    find_inputs(control, service, state, now, &inputs);
+    compute_inputs(control, service, state, now, &inputs);
     bool same = state->view != NULL && memcmp(&inputs, &state->view_inputs, sizeof inputs) == 0;
     if (!same) {
         g_clear_pointer(&state->view, pooled_group_unref);
--- a/src/pooler/control/fleet.c
+++ b/src/pooler/control/fleet.c
@@ -20,7 +20,7 @@
 /* An owner in a database's zone has so many times the connections of one in another zone: three
  * owners of nine have 30 of 36 connections in use. Measured with 83 machines, 84 tenants and 53
  * connections: 8 served 0.008 of worth more than 4 (docs/design/tenants.md). */
-#define NEAR_PARTS 8
+#define SAME_ZONE_PARTS 8
 
 /* Changes that are remembered, to see whether a group is concerned by them. With more, its owners
  * are worked out anew. */
@@ -34,9 +34,9 @@
 
 struct fleet {
     GHashTable *members; /* address -> fleet_member_t, owned */
-    GPtrArray *living;   /* of fleet_member_t */
+    GPtrArray *active;   /* of fleet_member_t */
     GPtrArray *zones;    /* interned names; their places are the members' zone_index */
-    GArray *zone_sizes;  /* guint, living members of each */
+    GArray *zone_sizes;  /* guint, active members of each */
     GHashTable *owners;  /* service -> fleet_owners_t, owned */
     fleet_member_t *changes[CHANGES_KEPT];
     guint generation;   /* counts changes; the newest CHANGES_KEPT are known */
@@ -44,7 +44,7 @@
     uint64_t revisions; /* given so far */
     uint64_t version;
     uint32_t counted;
-    uint32_t workers_most;
+    uint32_t max_workers;
 };
 
 static void
@@ -69,11 +69,11 @@
 {
     fleet_t *fleet = g_new0(fleet_t, 1);
     fleet->members = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_member);
-    fleet->living = g_ptr_array_new();
+    fleet->active = g_ptr_array_new();
     fleet->zones = g_ptr_array_new();
     fleet->zone_sizes = g_array_new(FALSE, TRUE, sizeof(guint));
     fleet->owners = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_owners);
-    fleet->workers_most = 1;
+    fleet->max_workers = 1;
     return fleet;
 }
 
@@ -83,7 +83,7 @@
     g_hash_table_unref(fleet->owners);
     g_array_unref(fleet->zone_sizes);
     g_ptr_array_unref(fleet->zones);
-    g_ptr_array_unref(fleet->living);
+    g_ptr_array_unref(fleet->active);
     g_hash_table_unref(fleet->members);
     g_free(fleet);
 }
@@ -97,15 +97,15 @@
 uint32_t
 fleet_size(const fleet_t *fleet)
 {
-    return fleet->living->len;
+    return fleet->active->len;
 }
 
 uint32_t
 fleet_max_weight(const fleet_t *fleet)
 {
     uint32_t most = 0;
-    for (guint i = 0; i < fleet->living->len; i++) {
-        most = MAX(most, ((const fleet_member_t *)g_ptr_array_index(fleet->living, i))->weight);
+    for (guint i = 0; i < fleet->active->len; i++) {
+        most = MAX(most, ((const fleet_member_t *)g_ptr_array_index(fleet->active, i))->weight);
     }
     return most;
 }
@@ -123,7 +123,7 @@
 }
 
 static void
-forget_owners(fleet_t *fleet)
+invalidate_owners(fleet_t *fleet)
 {
     fleet->valid_from = ++fleet->generation;
 }
@@ -158,7 +158,7 @@
     guint before = *size;
     *size = (guint)((int)before + change);
     if ((before == 0) != (*size == 0)) {
-        forget_owners(fleet);
+        invalidate_owners(fleet);
     }
 }
 
@@ -166,19 +166,19 @@
 find_workers_most(fleet_t *fleet)
 {
     uint32_t most = 1;
-    for (guint i = 0; i < fleet->living->len; i++) {
-        most = MAX(most, ((const fleet_member_t *)g_ptr_array_index(fleet->living, i))->workers);
+    for (guint i = 0; i < fleet->active->len; i++) {
+        most = MAX(most, ((const fleet_member_t *)g_ptr_array_index(fleet->active, i))->workers);
     }
-    if (most != fleet->workers_most) {
-        fleet->workers_most = most;
-        forget_owners(fleet);
+    if (most != fleet->max_workers) {
+        fleet->max_workers = most;
+        invalidate_owners(fleet);
     }
 }
 
 static void
-take_out(fleet_t *fleet, fleet_member_t *member)
+deactivate(fleet_t *fleet, fleet_member_t *member)
 {
-    g_ptr_array_remove_fast(fleet->living, member);
+    g_ptr_array_remove_fast(fleet->active, member);
     member->gone = true;
     count_in_zone(fleet, member->zone_index, -1);
 }
@@ -201,8 +201,8 @@
         member->address_length = strlen(address);
         g_hash_table_insert(fleet->members, member->address, member);
     } else if (!member->gone) {
-        take_out(fleet, member);
-        forget_owners(fleet);
+        deactivate(fleet, member);
+        invalidate_owners(fleet);
     }
     member->entering = member->entering || (member->gone ? !member->away : member->version == 0);
     member->away = false;
@@ -212,7 +212,7 @@
     member->weight = MAX(weight, 1);
     member->gone = false;
     member->confirmed = version;
-    g_ptr_array_add(fleet->living, member);
+    g_ptr_array_add(fleet->active, member);
     count_in_zone(fleet, member->zone_index, 1);
     note_change(fleet, member, version);
     find_workers_most(fleet);
@@ -226,7 +226,7 @@
     if (member == NULL || member->gone) {
         return false;
     }
-    take_out(fleet, member);
+    deactivate(fleet, member);
     member->away = true;
     note_change(fleet, member, version);
     find_workers_most(fleet);
@@ -288,7 +288,7 @@
 
 /* The member's draw for a group, above 0 and below 1. */
 static double
-draw_of(const fleet_member_t *member, uint64_t seed)
+member_draw(const fleet_member_t *member, uint64_t seed)
 {
     uint64_t hash = XXH3_64bits_withSeed(member->address, member->address_length, seed);
     return ((double)(hash >> 11) + 0.5) / (double)(UINT64_C(1) << 53);
@@ -296,21 +296,21 @@
 
 /* Weighted rendezvous hashing: the highest score wins, in proportion to the weights. */
 static double
-score_of_draw(const fleet_member_t *member, double draw)
+draw_score(const fleet_member_t *member, double draw)
 {
     return -(double)member->weight / log(draw);
 }
 
 static double
-score_of(const fleet_member_t *member, uint64_t seed)
+member_score(const fleet_member_t *member, uint64_t seed)
 {
-    return score_of_draw(member, draw_of(member, seed));
+    return draw_score(member, member_draw(member, seed));
 }
 
 /* Whether the score may reach this much, without the logarithm that it takes: -log(x) is at least
  * 1 - x. A pooler that starts ranks all members for all groups, and nearly none of them matters. */
 static bool
-may_reach(const fleet_member_t *member, double draw, double score)
+may_exceed(const fleet_member_t *member, double draw, double score)
 {
     return (double)member->weight >= score * (1 - draw);
 }
@@ -326,7 +326,7 @@
 
 /* Puts the candidate into its place among the best ones; what falls out is forgotten. */
 static void
-insert(candidate_t *best, guint *count, guint most, const candidate_t *candidate)
+insert_ranked(candidate_t *best, guint *count, guint most, const candidate_t *candidate)
 {
     guint place = *count;
     while (place > 0 && is_better(candidate, &best[place - 1])) {
@@ -354,10 +354,10 @@
 
 /* Alike in all zones, if there may be more owners than zones. */
 static guint
-count_owners(const fleet_t *fleet, uint32_t room)
+count_owners(const fleet_t *fleet, uint32_t capacity)
 {
     guint zones = count_zones(fleet);
-    guint count = CLAMP(room / OWNER_CONNECTIONS, OWNERS_MIN, OWNERS_MAX);
+    guint count = CLAMP(capacity / OWNER_CONNECTIONS, OWNERS_MIN, OWNERS_MAX);
     return zones > 0 && count > zones ? count - count % zones : count;
 }
 
@@ -391,16 +391,16 @@
     out->depth = depth;
     out->best = g_new(candidate_t, (gsize)out->zones * depth);
     out->counts = g_new0(guint, out->zones);
-    for (guint i = 0; i < fleet->living->len; i++) {
-        fleet_member_t *member = g_ptr_array_index(fleet->living, i);
-        double draw = draw_of(member, seed);
+    for (guint i = 0; i < fleet->active->len; i++) {
+        fleet_member_t *member = g_ptr_array_index(fleet->active, i);
+        double draw = member_draw(member, seed);
         guint zone = member->zone_index;
         candidate_t *best = &out->best[(gsize)zone * depth];
-        if (out->counts[zone] == depth && !may_reach(member, draw, best[depth - 1].score)) {
+        if (out->counts[zone] == depth && !may_exceed(member, draw, best[depth - 1].score)) {
             continue;
         }
-        const candidate_t candidate = {member, score_of_draw(member, draw)};
-        insert(best, &out->counts[zone], depth, &candidate);
+        const candidate_t candidate = {member, draw_score(member, draw)};
+        insert_ranked(best, &out->counts[zone], depth, &candidate);
     }
 }
 
@@ -412,8 +412,8 @@
     guint length = 0;
     for (guint zone = 0; zone < ranking->zones; zone++) {
         if (place < ranking->counts[zone]) {
-            insert(row, &length, ranking->zones,
-                   &ranking->best[(gsize)zone * ranking->depth + place]);
+            insert_ranked(row, &length, ranking->zones,
+                          &ranking->best[(gsize)zone * ranking->depth + place]);
         }
     }
     for (guint i = 0; i < length && out->len < count; i++) {
@@ -442,7 +442,7 @@
 {
     g_array_set_size(owners->scores, 0);
     for (guint i = 0; i < owners->members->len; i++) {
-        double score = score_of(g_ptr_array_index(owners->members, i), owners->seed);
+        double score = member_score(g_ptr_array_index(owners->members, i), owners->seed);
         g_array_append_val(owners->scores, score);
     }
 }
@@ -459,7 +459,7 @@
 
 /* Connections to a database that poolers share. */
 static uint32_t
-room_of(uint32_t max_connections)
+usable_connections(uint32_t max_connections)
 {
     return max_connections > CONNECTIONS_SPARE ? max_connections - CONNECTIONS_SPARE : 1;
 }
@@ -467,21 +467,21 @@
 static bool
 is_direct(const fleet_t *fleet, uint32_t max_connections)
 {
-    uint32_t shares = MAX(fleet->counted, 1) * fleet->workers_most;
-    return room_of(max_connections) / shares >= DIRECT_MIN;
+    uint32_t shares = MAX(fleet->counted, 1) * fleet->max_workers;
+    return usable_connections(max_connections) / shares >= DIRECT_MIN;
 }
 
 static void
 decide(fleet_t *fleet, fleet_owners_t *owners)
 {
-    uint32_t room = room_of(owners->max_connections);
+    uint32_t capacity = usable_connections(owners->max_connections);
     bool direct = is_direct(fleet, owners->max_connections);
     g_autoptr(GPtrArray) members = g_ptr_array_new();
     uint32_t connections = 0;
     if (!direct) {
-        owners->wanted = count_owners(fleet, room);
-        choose(fleet, owners->seed, owners->wanted, members);
-        connections = MAX(room / ((members->len + 1) * fleet->workers_most), 1);
+        owners->target = count_owners(fleet, capacity);
+        choose(fleet, owners->seed, owners->target, members);
+        connections = MAX(capacity / ((members->len + 1) * fleet->max_workers), 1);
     }
     bool same = owners->revision != 0 && owners->direct == direct &&
                 owners->connections == connections && is_same(owners->members, members);
@@ -498,7 +498,7 @@
 
 /* True if the change of this member may change the group's owners. */
 static bool
-concerns(const fleet_t *fleet, const fleet_owners_t *owners, const fleet_member_t *changed)
+affects_owners(const fleet_t *fleet, const fleet_owners_t *owners, const fleet_member_t *changed)
 {
     if (owners->direct) {
         return false;
@@ -507,7 +507,7 @@
         return g_ptr_array_find(owners->members, changed, NULL);
     }
     guint in_zone = 0;
-    const candidate_t joined = {(fleet_member_t *)changed, score_of(changed, owners->seed)};
+    const candidate_t joined = {(fleet_member_t *)changed, member_score(changed, owners->seed)};
     for (guint i = 0; i < owners->members->len; i++) {
         fleet_member_t *member = g_ptr_array_index(owners->members, i);
         const candidate_t owner = {member, g_array_index(owners->scores, double, i)};
@@ -518,7 +518,7 @@
     }
     /* Or its zone has fewer of the owners than the others. */
     return in_zone * count_zones(fleet) < owners->members->len ||
-           owners->members->len < owners->wanted;
+           owners->members->len < owners->target;
 }
 
 static bool
@@ -531,7 +531,7 @@
         return false;
     }
     for (guint i = owners->generation; i != fleet->generation; i++) {
-        if (concerns(fleet, owners, fleet->changes[i % CHANGES_KEPT])) {
+        if (affects_owners(fleet, owners, fleet->changes[i % CHANGES_KEPT])) {
             return false;
         }
     }
@@ -542,7 +542,7 @@
 fleet_owners(fleet_t *fleet, const char *service, uint32_t max_connections)
 {
     fleet_owners_t *owners = g_hash_table_lookup(fleet->owners, service);
-    if (fleet->living->len == 0) {
+    if (fleet->active->len == 0) {
         return NULL;
     }
     if (owners == NULL) {
@@ -561,17 +561,18 @@
 }
 
 uint32_t
-fleet_owners_share(const fleet_t *fleet, const fleet_owners_t *owners, const char *zone, bool near)
+fleet_owners_share(const fleet_t *fleet, const fleet_owners_t *owners, const char *zone,
+                   bool same_zone)
 {
     const char *interned = g_intern_string(zone);
     guint parts = 0;
     for (guint i = 0; i < owners->members->len; i++) {
         const fleet_member_t *member = g_ptr_array_index(owners->members, i);
-        parts += member->zone == interned ? NEAR_PARTS : 1;
+        parts += member->zone == interned ? SAME_ZONE_PARTS : 1;
     }
     /* One more is counted, as an owner that is gone may still hold some. */
-    uint32_t room = room_of(owners->max_connections) / fleet->workers_most;
-    uint32_t share = room * (near ? NEAR_PARTS : 1) / (parts + NEAR_PARTS);
+    uint32_t capacity = usable_connections(owners->max_connections) / fleet->max_workers;
+    uint32_t share = capacity * (same_zone ? SAME_ZONE_PARTS : 1) / (parts + SAME_ZONE_PARTS);
     return MAX(share, 1);
 }
 
--- a/src/pooler/control/fleet.h
+++ b/src/pooler/control/fleet.h
@@ -50,7 +50,7 @@
     GArray *scores; /* double, of each member here */
     uint64_t seed;
     guint generation;
-    guint wanted; /* owners, if there are as many members */
+    guint target; /* owners, if there are as many members */
     uint32_t max_connections;
 } fleet_owners_t;
 
@@ -106,9 +106,9 @@
 
 /** @brief Divides the connections to one database among a group's owners, where each tenant has its
  *  own: more to those in the database's zone, through which most statements reach it.
- *  @return how many each worker of an owner may open, `near` for one of that zone. */
+ *  @return how many each worker of an owner may open, `same_zone` for one of that zone. */
 uint32_t fleet_owners_share(const fleet_t *fleet, const fleet_owners_t *owners, const char *zone,
-                            bool near);
+                            bool same_zone);
 
 /** @return true if the pooler at this address is one of them. */
 bool fleet_owners_include(const fleet_owners_t *owners, const char *address);
--- a/src/pooler/control/mirrors.c
+++ b/src/pooler/control/mirrors.c
@@ -8,40 +8,42 @@
 
 /* How long the open question may take. */
 static time_ns
-patience(const mirror_questions_t *questions, const mirror_view_t *view)
+request_timeout(const mirror_requests_t *requests, const mirror_inputs_t *view)
 {
-    time_ns wait = questions->signed_on ? MIRROR_ANSWER_NS : MIRROR_SIGN_NS;
-    return view->starts ? wait : MIN(wait, (time_ns)((double)view->bound * MIRROR_CHANGE_PART));
+    time_ns wait = requests->acknowledged ? MIRROR_ANSWER_TIMEOUT_NS : MIRROR_ACK_TIMEOUT_NS;
+    return view->starts ? wait
+                        : MIN(wait, (time_ns)((double)view->bound * MIRROR_CHANGE_TIMEOUT_PART));
 }
 
 static bool
-has_asked_enough(const mirror_questions_t *questions, const mirror_view_t *view, time_ns now)
+has_tried_enough(const mirror_requests_t *requests, const mirror_inputs_t *view, time_ns now)
 {
     if (!view->starts) {
-        return questions->asked > 0;
+        return requests->sent > 0;
     }
-    return questions->asked >= MIRRORS_ASKED && now >= questions->first_at + MIRROR_TRIED_NS;
+    return requests->sent >= MIRROR_REQUESTS_MIN &&
+           now >= requests->first_sent_at + MIRROR_TRY_MIN_NS;
 }
 
 mirror_step_t
-mirror_next_step(const mirror_questions_t *questions, const mirror_view_t *view, time_ns now)
+mirror_next_step(const mirror_requests_t *requests, const mirror_inputs_t *view, time_ns now)
 {
     if (view->reads_store) {
         return MIRROR_STEP_STORE;
     }
-    if (questions->asked_at != 0 && now < questions->asked_at + patience(questions, view)) {
+    if (requests->sent_at != 0 && now < requests->sent_at + request_timeout(requests, view)) {
         return MIRROR_STEP_WAIT;
     }
     if (view->mirrors == 0) {
-        bool told_soon =
-            view->starts && view->may_be_told && now < view->lacks_since + MIRROR_NAMED_NS;
+        bool told_soon = view->starts && view->may_learn_mirrors &&
+                         now < view->missing_since + MIRROR_NAMES_WAIT_NS;
         return told_soon ? MIRROR_STEP_WAIT : MIRROR_STEP_STORE;
     }
-    if (has_asked_enough(questions, view, now)) {
+    if (has_tried_enough(requests, view, now)) {
         return MIRROR_STEP_STORE;
     }
-    bool rests = questions->failed_at != 0 && now < questions->failed_at + MIRROR_AGAIN_NS;
-    return rests ? MIRROR_STEP_WAIT : MIRROR_STEP_ASK;
+    bool rests = requests->failed_at != 0 && now < requests->failed_at + MIRROR_RETRY_NS;
+    return rests ? MIRROR_STEP_WAIT : MIRROR_STEP_REQUEST;
 }
 
 static void
@@ -111,8 +113,8 @@
 static size_t
 poolers_for_each(size_t count, guint zones)
 {
-    size_t most = MIRRORS_MOST > zones ? MIRRORS_MOST - zones : 1;
-    return MAX(MIRROR_POOLERS, (count + most - 1) / most);
+    size_t most = MIRRORS_MAX > zones ? MIRRORS_MAX - zones : 1;
+    return MAX(POOLERS_PER_MIRROR, (count + most - 1) / most);
 }
 
 GPtrArray *
@@ -125,7 +127,7 @@
     for (size_t i = 0; i < count; i++) {
         guint poolers = GPOINTER_TO_UINT(g_hash_table_lookup(zones, candidates[i].zone));
         size_t most = (poolers + each - 1) / each;
-        bool fits = mirrors->len < MIRRORS_MOST;
+        bool fits = mirrors->len < MIRRORS_MAX;
         if (fits && count_in_zone(mirrors, candidates[i].zone) < most) {
             mirrors_add(mirrors, candidates[i].address, candidates[i].zone);
         }
@@ -134,15 +136,16 @@
 }
 
 bool
-mirrors_are_gathered(const mirror_gathering_t *gathering, time_ns now)
+mirrors_choice_is_settled(const mirror_gathering_t *gathering, time_ns now)
 {
-    if (now >= gathering->since + MIRRORS_KEPT_NS) {
+    if (now >= gathering->since + MIRRORS_KEEP_NS) {
         return true;
     }
     if (gathering->known > 0) {
         return gathering->chosen >= gathering->known;
     }
-    return gathering->heard * GROWTH_SLACK <= gathering->heard_before * (GROWTH_SLACK + 1);
+    return gathering->candidates * GROWTH_SLACK <=
+           gathering->candidates_before * (GROWTH_SLACK + 1);
 }
 
 bool
--- a/src/pooler/control/zone_reachability.h
+++ b/src/pooler/control/zone_reachability.h
@@ -26,16 +26,16 @@
 
 /** @brief What was heard of other zones. Start from zeros. Belongs to the control thread. */
 typedef struct zone_reachability {
-    time_ns heard_at;    /* when a pooler of another zone was last heard; 0: never */
-    time_ns asked_since; /* when the first of `unanswered` was sent; 0: there is none */
-    unsigned unanswered; /* questions without an answer since one was heard */
-    bool partitioned;    /* as decided last */
+    time_ns last_contact_at; /* when a pooler of another zone was last heard; 0: never */
+    time_ns timeouts_since;  /* when the first of `unanswered` was sent; 0: there is none */
+    unsigned timeouts;       /* questions without an answer since one was heard */
+    bool partitioned;        /* as decided last */
 } zone_reachability_t;
 
 /** @brief What the decision needs of the fleet and the store. */
 typedef struct zone_reachability_inputs {
-    unsigned members;       /* poolers known */
-    unsigned outside;       /* of these, in other zones */
+    unsigned members;        /* poolers known */
+    unsigned in_other_zones; /* of these, in other zones */
     time_ns store_known_at; /* what is known here was certainly the store's newest then; 0: never */
 } zone_reachability_inputs_t;
 
@@ -49,7 +49,7 @@
 bool zone_reachability_needs_ping(const zone_reachability_t *reach, time_ns now);
 
 /** @brief Decides anew. @return true if the decision has changed. */
-bool zone_reachability_evaluate(zone_reachability_t *reach, const zone_reachability_inputs_t *view,
-                                time_ns now);
+bool zone_reachability_evaluate(zone_reachability_t *reach,
+                                const zone_reachability_inputs_t *inputs, time_ns now);
 
 #endif
--- a/tests/pooler/control_fixture.c
+++ b/tests/pooler/control_fixture.c
@@ -42,7 +42,7 @@
         g_hash_table_unref(control->feeds[table].rows);
     }
     g_clear_pointer(&control->configuration, configuration_unref);
-    g_clear_pointer(&control->mirrors.snapshot.packed, g_bytes_unref);
+    g_clear_pointer(&control->mirrors.snapshot.compressed, g_bytes_unref);
     g_clear_pointer(&control->mirrors.known, g_ptr_array_unref);
     directory_clear(&control->directory);
     evacuations_clear(&control->evacuations);
--- a/tests/pooler/test_delta.c
+++ b/tests/pooler/test_delta.c
@@ -31,7 +31,7 @@
 }
 
 static gsize
-there_and_back(GBytes *from, GBytes *to)
+apply_delta_of(GBytes *from, GBytes *to)
 {
     g_autoptr(GError) error = NULL;
     g_autoptr(GBytes) delta = delta_make(from, to);
@@ -47,7 +47,7 @@
     g_autoptr(GBytes) from = configuration(1, 5000, 5000);
     g_autoptr(GBytes) to = configuration(2, 5000, 3210);
     g_assert_cmpuint(g_bytes_get_size(from), >, 250000);
-    g_assert_cmpuint(there_and_back(from, to), <, 300);
+    g_assert_cmpuint(apply_delta_of(from, to), <, 300);
 }
 
 static void
@@ -55,8 +55,8 @@
 {
     g_autoptr(GBytes) few = configuration(1, 100, 7);
     g_autoptr(GBytes) many = configuration(2, 140, 7);
-    g_assert_cmpuint(there_and_back(few, many), <, 4000);
-    g_assert_cmpuint(there_and_back(many, few), <, 300);
+    g_assert_cmpuint(apply_delta_of(few, many), <, 4000);
+    g_assert_cmpuint(apply_delta_of(many, few), <, 300);
 }
 
 static void
@@ -74,7 +74,7 @@
         for (gsize j = 0; j < G_N_ELEMENTS(texts); j++) {
             g_autoptr(GBytes) from = bytes_of(texts[i]);
             g_autoptr(GBytes) to = bytes_of(texts[j]);
-            there_and_back(from, to);
+            apply_delta_of(from, to);
         }
     }
 }
@@ -98,7 +98,7 @@
     for (unsigned i = 0; i < ROUNDS; i++) {
         g_autoptr(GBytes) from = random_text(random);
         g_autoptr(GBytes) to = random_text(random);
-        there_and_back(from, to);
+        apply_delta_of(from, to);
     }
     g_rand_free(random);
 }
--- a/tests/pooler/test_fleet.c
+++ b/tests/pooler/test_fleet.c
@@ -13,10 +13,10 @@
 #include "standins/session_platform/line_group.h"
 #include "standins/session_platform/row_store.h"
 
-#define POOLERS     3
-#define DATABASES   3
-#define PATIENCE_US (60 * G_USEC_PER_SEC)
-#define LOOK_US     5000
+#define POOLERS    3
+#define DATABASES  3
+#define TIMEOUT_US (60 * G_USEC_PER_SEC)
+#define POLL_US    5000
 
 /* Of a zone that is evacuated, as the settings' default has it. */
 #define EVACUATED_WITHIN_US (5 * G_USEC_PER_SEC)
@@ -30,7 +30,7 @@
     uint16_t probes[POOLERS];
     uint16_t metrics[POOLERS];
     uint16_t forwards[POOLERS];
-    bool storeless[POOLERS]; /* its way to the store leads nowhere */
+    bool no_store[POOLERS]; /* its way to the store leads nowhere */
     unsigned max_connections;
     unsigned heartbeat_ms; /* of databases' records */
     bool one_zone;         /* all databases are in one; else each in its own */
@@ -101,7 +101,7 @@
     g_autofree char *metrics = setting("pooler.metrics_listen", fixture->metrics[index]);
     g_autofree char *peers = setting("pooler.peers", fixture->peers[0]);
     g_autofree char *forward = setting("pooler.forward_listen", fixture->forwards[index]);
-    uint16_t store_port = fixture->storeless[index] ? free_port() : row_store_port(fixture->store);
+    uint16_t store_port = fixture->no_store[index] ? free_port() : row_store_port(fixture->store);
     g_autofree char *store = setting("store.address", store_port);
     g_autofree char *promotion = setting("promotion.address", row_store_port(fixture->store));
     g_autofree char *heartbeat =
@@ -204,13 +204,13 @@
 
 /* Asks one thing of a pooler over a session of its own; the answer's lines, NULL if it broke. */
 static char *
-ask(const struct fixture *fixture, unsigned pooler, const char *database, const char *text)
+query(const struct fixture *fixture, unsigned pooler, const char *database, const char *text)
 {
     struct sockaddr_in address = {.sin_family = AF_INET, .sin_port = htons(fixture->ports[pooler])};
-    struct timeval patience = {10, 0};
+    struct timeval timeout = {10, 0};
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     int handle = socket(AF_INET, SOCK_STREAM, 0);
-    setsockopt(handle, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+    setsockopt(handle, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
     if (connect(handle, (struct sockaddr *)&address, sizeof address) != 0) {
         close(handle);
         return NULL;
@@ -235,7 +235,7 @@
 succeeds(const struct fixture *fixture, unsigned pooler, const char *database, const char *text,
          const char *row)
 {
-    g_autofree char *answer = ask(fixture, pooler, database, text);
+    g_autofree char *answer = query(fixture, pooler, database, text);
     return answer != NULL && strstr(answer, "COMPLETE") != NULL &&
            (row == NULL || strstr(answer, row) != NULL);
 }
@@ -244,7 +244,7 @@
 static void
 write_until_done(struct fixture *fixture, unsigned pooler)
 {
-    gint64 end = g_get_monotonic_time() + PATIENCE_US;
+    gint64 end = g_get_monotonic_time() + TIMEOUT_US;
     while (g_get_monotonic_time() < end) {
         g_autofree char *value = g_strdup_printf("v%u", ++fixture->next_value);
         g_autofree char *text = g_strdup_printf("WRITE hut %s", value);
@@ -252,7 +252,7 @@
             g_ptr_array_add(fixture->acknowledged, g_steal_pointer(&value));
             return;
         }
-        g_usleep(LOOK_US);
+        g_usleep(POLL_US);
     }
     g_error("no write was acknowledged");
 }
@@ -273,21 +273,21 @@
 assert_read_sees_last(struct fixture *fixture, unsigned pooler)
 {
     const char *value = g_ptr_array_index(fixture->acknowledged, fixture->acknowledged->len - 1);
-    gint64 end = g_get_monotonic_time() + PATIENCE_US;
+    gint64 end = g_get_monotonic_time() + TIMEOUT_US;
     while (g_get_monotonic_time() < end) {
-        g_autofree char *answer = ask(fixture, pooler, "strict", "READ hut");
+        g_autofree char *answer = query(fixture, pooler, "strict", "READ hut");
         if (answer != NULL && strstr(answer, "ROW") != NULL) {
             g_assert_nonnull(strstr(answer, value));
             return;
         }
-        g_usleep(LOOK_US);
+        g_usleep(POLL_US);
     }
     g_error("no read was answered");
 }
 
 /* True if the pooler's metrics hold this line. */
 static bool
-tells(const struct fixture *fixture, unsigned pooler, const char *line)
+metrics_contain(const struct fixture *fixture, unsigned pooler, const char *line)
 {
     g_autoptr(GSocketClient) client = g_socket_client_new();
     g_autoptr(GSocketConnection) connection =
@@ -310,7 +310,7 @@
 find_coordinator(const struct fixture *fixture)
 {
     for (unsigned i = 0; i < POOLERS; i++) {
-        if (tells(fixture, i, "swiftworks_coordinator 1\n")) {
+        if (metrics_contain(fixture, i, "swiftworks_coordinator 1\n")) {
             return i;
         }
     }
@@ -320,13 +320,13 @@
 static unsigned
 wait_for_coordinator(const struct fixture *fixture, unsigned other_than)
 {
-    gint64 end = g_get_monotonic_time() + PATIENCE_US;
+    gint64 end = g_get_monotonic_time() + TIMEOUT_US;
     while (g_get_monotonic_time() < end) {
         unsigned found = find_coordinator(fixture);
         if (found != POOLERS && found != other_than) {
             return found;
         }
-        g_usleep(LOOK_US);
+        g_usleep(POLL_US);
     }
     g_error("no coordinator was found");
 }
@@ -403,13 +403,13 @@
         write_until_done(fixture, i);
     }
     row_store_set_faults(fixture->store, &(struct row_store_faults){.silent = true});
-    gint64 end = g_get_monotonic_time() + PATIENCE_US;
+    gint64 end = g_get_monotonic_time() + TIMEOUT_US;
     while (find_coordinator(fixture) != POOLERS && g_get_monotonic_time() < end) {
-        g_usleep(LOOK_US);
+        g_usleep(POLL_US);
     }
     /* The store answers nobody: to leave the lease to another would only end its permits sooner. */
     for (unsigned i = 0; i < POOLERS; i++) {
-        g_assert_true(tells(fixture, i, "swiftworks_leases_ceded_to_this_total 0\n"));
+        g_assert_true(metrics_contain(fixture, i, "swiftworks_leases_ceded_to_this_total 0\n"));
     }
     /* Nobody holds the lease: reads at the primary go on by what the databases tell. */
     write_until_done(fixture, 1);
@@ -455,16 +455,16 @@
 static void
 expect_stale_route(struct fixture *fixture, bool there)
 {
-    gint64 end = g_get_monotonic_time() + PATIENCE_US;
+    gint64 end = g_get_monotonic_time() + TIMEOUT_US;
     for (unsigned i = 0; i < POOLERS;) {
-        g_autofree char *answer = ask(fixture, i, "stale", "READ hut");
+        g_autofree char *answer = query(fixture, i, "stale", "READ hut");
         bool known = answer != NULL && strstr(answer, "NODB") == NULL;
         if (answer != NULL && known == there) {
             i++;
             continue;
         }
         g_assert_cmpint(g_get_monotonic_time(), <, end);
-        g_usleep(LOOK_US);
+        g_usleep(POLL_US);
     }
 }
 
@@ -483,7 +483,7 @@
 {
     write_until_done(fixture, 0);
     put_record(fixture, 0, "draining");
-    gint64 end = g_get_monotonic_time() + PATIENCE_US;
+    gint64 end = g_get_monotonic_time() + TIMEOUT_US;
     while (line_group_leads(fixture->group, 0)) {
         g_assert_cmpint(g_get_monotonic_time(), <, end);
         write_until_done(fixture, 1);
@@ -553,7 +553,7 @@
 
 /* The databases but the one that left renew their records for so many heartbeats. */
 static void
-beat(struct fixture *fixture, unsigned leaving, const char *state, unsigned heartbeats)
+renew_records(struct fixture *fixture, unsigned leaving, const char *state, unsigned heartbeats)
 {
     for (unsigned i = 0; i < heartbeats * 4; i++) {
         for (unsigned database = 0; database < DATABASES; database++) {
@@ -575,12 +575,12 @@
 {
     unsigned leaving = DATABASES - 1;
     write_until_done(fixture, 0);
-    beat(fixture, leaving, "ready", 2);
-    beat(fixture, leaving, "draining", 3);
+    renew_records(fixture, leaving, "ready", 2);
+    renew_records(fixture, leaving, "draining", 3);
     gint64 left_at = g_get_monotonic_time();
     row_store_put(fixture->store, "servers", line_group_id(fixture->group, leaving), NULL);
     line_group_set_faults(fixture->group, leaving, &(struct line_faults){.down = true});
-    beat(fixture, leaving, NULL, 6);
+    renew_records(fixture, leaving, NULL, 6);
     unsigned coordinator = wait_for_coordinator(fixture, POOLERS);
     kill_pooler(fixture, coordinator);
     line_group_set_faults(fixture->group, 0, &(struct line_faults){.down = true});
@@ -588,7 +588,7 @@
     gint64 heartbeat_us = (gint64)fixture->heartbeat_ms * 1000;
     while (leader(fixture) != 1) {
         g_assert_cmpint(g_get_monotonic_time() - left_at, <, heartbeat_us * 15);
-        g_usleep(LOOK_US);
+        g_usleep(POLL_US);
     }
     assert_all_kept(fixture);
 }
@@ -616,7 +616,7 @@
     unsigned coordinator = wait_for_coordinator(fixture, POOLERS);
     g_subprocess_send_signal(fixture->poolers[coordinator], SIGTERM);
     unsigned successor = wait_for_coordinator(fixture, coordinator);
-    g_assert_true(tells(fixture, successor, "swiftworks_leases_ceded_to_this_total 1\n"));
+    g_assert_true(metrics_contain(fixture, successor, "swiftworks_leases_ceded_to_this_total 1\n"));
     line_group_set_faults(fixture->group, 0, &(struct line_faults){.down = true});
     write_until_done(fixture, successor);
     g_subprocess_wait(fixture->poolers[coordinator], NULL, NULL);
@@ -631,18 +631,18 @@
 {
     write_until_done(fixture, 0);
     kill_pooler(fixture, 2);
-    fixture->storeless[2] = true;
+    fixture->no_store[2] = true;
     start_pooler(fixture, 2);
     write_until_done(fixture, 2);
     put_configuration(fixture, false);
-    gint64 end = g_get_monotonic_time() + PATIENCE_US;
+    gint64 end = g_get_monotonic_time() + TIMEOUT_US;
     for (;;) {
-        g_autofree char *answer = ask(fixture, 2, "stale", "READ hut");
+        g_autofree char *answer = query(fixture, 2, "stale", "READ hut");
         if (answer != NULL && strstr(answer, "NODB") != NULL) {
             break;
         }
         g_assert_cmpint(g_get_monotonic_time(), <, end);
-        g_usleep(LOOK_US);
+        g_usleep(POLL_US);
     }
     assert_all_kept(fixture);
 }
@@ -651,8 +651,8 @@
 find_forwarding(const struct fixture *fixture)
 {
     for (unsigned i = 0; i < POOLERS; i++) {
-        if (tells(fixture, i, "swiftworks_forwarded_total ") &&
-            !tells(fixture, i, "swiftworks_forwarded_total 0\n")) {
+        if (metrics_contain(fixture, i, "swiftworks_forwarded_total ") &&
+            !metrics_contain(fixture, i, "swiftworks_forwarded_total 0\n")) {
             return i;
         }
     }
@@ -665,7 +665,7 @@
 {
     unsigned count = 0;
     for (unsigned i = 0; i < POOLERS; i++) {
-        count += tells(fixture, i, line);
+        count += metrics_contain(fixture, i, line);
     }
     return count;
 }
@@ -697,7 +697,7 @@
 static void
 test_owners(struct fixture *fixture, gconstpointer unused)
 {
-    gint64 end = g_get_monotonic_time() + PATIENCE_US;
+    gint64 end = g_get_monotonic_time() + TIMEOUT_US;
     while (find_forwarding(fixture) == POOLERS) {
         g_assert_cmpint(g_get_monotonic_time(), <, end);
         for (unsigned i = 0; i < POOLERS; i++) {
--- a/tests/pooler/test_mirrors.c
+++ b/tests/pooler/test_mirrors.c
@@ -9,36 +9,39 @@
 
 #define BOUND_NS (8000 * MS)
 
-static const mirror_view_t starting = {
-    .starts = true, .bound = BOUND_NS, .may_be_told = true, .mirrors = 0, .lacks_since = 10 * MS};
+static const mirror_inputs_t starting = {.starts = true,
+                                         .bound = BOUND_NS,
+                                         .may_learn_mirrors = true,
+                                         .mirrors = 0,
+                                         .missing_since = 10 * MS};
 
-/* What to do at that moment, in ms, with these questions. */
+/* What to do at that moment, in ms, with these requests. */
 static mirror_step_t
-step_at(mirror_view_t view, mirror_questions_t questions, unsigned ms)
+step_at(mirror_inputs_t view, mirror_requests_t requests, unsigned ms)
 {
-    return mirror_next_step(&questions, &view, ms * MS);
+    return mirror_next_step(&requests, &view, ms * MS);
 }
 
 static void
 test_mirrors_read_the_store(void)
 {
-    mirror_view_t view = starting;
+    mirror_inputs_t view = starting;
     view.mirrors = 5;
-    g_assert_cmpint(step_at(view, (mirror_questions_t){0}, 20), ==, MIRROR_STEP_ASK);
+    g_assert_cmpint(step_at(view, (mirror_requests_t){0}, 20), ==, MIRROR_STEP_REQUEST);
     view.reads_store = true;
-    g_assert_cmpint(step_at(view, (mirror_questions_t){0}, 20), ==, MIRROR_STEP_STORE);
+    g_assert_cmpint(step_at(view, (mirror_requests_t){0}, 20), ==, MIRROR_STEP_STORE);
 }
 
 /* Until somebody may have named the mirrors, and no longer than the bound. */
 static void
 test_waits_to_be_told(void)
 {
-    mirror_view_t view = starting;
-    g_assert_cmpint(step_at(view, (mirror_questions_t){0}, 11), ==, MIRROR_STEP_WAIT);
-    g_assert_cmpint(step_at(view, (mirror_questions_t){0}, 3000), ==, MIRROR_STEP_WAIT);
-    g_assert_cmpint(step_at(view, (mirror_questions_t){0}, 3010), ==, MIRROR_STEP_STORE);
-    view.may_be_told = false;
-    g_assert_cmpint(step_at(view, (mirror_questions_t){0}, 11), ==, MIRROR_STEP_STORE);
+    mirror_inputs_t view = starting;
+    g_assert_cmpint(step_at(view, (mirror_requests_t){0}, 11), ==, MIRROR_STEP_WAIT);
+    g_assert_cmpint(step_at(view, (mirror_requests_t){0}, 3000), ==, MIRROR_STEP_WAIT);
+    g_assert_cmpint(step_at(view, (mirror_requests_t){0}, 3010), ==, MIRROR_STEP_STORE);
+    view.may_learn_mirrors = false;
+    g_assert_cmpint(step_at(view, (mirror_requests_t){0}, 11), ==, MIRROR_STEP_STORE);
 }
 
 /* One without a sign is given up sooner than one that is about to answer; then the next one is
@@ -46,16 +49,16 @@
 static void
 test_gives_up(void)
 {
-    mirror_view_t view = starting;
+    mirror_inputs_t view = starting;
     view.mirrors = 5;
-    mirror_questions_t questions = {.asked = 1, .first_at = 20 * MS, .asked_at = 20 * MS};
-    g_assert_cmpint(step_at(view, questions, 419), ==, MIRROR_STEP_WAIT);
-    g_assert_cmpint(step_at(view, questions, 420), ==, MIRROR_STEP_ASK);
-    questions.signed_on = true;
-    g_assert_cmpint(step_at(view, questions, 1519), ==, MIRROR_STEP_WAIT);
-    g_assert_cmpint(step_at(view, questions, 1520), ==, MIRROR_STEP_ASK);
-    questions.asked = 2;
-    g_assert_cmpint(step_at(view, questions, 1520), ==, MIRROR_STEP_STORE);
+    mirror_requests_t requests = {.sent = 1, .first_sent_at = 20 * MS, .sent_at = 20 * MS};
+    g_assert_cmpint(step_at(view, requests, 419), ==, MIRROR_STEP_WAIT);
+    g_assert_cmpint(step_at(view, requests, 420), ==, MIRROR_STEP_REQUEST);
+    requests.acknowledged = true;
+    g_assert_cmpint(step_at(view, requests, 1519), ==, MIRROR_STEP_WAIT);
+    g_assert_cmpint(step_at(view, requests, 1520), ==, MIRROR_STEP_REQUEST);
+    requests.sent = 2;
+    g_assert_cmpint(step_at(view, requests, 1520), ==, MIRROR_STEP_STORE);
 }
 
 /* Machines start together, mirrors among them: one that refuses a connection is asked again, with
@@ -63,31 +66,31 @@
 static void
 test_mirror_that_starts(void)
 {
-    mirror_view_t view = starting;
+    mirror_inputs_t view = starting;
     view.mirrors = 1;
-    mirror_questions_t questions = {.asked = 1, .first_at = 20 * MS, .failed_at = 22 * MS};
-    g_assert_cmpint(step_at(view, questions, 71), ==, MIRROR_STEP_WAIT);
-    g_assert_cmpint(step_at(view, questions, 72), ==, MIRROR_STEP_ASK);
-    questions.asked = 9;
-    questions.failed_at = 900 * MS;
-    g_assert_cmpint(step_at(view, questions, 950), ==, MIRROR_STEP_ASK);
-    g_assert_cmpint(step_at(view, questions, 1020), ==, MIRROR_STEP_STORE);
+    mirror_requests_t requests = {.sent = 1, .first_sent_at = 20 * MS, .failed_at = 22 * MS};
+    g_assert_cmpint(step_at(view, requests, 71), ==, MIRROR_STEP_WAIT);
+    g_assert_cmpint(step_at(view, requests, 72), ==, MIRROR_STEP_REQUEST);
+    requests.sent = 9;
+    requests.failed_at = 900 * MS;
+    g_assert_cmpint(step_at(view, requests, 950), ==, MIRROR_STEP_REQUEST);
+    g_assert_cmpint(step_at(view, requests, 1020), ==, MIRROR_STEP_STORE);
 }
 
 /* A change must be in force within its bound: one mirror has a tenth of it. */
 static void
 test_change(void)
 {
-    mirror_view_t view = starting;
+    mirror_inputs_t view = starting;
     view.starts = false;
     view.mirrors = 5;
     view.bound = 3000 * MS;
-    g_assert_cmpint(step_at(view, (mirror_questions_t){0}, 20), ==, MIRROR_STEP_ASK);
-    const mirror_questions_t questions = {.asked = 1, .asked_at = 20 * MS, .signed_on = true};
-    g_assert_cmpint(step_at(view, questions, 319), ==, MIRROR_STEP_WAIT);
-    g_assert_cmpint(step_at(view, questions, 320), ==, MIRROR_STEP_STORE);
+    g_assert_cmpint(step_at(view, (mirror_requests_t){0}, 20), ==, MIRROR_STEP_REQUEST);
+    const mirror_requests_t requests = {.sent = 1, .sent_at = 20 * MS, .acknowledged = true};
+    g_assert_cmpint(step_at(view, requests, 319), ==, MIRROR_STEP_WAIT);
+    g_assert_cmpint(step_at(view, requests, 320), ==, MIRROR_STEP_STORE);
     view.mirrors = 0;
-    g_assert_cmpint(step_at(view, (mirror_questions_t){0}, 20), ==, MIRROR_STEP_STORE);
+    g_assert_cmpint(step_at(view, (mirror_requests_t){0}, 20), ==, MIRROR_STEP_STORE);
 }
 
 #define ZONES 5
@@ -120,7 +123,7 @@
     g_autoptr(GArray) fleet = make_fleet(985);
     g_autoptr(GPtrArray) mirrors = choose(fleet);
     g_assert_cmpuint(mirrors->len, ==, 5 * ZONES);
-    for (guint i = 0; i < fleet->len / 2; i++) { /* in whatever order the poolers are heard */
+    for (guint i = 0; i < fleet->len / 2; i++) { /* in whatever order the poolers are candidates */
         mirror_candidate_t swapped = g_array_index(fleet, mirror_candidate_t, i);
         mirror_candidate_t *other = &g_array_index(fleet, mirror_candidate_t, fleet->len - 1 - i);
         g_array_index(fleet, mirror_candidate_t, i) = *other;
@@ -145,12 +148,12 @@
     g_autoptr(GArray) fleet = make_fleet(20000);
     g_autoptr(GPtrArray) mirrors = choose(fleet);
     unsigned in_zone[ZONES] = {0};
-    g_assert_cmpuint(mirrors->len, <=, MIRRORS_MOST);
+    g_assert_cmpuint(mirrors->len, <=, MIRRORS_MAX);
     for (guint i = 0; i < mirrors->len; i++) {
         in_zone[((const struct pooler_mirror *)mirrors->pdata[i])->zone[1] - '0']++;
     }
     for (unsigned zone = 0; zone < ZONES; zone++) {
-        g_assert_cmpuint(in_zone[zone], >=, MIRRORS_MOST / ZONES - 2);
+        g_assert_cmpuint(in_zone[zone], >=, MIRRORS_MAX / ZONES - 2);
     }
 }
 
@@ -159,19 +162,20 @@
 static void
 test_gathering(void)
 {
-    mirror_gathering_t first = {.since = 0, .heard = 40, .heard_before = 0, .chosen = 5};
-    g_assert_false(mirrors_are_gathered(&first, 10 * MS));
-    first = (mirror_gathering_t){.heard = 900, .heard_before = 500, .chosen = 10};
-    g_assert_false(mirrors_are_gathered(&first, 500 * MS));
-    first = (mirror_gathering_t){.heard = 985, .heard_before = 900, .chosen = 10};
-    g_assert_true(mirrors_are_gathered(&first, 1000 * MS));
-    first = (mirror_gathering_t){.heard = 900, .heard_before = 500, .chosen = 10};
-    g_assert_true(mirrors_are_gathered(&first, 3000 * MS));
-    mirror_gathering_t next = {.heard = 300, .heard_before = 290, .known = 10, .chosen = 5};
-    g_assert_false(mirrors_are_gathered(&next, 1000 * MS));
-    g_assert_true(mirrors_are_gathered(&next, 3000 * MS));
+    mirror_gathering_t first = {.since = 0, .candidates = 40, .candidates_before = 0, .chosen = 5};
+    g_assert_false(mirrors_choice_is_settled(&first, 10 * MS));
+    first = (mirror_gathering_t){.candidates = 900, .candidates_before = 500, .chosen = 10};
+    g_assert_false(mirrors_choice_is_settled(&first, 500 * MS));
+    first = (mirror_gathering_t){.candidates = 985, .candidates_before = 900, .chosen = 10};
+    g_assert_true(mirrors_choice_is_settled(&first, 1000 * MS));
+    first = (mirror_gathering_t){.candidates = 900, .candidates_before = 500, .chosen = 10};
+    g_assert_true(mirrors_choice_is_settled(&first, 3000 * MS));
+    mirror_gathering_t next = {
+        .candidates = 300, .candidates_before = 290, .known = 10, .chosen = 5};
+    g_assert_false(mirrors_choice_is_settled(&next, 1000 * MS));
+    g_assert_true(mirrors_choice_is_settled(&next, 3000 * MS));
     next.chosen = 10;
-    g_assert_true(mirrors_are_gathered(&next, 10 * MS));
+    g_assert_true(mirrors_choice_is_settled(&next, 10 * MS));
 }
 
 /* Own zone first, never oneself, and no mirror twice. */
@@ -213,10 +217,10 @@
         guint most = 0;
         for (guint j = 0; j < fleet->len; j++) {
             const mirror_candidate_t *member = &g_array_index(fleet, mirror_candidate_t, j);
-            mirror_view_t view = starting;
+            mirror_inputs_t view = starting;
             view.mirrors = mirrors_count_others(mirrors, member->address);
             view.reads_store = view.mirrors < mirrors->len;
-            if (mirror_next_step(&(mirror_questions_t){0}, &view, 20 * MS) == MIRROR_STEP_STORE) {
+            if (mirror_next_step(&(mirror_requests_t){0}, &view, 20 * MS) == MIRROR_STEP_STORE) {
                 readers++;
                 continue;
             }
@@ -226,8 +230,8 @@
             g_hash_table_insert(asked, (gpointer)address, GUINT_TO_POINTER(before + 1));
             most = MAX(most, before + 1);
         }
-        g_assert_cmpuint(readers, <=, ZONES + sizes[i] / MIRROR_POOLERS);
-        g_assert_cmpuint(most, <, 2 * MIRROR_POOLERS);
+        g_assert_cmpuint(readers, <=, ZONES + sizes[i] / POOLERS_PER_MIRROR);
+        g_assert_cmpuint(most, <, 2 * POOLERS_PER_MIRROR);
     }
 }
 
@@ -292,7 +296,7 @@
 
 /* Asks the mirror, and returns the bytes of its message. */
 static size_t
-ask_mirror(fixture_t *fixture)
+request_tables(fixture_t *fixture)
 {
     struct pooler_grant grant;
     g_autoptr(GError) error = NULL;
@@ -311,7 +315,7 @@
 test_whole_tables(fixture_t *fixture, gconstpointer unused)
 {
     learn(fixture->mirror, 400, 5);
-    size_t bytes = ask_mirror(fixture);
+    size_t bytes = request_tables(fixture);
     g_assert_cmpuint(g_hash_table_size(fixture->starting->directory.entries), ==, 1200);
     g_assert_cmpuint(g_hash_table_size(fixture->starting->configuration->routes), ==, 1200);
     g_assert_cmpuint(control_relay_versions(fixture->starting).directory, ==, 6);
@@ -326,17 +330,17 @@
 test_changes_beside(fixture_t *fixture, gconstpointer unused)
 {
     learn(fixture->mirror, 40, 5);
-    ask_mirror(fixture);
-    const GBytes *made = fixture->mirror->mirrors.snapshot.packed;
+    request_tables(fixture);
+    const GBytes *made = fixture->mirror->mirrors.snapshot.compressed;
     control_take_row(fixture->mirror, STORE_TABLE_DIRECTORY, "i-00000000", 9, NULL);
     fixture->mirror->feeds[STORE_TABLE_DIRECTORY].version = 9;
-    size_t bytes = ask_mirror(fixture);
+    size_t bytes = request_tables(fixture);
     g_assert_cmpuint(bytes, <, 400);
     g_assert_cmpuint(control_relay_versions(fixture->starting).directory, ==, 9);
     control_fixture_free(fixture->starting);
     fixture->starting = control_fixture_new(&fixture->settings);
-    ask_mirror(fixture);
-    g_assert_true(fixture->mirror->mirrors.snapshot.packed == made);
+    request_tables(fixture);
+    g_assert_true(fixture->mirror->mirrors.snapshot.compressed == made);
     g_assert_cmpuint(control_relay_versions(fixture->starting).directory, ==, 9);
     const struct directory_entry *entry =
         g_hash_table_lookup(fixture->starting->directory.entries, "i-00000000");
--- a/tests/pooler/test_news.c
+++ b/tests/pooler/test_news.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * @brief Orders and members as a coordinator tells them to hundreds of poolers: packed once for all
- * who lack the same, and the same afterwards as if they were told one by one.
+ * @brief Orders and members as a coordinator tells them to hundreds of poolers: compressed once for
+ * all who lack the same, and the same afterwards as if they were told one by one.
  */
 #include "pooler/control/control_internal.h"
 
@@ -62,21 +62,21 @@
 
 /* What comes out at the pooler, after the way over the wire; `bytes` is the message's length. */
 static struct pooler_grant
-tell(const fixture_t *fixture, struct pooler_peer *pooler, size_t *bytes)
+send_grant(const fixture_t *fixture, struct pooler_peer *pooler, size_t *bytes)
 {
     struct pooler_grant sent;
-    struct pooler_grant taken;
+    struct pooler_grant received;
     g_autoptr(GError) error = NULL;
     pooler_grant_init(&sent);
     control_news_fill(fixture->control, pooler, &sent);
     GByteArray *message = pooler_grant_encode(&sent);
     *bytes = message->len;
-    g_assert_true(pooler_grant_decode(message->data, message->len, &taken, &error));
-    g_assert_true(control_news_unpack(&taken, &error));
+    g_assert_true(pooler_grant_decode(message->data, message->len, &received, &error));
+    g_assert_true(control_news_decompress(&received, &error));
     g_assert_no_error(error);
     g_byte_array_unref(message);
     pooler_grant_clear(&sent);
-    return taken;
+    return received;
 }
 
 static int
@@ -106,59 +106,59 @@
 }
 
 /* A new coordinator of 300 poolers and 1,000 groups tells each of them all: half the bytes or less,
- * and the same content as an older pooler gets, which does not take it packed. */
+ * and the same content as an older pooler gets, which does not take it compressed. */
 static void
 test_new_coordinator_of_300(fixture_t *fixture, gconstpointer unused)
 {
     struct pooler_peer newer = {.takes_news = true};
     struct pooler_peer older = {0};
-    size_t packed_bytes = 0;
+    size_t compressed_bytes = 0;
     size_t plain_bytes = 0;
-    struct pooler_grant packed = tell(fixture, &newer, &packed_bytes);
-    struct pooler_grant plain = tell(fixture, &older, &plain_bytes);
+    struct pooler_grant compressed = send_grant(fixture, &newer, &compressed_bytes);
+    struct pooler_grant plain = send_grant(fixture, &older, &plain_bytes);
     g_assert_cmpuint(plain.groups_count, ==, GROUPS);
     g_assert_cmpuint(plain.fleet.members_count, ==, POOLERS);
-    assert_same(&packed, &plain);
-    g_assert_cmpuint(packed_bytes, <, plain_bytes / 2);
+    assert_same(&compressed, &plain);
+    g_assert_cmpuint(compressed_bytes, <, plain_bytes / 2);
     g_assert_cmpuint(newer.orders_sent, ==, older.orders_sent);
     g_assert_cmpuint(newer.fleet_told, ==, older.fleet_told);
-    pooler_grant_clear(&packed);
+    pooler_grant_clear(&compressed);
     pooler_grant_clear(&plain);
-    for (unsigned i = 1; i < POOLERS; i++) { /* packed once for all of them */
+    for (unsigned i = 1; i < POOLERS; i++) { /* compressed once for all of them */
         struct pooler_peer pooler = {.takes_news = true};
-        struct pooler_grant more = tell(fixture, &pooler, &packed_bytes);
+        struct pooler_grant more = send_grant(fixture, &pooler, &compressed_bytes);
         pooler_grant_clear(&more);
     }
-    g_assert_cmpuint(fixture->control->news.kept->len, ==, 1);
+    g_assert_cmpuint(fixture->control->news.entries->len, ==, 1);
 }
 
 /* A group changes its primary: those who know all else are told that one, as it is; who comes then
- * is told the new order with all others, not what was packed before. */
+ * is told the new order with all others, not what was compressed before. */
 static void
 test_change_of_primary(fixture_t *fixture, gconstpointer unused)
 {
     struct pooler_peer pooler = {.takes_news = true};
     size_t bytes = 0;
-    struct pooler_grant first = tell(fixture, &pooler, &bytes);
+    struct pooler_grant first = send_grant(fixture, &pooler, &bytes);
     pooler_grant_clear(&first);
-    first = tell(fixture, &pooler, &bytes);
+    first = send_grant(fixture, &pooler, &bytes);
     g_assert_cmpuint(first.groups_count, ==, 0);
     g_assert_cmpuint(first.orders_version, ==, fixture->control->orders_version);
     pooler_grant_clear(&first);
     fixture->failovers[5].epoch++;
     fixture->failovers[5].phase = GROUP_PHASE_CLOSED;
     fixture->groups[5].orders_version = ++fixture->control->orders_version;
-    first = tell(fixture, &pooler, &bytes);
+    first = send_grant(fixture, &pooler, &bytes);
     g_assert_cmpuint(first.groups_count, ==, 1);
     g_assert_cmpint(first.groups[0].phase, ==, GROUP_PHASE_CLOSED);
     g_assert_cmpuint(bytes, <, 200);
     pooler_grant_clear(&first);
     struct pooler_peer late = {.takes_news = true};
     struct pooler_peer older = {0};
-    struct pooler_grant packed = tell(fixture, &late, &bytes);
-    struct pooler_grant plain = tell(fixture, &older, &bytes);
-    assert_same(&packed, &plain);
-    pooler_grant_clear(&packed);
+    struct pooler_grant compressed = send_grant(fixture, &late, &bytes);
+    struct pooler_grant plain = send_grant(fixture, &older, &bytes);
+    assert_same(&compressed, &plain);
+    pooler_grant_clear(&compressed);
     pooler_grant_clear(&plain);
 }
 
@@ -171,17 +171,17 @@
         struct pooler_peer newer = {.takes_news = true, .orders_sent = first + i};
         struct pooler_peer older = {.orders_sent = first + i};
         size_t bytes = 0;
-        struct pooler_grant packed = tell(fixture, &newer, &bytes);
-        struct pooler_grant plain = tell(fixture, &older, &bytes);
-        assert_same(&packed, &plain);
-        pooler_grant_clear(&packed);
+        struct pooler_grant compressed = send_grant(fixture, &newer, &bytes);
+        struct pooler_grant plain = send_grant(fixture, &older, &bytes);
+        assert_same(&compressed, &plain);
+        pooler_grant_clear(&compressed);
         pooler_grant_clear(&plain);
     }
-    g_assert_cmpuint(fixture->control->news.kept->len, <=, 32);
+    g_assert_cmpuint(fixture->control->news.entries->len, <=, 32);
 }
 
 /* 140 poolers start again beside a follower, while there is no coordinator: each is told all that
- * the follower knows, packed once, and nothing twice. */
+ * the follower knows, compressed once, and nothing twice. */
 static void
 test_hearsay(fixture_t *fixture, gconstpointer unused)
 {
@@ -196,28 +196,29 @@
     }
     struct pooler_heartbeat newer = {.takes_news = true};
     struct pooler_heartbeat older = {0};
-    struct pooler_grant packed;
+    struct pooler_grant compressed;
     struct pooler_grant plain;
-    pooler_grant_init(&packed);
+    pooler_grant_init(&compressed);
     pooler_grant_init(&plain);
     for (unsigned i = 0; i < 140; i++) {
-        pooler_grant_clear(&packed);
-        control_news_fill_nonauthoritative(control, &newer, &packed);
-        g_assert_cmpuint(packed.news_unpacked, >, 0);
+        pooler_grant_clear(&compressed);
+        control_news_fill_nonauthoritative(control, &newer, &compressed);
+        g_assert_cmpuint(compressed.news_unpacked, >, 0);
     }
-    g_assert_cmpuint(control->hearsay.kept->len, ==, 1);
-    g_assert_true(control_news_unpack(&packed, NULL));
+    g_assert_cmpuint(control->nonauthoritative_news.entries->len, ==, 1);
+    g_assert_true(control_news_decompress(&compressed, NULL));
     control_news_fill_nonauthoritative(control, &older, &plain);
     g_assert_cmpuint(plain.groups_count, ==, GROUPS);
-    assert_same(&packed, &plain);
-    pooler_grant_clear(&packed);
+    assert_same(&compressed, &plain);
+    pooler_grant_clear(&compressed);
     newer.orders_known = control->orders_known;
     newer.fleet_version = control_fleet_version(control);
-    control_news_fill_nonauthoritative(control, &newer, &packed);
-    g_assert_cmpuint(packed.news_unpacked + packed.groups_count + packed.fleet.version, ==, 0);
-    pooler_grant_clear(&packed);
+    control_news_fill_nonauthoritative(control, &newer, &compressed);
+    g_assert_cmpuint(compressed.news_unpacked + compressed.groups_count + compressed.fleet.version,
+                     ==, 0);
+    pooler_grant_clear(&compressed);
     pooler_grant_clear(&plain);
-    control_news_clear(&control->hearsay);
+    control_news_clear(&control->nonauthoritative_news);
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, control->groups);
@@ -230,7 +231,7 @@
     g_hash_table_unref(control->groups);
 }
 
-/* What is broken closes the connection, and is not taken. */
+/* What is broken closes the connection, and is not received. */
 static void
 test_broken(fixture_t *fixture, gconstpointer unused)
 {
@@ -241,7 +242,7 @@
     control_news_fill(fixture->control, &pooler, &grant);
     g_assert_cmpuint(grant.news_unpacked, >, 0);
     grant.news_unpacked--;
-    g_assert_false(control_news_unpack(&grant, &error));
+    g_assert_false(control_news_decompress(&grant, &error));
     g_assert_nonnull(error);
     g_assert_cmpuint(grant.groups_count, ==, 0);
     pooler_grant_clear(&grant);
@@ -264,7 +265,7 @@
     fleet_join(follower.fleet, address, "north-a", 1, 120, before);
     struct pooler_peer pooler = {.takes_news = true, .fleet_told = before};
     for (unsigned told = 0; told < 2; told++) {
-        struct pooler_grant grant = tell(fixture, &pooler, &bytes);
+        struct pooler_grant grant = send_grant(fixture, &pooler, &bytes);
         control_fleet_take(&follower, &grant.fleet);
         pooler_grant_clear(&grant);
         fleet_set_counting(fixture->control->fleet, address, false, false,
--- a/tests/pooler/test_owners.c
+++ b/tests/pooler/test_owners.c
@@ -714,8 +714,8 @@
         }
     }
     const zone_reachability_inputs_t after = control_reachability_inputs(fixture->control);
-    g_assert_cmpuint(before.outside, >, before.members / 2);
-    g_assert_cmpuint(after.outside, ==, before.outside);
+    g_assert_cmpuint(before.in_other_zones, >, before.members / 2);
+    g_assert_cmpuint(after.in_other_zones, ==, before.in_other_zones);
     g_assert_cmpuint(after.members, ==, before.members);
 }
 
--- a/tests/pooler/test_relay.c
+++ b/tests/pooler/test_relay.c
@@ -50,7 +50,7 @@
     control_take_row(control, STORE_TABLE_CONFIGURATION, key, version, value);
     control->feeds[STORE_TABLE_CONFIGURATION].version = version;
     for (int table = 0; table < STORE_TABLE_CONTROL; table++) {
-        control->feeds[table].current_at = backend_now();
+        control->feeds[table].last_answer_at = backend_now();
         control_feed_prove(&control->feeds[table], backend_now());
     }
 }
@@ -212,16 +212,17 @@
     struct feed *feed = &fixture->from->feeds[STORE_TABLE_CONFIGURATION];
     learn(fixture->from, "a", 5, 1000);
     time_ns now = feed->as_of;
-    g_assert_false(control_feed_lists(feed, now + 5000 * MS));
+    g_assert_false(control_feed_needs_listing(feed, now + 5000 * MS));
     learn(fixture->from, "a", 6, 100000);
     now = feed->as_of;
-    g_assert_false(control_feed_lists(feed, now + 1000 * MS));
-    g_assert_true(control_feed_lists(feed, now + 5000 * MS));
+    g_assert_false(control_feed_needs_listing(feed, now + 1000 * MS));
+    g_assert_true(control_feed_needs_listing(feed, now + 5000 * MS));
     feed->missing = true;
-    g_assert_true(control_feed_lists(feed, now));
+    g_assert_true(control_feed_needs_listing(feed, now));
     fixture->settings.store.reads_per_s = 2000;
     control_feed_answered(feed, now);
-    g_assert_false(control_feed_lists(feed, now)); /* and not again before it is said again */
+    g_assert_false(
+        control_feed_needs_listing(feed, now)); /* and not again before it is said again */
 }
 
 /* A pooler that asks again before it has got what it was sent is not sent it again. */
@@ -429,8 +430,8 @@
     g_assert_false(control_relayed_is_valid(to, now + 2000 * MS));
     g_assert_true(control_relayed_covers_lease(to, now + 1000 * MS));
     g_assert_false(
-        control_relayed_covers_lease(to, now + 1600 * MS)); /* whoever told may be gone */
-    g_assert_cmpuint(to->told.configuration, ==, 4);        /* and is not told it back */
+        control_relayed_covers_lease(to, now + 1600 * MS));      /* whoever told may be gone */
+    g_assert_cmpuint(to->coordinator_rows.configuration, ==, 4); /* and is not told it back */
     message.configuration_age_ms = 4000;
     control_relayed_accept(to, &message, now + 2500 * MS);
     g_assert_false(control_relayed_is_valid(to, now + 2500 * MS));
@@ -550,7 +551,7 @@
 
 /* One heartbeat and its answer, as between a pooler (`to`) and its coordinator (`from`). */
 static void
-beat(const fixture_t *fixture, struct pooler_peer *pooler, time_ns now)
+exchange_heartbeat(const fixture_t *fixture, struct pooler_peer *pooler, time_ns now)
 {
     struct pooler_relay offer;
     struct pooler_relay answer;
@@ -604,7 +605,7 @@
         time_ns now = start + ms * MS;
         control_feed_prove(&fixture->from->feeds[STORE_TABLE_CONFIGURATION], now);
         control_feed_prove(&fixture->from->feeds[STORE_TABLE_DIRECTORY], now);
-        beat(fixture, &pooler, now);
+        exchange_heartbeat(fixture, &pooler, now);
         if (control_relayed_needs_store(fixture->to, STORE_TABLE_CONFIGURATION, now)) {
             reads++;
             read_whole(fixture->to, 4, now);
--- a/tests/pooler/test_relayed.c
+++ b/tests/pooler/test_relayed.c
@@ -39,7 +39,7 @@
 }
 
 static bool
-promote_nobody(void *user, const char *service, const char *database)
+refuse_promotion(void *user, const char *service, const char *database)
 {
     return false;
 }
@@ -52,7 +52,7 @@
     fixture->settings.store.apply_ms = BOUND_NS / MS;
     fixture->settings.store.reads_per_s = 2000;
     fixture->base = event_base_new();
-    fixture->store = row_store_start(promote_nobody, NULL);
+    fixture->store = row_store_start(refuse_promotion, NULL);
     fixture->coordinator = control_new(fixture);
     fixture->member = control_new(fixture);
     fixture->now = backend_now();
@@ -93,8 +93,8 @@
 {
     struct pooler_relay told;
     struct pooler_grant grant;
-    time_ns asked = fixture->now + HEARTBEAT_NS;
-    fixture->now = asked + 1;
+    time_ns requested_at = fixture->now + HEARTBEAT_NS;
+    fixture->now = requested_at + 1;
     refresh(fixture);
     pooler_relay_init(&told);
     control_relay_fill_offer(fixture->member, fixture->now, &told);
@@ -105,7 +105,7 @@
     pooler_grant_init(&grant);
     control_relay_fill_pooler(fixture->coordinator, pooler, fixture->now, &grant.relay);
     control_relay_take(fixture->member, &grant.relay);
-    control_relayed_accept(fixture->member, &grant.relay, asked);
+    control_relayed_accept(fixture->member, &grant.relay, requested_at);
     pooler_relay_clear(&told);
     pooler_grant_clear(&grant);
 }
@@ -192,13 +192,13 @@
     time_ns answered = fixture->now;
     while (fixture->now < answered + BOUND_NS * 3 / 4) {
         struct pooler_grant grant;
-        time_ns asked = fixture->now + HEARTBEAT_NS;
-        fixture->now = asked + 1;
+        time_ns requested_at = fixture->now + HEARTBEAT_NS;
+        fixture->now = requested_at + 1;
         pooler_grant_init(&grant);
         control_relay_fill_pooler(fixture->coordinator, &fixture->pooler, fixture->now,
                                   &grant.relay);
         control_relay_take(fixture->member, &grant.relay);
-        control_relayed_accept(fixture->member, &grant.relay, asked);
+        control_relayed_accept(fixture->member, &grant.relay, requested_at);
         pooler_grant_clear(&grant);
     }
     g_assert_true(
@@ -206,7 +206,7 @@
 }
 
 /* A message that was long on its way, or lay in the buffer of a process that stood still, is as old
- * as it is: counted from when it was asked for, not from when it came. */
+ * as it is: counted from when it was requested_at for, not from when it came. */
 static void
 test_late_message(fixture_t *fixture, gconstpointer unused)
 {
@@ -214,13 +214,13 @@
     learn(fixture, 4);
     exchange(fixture);
     exchange(fixture);
-    time_ns asked = fixture->now;
+    time_ns requested_at = fixture->now;
     refresh(fixture);
     pooler_grant_init(&grant);
     control_relay_fill_pooler(fixture->coordinator, &fixture->pooler, fixture->now, &grant.relay);
     fixture->now += BOUND_NS;
     control_relay_take(fixture->member, &grant.relay);
-    control_relayed_accept(fixture->member, &grant.relay, asked);
+    control_relayed_accept(fixture->member, &grant.relay, requested_at);
     g_assert_true(
         control_relayed_needs_store(fixture->member, STORE_TABLE_CONFIGURATION, fixture->now));
     control_relayed_accept(fixture->member, &grant.relay, 0); /* sent unasked: of an unknown age */
--- a/tests/pooler/test_store_era.c
+++ b/tests/pooler/test_store_era.c
@@ -8,9 +8,9 @@
  * times a second, until the store's versions had passed those known before. The store gives
  * versions out again then, and tells so by its era. Rows and tables were compared by version alone:
  * the rows of the new configurations ranked below the known ones and were passed over, and the
- * known version of a table, which never falls, asked for changes that the store did not have.
- * `configuration` is that course; the calls refused until the versions had caught up, and rows that
- * showed at two poolers by a listing and at the others never, proved it.
+ * known version of a table, which never falls, requested_at for changes that the store did not
+ * have. `configuration` is that course; the calls refused until the versions had caught up, and
+ * rows that showed at two poolers by a listing and at the others never, proved it.
  */
 #include "control_fixture.h"
 #include "standins/session_platform/row_store.h"
@@ -43,7 +43,7 @@
 }
 
 static bool
-promote_nobody(void *user, const char *service, const char *database)
+refuse_promotion(void *user, const char *service, const char *database)
 {
     return false;
 }
@@ -56,7 +56,7 @@
     fixture->settings.store.apply_ms = BOUND_NS / MS;
     fixture->settings.store.reads_per_s = 2000;
     fixture->base = event_base_new();
-    fixture->store = row_store_start(promote_nobody, NULL);
+    fixture->store = row_store_start(refuse_promotion, NULL);
     fixture->coordinator = control_new(fixture);
     fixture->coordinator->follows_store = true; /* asks the store, whoever tells it what */
     fixture->member = control_new(fixture);
@@ -217,24 +217,24 @@
     static const uint64_t eras[][2] = {{0, 1}, {1, 0}, {1, 2}};
     time_ns now = backend_now();
     for (size_t i = 0; i < G_N_ELEMENTS(eras); i++) {
-        struct control *teller = control_fixture_new(&fixture->settings);
-        struct control *asker = control_fixture_new(&fixture->settings);
+        struct control *sender = control_fixture_new(&fixture->settings);
+        struct control *receiver = control_fixture_new(&fixture->settings);
         const row_versions_t known = {store_version(eras[i][1], 40), store_version(eras[i][1], 40)};
         struct pooler_relay relay;
         pooler_relay_init(&relay);
-        know(teller, store_version(eras[i][0], 60), now - 10 * MS);
-        know(asker, known.configuration, now - BOUND_NS);
-        control_relay_fill_nothing(teller, &known, now, &relay);
+        know(sender, store_version(eras[i][0], 60), now - 10 * MS);
+        know(receiver, known.configuration, now - BOUND_NS);
+        control_relay_fill_versions(sender, &known, now, &relay);
         g_assert_cmpuint(relay.configuration_age_ms, ==, 0);
         g_assert_cmpuint(relay.directory_age_ms, ==, 0);
         relay.configuration_row = relay.directory_row = store_version(eras[i][0], 60);
         relay.configuration_age_ms = relay.directory_age_ms = 10;
-        control_relayed_accept(asker, &relay, now);
-        g_assert_cmpuint(asker->feeds[STORE_TABLE_CONFIGURATION].as_of, ==, now - BOUND_NS);
-        g_assert_false(control_relayed_is_valid(asker, now));
+        control_relayed_accept(receiver, &relay, now);
+        g_assert_cmpuint(receiver->feeds[STORE_TABLE_CONFIGURATION].as_of, ==, now - BOUND_NS);
+        g_assert_false(control_relayed_is_valid(receiver, now));
         pooler_relay_clear(&relay);
-        control_fixture_free(teller);
-        control_fixture_free(asker);
+        control_fixture_free(sender);
+        control_fixture_free(receiver);
     }
 }
 
@@ -371,21 +371,21 @@
 {
     g_autofree char *text = record_text(5, "ready", "replica");
     g_autoptr(GBytes) value = g_bytes_new(text, strlen(text));
-    struct control *teller = control_fixture_new(&fixture->settings);
+    struct control *sender = control_fixture_new(&fixture->settings);
     struct control *member = control_fixture_new(&fixture->settings);
     struct pooler_relay relay;
     control_take_row(member, STORE_TABLE_DIRECTORY, "lost", 90, value);
     know(member, 90, backend_now());
-    control_take_row(teller, STORE_TABLE_DIRECTORY, "there", store_version(1, 30), value);
-    know(teller, store_version(1, 40), backend_now());
+    control_take_row(sender, STORE_TABLE_DIRECTORY, "there", store_version(1, 30), value);
+    know(sender, store_version(1, 40), backend_now());
     const relay_receiver_t to = {.known = control_relay_versions(member)};
     pooler_relay_init(&relay);
-    control_relay_fill(teller, &to, backend_now(), &relay);
+    control_relay_fill(sender, &to, backend_now(), &relay);
     control_relay_take(member, &relay);
     g_assert_cmpuint(entry_of(member, "there")->gone_at, ==, 0);
     g_assert_cmpuint(entry_of(member, "lost")->gone_at, !=, 0);
     pooler_relay_clear(&relay);
-    control_fixture_free(teller);
+    control_fixture_free(sender);
     control_fixture_free(member);
 }
 
@@ -442,7 +442,7 @@
     uint64_t before = counts->calls[STORE_TABLE_CONFIGURATION][CALL_FOLLOWER];
     run_for(fixture, 3000 * MS);
     uint64_t calls = counts->calls[STORE_TABLE_CONFIGURATION][CALL_FOLLOWER] - before;
-    g_assert_cmpuint(calls, <, 30); /* about as many as a store that fails is asked */
+    g_assert_cmpuint(calls, <, 30); /* about as many as a store that fails is requested_at */
     configure(fixture, 24);
     g_assert_true(reaches(fixture, fixture->coordinator, 24));
 }
@@ -470,7 +470,7 @@
 
 /* How often a follower asks about a table in some seconds. */
 static uint64_t
-count_asked(fixture_t *fixture, bool told)
+count_polls(fixture_t *fixture, bool told)
 {
     struct control *follower = fixture->coordinator;
     const uint64_t *calls = follower->counts.calls[STORE_TABLE_DIRECTORY];
@@ -478,7 +478,7 @@
     time_ns until = backend_now() + 4000 * MS;
     while (backend_now() < until) {
         if (told) {
-            follower->told_as_of = backend_now();
+            follower->relayed_as_of = backend_now();
         }
         step(fixture);
     }
@@ -492,8 +492,8 @@
 {
     configure(fixture, 14);
     g_assert_true(reaches(fixture, fixture->coordinator, 14));
-    g_assert_cmpuint(count_asked(fixture, false), >=, 4);
-    uint64_t told = count_asked(fixture, true);
+    g_assert_cmpuint(count_polls(fixture, false), >=, 4);
+    uint64_t told = count_polls(fixture, true);
     g_assert_cmpuint(told, >=, 1);
     g_assert_cmpuint(told, <=, 3);
     configure(fixture, 20); /* the coordinator is lost just now */
--- a/tests/pooler/test_zone_reachability.c
+++ b/tests/pooler/test_zone_reachability.c
@@ -1,5 +1,5 @@
-/* Whether a zone is cut off from the others: what is asked in vain, and what else could explain
- * it. */
+/* Whether a zone is stale_minority off from the others: what is asked in vain, and what else could
+ * explain it. */
 #include <glib.h>
 
 #include "pooler/control/zone_reachability.h"
@@ -8,10 +8,10 @@
 #define SECOND NANOSECONDS_PER_SECOND
 
 /* Two of three poolers are in other zones, and what is known of the store is old. */
-static const zone_reachability_inputs_t cut = {9, 6, SECOND};
+static const zone_reachability_inputs_t stale_minority = {9, 6, SECOND};
 
 static zone_reachability_t
-heard_at(time_ns moment)
+contacted_at(time_ns moment)
 {
     zone_reachability_t reach = {0};
     zone_reachability_note_contact(&reach, moment);
@@ -20,7 +20,7 @@
 
 /* Asks from `first` on, one each 100 ms. */
 static void
-ask_in_vain(zone_reachability_t *reach, time_ns first, unsigned count)
+ping_without_reply(zone_reachability_t *reach, time_ns first, unsigned count)
 {
     for (unsigned i = 0; i < count; i++) {
         zone_reachability_note_timeout(reach, first + i * 100 * MS);
@@ -31,14 +31,14 @@
 static void
 test_cut_off(void)
 {
-    zone_reachability_t reach = heard_at(10 * SECOND);
+    zone_reachability_t reach = contacted_at(10 * SECOND);
     g_assert_false(zone_reachability_needs_ping(&reach, 10 * SECOND + 400 * MS));
     g_assert_true(zone_reachability_needs_ping(&reach, 10 * SECOND + 500 * MS));
-    ask_in_vain(&reach, 10 * SECOND + 500 * MS, 6);
-    g_assert_false(zone_reachability_evaluate(&reach, &cut, 11 * SECOND));
-    g_assert_true(zone_reachability_evaluate(&reach, &cut, 11 * SECOND + 100 * MS));
+    ping_without_reply(&reach, 10 * SECOND + 500 * MS, 6);
+    g_assert_false(zone_reachability_evaluate(&reach, &stale_minority, 11 * SECOND));
+    g_assert_true(zone_reachability_evaluate(&reach, &stale_minority, 11 * SECOND + 100 * MS));
     g_assert_true(reach.partitioned);
-    g_assert_false(zone_reachability_evaluate(&reach, &cut, 12 * SECOND));
+    g_assert_false(zone_reachability_evaluate(&reach, &stale_minority, 12 * SECOND));
     g_assert_true(reach.partitioned);
 }
 
@@ -46,13 +46,13 @@
 static void
 test_back(void)
 {
-    zone_reachability_t reach = heard_at(10 * SECOND);
-    ask_in_vain(&reach, 11 * SECOND, 6);
-    zone_reachability_evaluate(&reach, &cut, 12 * SECOND);
+    zone_reachability_t reach = contacted_at(10 * SECOND);
+    ping_without_reply(&reach, 11 * SECOND, 6);
+    zone_reachability_evaluate(&reach, &stale_minority, 12 * SECOND);
     g_assert_true(reach.partitioned);
     zone_reachability_note_contact(&reach, 13 * SECOND);
     zone_reachability_note_timeout(&reach, 12 * SECOND + 900 * MS); /* asked before */
-    g_assert_true(zone_reachability_evaluate(&reach, &cut, 13 * SECOND + 10 * MS));
+    g_assert_true(zone_reachability_evaluate(&reach, &stale_minority, 13 * SECOND + 10 * MS));
     g_assert_false(reach.partitioned);
 }
 
@@ -60,9 +60,9 @@
 static void
 test_few_silent(void)
 {
-    zone_reachability_t reach = heard_at(10 * SECOND);
-    ask_in_vain(&reach, 11 * SECOND, 3);
-    zone_reachability_evaluate(&reach, &cut, 12 * SECOND);
+    zone_reachability_t reach = contacted_at(10 * SECOND);
+    ping_without_reply(&reach, 11 * SECOND, 3);
+    zone_reachability_evaluate(&reach, &stale_minority, 12 * SECOND);
     g_assert_false(reach.partitioned);
 }
 
@@ -70,11 +70,11 @@
 static void
 test_refused_at_once(void)
 {
-    zone_reachability_t reach = heard_at(10 * SECOND);
+    zone_reachability_t reach = contacted_at(10 * SECOND);
     for (unsigned i = 0; i < 8; i++) {
         zone_reachability_note_timeout(&reach, 11 * SECOND);
     }
-    zone_reachability_evaluate(&reach, &cut, 11 * SECOND + 100 * MS);
+    zone_reachability_evaluate(&reach, &stale_minority, 11 * SECOND + 100 * MS);
     g_assert_false(reach.partitioned);
 }
 
@@ -82,9 +82,9 @@
 static void
 test_store_is_heard(void)
 {
-    zone_reachability_t reach = heard_at(10 * SECOND);
+    zone_reachability_t reach = contacted_at(10 * SECOND);
     const zone_reachability_inputs_t view = {9, 6, 12 * SECOND};
-    ask_in_vain(&reach, 11 * SECOND, 20);
+    ping_without_reply(&reach, 11 * SECOND, 20);
     zone_reachability_evaluate(&reach, &view, 13 * SECOND);
     g_assert_false(reach.partitioned);
 }
@@ -93,18 +93,18 @@
 static void
 test_most_are_here(void)
 {
-    zone_reachability_t reach = heard_at(10 * SECOND);
+    zone_reachability_t reach = contacted_at(10 * SECOND);
     const zone_reachability_inputs_t half = {8, 4, SECOND};
     const zone_reachability_inputs_t alone = {3, 0, SECOND};
-    ask_in_vain(&reach, 11 * SECOND, 20);
+    ping_without_reply(&reach, 11 * SECOND, 20);
     zone_reachability_evaluate(&reach, &half, 13 * SECOND);
     g_assert_false(reach.partitioned);
     zone_reachability_evaluate(&reach, &alone, 13 * SECOND);
     g_assert_false(reach.partitioned);
 }
 
-/* A process that starts in a zone that is cut off: its neighbours told it the fleet, and what they
- * knew of the store is old. After the loss of all the store itself is heard first. */
+/* A process that starts in a zone that is stale_minority off: its neighbours told it the fleet, and
+ * what they knew of the store is old. After the loss of all the store itself is heard first. */
 static void
 test_start(void)
 {
@@ -113,10 +113,10 @@
     g_assert_true(zone_reachability_needs_ping(&reach, 20 * SECOND));
     zone_reachability_evaluate(&reach, &fresh, 20 * SECOND + 100 * MS);
     g_assert_false(reach.partitioned);
-    zone_reachability_evaluate(&reach, &cut, 20 * SECOND + 100 * MS);
+    zone_reachability_evaluate(&reach, &stale_minority, 20 * SECOND + 100 * MS);
     g_assert_true(reach.partitioned);
     zone_reachability_note_contact(&reach, 20 * SECOND + 150 * MS);
-    zone_reachability_evaluate(&reach, &cut, 20 * SECOND + 160 * MS);
+    zone_reachability_evaluate(&reach, &stale_minority, 20 * SECOND + 160 * MS);
     g_assert_false(reach.partitioned);
 }
 
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -29,8 +29,8 @@
 
 # Name, file, text as it stands, text with the mechanism off.
 MECHANISMS = [
-    ("owners and forwarding", "src/pooler/control/fleet.c", "return room_of(max_connections) / shares >= DIRECT_MIN;",
-     "return shares > 0 || room_of(max_connections) >= DIRECT_MIN;"),
+    ("owners and forwarding", "src/pooler/control/fleet.c", "return usable_connections(max_connections) / shares >= DIRECT_MIN;",
+     "return shares > 0 || usable_connections(max_connections) >= DIRECT_MIN;"),
     ("ready connections", "src/pooler/databases/database.c",
      "bool wanted = database->takes_work && database_fault(database) == DATABASE_FAULT_NONE;", "bool wanted = false;"),
     ("near databases first", "src/pooler/routing/choice.c", ".way_ms = database->way_ms,", ".way_ms = 0,"),
@@ -81,8 +81,8 @@
     ("urgent operations first within a limit", "src/pooler/rate/share.c",
      "kept += share->asked_per_s[i] * KEPT_FOR_S;", "kept += 0;"),
     ("clients of a cut-off zone go elsewhere", "src/pooler/control/zone_reachability.c",
-     "reach->partitioned = most_outside && store_unknown && nobody_answers(reach, now);",
-     "reach->partitioned = most_outside && store_unknown && nobody_answers(reach, now) && now == 0;"),
+     "reach->partitioned = most_elsewhere && store_unknown && none_responds(reach, now);",
+     "reach->partitioned = most_elsewhere && store_unknown && none_responds(reach, now) && now == 0;"),
     ("sessions announced to owners", "src/pooler/routing/router.c",
      "return; /* any connection serves it */\n    }", "return;\n    }\n    return;"),
     ("owners leave work to the tenant's owner", "src/pooler/forwarding/owner_choice.c",
