--- a/src/pooler/control/control_internal.h
+++ b/src/pooler/control/control_internal.h
@@ -41,94 +41,102 @@
 #define EPOCH_SHIFT 32
 
 /* Tokens that are given out in an era of the store begin above all of the eras before, which the
- * store may have lost. Leaves capacity for a million holders in each of 4,096 eras. */
+ * store may have lost. Leaves room for a million holders in each of 4,096 eras. */
 #define TOKEN_ERA_SHIFT 20
 
-/* An earlier value of a row, from which the difference is told to those who have it. */
+/* An earlier value of a row, kept to send only the difference to poolers that still have it. */
 typedef struct past_value {
     uint64_t version;
     GBytes *value;
-    GBytes *delta;      /* from it to the row's value; NULL: not made yet */
-    GBytes *compressed; /* the same packed; NULL: not worth it, or not made yet */
+    GBytes *delta; /* from this value to the row's current one; NULL: not computed yet */
+    GBytes
+        *compressed; /* the delta compressed; NULL: it would not be smaller, or was not tried yet */
 } past_value_t;
 
-/* One row of the store as last seen, kept to pass it on to poolers that the store turns away. */
+/* The newest version of a row of the store that is known here, kept to pass it on to poolers that
+ * the store does not serve. */
 struct known_row {
     char *key;
     uint64_t version;
     bool gone;
     GBytes *value;
-    GBytes *compressed;     /* NULL: not worth it, or not packed yet */
-    bool compression_tried; /* it was tried */
-    uint64_t hash;          /* of the value; 0: not worked out yet */
-    GQueue past;            /* of past_value_t, newest first, of large rows */
+    GBytes *compressed; /* value compressed; NULL: it would not be smaller, or was not tried yet */
+    bool compression_tried; /* compression of the value was tried */
+    uint64_t hash;          /* of the value; 0: not computed yet */
+    GQueue past;            /* of past_value_t, newest first; only of large rows */
     time_ns learned_at;
 };
 
-/** @brief Versions up to which the two tables that others write are known. */
+/** @brief Versions up to which the configuration and directory tables are known. */
 typedef struct row_versions {
     uint64_t configuration;
     uint64_t directory;
 } row_versions_t;
 
-/** @brief Who is told rows, as far as it matters for what is told. */
+/** @brief What a receiver of rows knows and supports. */
 typedef struct relay_receiver {
     row_versions_t known;
-    bool lacks_store;  /* the store does not answer it: large rows are told as well */
-    bool takes_deltas; /* else rows are told whole */
+    bool lacks_store;  /* the store does not answer it, so it gets large rows as well */
+    bool takes_deltas; /* it can apply deltas; otherwise it gets complete values */
 } relay_receiver_t;
 
-/** @brief Compressed messages of orders and members, one for each pair of versions that receivers
- * already know, so that many receivers get the same bytes. */
+/** @brief Compressed messages of group orders and fleet members, one for each pair of versions that
+ * a receiver may have. Receivers that have the same versions get the same bytes. */
 typedef struct news_cache {
-    GPtrArray *entries; /* of packed_news_t (control_news.c); NULL: nothing yet */
-    uint64_t orders;    /* version of the orders that all of them lead up to */
-    uint64_t fleet;     /* the same of the members */
+    GPtrArray *entries; /* of compressed_news_t (control_news.c); NULL: empty */
+    uint64_t orders;    /* version of the orders that every entry brings a receiver to */
+    uint64_t fleet;     /* version of the fleet that every entry brings a receiver to */
 } news_cache_t;
 
-/** @brief All rows of both tables, as one compressed message for every pooler that lacks them. */
+/** @brief All rows of both tables in one compressed message, for every pooler that has none of
+ * them. */
 typedef struct table_snapshot {
-    GBytes *compressed;     /* NULL: not made yet */
-    uint32_t length;        /* bytes before compression; 0: it is not compressed */
-    row_versions_t through; /* it holds the tables up to these */
+    GBytes *compressed;     /* NULL: not built yet */
+    uint32_t length;        /* bytes before compression; 0: the message is not compressed */
+    row_versions_t through; /* versions of the tables that it contains */
 } table_snapshot_t;
 
-/** @brief Whom this pooler asks for the store's tables, and who asks it. Starts from zeros. */
+/** @brief The mirrors of the store's tables: which poolers they are, this pooler's requests to
+ * them, and the requests that it answers as a mirror. Start from zeros. */
 typedef struct mirrors {
-    GPtrArray *known;  /* of struct pooler_mirror, as chosen here or told last; NULL: none */
-    uint64_t version;  /* rises with each choice that changes them */
-    size_t candidates; /* poolers to choose from, as of the last look */
+    GPtrArray *known;  /* of struct pooler_mirror, as chosen here or received last; NULL: none */
+    uint64_t version;  /* rises with each choice that changes the list */
+    size_t candidates; /* poolers that the last choice could choose from */
     mirror_requests_t requests;
-    char *last_address; /* the one that was asked last; NULL: none */
-    struct peer *peer;  /* the connection to it; NULL: there is none */
+    char *last_address; /* of the mirror that was last sent a request; NULL: none was */
+    struct peer *peer;  /* connection to that mirror; NULL: none is open */
     struct peer_callbacks callbacks;
-    time_ns missing_since; /* see mirror_inputs_t; 0: nothing is lacking, or it is waited for */
-    bool expected;         /* the tables come from mirrors: the store is left alone */
-    GArray *pending;       /* questions to this one that wait; NULL: none has come yet */
+    time_ns missing_since; /* see mirror_inputs_t; 0: no table is missing, or the wait after a start
+                              has not ended */
+    bool expected;   /* tables are expected from mirrors: this pooler does not read the store */
+    GArray *pending; /* of mirror_request_t, requests to this pooler not answered yet; NULL: none so
+                        far */
     table_snapshot_t snapshot;
 } mirrors_t;
 
-/* What is known of one table. */
+/* State of one table of the store: the rows known here and the calls that follow its changes. */
 struct feed {
     struct control *control;
     enum store_table table;
-    GHashTable *rows;         /* key -> struct known_row */
-    uint64_t version;         /* changes are known up to this, and it never falls; 0: none are */
-    bool history_gone;        /* the store no longer tells the changes since: it is read whole */
-    uint64_t changed_version; /* highest of the rows */
-    gsize largest;            /* value that a row has had, in bytes */
-    time_ns as_of;            /* what is known was certainly the store's newest then; 0: never */
-    time_ns last_answer_at;   /* when the store last answered this pooler about it; 0: never */
+    GHashTable *rows;  /* key -> struct known_row */
+    uint64_t version;  /* changes are known up to this; never falls; 0: none are */
+    bool history_gone; /* the store no longer has the changes since `version`: the next call is a
+                          full listing */
+    uint64_t changed_version; /* highest version of any row */
+    gsize largest;            /* largest value that any row has had, in bytes */
+    time_ns as_of; /* the rows were proven to be the store's newest at this time; 0: never */
+    time_ns last_answer_at; /* when the store last answered this pooler about the table; 0: never */
     bool calling;
     time_ns call_sent;
-    call_reason_t reason; /* of the call that is on its way */
+    call_reason_t reason; /* of the call in progress */
     time_ns next_at;
-    time_ns
-        standby_until; /* a follower asks again then, while the coordinator tells it; 0: at once */
-    uint32_t failures; /* in a row */
-    uint32_t history_failures; /* questions for changes that the store could not answer, in a row */
-    bool missing;              /* another pooler knows more, which was too large to be told */
-    time_ns list_at; /* it is read whole once more then, after a restore; 0: it need not be */
+    time_ns standby_until;     /* a standby follower makes no call before this; 0: no restriction */
+    uint32_t failures;         /* consecutive */
+    uint32_t history_failures; /* consecutive calls that the store answered by STORE_HISTORY_GONE */
+    bool missing;    /* another pooler has newer rows that were too large to be sent or could not be
+                        read */
+    time_ns list_at; /* a full listing is due once more at this time, after a restore of the store;
+                        0: none is due */
 };
 
 /** @brief What a pooler has told the coordinator of a group on this connection. */
@@ -237,15 +245,15 @@
     bool retired; /* no longer under this coordinator */
 };
 
-/** Poolers of other zones that are asked for a sign of life at the same time. */
+/** Poolers of other zones that are pinged at the same time. */
 #define REACHABILITY_PINGS 2
 
-/** @brief A connection to such a pooler, and the question on it. */
+/** @brief A connection to a pooler of another zone and the ping sent on it. */
 typedef struct reachability_ping {
     struct control *control;
-    struct peer *peer; /* NULL while there is no connection */
+    struct peer *peer; /* NULL: not connected */
     struct peer_callbacks callbacks;
-    time_ns sent_at; /* when the open question was sent; 0: none is open */
+    time_ns sent_at; /* when the unanswered ping was sent; 0: none is open */
 } reachability_ping_t;
 
 struct control {
@@ -282,47 +290,51 @@
     char *address;         /* where other poolers reach our peer listener */
     char *forward_address; /* and our listener for their statements */
     /* As a pooler under a coordinator. */
-    struct peer *coordinator; /* connection, NULL for none */
+    struct peer *coordinator; /* connection to it, or to another pooler; NULL: none */
     char *coordinator_address;
-    char *connected_address; /* where the connection goes; NULL: nowhere */
-    bool at_coordinator;     /* that is the coordinator's address */
-    time_ns redirected_at;   /* a connection to another pooler was last left for it */
+    char *connected_address; /* of the connection; NULL: none */
+    bool at_coordinator;     /* the connection goes to coordinator_address */
+    time_ns redirected_at;   /* when the last connection to another pooler was closed to try the
+                                coordinator's address */
     uint64_t newest_token;
     uint64_t grant_stamp; /* of the newest grant on this connection; 0: none */
     uint64_t sequence;
     time_ns sent_at[HEARTBEATS_KEPT];
-    time_ns heartbeat_at; /* next one */
+    time_ns heartbeat_at; /* when the next heartbeat is due */
     time_ns granted_at;
-    time_ns answered_at; /* when any pooler last answered a heartbeat */
+    time_ns answered_at; /* when a pooler last answered a heartbeat */
     time_ns connected_at;
-    bool connect_now; /* the coordinator's address has changed */
+    bool connect_now; /* the coordinator's address has changed: connect at the next tick */
     uint32_t fleet_count;
-    uint64_t news_sent;          /* of the workers' news, those that were last told */
-    uint64_t orders_received;    /* version up to which orders have come from this coordinator */
-    uint64_t orders_view;        /* number of the view that holds them */
-    uint64_t orders_reported;    /* version that was told as followed */
-    uint64_t view_number;        /* of the newest view */
-    uint64_t view_revision;      /* of the newest state of a group in a view */
-    bool follows_store;          /* by itself, as the coordinator asked */
-    bool relayed;                /* others told what the store holds, as of the last look */
-    uint64_t orders_known;       /* version of the newest orders that any coordinator gave */
-    bool introduced_self;        /* the pooler at the other end has been told who we are */
-    unsigned next_address;       /* place in the order of addresses that are tried */
-    time_ns nonauthoritative_at; /* another pooler last told what it follows of the store */
-    bool start_answered;         /* another pooler has answered since the start */
-    time_ns relayed_as_of;       /* what others told was the store's newest then; 0: nothing yet */
-    time_ns relayed_valid_until; /* what others told of the store is relied on until then */
-    row_versions_t coordinator_rows; /* what the coordinator knew of the store's tables */
-    row_versions_t offered;          /* rows up to these were sent to it, and not confirmed yet */
+    uint64_t news_sent;       /* value of the workers' counter `news` at the last heartbeat */
+    uint64_t orders_received; /* version up to which this coordinator's orders have been received */
+    uint64_t orders_view;     /* number of the view that contains those orders */
+    uint64_t orders_reported; /* version up to which orders were last reported as followed */
+    uint64_t view_number;     /* of the newest view */
+    uint64_t view_revision;   /* of the newest state of a group in a view */
+    bool follows_store;       /* by itself, as the coordinator asked */
+    bool relayed;             /* relayed state was valid at the last tick */
+    uint64_t orders_known;    /* version of the newest orders that any coordinator gave */
+    bool introduced_self;  /* the heartbeat with this pooler's name and addresses was sent on this
+                              connection */
+    unsigned next_address; /* index of the next address to try */
+    time_ns nonauthoritative_at; /* when a non-authoritative reply last came */
+    bool start_answered;         /* another pooler has answered since this one started */
+    time_ns relayed_as_of; /* the rows received from other poolers were the store's newest at this
+                              time; 0: none yet */
+    time_ns relayed_valid_until;     /* relayed state replaces own reads of the store until then */
+    row_versions_t coordinator_rows; /* table versions that the coordinator has */
+    row_versions_t offered;          /* table versions sent to it and not confirmed yet */
     time_ns offered_at;
-    double row_budget; /* that may be sent to other poolers now, beside all else on the link */
+    double row_budget; /* bytes of rows that may be sent to other poolers now, beside all else on
+                          the link */
     time_ns row_budget_at;
     struct peer_callbacks coordinator_callbacks;
     zone_reachability_t zone_reachability;
     reachability_ping_t reachability_pings[REACHABILITY_PINGS];
-    unsigned reachability_next;     /* place of the pooler that is asked next */
-    time_ns reachability_due_at;    /* the next look at it, at the earliest */
-    bool coordinator_in_other_zone; /* the connection is to a pooler of another zone */
+    unsigned reachability_next;     /* index of the next pooler of another zone to ping */
+    time_ns reachability_due_at;    /* when reachability is next checked, at the earliest */
+    bool coordinator_in_other_zone; /* the connection goes to a pooler of another zone */
     /* As the coordinator. */
     struct lease lease;
     time_ns coordinator_since;
@@ -340,8 +352,8 @@
     struct failover_actions failover_actions;
     uint64_t orders_version; /* rises with each order of any group; holds the lease's token */
     push_pace_t push_pace;
-    news_cache_t news;                  /* as the coordinator tells it */
-    news_cache_t nonauthoritative_news; /* as this pooler tells it in its place */
+    news_cache_t news;                  /* messages sent as the coordinator */
+    news_cache_t nonauthoritative_news; /* messages sent in non-authoritative replies */
     bool push_wanted;       /* orders, owners or rows have changed that poolers are to be told */
     time_ns coordinated_at; /* the groups were last looked at */
     bool coordination_due;  /* and are to be looked at again as soon as may be */
@@ -355,14 +367,14 @@
     control_counts_t counts;    /* since the start */
     fleet_t *fleet;             /* the poolers that share connections */
     roster_t *roster;           /* those of them that count operations; NULL: none is known */
-    time_ns roster_valid_until; /* it is relied on until then */
-    time_ns fleet_at;           /* when it is decided next */
-    time_ns many_missing_since; /* many of it have been missing since then; 0: they are not */
+    time_ns roster_valid_until; /* the roster is in force until then */
+    time_ns fleet_at;           /* when the fleet is next decided */
+    time_ns many_missing_since; /* since when many members have been missing; 0: they are not */
     GHashTable *fresh;    /* of forward addresses: poolers heard lately, by this survey; empty until
                              asked for */
     bool rows_learned;    /* and not yet told to the poolers */
     time_ns followers_at; /* when the followers of the store were chosen */
-    GPtrArray *followers; /* their peer addresses, as chosen here or told last */
+    GPtrArray *followers; /* their peer addresses, as chosen here or received last */
     uint64_t followers_version; /* rises with each choice that changes them */
     mirrors_t mirrors;
 };
@@ -371,19 +383,19 @@
 void control_wake_soon(struct control *control);
 
 /* control_view.c */
-/** @return true if the database is to be given new work. */
+/** @return true if the database may be given new work. */
 bool control_takes_work(const struct control *control, const struct directory_entry *entry,
                         time_ns now);
 struct member_shared *control_member(struct control *control, const struct directory_entry *entry);
 struct group_state *control_group(struct control *control, const char *service);
 void control_publish(struct control *control);
-/** @return true if other poolers hold the connections to the group's databases. */
+/** @return true if other poolers own the connections to the group's databases. */
 bool control_view_forwards(const struct control *control, const struct service *service);
-/** @return how many poolers share the databases' connections, by the newest that is known here: the
- *  coordinator's word, or the lease's row; 0 if neither is known. */
+/** @return how many poolers share the databases' connections, as last announced by the coordinator,
+ * or else by the lease's row; 0 if neither is known. */
 uint32_t control_fleet_size(const struct control *control);
-/** @return connections to each database that every worker may open where nobody owns the group;
- *  0 while the size of the fleet is not known. */
+/** @return connections to each database that every worker may open where no pooler owns the group;
+ * 0 while the size of the fleet is not known. */
 uint32_t control_direct_share(const struct control *control, const struct service *service);
 /* True if clients can be served. */
 bool control_is_ready(const struct control *control);
@@ -407,175 +419,189 @@
 
 /* control_rows.c */
 void control_feeds_start(struct control *control);
-/* Takes a row from the store or from another pooler. */
+/* Takes over a row that came from the store or from another pooler, if it is newer than the known
+ * one. `value` is NULL for a deleted row. */
 void control_take_row(struct control *control, enum store_table table, const char *key,
                       uint64_t version, GBytes *value);
-/** @brief Takes the rows of an answer of the store. */
+/** @brief Takes over the rows of an answer of the store. */
 void control_rows_take(struct feed *feed, const struct store_answer *answer);
-/** @brief Takes the rows for gone that a whole listing lacks. */
+/** @brief Takes known rows that a full listing does not contain as deleted. */
 void control_rows_drop_missing(struct feed *feed, const struct store_answer *answer);
-/** @brief The table is told whole in a new era: rows of earlier ones that did not come are gone.
- *  @param version up to which it is known now. */
+/** @brief After a full copy of the table in a new era: takes rows of earlier eras that it did not
+ * contain as deleted.
+ * @param version up to which the table is known now. */
 void control_rows_drop_earlier(struct feed *feed, uint64_t version);
 
 /* control_store.c */
 void control_feeds_tick(struct control *control, time_ns now);
-/** @brief The store has answered about the table: notes that, and when it is asked next. */
+/** @brief Notes that the store has answered about the table, and schedules the next call. */
 void control_feed_answered(struct feed *feed, time_ns now);
-/** @return true if the table is read whole, as that is less than the changes that may have been
- *  missed. */
+/** @return true if the next call should list the full table, because the changes that may have been
+ * missed would take more bytes. */
 bool control_feed_needs_listing(const struct feed *feed, time_ns now);
-/** @brief What is known here of the table was the store's newest at that moment (0: nothing is
- *  told). */
+/** @brief Notes that the rows known here were the store's newest at `moment`; 0: no time is known.
+ */
 void control_feed_prove(struct feed *feed, time_ns moment);
 
 /* control_relay.c */
-/** @brief Fills in what somebody lacks. More than a message should hold is left to the store,
- * unless the receiver lacks that. */
+/** @brief Fills in the rows that the receiver is missing. If they exceed the size of one message,
+ * they are left out for the receiver to read at the store, unless the store does not answer it. */
 void control_relay_fill(const struct control *control, const relay_receiver_t *to, time_ns now,
                         struct pooler_relay *relay);
-/** @brief Fills in no rows: what is known there stays as it is. */
+/** @brief Fills in the versions and ages of the tables, and no rows: the receiver's versions stay
+ * as they are. */
 void control_relay_fill_versions(const struct control *control, const row_versions_t *known,
                                  time_ns now, struct pooler_relay *relay);
 /** @return true if the pooler has confirmed all rows that it was sent. */
 bool control_relay_is_confirmed(const struct pooler_peer *pooler);
-/** @brief Takes over what a pooler says that it knows. */
+/** @brief Notes the versions that a pooler reports to have. */
 void control_relay_confirm(struct pooler_peer *pooler, const struct pooler_relay *relay);
-/** @brief Fills in what a pooler under this coordinator lacks, and notes it as sent. Rows wait
- * until those before are confirmed: where they come quicker than a link carries them, the newest
- * ones are sent, and orders and permits are not held up behind the rest. */
+/** @brief Fills in the rows that a pooler under this coordinator is missing, and notes them as
+ * sent. Further rows wait until those before are confirmed: if rows change faster than the link
+ * carries them, only the newest values are sent, and they do not delay orders and permits. */
 void control_relay_fill_pooler(struct control *control, struct pooler_peer *pooler, time_ns now,
                                struct pooler_relay *relay);
-/** @brief The same for a pooler that asks one that is not the coordinator, by what it knows. */
+/** @brief Does the same for a non-authoritative reply: by the versions in the pooler's heartbeat,
+ * as this pooler is not its coordinator. */
 void control_relay_fill_nonauthoritative(struct control *control, struct peer *peer,
                                          const struct pooler_heartbeat *heartbeat, time_ns now,
                                          struct pooler_relay *relay);
-/** @brief Fills in what this pooler knows and the coordinator may lack, once in a while. Up to
- * which version it knows each table is told in any case, also where the rows are too many. */
+/** @brief Fills in the rows that are known here and that the coordinator may be missing; the same
+ * rows at most once in 2 s. The versions known here are filled in always, even if the rows are too
+ * large. */
 void control_relay_fill_offer(struct control *control, time_ns now, struct pooler_relay *relay);
-/** @brief Takes over what another pooler knows of the store. */
+/** @brief Takes over rows and versions that another pooler sent. */
 void control_relay_take(struct control *control, const struct pooler_relay *relay);
 /** @return the versions up to which the tables are known here. */
 row_versions_t control_relay_versions(const struct control *control);
 
 /** @brief Fills in all rows of both tables, whatever their size, uncompressed. */
 void control_relay_fill_full(const struct control *control, struct pooler_relay *relay);
-/** @return true if the link has capacity for rows to other poolers now. */
+/** @return true if rows may be sent to other poolers now, by their share of the link. */
 bool control_relay_has_budget(struct control *control, time_ns now);
-/** @brief Takes sent bytes of rows off that capacity. */
+/** @brief Consumes the sent bytes from that share. */
 void control_relay_consume_budget(struct control *control, size_t bytes);
 
 /* control_relayed.c */
-/** @brief Puts off this pooler's own look at the store, while others may tell it. */
+/** @brief At a start, delays this pooler's first call at the store, so that another pooler can send
+ * the tables first. */
 void control_relayed_start(struct control *control);
-/** @brief Puts it off once more, as another pooler has answered this one's first heartbeat. */
+/** @brief Extends that delay once, when another pooler has answered the first heartbeat. */
 void control_relayed_peer_answered(struct control *control, time_ns now);
-/** @brief Takes over, after the rows, how new the other pooler knows the tables to be, and relies
- * on them for as long as that allows.
- *  @param asked when that pooler was sent what it answers, by our clock; 0: it is not known. */
+/** @brief Takes over how recent the other pooler's tables are, after their rows were taken, and
+ * uses them in place of own reads of the store for as long as that allows.
+ * @param asked when the request that this answers was sent, by this machine's clock; 0: unknown. */
 void control_relayed_accept(struct control *control, const struct pooler_relay *relay,
                             time_ns asked);
-/** @brief The same for tables that a mirror has told. */
+/** @brief Does the same for tables that came from a mirror. */
 void control_relayed_accept_tables(struct control *control, const struct pooler_relay *relay,
                                    time_ns asked);
-/** @brief Takes over, after the rows, how new the other pooler knows the tables to be. Parameters
- * as of control_relayed_accept().
- *  @return when all that is known here was the store's newest, by that; 0: it is not told. */
+/** @brief Takes over how recent the other pooler's tables are, after their rows were taken.
+ * Parameters as of control_relayed_accept().
+ * @return when everything known here was the store's newest, by that message; 0: unknown. */
 time_ns control_relayed_accept_proofs(struct control *control, const struct pooler_relay *relay,
                                       time_ns asked);
-/** @return true if other poolers tell this one what the store holds. */
+/** @return true if relayed state is valid, so that this pooler need not read the store. */
 bool control_relayed_is_valid(const struct control *control, time_ns now);
-/** @return true if others tell this pooler what the store holds, and have told it lately. */
+/** @return true if the relayed state is so recent that its sender follows the store now. */
 bool control_relayed_is_recent(const struct control *control, time_ns now);
-/** @return true if others follow the store for this pooler, so that they see to the lease as well.
+/** @return true if other poolers follow the store for this one, so that they also watch the lease.
  */
 bool control_relayed_covers_lease(const struct control *control, time_ns now);
-/** @return true if this pooler has to ask the store about the table by itself. */
+/** @return true if this pooler has to read the table at the store itself. */
 bool control_relayed_needs_store(const struct control *control, enum store_table table,
                                  time_ns now);
 /** @return true if the store does not answer this pooler. */
 bool control_relayed_store_fails(const struct control *control);
-/** @return milliseconds since the store last answered this pooler; UINT32_MAX for never. */
+/** @return milliseconds since the store last answered this pooler; UINT32_MAX: never. */
 uint32_t control_relayed_store_age_ms(const struct control *control, time_ns now);
 
 /* control_news.c */
-/** @brief Fills in the orders and members that a pooler under this coordinator lacks, and notes
- * them as told. */
+/** @brief Fills in the orders and members that a pooler under this coordinator is missing, and
+ * notes them as sent. */
 void control_news_fill(struct control *control, struct pooler_peer *pooler,
                        struct pooler_grant *grant);
-/** @brief Fills in what a pooler lacks that asks one that is not the coordinator: the orders as
- * this one follows them, which permit nothing, and the members. */
+/** @brief Fills in what the sender of a heartbeat is missing, for a non-authoritative reply: the
+ * orders as this pooler follows them, without permits, and the members. */
 void control_news_fill_nonauthoritative(struct control *control,
                                         const struct pooler_heartbeat *heartbeat,
                                         struct pooler_grant *grant);
-/** @brief Puts what came packed in its place. @return false with `error` if it can't be read. */
+/** @brief Replaces the compressed orders and members of a grant by their content.
+ * @return false with `error` if they can't be read. */
 bool control_news_decompress(struct pooler_grant *grant, GError **error);
-/** @brief Frees what a cache holds; it may be filled again. */
+/** @brief Frees all entries; the cache may be filled again. */
 void control_news_clear(news_cache_t *cache);
 
 /* control_followers.c */
-/** @brief Tells who the followers are, if not yet told. */
+/** @brief Fills in the followers' addresses, unless the receiver has version `told` already. */
 void control_followers_announce(const struct control *control, uint64_t told,
                                 struct pooler_grant *grant);
-/** @brief Takes over who the followers are. */
+/** @brief Takes over the followers' addresses, if the grant has any. */
 void control_followers_take(struct control *control, const struct pooler_grant *grant);
 /** @brief Chooses, at the coordinator, which poolers follow the store beside it. */
 void control_followers_choose(struct control *control);
 
 /* control_mirrors.c */
-/** @brief Chooses, at the coordinator, which poolers pass the store's tables on. */
+/** @brief Chooses, at the coordinator, which poolers are mirrors of the store's tables. */
 void control_mirrors_choose(struct control *control);
-/** @brief Copies the mirrors that are known. @return how many. */
+/** @brief Copies the list of known mirrors.
+ * @return its length. */
 size_t control_mirrors_copy(const struct control *control, struct pooler_mirror **out);
-/** @brief Tells a pooler under this coordinator who they are, if it was not told yet. */
+/** @brief Fills in the mirrors for a pooler under this coordinator, unless it was sent this
+ * version. */
 void control_mirrors_announce(const struct control *control, struct pooler_peer *pooler,
                               struct pooler_grant *grant);
-/** @brief Takes over who they are; nothing if none are told. */
+/** @brief Takes over a received list of mirrors; ignores an empty one. */
 void control_mirrors_take(struct control *control, const struct pooler_mirror *mirrors,
                           size_t count);
-/** @brief A pooler asks for the tables. */
+/** @brief Answers a pooler's request for the tables, or queues it. */
 void control_mirrors_request(struct control *control, struct peer *peer,
                              const struct pooler_heartbeat *question, time_ns now);
-/** @brief The connection of a pooler that may have asked is over. */
+/** @brief Drops the pending requests of a connection that was closed. */
 void control_mirrors_cancel(struct control *control, const struct peer *peer);
-/** @return true while questions to this pooler wait. */
+/** @return true while requests to this pooler are pending. */
 bool control_mirrors_has_requests(const struct control *control);
-/** @brief Fills in the tables as a whole, or what has changed since `known`, whatever its size. */
+/** @brief Fills in a full copy of the tables for a receiver that has none, otherwise the changes
+ * since `known`, whatever their size. */
 void control_mirrors_fill(struct control *control, const row_versions_t *known, bool takes_deltas,
                           time_ns now, struct pooler_grant *grant);
-/** @brief Takes over what a mirror has told. @param asked when it was asked, by our clock.
- *  @return false with `error` if that can't be read. */
+/** @brief Takes over tables that a mirror sent.
+ * @param asked when the request was sent, by this machine's clock.
+ * @return false with `error` if they can't be read. */
 bool control_mirrors_take_tables(struct control *control, const struct pooler_grant *grant,
                                  time_ns asked, GError **error);
-/** @brief Answers those who wait, and asks a mirror for tables that are lacking here. */
+/** @brief Answers pending requests, and sends a mirror a request for tables that are missing here.
+ */
 void control_mirrors_tick(struct control *control, time_ns now);
 
 /* control_fleet.c */
-/** @return who holds the connections to the service's databases; NULL if no fleet is known. */
+/** @return the poolers that own the connections to the service's databases; NULL if no fleet is
+ * known. */
 const fleet_owners_t *control_fleet_owners(const struct control *control,
                                            const struct service *service);
 /** @return the version up to which the fleet is known here; 0: not at all. */
 uint64_t control_fleet_version(const struct control *control);
-/** @brief Fills in what somebody lacks who knows the fleet up to `known`.
- *  @return the version up to which it is known then. */
+/** @brief Fills in the changes that a receiver is missing whose fleet has version `known`.
+ * @return the version that it has afterwards. */
 uint64_t control_fleet_fill(const struct control *control, uint64_t known,
                             struct pooler_fleet *out);
-/** @brief Takes over what another pooler tells, or the lease's row. */
+/** @brief Takes over a fleet that another pooler sent or that the lease's row holds. */
 void control_fleet_take(struct control *control, const struct pooler_fleet *told);
-/** @return true while a new coordinator expects to hear more poolers before it decides. */
+/** @return true while a new coordinator waits for more poolers to connect before it decides. */
 bool control_fleet_is_gathering(const struct control *control, time_ns now);
-/** @brief Decides who belongs to the fleet. @return true if anything has changed. */
-/** @return the roster as it is to be published; NULL if no fleet is known. */
+/** @return the roster to publish; NULL if no fleet is known. */
 roster_t *control_fleet_roster(struct control *control);
-/** @brief The fleet as it is known here was the coordinator's at that moment, or later. */
+/** @brief Notes that the fleet known here was the coordinator's at `moment` or later, and keeps the
+ * roster in force for as long as that allows. */
 void control_fleet_extend_validity(struct control *control, time_ns moment);
 /** @brief Notes that the store's row holds the fleet of this version. */
 void control_fleet_note_stored(struct control *control, uint64_t version, time_ns now);
-/** @brief Notes that the store may have no row that holds the fleet. */
+/** @brief Notes that the store may no longer have a row that holds the fleet. */
 void control_fleet_forget_stored(struct control *control);
-/** @brief Decides who belongs to the fleet. @return true if anything has changed. */
+/** @brief Decides, at the coordinator, which poolers are members of the fleet.
+ * @return true if anything has changed. */
 bool control_fleet_decide(struct control *control, time_ns now);
-/** @brief Decides from time to time, at the coordinator, and tells the poolers of changes. */
+/** @brief Decides at regular intervals, at the coordinator, and pushes changes to the poolers. */
 void control_fleet_tick(struct control *control, time_ns now);
 
 /* control_lease.c */
@@ -614,30 +640,32 @@
 
 /* control_member.c: as a pooler under a coordinator */
 void control_member_tick(struct control *control, time_ns now);
-/** @return true if this pooler had better connect to the coordinator at the address that it was
- * told by another one: it is not the one that it knows, or a newer one has come up there. */
+/** @return true if this pooler should connect to the coordinator at `address`, which another pooler
+ * has named: the address differs from the known one, or a newer coordinator has started there. */
 bool control_member_must_reconnect(const struct control *control, const char *address, time_ns now);
 void control_member_set_coordinator(struct control *control, const char *address);
-/** @brief Notes that the pooler at the other end is the coordinator, as it sent a grant, and tells
- * its address to others from now on. It may have been found by the lease's row, by what another
- * pooler told, or by trying those that follow the store. Without this, poolers that can't read the
- * store and ask here would not find it. */
+/** @brief Notes that the connected pooler is the coordinator, as it sent a grant, and passes its
+ * address on to other poolers from now on. It may have been found by the lease's row, by the reply
+ * of another pooler, or by trying the store's followers. Without this, poolers that can't read the
+ * store and ask this one would not find it. */
 void control_member_found_coordinator(struct control *control);
-/** @return the address to connect to next; NULL if there is none to try. The addresses are tried in
- * turn. A pooler that was sent to the coordinator's address in vain goes on with the turn where it
- * was: starting over, it could be sent to and fro between two poolers with outdated knowledge. */
+/** @return the address to connect to next; NULL if there is none to try. Addresses are tried round
+ * robin. After a failed connection to the coordinator's address the round continues where it was:
+ * starting over, the pooler could be redirected back and forth between two poolers with outdated
+ * knowledge. */
 const char *control_member_next_address(struct control *control);
 void control_member_stop(struct control *control);
 
 /* control_reachability.c */
-/** @brief Asks poolers of other zones while none is heard, and decides whether this zone is cut
- *  off. */
+/** @brief Pings poolers of other zones while no message comes from any, and decides whether this
+ * zone is partitioned from the others. */
 void control_reachability_tick(struct control *control, time_ns now);
-/** @brief A pooler of this zone was heard; counts if it is another zone than ours. */
+/** @brief Notes a message from a pooler of zone `zone`; ignored if that is this pooler's own zone.
+ */
 void control_reachability_note_contact(struct control *control, const char *zone, time_ns now);
-/** @return what the decision needs of the fleet and the store. */
+/** @return the inputs of that decision: counts of the fleet, and when the store was last known. */
 zone_reachability_inputs_t control_reachability_inputs(const struct control *control);
-/** @return true if a pooler of another zone runs on the machine of this address. */
+/** @return true if the pooler on the machine of this address is in another zone. */
 bool control_reachability_is_other_zone(const struct control *control, const char *address);
 
 /* control_coordinator.c: towards the poolers */
