--- a/src/pooler/control/mirrors.c
+++ b/src/pooler/control/mirrors.c
@@ -1,12 +1,13 @@
-/* Who passes the store's tables on, and when a pooler asks them; see the header. */
+/* Which poolers are mirrors, and when a pooler requests the tables; see the header. */
 #include "pooler/control/mirrors.h"
 
 #include <string.h>
 
-/* A fleet that has grown by more than one in so many since the last look still connects. */
+/* A fleet that has grown by more than one in this many since the previous choice is still
+ * connecting. */
 #define GROWTH_SLACK 8
 
-/* How long the open question may take. */
+/* Time-out of the open request. */
 static time_ns
 request_timeout(const mirror_requests_t *requests, const mirror_inputs_t *view)
 {
@@ -69,7 +70,8 @@
     g_ptr_array_add(mirrors, mirror);
 }
 
-/* Strong machines first; among equals by hash, so that the choice stays as poolers come and go. */
+/* Strong machines first; among equals by hash, so that the choice is stable as poolers come and go.
+ */
 static int
 compare(const void *a, const void *b)
 {
@@ -86,7 +88,7 @@
     return strcmp(first->address, second->address);
 }
 
-/* How many candidates there are in each zone. */
+/* Number of candidates in each zone. */
 static GHashTable *
 count_zones(const mirror_candidate_t *candidates, size_t count)
 {
@@ -108,8 +110,7 @@
     return count;
 }
 
-/* Poolers for each mirror, so that with a last one for each zone no more than the most are named.
- */
+/* Poolers per mirror, such that MIRRORS_MAX is kept although each zone rounds its number up. */
 static size_t
 poolers_for_each(size_t count, guint zones)
 {
@@ -164,8 +165,8 @@
     return true;
 }
 
-/* The mirrors of one zone, or of all others, without this pooler: their number, and the one at the
- * place that the turn falls on. */
+/* Counts the mirrors without this pooler in one zone (`same`) or in all others, and sets `out` to
+ * the address of number `place` among them. */
 static unsigned
 pick(const GPtrArray *mirrors, const char *zone, bool same, const char *own, unsigned place,
      const char **out)
