--- a/src/pooler/control/zone_reachability.c
+++ b/src/pooler/control/zone_reachability.c
@@ -1,20 +1,20 @@
-/* Whether this pooler's zone is cut off; see the header. */
+/* Whether this pooler's zone is partitioned from the others; see the header. */
 #include "pooler/control/zone_reachability.h"
 
 #define MS NANOSECONDS_PER_MILLISECOND
 
-/* After so long without a message from another zone, poolers there are asked: two heartbeats of 250
- * ms, each of which a coordinator in another zone answers. */
+/* After this long without a message from another zone, poolers there are pinged. These are two
+ * heartbeats of 250 ms, each of which a coordinator in another zone answers. */
 #define PING_AFTER_NS (500 * MS)
 
-/* Nobody answers once this many questions, each to another pooler, went without an answer, and the
- * first of them is so old. One or two poolers may be gone or slow; a whole fleet that restarts is
- * up within half a second. */
+/* No pooler responds if this many pings, each to another pooler, had no response and the first of
+ * them is this old. One or two poolers may have stopped or be slow, and a complete fleet that
+ * restarts is up within half a second. */
 #define TIMEOUTS_MIN     4U
 #define TIMEOUTS_SPAN_NS (600 * MS)
 
-/* The store counts as out of reach if nothing newer than this is known of it: 1.4 s is the oldest
- * that poolers pass on of it, as long as any of them is reached that follows it. */
+/* The store counts as unreachable if what is known of it is older than this. Rows relayed by
+ * poolers that follow it are at most 1.4 s old. */
 #define STORE_RECENT_NS (1500 * MS)
 
 void
@@ -29,7 +29,7 @@
 zone_reachability_note_timeout(zone_reachability_t *reach, time_ns asked)
 {
     if (asked <= reach->last_contact_at) {
-        return; /* another one has been heard since */
+        return; /* a later message came from another zone */
     }
     if (reach->timeouts_since == 0) {
         reach->timeouts_since = asked;
@@ -43,8 +43,9 @@
     return now >= reach->last_contact_at + PING_AFTER_NS;
 }
 
-/* A process that has heard nobody yet counts as unanswered at once: one that starts inside a zone
- * that is cut off and called itself ready would draw the zone's clients back. */
+/* Without any contact since the process started, the zone counts as unreachable at once: a pooler
+ * that starts inside a partitioned zone and reported ready would attract the zone's clients again.
+ */
 static bool
 none_responds(const zone_reachability_t *reach, time_ns now)
 {
--- a/src/pooler/control/zone_reachability.h
+++ b/src/pooler/control/zone_reachability.h
@@ -1,21 +1,22 @@
 /**
  * @file
- * @brief Whether this pooler's zone is cut off from all others. A decision without sockets or
- * clock: what was heard and asked comes in.
+ * @brief Whether this pooler's zone is partitioned from all others. No sockets and no clock:
+ * contacts, time-outs and the current time are parameters.
  *
- * A zone that is cut off can write nothing, as most databases of each group are elsewhere, and
- * after a second or two it can prove no read. Its clients still reach it, and would be refused for
- * as long as that lasts. A pooler that calls itself not ready gets no new clients; once all of a
- * zone do, the zone's clients go to another, where they are served.
+ * A partitioned zone can write nothing, as most databases of each group are elsewhere, and after a
+ * second or two it can prove no read to be current. Its clients still reach it, and would be
+ * refused for as long as the partition lasts. A pooler that reports not ready gets no new clients;
+ * once all poolers of a zone do, the zone's clients are sent to another zone, where they are
+ * served.
  *
- * Three things have to come together, so that no lost store, coordinator or machine is taken for
- * it: several poolers of other zones were asked one after the other, and none answered; most of the
- * fleet is in other zones; and nobody has told anything newer of the store either. What refuses a
- * connection has not answered: the edge of a partition refuses, too.
+ * Three conditions must hold together, so that the loss of the store, the coordinator or some
+ * machines is not mistaken for a partition: several poolers of other zones were pinged one after
+ * the other and none responded; most of the fleet is in other zones; and nothing newer is known of
+ * the store from any pooler either. A refused connection is not a response, as routers at the edge
+ * of a partition refuse connections, too.
  *
- * Not being ready only turns away new clients. Sessions that are already open and at rest are
- * closed as well (let_clients_go() in worker.c); without that, readiness alone changes little. What
- * it is worth stands in docs/design/cut-off-zones.md.
+ * Readiness stops only new clients. Idle sessions are closed as well (worker.c); without that,
+ * readiness alone has little effect. See docs/design/cut-off-zones.md for the effect of both.
  */
 #ifndef SW_POOLER_ZONE_REACHABILITY_H
 #define SW_POOLER_ZONE_REACHABILITY_H
@@ -24,31 +25,33 @@
 
 #include "core/types.h"
 
-/** @brief What was heard of other zones. Start from zeros. Belongs to the control thread. */
+/** @brief Contacts with other zones. Start from zeros. Belongs to the control thread. */
 typedef struct zone_reachability {
-    time_ns last_contact_at; /* when a pooler of another zone was last heard; 0: never */
-    time_ns timeouts_since;  /* when the first of `unanswered` was sent; 0: there is none */
-    unsigned timeouts;       /* questions without an answer since one was heard */
-    bool partitioned;        /* as decided last */
+    time_ns last_contact_at; /* when a pooler of another zone last sent a message; 0: never */
+    time_ns timeouts_since;  /* when the first of `timeouts` was sent; 0: there is none */
+    unsigned timeouts;       /* pings without a response since the last contact */
+    bool partitioned;        /* the last decision */
 } zone_reachability_t;
 
 /** @brief What the decision needs of the fleet and the store. */
 typedef struct zone_reachability_inputs {
-    unsigned members;        /* poolers known */
-    unsigned in_other_zones; /* of these, in other zones */
-    time_ns store_known_at; /* what is known here was certainly the store's newest then; 0: never */
+    unsigned members;        /* known poolers */
+    unsigned in_other_zones; /* of these, poolers in other zones */
+    time_ns store_known_at;  /* the rows known here were proven to be the store's newest at this
+                                time; 0: never */
 } zone_reachability_inputs_t;
 
-/** @brief A pooler of another zone was heard. */
+/** @brief Notes a message from a pooler of another zone. */
 void zone_reachability_note_contact(zone_reachability_t *reach, time_ns now);
 
-/** @brief A pooler of another zone that was asked at `asked` has not answered in time. */
+/** @brief Notes that a ping sent to another zone at `asked` had no response in time. */
 void zone_reachability_note_timeout(zone_reachability_t *reach, time_ns asked);
 
-/** @return true if none was heard for so long that one should be asked now. */
+/** @return true if the last contact is so old that a pooler of another zone should be pinged. */
 bool zone_reachability_needs_ping(const zone_reachability_t *reach, time_ns now);
 
-/** @brief Decides anew. @return true if the decision has changed. */
+/** @brief Decides again.
+ * @return true if the decision has changed. */
 bool zone_reachability_evaluate(zone_reachability_t *reach,
                                 const zone_reachability_inputs_t *inputs, time_ns now);
 
