--- a/src/pooler/control/delta.c
+++ b/src/pooler/control/delta.c
@@ -1,6 +1,6 @@
-/* Differences of texts; see the header. A difference is a sequence of steps, each three numbers of
- * four bytes, highest first, and a text: where in the first text to copy from, how many bytes, and
- * how many bytes of new text follow. */
+/* Deltas of texts; see the header. A delta is a sequence of steps. Each step has three 32-bit
+ * numbers in network byte order, followed by literal text: the offset in the first text to copy
+ * from, the number of bytes to copy, and the length of the literal text. */
 #include "pooler/control/delta.h"
 
 #include "core/error.h"
@@ -11,7 +11,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Pieces are no shorter, but for the last: a step costs 12 bytes. */
+/* Minimum length of a piece, except the last one: a step costs 12 bytes. */
 #define PIECE_MIN ((gsize)32)
 
 #define STEP_SIZE (3 * sizeof(uint32_t))
@@ -23,12 +23,12 @@
     gsize length;
 } part_t;
 
-/* A step that is being put together. */
+/* A step under construction. */
 typedef struct step {
     gsize from;
     gsize copied;
-    gsize literal; /* where in the second text the new text starts */
-    gsize length;  /* of it */
+    gsize literal; /* offset of the literal text in the second text */
+    gsize length;  /* of the literal text */
 } step_t;
 
 uint64_t
@@ -39,7 +39,7 @@
     return XXH3_64bits(data, length);
 }
 
-/* The piece that starts there. */
+/* The piece that starts at `offset`. */
 static part_t
 piece_at(const char *text, gsize length, gsize offset)
 {
@@ -64,7 +64,7 @@
     return first->length == second->length && memcmp(first->data, second->data, first->length) == 0;
 }
 
-/* All pieces of the text, to be looked up by their content. */
+/* Index of all pieces of the text by content. */
 static GHashTable *
 index_pieces(const char *text, gsize length)
 {
@@ -99,7 +99,8 @@
     g_byte_array_append(out, (const guint8 *)text + step->literal, (guint)step->length);
 }
 
-/* Adds a piece of the second text that is found at `found` in the first (NULL: it is not). */
+/* Appends a piece of the second text. `found` is the same piece in the first text; NULL: there is
+ * none. */
 static void
 add_piece(GByteArray *out, step_t *step, const part_t *piece, const part_t *found, const char *text)
 {
@@ -144,7 +145,8 @@
     return ntohl(ordered);
 }
 
-/* Carries out the step at `data`, with `left` bytes from there on. Its size; 0 if it is broken. */
+/* Applies the step at `data`, of which `left` bytes remain.
+ * @return its size; 0 if it is malformed. */
 static gsize
 apply_step(const guint8 *data, gsize left, GBytes *from, GByteArray *out)
 {
@@ -180,8 +182,8 @@
     }
     GBytes *text = g_byte_array_free_to_bytes(out);
     if (size == 0 || delta_hash(text) != hash) {
-        g_set_error(error, SW_ERROR, ERROR_KIND_BAD_REQUEST, "a difference is broken: %s",
-                    size == 0 ? "a step" : "another text");
+        g_set_error(error, SW_ERROR, ERROR_KIND_BAD_REQUEST, "delta is corrupt: %s",
+                    size == 0 ? "malformed step" : "hash of the result differs");
         g_bytes_unref(text);
         return NULL;
     }
