--- a/src/pooler/control/fleet.c
+++ b/src/pooler/control/fleet.c
@@ -5,28 +5,29 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* With fewer connections to a database for each pooler's worker than this, groups get owners. */
+/* If each worker of each pooler would get fewer connections to a database than this, the group gets
+ * owners. */
 #define DIRECT_MIN 4
 
-/* Connections to a database that an owner should have at least. */
+/* Number of connections to a database that an owner should have at least. */
 #define OWNER_CONNECTIONS 5
 #define OWNERS_MIN        2
 #define OWNERS_MAX        10
 
-/* Left for the coordinator's own and for connections that a lost pooler's database still counts.
+/* Reserved for the coordinator and for connections of a lost pooler that the database still counts.
  */
 #define CONNECTIONS_SPARE 3
 
-/* An owner in a database's zone has so many times the connections of one in another zone: three
- * owners of nine have 30 of 36 connections in use. Measured with 83 machines, 84 tenants and 53
- * connections: 8 served 0.008 of worth more than 4 (docs/design/tenants.md). */
+/* An owner in a database's zone gets this many times the connections of one in another zone: three
+ * owners of nine have 30 of 36 connections in use. With 83 machines, 84 tenants and 53 connections,
+ * 8 scored 0.008 higher than 4 (docs/design/tenants.md). */
 #define SAME_ZONE_PARTS 8
 
-/* Changes that are remembered, to see whether a group is concerned by them. With more, its owners
- * are worked out anew. */
+/* Number of recorded changes, by which a group's owners are checked. After more changes they are
+ * computed again. */
 #define CHANGES_KEPT 64
 
-/* A member's place in the order of one group. */
+/* A member and its score for one group. */
 typedef struct candidate {
     fleet_member_t *member;
     double score;
@@ -35,13 +36,13 @@
 struct fleet {
     GHashTable *members; /* address -> fleet_member_t, owned */
     GPtrArray *active;   /* of fleet_member_t */
-    GPtrArray *zones;    /* interned names; their places are the members' zone_index */
-    GArray *zone_sizes;  /* guint, active members of each */
+    GPtrArray *zones;    /* interned names, by the members' zone_index */
+    GArray *zone_sizes;  /* of guint, number of active members of each zone */
     GHashTable *owners;  /* service -> fleet_owners_t, owned */
     fleet_member_t *changes[CHANGES_KEPT];
-    guint generation;   /* counts changes; the newest CHANGES_KEPT are known */
-    guint valid_from;   /* owners of an earlier generation are worked out anew */
-    uint64_t revisions; /* given so far */
+    guint generation;   /* number of changes; the last CHANGES_KEPT are recorded */
+    guint valid_from;   /* owners of an earlier generation are computed again */
+    uint64_t revisions; /* last revision that was assigned */
     uint64_t version;
     uint32_t counted;
     uint32_t max_workers;
@@ -150,7 +151,7 @@
     return fleet->zones->len - 1;
 }
 
-/* How many owners a group has depends on the zones with members. */
+/* The number of owners of each group depends on the number of zones with members. */
 static void
 count_in_zone(fleet_t *fleet, guint index, int change)
 {
@@ -286,7 +287,7 @@
     fleet->version = MAX(fleet->version, version);
 }
 
-/* The member's draw for a group, above 0 and below 1. */
+/* Pseudo-random number of the member for a group, above 0 and below 1. */
 static double
 member_draw(const fleet_member_t *member, uint64_t seed)
 {
@@ -294,7 +295,8 @@
     return ((double)(hash >> 11) + 0.5) / (double)(UINT64_C(1) << 53);
 }
 
-/* Weighted rendezvous hashing: the highest score wins, in proportion to the weights. */
+/* Weighted rendezvous hashing: the highest score wins, with probability proportional to the weight.
+ */
 static double
 draw_score(const fleet_member_t *member, double draw)
 {
@@ -307,8 +309,8 @@
     return draw_score(member, member_draw(member, seed));
 }
 
-/* Whether the score may reach this much, without the logarithm that it takes: -log(x) is at least
- * 1 - x. A pooler that starts ranks all members for all groups, and nearly none of them matters. */
+/* Whether the member's score may be this high, without computing the logarithm: -log(x) is at least
+ * 1 - x. A starting pooler ranks all members for all groups, and hardly any of them is chosen. */
 static bool
 may_exceed(const fleet_member_t *member, double draw, double score)
 {
@@ -324,7 +326,8 @@
     return strcmp(a->member->address, b->member->address) < 0;
 }
 
-/* Puts the candidate into its place among the best ones; what falls out is forgotten. */
+/* Inserts the candidate in order into the `most` best ones; the one that no longer fits is dropped.
+ */
 static void
 insert_ranked(candidate_t *best, guint *count, guint most, const candidate_t *candidate)
 {
@@ -352,7 +355,7 @@
     return count;
 }
 
-/* Alike in all zones, if there may be more owners than zones. */
+/* The same number in all zones, if there may be more owners than zones. */
 static guint
 count_owners(const fleet_t *fleet, uint32_t capacity)
 {
@@ -361,15 +364,16 @@
     return zones > 0 && count > zones ? count - count % zones : count;
 }
 
-/* The best members of each zone, and how many they are. */
+/* The best members of each zone and their number. */
 typedef struct ranking {
     guint zones;
-    guint depth; /* places for each zone */
+    guint depth; /* maximum number for each zone */
     candidate_t *best;
     guint *counts;
 } ranking_t;
 
-/* So many of each zone give `count` owners; more only where a zone has not as many. */
+/* The number of members of each zone that gives `count` owners; more only if some zone has fewer
+ * members than that. */
 static guint
 find_depth(const fleet_t *fleet, guint count)
 {
@@ -404,7 +408,7 @@
     }
 }
 
-/* Adds the zones' members of one rank, the best first. */
+/* Appends the members at one place of all zones' rankings, the best first. */
 static void
 add_rank(const ranking_t *ranking, guint place, guint count, GPtrArray *out)
 {
@@ -422,7 +426,7 @@
     g_free(row);
 }
 
-/* The best members of each zone first, then the second best of each, and so on. */
+/* The best member of each zone first, then the second best of each, and so on. */
 static void
 choose(const fleet_t *fleet, uint64_t seed, guint count, GPtrArray *out)
 {
@@ -436,7 +440,7 @@
     g_free(ranking.counts);
 }
 
-/* Kept, as each change of the fleet is compared with them. */
+/* Kept for affects_owners(). */
 static void
 note_scores(fleet_owners_t *owners)
 {
@@ -516,7 +520,7 @@
             return true;
         }
     }
-    /* Or its zone has fewer of the owners than the others. */
+    /* Also if its zone has fewer owners than the others. */
     return in_zone * count_zones(fleet) < owners->members->len ||
            owners->members->len < owners->target;
 }
@@ -570,7 +574,7 @@
         const fleet_member_t *member = g_ptr_array_index(owners->members, i);
         parts += member->zone == interned ? SAME_ZONE_PARTS : 1;
     }
-    /* One more is counted, as an owner that is gone may still hold some. */
+    /* One more owner is counted, as one that has left may still hold connections. */
     uint32_t capacity = usable_connections(owners->max_connections) / fleet->max_workers;
     uint32_t share = capacity * (same_zone ? SAME_ZONE_PARTS : 1) / (parts + SAME_ZONE_PARTS);
     return MAX(share, 1);
