--- a/src/pooler/control/control_followers.c
+++ b/src/pooler/control/control_followers.c
@@ -1,16 +1,17 @@
 /**
  * @file
- * @brief Who follows the store beside the coordinator: a few poolers, chosen by it, named to all.
- * They can succeed it, and tell the others what the store holds while there is no coordinator.
+ * @brief Followers: a few poolers that read the store's changes beside the coordinator. The
+ * coordinator chooses them and announces them to all poolers. They can take over the lease, and
+ * they relay the store's rows to the other poolers while there is no coordinator.
  */
 #define G_LOG_DOMAIN "coordinator"
 #include "pooler/control/control_internal.h"
 
-/** Poolers that follow the store beside the coordinator, so that one of them can succeed it. */
+/** Number of followers. */
 #define FOLLOWERS 3
 
-/* One that follows the store, and that the store has not answered for so long, gives way to
- * another: three looks. In milliseconds. */
+/* A follower that the store has not answered for this many milliseconds is replaced. Three poll
+ * intervals. */
 #define FOLLOWER_FAILING_MS 2700
 
 static bool
@@ -19,9 +20,9 @@
     return pooler->followed_store && pooler->store_age_ms > FOLLOWER_FAILING_MS;
 }
 
-/* Those that the store answers, as far as they ask it. Then strong machines first, as a follower
- * becomes the coordinator, which hears all the others; among equals by hash, so that the same ones
- * are chosen each time. */
+/* Followers that the store does not answer come last. Then strong machines come first, as a
+ * follower may become the coordinator, which receives the heartbeats of all poolers. Equals are
+ * ordered by hash, so that the choice is stable. */
 static gint
 compare_candidates(gconstpointer a, gconstpointer b)
 {
@@ -50,7 +51,7 @@
     return false;
 }
 
-/* Those from which a follower may be chosen, in an order of their own. */
+/* The poolers that may become followers, best first. */
 static GPtrArray *
 list_candidates(const struct control *control)
 {
@@ -71,7 +72,7 @@
     return poolers;
 }
 
-/* Poolers that lose the coordinator ask the followers, so all are known_version who these are. */
+/* Updates the announced list: poolers that lose the coordinator connect to the followers. */
 static void
 update_followers(struct control *control, const GPtrArray *poolers)
 {
--- a/src/pooler/control/control_internal.h
+++ b/src/pooler/control/control_internal.h
@@ -533,8 +533,8 @@
 void control_news_clear(news_cache_t *cache);
 
 /* control_followers.c */
-/** @brief Fills in the followers' addresses, unless the receiver has version `told` already. */
-void control_followers_announce(const struct control *control, uint64_t told,
+/** @brief Fills in the followers' addresses, unless the receiver has `known_version` already. */
+void control_followers_announce(const struct control *control, uint64_t known_version,
                                 struct pooler_grant *grant);
 /** @brief Takes over the followers' addresses, if the grant has any. */
 void control_followers_take(struct control *control, const struct pooler_grant *grant);
