--- a/src/pooler/control/control_store.c
+++ b/src/pooler/control/control_store.c
@@ -1,5 +1,5 @@
-/* Follows the store's tables: the operators' configuration by a waiting watch, the databases'
- * directory by regular looks at what changed. */
+/* Follows the store's tables: the operators' configuration by a watch that waits in the store for
+ * the next change, the databases' directory by polling for changes. */
 #define G_LOG_DOMAIN "store"
 #include "pooler/control/control_internal.h"
 
@@ -8,32 +8,32 @@
 /* How long a watch for a new configuration waits in the store. */
 #define CONFIGURATION_WAIT_MS 1000
 
-/* Time between two looks at the directory. Changes of the primary come from the coordinator, and a
+/* Interval of polls of the directory. Changes of the primary come from the coordinator, and a
  * draining database may take work for seconds, so this need not be short. */
 #define DIRECTORY_POLL_NS (900 * MS)
 
-/* A directory that was certainly the newest within this is current. */
+/* A directory that was proven to be the newest within this time is current. */
 #define CURRENT_NS (2000 * MS)
 
-/* Of the store's reading calls, what poolers may use that nobody tells what it holds. A stated
- * choice: with the 16,000 calls a second of a fleet of 300, each looks once in 2 s at each table;
- * half of it would be over the bound below, twice of it costs twice the calls for news that come
- * 1 s sooner. */
+/* Share of the store's read calls that all poolers without relayed state may use together, at two
+ * tables each. With the 16,000 calls a second of a fleet of 300, each pooler polls each table once
+ * in 2 s. Half of the share would exceed the bound below; twice the share would cost twice the
+ * calls for changes that arrive 1 s sooner. */
 #define DIRECT_POLL_SHARE  0.01
 #define DIRECT_POLL_TABLES 2
 
-/* But each of them looks this often, as a share of the bound within which news must be in force:
- * three fifths of it may have passed while others were relied on, and a tenth is left for the call.
- */
+/* Each of them polls at least at this part of the time within which a change must be in force:
+ * three fifths of it may have passed under relayed state, and a tenth is left for the call. */
 #define DIRECT_POLL_BOUND_PART 0.3
 
-/* A pooler that last knew all so long ago may have missed several changes; rows from this size on
- * are not read twice. */
+/* A pooler whose table was last proven current this long ago may have missed several changes. If a
+ * row has at least LARGE_ROW bytes, it lists the table, rather than read several versions of the
+ * row. */
 #define BEHIND_NS (2000 * MS)
 #define LARGE_ROW ((gsize)32 * 1024)
 
-/* Time between two questions of a follower in reserve. Less than the silence after which another
- * one is chosen (FOLLOWER_FAILING_MS), with a question's own second. */
+/* Interval of polls of a standby follower. Less than the time after which it is replaced
+ * (FOLLOWER_FAILING_MS), with the second that a call may take. */
 #define STANDBY_POLL_NS (1500 * MS)
 
 #define RETRY_MIN_NS (150 * MS)
@@ -51,8 +51,8 @@
     }
 }
 
-/* Time between two looks at a table by which all poolers together would keep to their share of the
- * store's calls, if nobody told any of them anything. */
+/* Poll interval of a table at which all poolers together would keep to their share of the store's
+ * calls, if none of them had relayed state. */
 static time_ns
 shared_poll_interval(const struct control *control)
 {
@@ -61,7 +61,7 @@
     return (time_ns)(every_s * (double)NANOSECONDS_PER_SECOND);
 }
 
-/* The same within the bound on a configuration. */
+/* The same, bounded by the time within which a change must be in force. */
 static time_ns
 direct_poll_interval(const struct control *control)
 {
@@ -69,7 +69,8 @@
     return MIN(shared_poll_interval(control), (time_ns)(bound * DIRECT_POLL_BOUND_PART));
 }
 
-/* True if this pooler has to keep to such a share. A few poolers may ask as often as they like. */
+/* True if this pooler has to limit its calls to that share. With few poolers there is no need to.
+ */
 static bool
 must_limit_polling(const struct control *control)
 {
@@ -77,9 +78,9 @@
            shared_poll_interval(control) > DIRECTORY_POLL_NS;
 }
 
-/* True of a follower whose coordinator tells it what the store holds. It needed now and then, so
- * that it is known to reach the store, and as often as the coordinator once it is no longer told.
- */
+/* True of a follower that has recent relayed state from the coordinator. It polls at a longer
+ * interval, just often enough to show that it reaches the store, and as often as the coordinator
+ * once the relayed state is no longer recent. */
 static bool
 is_standby(const struct control *control, time_ns now)
 {
@@ -90,12 +91,12 @@
 control_feed_answered(struct feed *feed, time_ns now)
 {
     if (feed->failures > 0) {
-        g_message("The store answers again for table %d, after %u failures.", (int)feed->table,
+        g_message("The store answers again for table %d after %u failed calls.", (int)feed->table,
                   feed->failures);
     }
     feed->failures = 0;
     feed->missing =
-        false; /* until another pooler says so again: not read over and over meanwhile */
+        false; /* otherwise the table would be listed repeatedly until the next message */
     feed->last_answer_at = now;
     feed->next_at = feed->table == STORE_TABLE_DIRECTORY ? now + DIRECTORY_POLL_NS : now;
     feed->standby_until = 0;
@@ -106,7 +107,7 @@
     }
 }
 
-/* Doubles with each time in a row, spread by chance over its second half. */
+/* Exponential backoff; the second half of the delay is random. */
 static time_ns
 retry_delay(uint32_t times)
 {
@@ -118,30 +119,33 @@
 note_failure(struct feed *feed, enum store_outcome outcome, time_ns now)
 {
     if (feed->failures == 0) {
-        g_message("The store does not serve table %d: %s.", (int)feed->table,
+        g_message("A call at the store for table %d failed: %s.", (int)feed->table,
                   store_outcome_name(outcome));
     }
     feed->next_at = now + retry_delay(feed->failures);
     feed->failures++;
 }
 
-/* The table is read whole next: at once, but where its listing did not help the last time. What is
- * known stays known: a pooler that took it for nothing could not be told what came after it, and
- * was sent no rows by others for as long as its connection lasted. */
+/* The store has no history since the known version: the next call lists the table. It is made at
+ * once, but with backoff if the last listing did not help. The known version stays: when it was
+ * reset, other poolers could not send the changes after it, and the pooler received no rows for as
+ * long as its connection lasted. */
 static void
 note_history_gone(struct feed *feed, time_ns now)
 {
     if (!control_era_is_over(feed->control, feed->version)) {
-        g_message("The store has forgotten the changes of table %d; it is read whole.",
-                  (int)feed->table);
+        g_message(
+            "The store has no history since the known version of table %d; listing the table.",
+            (int)feed->table);
     }
     feed->history_gone = true;
     feed->next_at = feed->history_failures == 0 ? now : now + retry_delay(feed->history_failures);
     feed->history_failures++;
 }
 
-/* The call is over. An answer that was given before a restore of which this pooler has heard counts
- * as none. @return what became of the call. */
+/* Ends the call in progress. An answer from before a restore of the store that this pooler knows of
+ * counts as none.
+ * @return the outcome of the call. */
 static enum store_outcome
 end_call(struct feed *feed, const struct store_answer *answer)
 {
@@ -174,7 +178,7 @@
     control_wake_soon(feed->control);
 }
 
-/* A watch waits in the store: its answer is as of the moment that the store's clock tells. */
+/* A watch waits in the store, so its answer is as of the store's clock reading in it. */
 static void
 note_proof(struct feed *feed, const struct store_answer *answer, time_ns now)
 {
@@ -204,9 +208,9 @@
     control_wake_soon(feed->control);
 }
 
-/* Changes are told one by one, each with its whole row. Where several may have been missed and a
- * row is large, the table as it stands is less: a pooler that was behind by four configurations of
- * 200 KB read them all, over a link of 2 Mbit/s. */
+/* Changes are sent one by one, each with its complete row. If several may have been missed and a
+ * row is large, a listing of the table is smaller: a pooler that was behind by four configurations
+ * of 200 KB read them all over a link of 2 Mbit/s. */
 bool
 control_feed_needs_listing(const struct feed *feed, time_ns now)
 {
@@ -255,8 +259,9 @@
     store_watch(control->store, feed->table, feed->version, wait_ms, on_changes, feed);
 }
 
-/* Databases record themselves each heartbeat. A store that was down may have dropped their records:
- * after a start, those that live show within some heartbeats of a store that answers. */
+/* Databases renew their records at each heartbeat. A store that was down may have dropped records,
+ * so after a start the directory counts as complete only some heartbeats after the store answers.
+ */
 static void
 settle_directory(struct control *control, time_ns now)
 {
@@ -273,12 +278,12 @@
         control->directory_known_since = now;
     } else if (now > control->directory_known_since + wait) {
         control->directory_settled = true;
-        g_message("The directory is known: %u databases.",
+        g_message("The directory is complete: %u databases.",
                   g_hash_table_size(control->directory.entries));
     }
 }
 
-/* Whom this pooler believes about the store from now on, and what it knows at this moment. */
+/* Logs whether relayed state or own reads are used from now on, and what is known at this time. */
 static void
 log_relayed(const struct control *control, bool relayed, time_ns now)
 {
@@ -290,13 +295,13 @@
     g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_INFO, "SW_CONFIGURATION", configuration,
                      "SW_KNOWN_TO", known_to, "SW_AGE_MS", age, "SW_TELLER",
                      control->coordinator_address == NULL ? "" : control->coordinator_address,
-                     "MESSAGE", "%s; configuration %s, certain %s ms ago.",
-                     relayed ? "Relies on others for the store's rows" : "Asks the store by itself",
+                     "MESSAGE", "%s; configuration %s, proven current %s ms ago.",
+                     relayed ? "Using rows relayed by other poolers" : "Reading the store directly",
                      configuration, age);
 }
 
-/* Once nobody tells this pooler what the store holds, it needed by itself, and so may hundreds of
- * others: not all at once. */
+/* When relayed state expires, this pooler reads the store itself. Hundreds of others may do so at
+ * the same time, so the first call is delayed by a random time. */
 static void
 note_relayed(struct control *control, time_ns now)
 {
@@ -312,7 +317,8 @@
     gint32 spread = (gint32)(direct_poll_interval(control) / MS);
     for (int table = 0; table < STORE_TABLE_CONTROL; table++) {
         struct feed *feed = &control->feeds[table];
-        if (feed->version != 0) { /* else it has just started, and can't serve before */
+        if (feed->version !=
+            0) { /* otherwise it has just started and can't serve without the table */
             feed->next_at = now + (time_ns)g_random_int_range(0, spread) * MS;
         }
     }
