--- a/src/pooler/control/control_rows.c
+++ b/src/pooler/control/control_rows.c
@@ -1,22 +1,22 @@
 /**
  * @file
- * @brief What is known here of the store's rows, from the store itself or from another pooler.
+ * @brief The rows of the store as known here, from the store itself or from another pooler.
  *
- * Every row is kept as it was last seen, so that it can be passed on; what it says is taken over by
- * the configuration in force and by the directory. Belongs to the control thread.
+ * Every row is kept as last seen, so that it can be relayed. Its content is taken over into the
+ * configuration in force and into the directory. Belongs to the control thread.
  */
 #define G_LOG_DOMAIN "store"
 #include "pooler/control/control_internal.h"
 
 #include <inttypes.h>
 
-/* Rows from this size on are told by their difference, in bytes: below, the whole is less than a
- * packet or two. */
+/* Rows of at least this many bytes are relayed as deltas; a smaller row fits into one or two
+ * packets. */
 #define DELTA_FROM_SIZE ((gsize)4096)
 
-/* So many earlier values are kept for that: a pooler confirms rows with each heartbeat, 250 ms, and
- * a storm of configurations brings some 12 a second. Each is memory, 600 KB where there are 1,000
- * groups. */
+/* Earlier values kept to compute deltas. A pooler confirms rows with each heartbeat, every 250 ms,
+ * and a burst of configurations brings about 12 a second. Each value takes memory, 600 KB with
+ * 1,000 groups. */
 #define PAST_VALUES 4
 
 static void
@@ -59,7 +59,7 @@
     g_autoptr(GError) error = NULL;
     struct configuration *configuration = configuration_decode(text, length, &error);
     if (configuration == NULL) {
-        g_warning("A configuration can't be read: %s.", error->message);
+        g_warning("Configuration could not be decoded: %s.", error->message);
         control->configuration_unread = true;
         return;
     }
@@ -78,8 +78,8 @@
     control->view_dirty = true;
 }
 
-/* The database that the record names; NULL if it can't be used. Others than databases may write
- * records, too: such a one counts as none, also where it replaces a good one. */
+/* Decodes a database's record; NULL if it is unusable. Clients other than databases may write
+ * records, too: an unusable one counts as no record, even if it replaces a usable one. */
 static struct directory_entry *
 read_record(struct control *control, const char *id, uint64_t version, GBytes *value)
 {
@@ -92,7 +92,7 @@
         control->counts.records_unusable++;
         g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_WARNING, "SW_DATABASE", id, "SW_ROW", row,
                          "SW_ERROR", error->message, "MESSAGE",
-                         "The record of database %s names none to use: %s.", id, error->message);
+                         "Record of database %s is unusable: %s.", id, error->message);
     }
     return entry;
 }
@@ -102,12 +102,12 @@
 describe_change(const struct directory_entry *entry, GBytes *value)
 {
     if (value == NULL) {
-        return "is gone";
+        return "was deleted";
     }
     if (entry == NULL) {
-        return "can't be used";
+        return "is unusable";
     }
-    return entry->draining ? "says draining" : "changed";
+    return entry->draining ? "reports draining" : "changed";
 }
 
 static void
@@ -117,12 +117,12 @@
     const char *change = describe_change(entry, value);
     if (directory_take(&control->directory, id, version, entry, backend_now())) {
         g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_INFO, "SW_DATABASE", id, "MESSAGE",
-                         "Database %s: its record %s.", id, change);
+                         "Database %s: record %s.", id, change);
         control->view_dirty = true;
     }
 }
 
-/* Takes the earlier values over from the row as it was known before. */
+/* Moves the earlier values from `before`, the previous version of the row, to `row`. */
 static void
 keep_past_values(struct known_row *row, struct known_row *before)
 {
@@ -131,7 +131,7 @@
         return;
     }
     for (GList *link = before->past.head; link != NULL; link = link->next) {
-        past_value_t *past = link->data; /* its difference was to a value that is no longer told */
+        past_value_t *past = link->data; /* the delta leads to a value that is no longer current */
         g_clear_pointer(&past->delta, g_bytes_unref);
         g_clear_pointer(&past->compressed, g_bytes_unref);
     }
@@ -164,8 +164,8 @@
     g_hash_table_replace(feed->rows, row->key, row);
 }
 
-/* True if the row is known from an earlier era, and newer than the store's copy: it counts as the
- * copy's from now on. */
+/* If the known row is of an earlier era and newer than the copy in the restored store, keeps its
+ * value under the copy's version and returns true. */
 static bool
 keep_row(struct feed *feed, const struct known_row *known, uint64_t version, GBytes *value)
 {
@@ -182,7 +182,7 @@
         directory_confirm(&control->directory, key, version);
     }
     g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_INFO, "SW_ROW", row, "SW_KEY", key, "MESSAGE",
-                     "The restored store has row %s as it was earlier; what is known is kept.",
+                     "The restored store has an earlier value of row %s; keeping the known one.",
                      key);
     return true;
 }
@@ -192,14 +192,14 @@
 {
     if (evacuations_take(&control->evacuations, zone, evacuated, backend_now())) {
         g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_MESSAGE, "SW_ZONE", zone, "MESSAGE",
-                         evacuated ? "Zone %s is evacuated: its databases get no work."
-                                   : "Zone %s is taken back.",
+                         evacuated ? "Zone %s is evacuated: its databases get no new work."
+                                   : "Evacuation of zone %s has ended.",
                          zone);
         control->view_dirty = true;
     }
 }
 
-/* What an operator has written. */
+/* Takes over a row that operators write. */
 static void
 take_operator_row(struct control *control, const char *key, GBytes *value)
 {
@@ -217,7 +217,8 @@
 {
     struct feed *feed = &control->feeds[table];
     const struct known_row *known = g_hash_table_lookup(feed->rows, key);
-    bool over = store_era(version) < store_era(feed->version); /* the store may hold it no more */
+    bool over =
+        store_era(version) < store_era(feed->version); /* the row may no longer be in the store */
     if (over || (known != NULL && known->version >= version)) {
         return;
     }
@@ -235,9 +236,9 @@
     }
 }
 
-/* The version that a row of an answer is known by. One that was taken for gone and turns up in a
- * listing, below what all were told of the table, is news as of the listing: passed on by its own
- * version, it would reach nobody. */
+/* The version under which a row of an answer is recorded. A row that was taken as deleted and is in
+ * a listing, with a version below the table's known one, gets the version of the listing: poolers
+ * have confirmed the table beyond the row's own version, so that it would be relayed to none. */
 static uint64_t
 version_of(const struct feed *feed, const struct store_row *row, const struct store_answer *answer)
 {
@@ -256,7 +257,7 @@
     }
 }
 
-/* Takes the known rows below a version for gone, but for those of these keys. */
+/* Takes all known rows with a version below `below` as deleted, except those in `present`. */
 static void
 drop_below(struct feed *feed, uint64_t below, GHashTable *present, uint64_t version)
 {
