--- a/src/pooler/control/control_relay.c
+++ b/src/pooler/control/control_relay.c
@@ -1,14 +1,14 @@
 /**
  * @file
- * @brief Passes rows of the store from pooler to pooler.
+ * @brief The relay: passes rows of the store from pooler to pooler.
  *
- * Each call at the store has its price, so only the coordinator and a few others follow its tables.
- * The coordinator tells all the rest what changed, as it learns of it. Who hears no coordinator, or
- * one that the store does not answer, follows the store by itself.
+ * Calls at the store are limited, so only the coordinator and a few followers read its tables. The
+ * coordinator sends changes to all other poolers as it learns of them. A pooler that has no
+ * coordinator, or one that the store does not answer, reads the store itself.
  *
- * A relay names, for each table, the version above which it holds all changes (its base) and the
- * version up to which it holds them. The receiver knows the table up to that version afterwards if
- * it knew it up to the base before.
+ * A relay message names two versions for each table: it contains all changes above the first (the
+ * base) and up to the second. A receiver that knew the table up to the base knows it up to the
+ * second version afterwards.
  */
 #define G_LOG_DOMAIN "relay"
 #include "pooler/control/control_internal.h"
@@ -19,35 +19,35 @@
 
 #include <inttypes.h>
 
-/** More than this is read at the store by those who need it: bytes between zones cost more, and a
- *  coordinator that sends each of 300 poolers half a megabyte has its link full for ten seconds,
- *  in which nobody gets a permit. In bytes of all rows of a table in one message. */
+/** Largest sum of row bytes of one table in a message. Receivers read more than this at the store:
+ * traffic between zones is expensive, and a coordinator that sends half a megabyte to each of 300
+ * poolers has its link full for ten seconds, in which no pooler gets a permit. */
 #define RELAYED_MAX ((gsize)24 * 1024)
 
-/** Of its link, a pooler gives so much to rows for others, in bursts of so many seconds of it:
- *  permits and statements go beside them. */
+/** Share of its link that a pooler uses for rows to others, and the length of a burst in seconds.
+ * The rest is for permits and statements. */
 #define ROWS_LINK_SHARE 0.5
 #define ROWS_BURST_S    0.1
 
-/** Rows that wait for the link so long are read at the store: a quarter of the shortest bound
- * within which a configuration must be in force on fleets of that size, 6 s. */
+/** Rows that have waited this long for the link are left for the receiver to read at the store: a
+ * quarter of 6 s, the shortest bound within which a configuration must be in force on fleets of
+ * such size. */
 #define ROWS_WAIT_NS (1500 * MS)
 
-/** Rows that a pooler has not confirmed for so long are worth a line: eight heartbeats. */
+/** Rows that a pooler has not confirmed for this long are logged: eight heartbeats. */
 #define UNCONFIRMED_LONG_NS (2000 * MS)
 
-/** More is not offered to a coordinator, which asks the store itself: all poolers that know more
- * than a new coordinator offer it at once. */
+/** Largest sum of row bytes of one table that is offered to a coordinator. All poolers that know
+ * more than a new coordinator send their offers at once, and it reads the store itself. */
 #define OFFERED_MAX ((gsize)4 * 1024)
 
-/** What a pooler knows better than the coordinator is told again after so long, if that does not
- *  confirm it. */
+/** An offer that the coordinator has not confirmed is repeated after this time. */
 #define OFFER_AGAIN_NS (2000 * MS)
 
-/** To one that the store does not answer, more is passed on all the same. */
+/** Limit in place of RELAYED_MAX for a receiver that the store does not answer. */
 #define RELAYED_MAX_NO_STORE ((gsize)4 * 1024 * 1024)
 
-/* Room for one more row; doubles, as max_bytes messages carry none. */
+/* Appends a row. The capacity doubles, from 0, as most messages contain no rows. */
 static struct pooler_row *
 append_row(struct pooler_relay *relay)
 {
@@ -59,14 +59,14 @@
     return &relay->rows[count];
 }
 
-/* What travels of a row. */
+/* The encoding in which a row is sent. */
 typedef struct content {
-    GBytes *bytes;             /* not owned; NULL: the row is gone */
-    gsize uncompressed_length; /* length before it was compressed; 0: it is not */
-    uint64_t delta_base;       /* it is the difference from this version; 0: it is whole */
+    GBytes *bytes;             /* not owned; NULL: the row is deleted */
+    gsize uncompressed_length; /* length before compression; 0: not compressed */
+    uint64_t delta_base;       /* version that the delta applies to; 0: a complete value */
 } content_t;
 
-/* The whole value: compressed once, for all receivers. */
+/* The complete value, compressed once for all receivers. */
 static content_t
 full_content(struct known_row *known)
 {
@@ -83,8 +83,8 @@
                        .uncompressed_length = g_bytes_get_size(known->value)};
 }
 
-/* The newest value that a receiver has who knows the table up to `base`; NULL if it is not known
- * here any more. */
+/* The newest value of a receiver that knows the table up to `base`; NULL if it is no longer kept
+ * here. */
 static past_value_t *
 find_past_value(struct known_row *known, uint64_t base)
 {
@@ -97,7 +97,7 @@
     return NULL;
 }
 
-/* The difference: made once for all receivers that have the same value. */
+/* The delta, computed once for all receivers that have the same value. */
 static content_t
 delta_content(struct known_row *known, past_value_t *past)
 {
@@ -145,8 +145,8 @@
     }
 }
 
-/* Adds the table's changes above the base. False if they are too large, so that the table is not
- * told any further than the base. */
+/* Appends the table's changes above the base. If they exceed `max_bytes`, appends none and returns
+ * false. */
 static bool
 add_changes(const struct feed *feed, uint64_t base, gsize max_bytes, bool deltas,
             struct pooler_relay *relay)
@@ -182,7 +182,7 @@
         return base;
     }
     if (feed->changed_version <= base) {
-        return feed->version; /* the store's version rises with every table's changes */
+        return feed->version; /* the store's version also rises with changes of other tables */
     }
     if (add_changes(feed, base, max_bytes, deltas, relay)) {
         return feed->version;
@@ -191,12 +191,13 @@
     return base;
 }
 
-/* How long ago what the receiver knows after this message was the newest; 0: it lacks something
- * that is known here, it is not known how old that is, or it knows the table in another era. */
+/* Age of what the receiver knows after this message; 0: it is still missing rows that are known
+ * here, the age is unknown, or the receiver knows the table in another era. */
 static uint32_t
-age_to_report(const struct feed *feed, uint64_t told, time_ns now)
+age_to_report(const struct feed *feed, uint64_t version, time_ns now)
 {
-    bool comparable = feed->changed_version <= told && store_era(told) == store_era(feed->version);
+    bool comparable =
+        feed->changed_version <= version && store_era(version) == store_era(feed->version);
     return comparable ? evidence_age_ms(feed->as_of, now) : 0;
 }
 
@@ -255,7 +256,7 @@
     fill_within(control, &to->known, max_bytes, to->takes_deltas, now, relay);
 }
 
-/* Rows that are gone say nothing to who knows none. */
+/* Deleted rows are left out, as the receiver has no rows. */
 static void
 add_table(const struct feed *feed, struct pooler_relay *relay)
 {
@@ -294,7 +295,8 @@
     pooler->known.directory = MAX(pooler->known.directory, relay->directory_row);
 }
 
-/* How many bytes of rows may go out now. */
+/* Refills the token bucket of rows.
+ * @return the bytes of rows that may be sent now. */
 static double
 refill_row_budget(struct control *control, time_ns now)
 {
@@ -326,7 +328,8 @@
     }
 }
 
-/* Rows that have waited too long for the link are left to the store. */
+/* Rows that have waited too long for the link are reported as incomplete, so that the receiver
+ * reads them at the store. */
 static void
 wait_for_link(const struct control *control, struct pooler_peer *pooler, time_ns now,
               struct pooler_relay *relay)
@@ -346,7 +349,7 @@
     relay->directory_incomplete = late && here.directory > pooler->known.directory;
 }
 
-/* Once for each time that rows stay unconfirmed for long. */
+/* Logs once per period in which rows stay unconfirmed for long. */
 static void
 note_unconfirmed(struct pooler_peer *pooler, time_ns now)
 {
@@ -361,7 +364,7 @@
     g_autofree char *confirmed = g_strdup_printf("%" PRIu64, pooler->confirmed.configuration);
     g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_INFO, "SW_POOLER", pooler->name, "SW_SENT_TO", sent,
                      "SW_CONFIRMED_TO", confirmed, "MESSAGE",
-                     "Pooler %s has not confirmed the rows up to %s: it knows them up to %s.",
+                     "Pooler %s has not confirmed rows up to version %s; confirmed up to %s.",
                      pooler->name, sent, confirmed);
 }
 
@@ -409,9 +412,10 @@
     g_hash_table_replace(control->listeners, peer, noted);
 }
 
-/* Tells the versions known here also of tables whose rows were too large to offer; who lacks those
- * rows reads them at the store. Without this, the coordinator would keep telling this pooler that
- * more is known than fits a message, and it would read the whole table at the store each time. */
+/* Fills in the versions known here also for tables whose rows were too large to offer; a
+ * coordinator that is missing those rows reads them at the store. Without this, the coordinator
+ * would keep reporting incomplete rows to this pooler, and the pooler would list the whole table at
+ * the store each time. */
 static void
 confirm_unoffered(const struct control *control, time_ns now, struct pooler_relay *relay)
 {
@@ -441,39 +445,40 @@
     }
 }
 
-/* The value by its difference from the one that is known here. */
+/* Applies a delta to the value known here. */
 static GBytes *
 value_by_delta(const struct feed *feed, const struct pooler_row *row, GBytes *delta, GError **error)
 {
     const struct known_row *known = g_hash_table_lookup(feed->rows, row->key);
     if (known == NULL || known->value == NULL || known->version != row->delta_base) {
         g_set_error(error, SW_ERROR, ERROR_KIND_BAD_REQUEST,
-                    "its difference is from version %" PRIu64 ", here is %" PRIu64, row->delta_base,
+                    "delta from version %" PRIu64 ", known version is %" PRIu64, row->delta_base,
                     known == NULL ? 0 : known->version);
         return NULL;
     }
     return delta_apply(known->value, delta, row->hash, error);
 }
 
-/* The value as it lies in the store; NULL if it is gone, or with `error`. */
+/* The row's value, decompressed and with its delta applied; NULL if the row is deleted, or with
+ * `error`. */
 static GBytes *
-value_of(const struct feed *feed, const struct pooler_row *row, GError **error)
+decode_value(const struct feed *feed, const struct pooler_row *row, GError **error)
 {
     if (row->gone) {
         return NULL;
     }
-    g_autoptr(GBytes) told =
+    g_autoptr(GBytes) content =
         row->unpacked_length == 0
             ? g_bytes_new(row->value, row->value_length)
             : compression_decompress(row->value, row->value_length, row->unpacked_length, error);
-    if (told == NULL || row->delta_base == 0) {
-        return g_steal_pointer(&told);
+    if (content == NULL || row->delta_base == 0) {
+        return g_steal_pointer(&content);
     }
-    return value_by_delta(feed, row, told, error);
+    return value_by_delta(feed, row, content, error);
 }
 
-/* True if the row is known here as it was told, or newer: it comes again where an answer of the
- * store was quicker. */
+/* True if the row is known here in this version or a newer one, because the store's answer was
+ * faster. */
 static bool
 is_known(const struct feed *feed, const struct pooler_row *row)
 {
@@ -481,7 +486,8 @@
     return known != NULL && known->version >= row->version;
 }
 
-/* False if a row can't be read: the tables are not known up to the sender's versions then, and its
+/* Takes over the rows.
+ * @return false if one can't be read. The tables' versions are not taken over then, and the row's
  * table is read at the store. */
 static bool
 take_rows(struct control *control, const struct pooler_relay *relay)
@@ -494,9 +500,9 @@
         if (row->table >= STORE_TABLE_CONTROL || is_known(feed, row)) {
             continue;
         }
-        g_autoptr(GBytes) value = value_of(feed, row, &error);
+        g_autoptr(GBytes) value = decode_value(feed, row, &error);
         if (error != NULL) {
-            g_warning("Row %s from another pooler can't be read: %s.", row->key, error->message);
+            g_warning("Relayed row %s could not be decoded: %s.", row->key, error->message);
             feed->missing = true;
             complete = false;
             continue;
@@ -514,7 +520,7 @@
             control_rows_drop_earlier(feed, version);
         }
         feed->version = version;
-        feed->history_gone = false; /* the store may tell what comes after this */
+        feed->history_gone = false; /* the store may have the history after this version */
     }
 }
 
