--- a/src/pooler/control/control_relayed.c
+++ b/src/pooler/control/control_relayed.c
@@ -1,36 +1,39 @@
 /**
  * @file
- * @brief How far a pooler relies on what others tell it of the store, and when it needed by itself.
+ * @brief Validity of relayed state: how long a pooler uses rows that others sent in place of
+ * reading the store itself.
  *
- * What another pooler reported is as old as it was there, plus the way: it counts from when it was
- * asked for, and only if everything is here that the teller knew. So an age can be passed on from
- * pooler to pooler, late or through a process that stood still, and never makes anything look newer
- * than it is.
+ * Relayed rows are as old as they were at the sender, plus the round trip: their age counts from
+ * the time at which the request for them was sent. It counts only if everything that the sender
+ * knows is known here, too. So ages can be passed on from pooler to pooler: a late message, or a
+ * process that was stopped for a while, never makes rows look newer than they are.
  */
 #define G_LOG_DOMAIN "reliance"
 #include "pooler/control/control_internal.h"
 
-/** What others reported is relied on for so long after the moment at which it was certainly the
- * store's newest, as a share of the bound within which a configuration must be in force. Then this
- * pooler needed by itself, which takes up to three tenths more where many do
- * (DIRECT_POLL_BOUND_PART). At half of it a pooler would ask beside a healthy coordinator, which
- * tells what is up to 1.3 s old: its own look at the store, 1 s, and a heartbeat's interval. */
+/** Relayed state is valid for this part of the time within which a configuration must be in force,
+ * from the time at which it was proven to be the store's newest. Then this pooler reads the store
+ * itself, which may take up to three tenths more if many poolers do (DIRECT_POLL_BOUND_PART). With
+ * half, a pooler would read the store although its coordinator is healthy, as a healthy
+ * coordinator's rows are up to 1.3 s old: its own poll interval of the store, 1 s, and a
+ * heartbeat's interval. */
 #define RELAYED_VALID_PART 0.6
 
-/** While what others reported is newer than this, they follow the store and see to the lease:
- * the 1.3 s that it is old at most from a healthy teller, and one more message. */
+/** While relayed state is newer than this, its senders follow the store and watch the lease: the
+ * 1.3 s that rows of a healthy sender are old at most, and one more message. */
 #define LEASE_COVERED_NS (1500 * MS)
 
-/** The store does not answer a pooler after so many failures in a row. */
+/** The store counts as not answering a pooler after this many consecutive failures. */
 #define STORE_FAILURES_MIN 2
 
-/** Once another pooler has answered, the store is left alone for so much longer, as the coordinator
- *  tells the rest: three rounds of messages, on machines that answer slowly. Only once, as the one
- *  that answered may know no coordinator either. */
+/** When another pooler has answered, the first call at the store waits this much longer, as the
+ * coordinator will send the tables: three round trips between slow machines. This happens only
+ * once, as the pooler that answered may have no coordinator either. */
 #define START_EXTENSION_NS (150 * MS)
 
-/* When what is known here was the newest, by what was reported; 0: that was of more than is here,
- * or of an earlier era, of which the store may have lost what is not known here. */
+/* When the rows known here were the store's newest, by the reported age; 0: the report is of more
+ * than is known here, or of another era, in which the store may have lost rows that are missing
+ * here. */
 static time_ns
 reported_moment(const struct feed *feed, uint64_t reported, uint32_t age_ms, time_ns asked)
 {
@@ -53,17 +56,17 @@
     return MIN(configuration_at, directory_at);
 }
 
-/* What the other side knows need not be reported to it with the next heartbeat. */
+/* The next heartbeats need not contain what the sender of this message has. */
 static void
 note_coordinator_rows(struct control *control, const struct pooler_relay *relay)
 {
-    row_versions_t known = control_relay_versions(control); /* less, if a row could not be read */
+    row_versions_t known = control_relay_versions(control); /* lower, if a row could not be read */
     control->coordinator_rows = (row_versions_t){MIN(relay->configuration_row, known.configuration),
                                                  MIN(relay->directory_row, known.directory)};
 }
 
-/* An incomplete answer means that rows are missing only if the sender knew this pooler's version:
- * if more is known here than it assumed, its next answer tells. */
+/* An incomplete message means missing rows only if the sender knew this pooler's version. If it
+ * assumed a lower one, its next message will be right. */
 static void
 note_missing_of(struct feed *feed, uint64_t reported, bool incomplete)
 {
@@ -71,7 +74,8 @@
     feed->missing = lacks || (feed->missing && feed->version < reported);
 }
 
-/* What was too large to be reported, or could not be read, is asked for at the store. */
+/* Notes which tables must be read at the store, as their rows were too large to be sent or
+ * unreadable. */
 static void
 note_missing(struct control *control, const struct pooler_relay *relay)
 {
@@ -166,8 +170,8 @@
 control_relayed_start(struct control *control)
 {
     time_ns now = backend_now();
-    /* A live pooler answers within a few milliseconds, from another zone as well; after the loss of
-     * all nobody does, and each millisecond more is one without service. */
+    /* A live pooler answers within a few milliseconds, also from another zone. After the loss of
+     * all poolers none does, and each further millisecond of waiting is one without service. */
     gint32 longest = (gint32)control->settings->pooler.start_wait_ms;
     time_ns wait = (time_ns)g_random_int_range(longest / 2, longest) * MS;
     control->relayed_valid_until = is_configured_address(control) ? 0 : now + wait;
