--- a/src/pooler/control/control_news.c
+++ b/src/pooler/control/control_news.c
@@ -1,23 +1,24 @@
 /**
  * @file
- * @brief Who leads each group and who belongs to the fleet, as poolers are told it.
+ * @brief The coordinator's updates to poolers: the orders of the groups and the members of the
+ * fleet.
  *
- * A new coordinator tells every pooler all groups, and every new pooler all members. At 300 poolers
- * and 1,000 groups that is 20 MB from one link. What many poolers lack is the same for all of them:
- * it is put together and compressed once, and the same bytes go to each.
+ * A new coordinator sends all groups to every pooler, and all members to every new pooler. With 300
+ * poolers and 1,000 groups these are 20 MB from one link. Many poolers are missing the same: the
+ * message for them is built and compressed once, and all get the same bytes.
  */
 #define G_LOG_DOMAIN "coordinator"
 #include "pooler/control/control_internal.h"
 #include "pooler/control/compression.h"
 
-/* News that encode to fewer bytes are sent uncompressed. */
+/* Updates that encode to fewer bytes are sent uncompressed. */
 #define NEWS_COMPRESSION_MIN 1024
 
-/* Messages kept at most, one for each pair of versions that receivers know. In use are a few: most
- * receivers know the last push, or a state between two pushes. */
+/* Maximum number of cached messages, one for each pair of versions that receivers have. A few are
+ * in use, as most receivers have the versions of the last push or of a state between two pushes. */
 #define CACHE_MAX 32
 
-/* The message for receivers that know orders and fleet up to these versions. */
+/* The message for receivers that have these versions of orders and fleet. */
 typedef struct compressed_news {
     uint64_t orders_from;
     uint64_t fleet_from;
@@ -88,7 +89,7 @@
     }
 }
 
-/* Compresses the grant's groups and fleet, unless they are small. The grant keeps them. */
+/* Compresses the grant's groups and fleet, unless they are small. The grant keeps its own. */
 static compressed_news_t *
 compress_news(const struct pooler_grant *grant, uint64_t orders_from, uint64_t fleet_from)
 {
@@ -138,8 +139,8 @@
     pooler_fleet_init(&grant->fleet);
 }
 
-/* Puts the compressed message into the grant, in place of its groups and fleet. False if there is
- * none. */
+/* Replaces the grant's groups and fleet by the compressed message.
+ * @return false if there is none. */
 static bool
 use_compressed(const compressed_news_t *news, struct pooler_grant *grant)
 {
@@ -155,12 +156,14 @@
     return true;
 }
 
-/* Compresses what the grant tells, keeps that for others who lack the same, and uses it. */
+/* Compresses the grant's groups and fleet, caches the result for other receivers that have the same
+ * versions, and uses it. */
 static void
 cache_compressed(news_cache_t *cache, uint64_t orders_from, uint64_t fleet_from,
                  struct pooler_grant *grant)
 {
-    bool known = find_compressed(cache, orders_from, fleet_from) != NULL; /* and so is small */
+    bool known = find_compressed(cache, orders_from, fleet_from) !=
+                 NULL; /* cached without content, as it is small */
     if (!known && cache->entries->len < CACHE_MAX) {
         compressed_news_t *news = compress_news(grant, orders_from, fleet_from);
         g_ptr_array_add(cache->entries, news);
@@ -198,7 +201,7 @@
                                    struct pooler_grant *grant)
 {
     bool orders = heartbeat->orders_known < control->orders_known;
-    uint64_t orders_from = orders ? 0 : control->orders_known; /* all of them, or none */
+    uint64_t orders_from = orders ? 0 : control->orders_known; /* all orders, or none */
     uint64_t fleet_from = heartbeat->fleet_version;
     uint64_t fleet = control_fleet_version(control);
     grant->orders_version = orders ? control->orders_known : 0;
