--- a/src/pooler/control/control_mirrors.c
+++ b/src/pooler/control/control_mirrors.c
@@ -1,14 +1,14 @@
 /**
  * @file
- * @brief The control thread's part in mirrors (mirrors.h): the coordinator names them, a pooler
- * that lacks the store's tables asks one over a connection of its own, and a mirror sends its
- * tables as one compressed message, made once for all who send_request.
+ * @brief The control thread's part in mirrors (mirrors.h). The coordinator announces them, a pooler
+ * that is missing tables sends a request to one over a separate connection, and a mirror answers
+ * with its tables as one compressed message, built once for all receivers.
  *
- * A mirror that has nothing yet, or whose link is taken, gives a acknowledgement of life at once
- * and answers in the order of the requests. One that has nothing and that the store does not answer
- * declines, and asks another mirror itself. What it sends tells its age, as all rows do that
- * poolers pass on, and is relied on by that (control_relayed.c). A lost connection is a request
- * without an answer.
+ * A mirror that has no tables yet, or whose share of the link is used up, acknowledges the request
+ * at once and answers pending requests in order. A mirror that has no tables and that the store
+ * does not answer declines, and sends a request to another mirror itself. An answer contains the
+ * tables' ages, as all relayed rows do, and is valid accordingly (control_relayed.c). A lost
+ * connection counts as a failed request.
  */
 #define G_LOG_DOMAIN "mirrors"
 #include "pooler/control/control_internal.h"
@@ -18,7 +18,7 @@
 
 #include <inttypes.h>
 
-/** A pooler whose request waits. */
+/** A pending request. */
 typedef struct mirror_request {
     struct peer *peer;
     uint64_t sequence;
@@ -26,7 +26,7 @@
     bool takes_deltas;
 } mirror_request_t;
 
-/* ---- who the mirrors are ---- */
+/* ---- the list of mirrors ---- */
 
 static const GPtrArray *
 known_mirrors(const struct control *control)
@@ -51,7 +51,8 @@
     control->mirrors.known = mirrors;
 }
 
-/* Poolers that are connected and stay. The coordinator has enough to do. */
+/* Poolers that are connected and not stopping, without the coordinator itself, which has enough
+ * load. */
 static GArray *
 list_candidates(const struct control *control)
 {
@@ -91,7 +92,7 @@
         g_ptr_array_unref(chosen);
         return;
     }
-    g_info("%u poolers mirror the store's tables, before %u.", chosen->len,
+    g_info("%u poolers are mirrors of the store's tables, previously %u.", chosen->len,
            known_mirrors(control)->len);
     replace_known(control, chosen);
     control->mirrors.version++;
@@ -124,7 +125,7 @@
 control_mirrors_take(struct control *control, const struct pooler_mirror *mirrors, size_t count)
 {
     if (count == 0 || control->lease.held) {
-        return; /* not told, or chosen here */
+        return; /* not in the message, or chosen here */
     }
     GPtrArray *told = mirrors_new();
     for (size_t i = 0; i < count; i++) {
@@ -142,8 +143,8 @@
            control->feeds[STORE_TABLE_DIRECTORY].version != 0;
 }
 
-/* Changes beyond what the message of whole tables holds go beside it, until they are as large as a
- * message of changes may be. */
+/* Changes since the snapshot was built are sent beside it, until they exceed the size of a message
+ * of changes. Then the snapshot is built again. */
 static const table_snapshot_t *
 current_snapshot(struct control *control, time_ns now)
 {
@@ -167,15 +168,14 @@
     snapshot->through = control_relay_versions(control);
     snapshot->length = (uint32_t)g_bytes_get_size(content);
     snapshot->compressed = compression_compress(content);
-    if (snapshot->compressed ==
-        NULL) { /* a handful of rows: uncompressed_length, it is no larger */
+    if (snapshot->compressed == NULL) { /* a few rows, which are no smaller compressed */
         snapshot->compressed = g_bytes_ref(content);
         snapshot->length = 0;
     }
     return snapshot;
 }
 
-/* True of who knows nothing of a table. */
+/* True if no version of one of the tables is known. */
 static bool
 lacks_table(const row_versions_t *known)
 {
@@ -228,7 +228,7 @@
     pooler_grant_clear(&grant);
 }
 
-/* A acknowledgement of life; with `declines` the tables won't come from here. */
+/* Acknowledges a request. With `declines`, the tables will not be sent. */
 static void
 send_acknowledgement(struct control *control, const mirror_request_t *request, bool declines)
 {
@@ -240,7 +240,7 @@
     pooler_grant_clear(&grant);
 }
 
-/* True if the pooler that asks would be told anything. */
+/* True if there is anything to send to a pooler that has these versions. */
 static bool
 knows_more(const struct control *control, const row_versions_t *known)
 {
@@ -248,7 +248,7 @@
     return here.configuration > known->configuration || here.directory > known->directory;
 }
 
-/* The store does not tell the tables to this mirror, which has none. */
+/* True if this mirror has no tables and the store does not answer it. */
 static bool
 has_no_source(const struct control *control)
 {
@@ -325,9 +325,9 @@
     return control->mirrors.pending != NULL && control->mirrors.pending->len > 0;
 }
 
-/* ---- as a pooler that lacks the tables ---- */
+/* ---- as a pooler that is missing tables ---- */
 
-/* The open request is over; without an answer it has failed. */
+/* Ends the open request. `failed_at` is 0 if it did not fail. */
 static void
 end_request(struct control *control, time_ns failed_at)
 {
@@ -378,11 +378,12 @@
     g_autofree char *turn = g_strdup_printf("%u", mirrors->requests.sent);
     g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_INFO, "SW_MIRROR", mirrors->last_address, "SW_BYTES",
                      bytes, "SW_TOOK_MS", took, "SW_TURN", turn, "MESSAGE",
-                     "The store's tables come from %s: %s bytes, %s ms.", mirrors->last_address,
-                     bytes, took);
+                     "Received the store's tables from %s: %s bytes in %s ms.",
+                     mirrors->last_address, bytes, took);
 }
 
-/* False closes the connection: the request has its answer, or none that can be read. */
+/* Returns false, which closes the connection, after an answer, a refusal or an unreadable message.
+ */
 static bool
 on_frame(void *user, struct peer *peer, const uint8_t *data, size_t length)
 {
@@ -391,7 +392,7 @@
     struct pooler_grant grant = {0};
     g_autoptr(GError) error = NULL;
     if (!pooler_grant_decode(data, length, &grant, &error)) {
-        g_warning("A mirror's message can't be read: %s.", error->message);
+        g_warning("Message from a mirror could not be decoded: %s.", error->message);
         return false;
     }
     control_counts_grant(&control->counts, PEER_RECEIVED, PEER_BYTES_HEARSAY, &grant, length);
@@ -404,7 +405,7 @@
         log_taken(control, length, backend_now());
         control_publish(control);
     } else {
-        g_warning("A mirror's tables can't be read: %s.", error->message);
+        g_warning("Tables from a mirror could not be decoded: %s.", error->message);
     }
     pooler_grant_clear(&grant);
     control_wake_soon(control);
@@ -458,7 +459,8 @@
            control->feeds[STORE_TABLE_DIRECTORY].missing;
 }
 
-/* Somebody may name the mirrors: a coordinator, or the lease's row, which was not read yet. */
+/* True if the list of mirrors may still arrive from a coordinator, or from the lease's row, which
+ * was not read yet. */
 static bool
 may_learn_mirrors(const struct control *control)
 {
@@ -472,7 +474,8 @@
     row_versions_t here = control_relay_versions(control);
     bool starts = lacks_table(&here);
     bool mirror = is_mirror(control) && !has_no_source(control);
-    bool follows = control->follows_store && !starts; /* until then it is told sooner */
+    bool follows = control->follows_store &&
+                   !starts; /* a follower without tables gets them from a mirror sooner */
     return (mirror_inputs_t){
         .starts = starts,
         .bound = control->settings->store.apply_ms * MS,
@@ -483,13 +486,14 @@
     };
 }
 
-/* The store is read by this pooler after all; it is told once. */
+/* Logs once that the requests to mirrors have failed and the store is read. */
 static void
 log_fallback_to_store(const struct control *control)
 {
     if (control->mirrors.requests.sent > 0) {
-        g_message("None of %u requests to mirrors was answered by tables, the last to %s.",
-                  control->mirrors.requests.sent, control->mirrors.last_address);
+        g_message(
+            "No tables received after %u requests to mirrors, the last to %s; reading the store.",
+            control->mirrors.requests.sent, control->mirrors.last_address);
     }
 }
 
