--- a/src/pooler/control/control_fleet.c
+++ b/src/pooler/control/control_fleet.c
@@ -1,12 +1,13 @@
 /**
  * @file
- * @brief The control thread's part in the fleet: the coordinator decides who belongs to it, by the
- * poolers that it hears, and everybody passes the list on (fleet.h works the owners out of it).
+ * @brief The control thread's part in the fleet: the coordinator decides which poolers are members,
+ * by their heartbeats, and all poolers pass the list on (fleet.h computes the owners from it).
  *
- * Everybody keeps the newest list that it was told, so that the loss of a coordinator changes
- * nothing. A new coordinator goes on with what it was told as a pooler. Versions hold the lease's
- * token, so that they rise from one coordinator to the next; under another token the whole list is
- * told, as an earlier coordinator may have told changes that the new one never heard of.
+ * Every pooler keeps the newest list that it received, so that the loss of a coordinator changes
+ * nothing. A new coordinator continues with the list that it received as a pooler. Versions contain
+ * the lease's token, so that they rise from one coordinator to the next. After a change of token
+ * the complete list is sent, as an earlier coordinator may have announced changes that never
+ * reached the new one.
  */
 #define G_LOG_DOMAIN "fleet"
 #include "pooler/control/control_internal.h"
@@ -18,26 +19,27 @@
 
 #define DECIDE_INTERVAL_NS (250 * MS)
 
-/** A pooler that was not heard for this long owns nothing. */
+/** A pooler without a heartbeat for this long owns nothing. */
 #define OWNER_CONTACT_NS (1200 * MS)
 
-/** One that a new coordinator has never heard has so long to come. As long as a pooler is
- *  remembered. */
+/** A member that has never connected to a new coordinator is kept for this long. As long as the
+ * coordinator remembers a pooler. */
 #define UNSEEN_KEPT_NS (4000 * MS)
 
-/** Where more than one in so many are missing, they stay for so long: longer than the partitions
- * and losses of power that machines come back from (2 to 12 s were seen). */
+/** If more than one in MISSING_SHARE members are missing, they are kept for this long. Machines
+ * came back from partitions and power failures after 2 to 12 s. */
 #define MISSING_SHARE        4
 #define MANY_MISSING_KEPT_NS (15000 * MS)
 
-/** A new coordinator waits until it hears as many poolers as the one before, but no longer than
- *  this: a little where nothing is served without owners, longer where owners are at work, or all
- *  poolers can serve by themselves. */
+/** A new coordinator waits until as many poolers have connected as its predecessor had, but no
+ * longer than this: briefly if groups without owners can't be served, longer if they have owners or
+ * all poolers can serve them directly. */
 #define GATHER_IDLE_NS   (400 * MS)
 #define GATHER_SERVED_NS (1500 * MS)
 
-/** The share of each pooler grows only once the fleet has lost one in so many: a fleet that loses
- *  and regains a few does not move between connections of its own and owners' each time. */
+/** The number of poolers by which connections are divided falls only once the fleet has lost more
+ * than one in this many. Otherwise a fleet that loses and regains a few poolers would alternate
+ * between direct connections and owners. */
 #define COUNTED_SLACK 8
 
 const fleet_owners_t *
@@ -154,7 +156,7 @@
                    roster_member_t *out)
 {
     if (!parse_address(member->address, &out->socket_address)) {
-        g_warning("A pooler's address can't be read: %s.", member->address);
+        g_warning("Invalid pooler address: %s.", member->address);
     }
     out->address = g_strdup(member->address);
     out->weight = member->weight;
@@ -194,13 +196,14 @@
     return control->roster;
 }
 
-/** @brief What this coordinator knows of the poolers, by forward address. */
+/** @brief The poolers as this coordinator sees them, by forward address. */
 typedef struct contacts {
-    GHashTable *recent; /* lately */
-    GHashTable *ended;  /* stopping, or its process has ended */
-    GHashTable *known;  /* heard at any time under this coordinator, and remembered; address ->
+    GHashTable *recent; /* heartbeat within OWNER_CONTACT_NS */
+    GHashTable *ended;  /* stopping, or the process has ended */
+    GHashTable *known;  /* connected to this coordinator at any time and remembered; address ->
                            struct pooler_peer */
-    bool many_missing;  /* many are missing: neither heard nor known to have ended */
+    bool many_missing; /* many members are missing: no recent heartbeat, and not known to have ended
+                        */
 } contacts_t;
 
 static void
@@ -279,10 +282,10 @@
     }
 }
 
-/* Owners that are gone cost little, as forwarders pass over those that don't answer; a fleet that
- * shrinks to the few that a coordinator happens to hear is lost. So where many are missing, it is
- * taken for this coordinator that is slow or cut off, and who was never heard under it gets the
- * time to come. */
+/* An owner that has left costs little, as forwarding skips owners that don't respond; a fleet
+ * reduced to the few poolers that reach the coordinator cannot serve. So if many members are
+ * missing, the cause is assumed to be this coordinator, slow or partitioned, and they are kept. A
+ * member that has never connected to it gets time to do so. */
 static bool
 is_kept(const struct control *control, const contacts_t *contacts, const fleet_member_t *member,
         time_ns now)
@@ -313,7 +316,7 @@
     return left;
 }
 
-/* Since when the member's state is as it is, as far as this coordinator knows. */
+/* Since when the member has had its state, as far as this coordinator knows. */
 static time_ns
 settled_since(struct control *control, fleet_member_t *member, time_ns now)
 {
@@ -365,8 +368,8 @@
     return standing;
 }
 
-/* True if no other member counts shares any more that this one has taken over: all of them have
- * heard of the list in which it has them, or have stopped. */
+/* True if no other member still counts the shares that this member has taken over: all of them have
+ * confirmed the version of the list that names it, or have stopped. */
 static bool
 all_have_confirmed(struct control *control, const contacts_t *contacts,
                    const fleet_member_t *entering, time_ns now)
@@ -396,14 +399,14 @@
     bool heard = all_have_confirmed(control, contacts, member, now);
     bool starts = heard || roster_may_count(true, since, now);
     if (starts) {
-        g_info("The pooler at %s counts operations, %" PRIu64 " ms after it came%s.",
-               member->address, (now - since) / MS, heard ? ": all others know" : "");
+        g_info("The pooler at %s starts counting operations, %" PRIu64 " ms after it joined%s.",
+               member->address, (now - since) / MS, heard ? ": confirmed by all others" : "");
     }
     return starts;
 }
 
-/* Who is away for long loses its place in counting operations; who has had one for long enough that
- * whoever had it before has stopped, counts. */
+/* A member that has been absent for long loses its place in counting operations. A member that has
+ * entered starts to count once the previous holder of its shares is certain to have stopped. */
 static uint32_t
 settle_counting(struct control *control, const contacts_t *contacts, uint64_t version, time_ns now)
 {
@@ -424,7 +427,7 @@
     return changed;
 }
 
-/* Shares fall at once as the fleet grows, and grow only once it is certainly smaller. */
+/* Rises at once with the size of the fleet, and falls only if the fleet is clearly smaller. */
 static uint32_t
 count_damped(uint32_t counted, uint32_t size)
 {
@@ -448,8 +451,8 @@
     bool changed = joined + left + settled > 0 || counted != fleet_counted(control->fleet);
     fleet_set_counted(control->fleet, counted, version);
     if (changed) {
-        g_info("The fleet has %u poolers, counted as %u: %u have joined, %u have left.", size,
-               counted, joined, left);
+        g_info("The fleet has %u poolers, counted as %u: %u joined, %u left.", size, counted,
+               joined, left);
         control->view_dirty = true;
     }
     return changed;
