--- a/src/pooler/control/control_member.c
+++ b/src/pooler/control/control_member.c
@@ -1,6 +1,6 @@
-/* This pooler under a coordinator: sends heartbeats with what it sees, and obeys the orders and
- * permits that come back. A permit counts from the moment at which the heartbeat was sent that it
- * answers, so that it ends here before it ends at the coordinator. */
+/* This pooler under a coordinator: sends heartbeats with its reports, and follows the orders and
+ * permits in the grants that answer them. A permit counts from the time at which the answered
+ * heartbeat was sent, so that it expires here before it expires at the coordinator. */
 #define G_LOG_DOMAIN "member"
 #include "pooler/control/control_internal.h"
 
@@ -11,25 +11,25 @@
 
 #define HEARTBEAT_INTERVAL_NS (250 * MS)
 
-/* A coordinator that does not answer for this long is connected to anew. */
+/* A connection without a grant for this long is replaced. */
 #define GRANT_TIMEOUT_NS    (800 * MS)
 #define CONNECT_INTERVAL_NS (250 * MS)
 
-/* One that is not the coordinator, but tells what the store holds, is stayed with for this long: as
- * long as a lease lasts, after which another pooler leads. */
+/* A pooler that is not the coordinator, but relays the store's rows, is kept for this long: the
+ * duration of a lease, after which another pooler has become the coordinator. */
 #define NONAUTHORITATIVE_KEEP_NS (2200 * MS)
 
-/* A new connection without any answer for so long is tried anew: the first packet may have met a
- * machine that was still dark, and is sent again by the kernel only after a second. */
+/* A new connection without any answer for this long is replaced: its first packet may have been
+ * lost while the machine was down, and the kernel repeats it only after a second. */
 #define ANSWER_TIMEOUT_NS (300 * MS)
 
-/* A coordinator that came back at its old address is tried so often, as what is told of it may be
- * outdated: each try in vain costs ANSWER_TIMEOUT_NS without what another pooler tells. Without it
- * poolers stayed with others for up to 7 s after a restart of the coordinator, and what needs it
- * (permits, counting of operations) was gone. */
+/* Interval of attempts to connect to a coordinator that was restarted at its known address, as the
+ * report of it may be outdated: each attempt in vain costs ANSWER_TIMEOUT_NS without replies from
+ * another pooler. Without these attempts, poolers stayed with others for up to 7 s after a restart
+ * of the coordinator, without permits and without counting of operations. */
 #define REDIRECT_INTERVAL_NS (1000 * MS)
 
-/* Wait before a pooler that is not the coordinator yet is asked again. */
+/* Delay of the next heartbeat to a pooler that is not the coordinator yet. */
 #define NOT_READY_RETRY_NS  (40 * MS)
 #define NOT_READY_WINDOW_NS (200 * MS)
 
@@ -43,7 +43,7 @@
     return epoch;
 }
 
-/* True if all workers follow the view of this number. */
+/* True if all workers use the view of this number or a later one. */
 static bool
 is_applied(const struct control *control, uint64_t view_number)
 {
@@ -106,8 +106,9 @@
     }
 }
 
-/* True if the coordinator does not know this of the group. Notes it as told. Without a report all
- * is well, and nothing is under way: most poolers have nothing to tell of most groups. */
+/* True if the report differs from what the coordinator has of the group; records the report as
+ * sent. No report means no fault and nothing in flight, which is the case for most poolers and
+ * groups. */
 static bool
 has_changed(struct group_state *group, const struct pooler_group_report *report)
 {
@@ -117,7 +118,7 @@
     return now.in_flight != before.in_flight || now.faults > 0 || before.faults > 0;
 }
 
-/* Another coordinator, or another connection to it, knows nothing yet. */
+/* A different coordinator, or a new connection to the same one, has no reports yet. */
 static void
 clear_reported(struct control *control)
 {
@@ -135,7 +136,7 @@
     return (uint32_t)(control->settings->pooler.cpu_share * control->workers_count * 1000);
 }
 
-/* What does not change while a connection lasts. */
+/* The fields that do not change while a connection lasts. */
 static void
 fill_introduction(const struct control *control, struct pooler_heartbeat *out)
 {
@@ -148,7 +149,8 @@
     out->millicores = control_millicores(control);
 }
 
-/* True if there is nothing to tell of the group, nor was last time. So it is with nearly all. */
+/* True if there is nothing to report of the group and nothing was reported last time, as for nearly
+ * all groups. */
 static bool
 has_nothing_to_report(const struct control *control, const struct group_state *group)
 {
@@ -174,7 +176,8 @@
     out->grant_stamp = control->grant_stamp;
     out->store_age_ms = control_relayed_store_age_ms(control, now);
     out->stopping = atomic_load(&control->shared.stop_at) != 0;
-    /* Before what is open is counted: what these orders end is no more begun from then on. */
+    /* Read before the operations in flight are counted: operations that these orders end do not
+     * start any more from here on. */
     out->orders_followed = control->orders_reported = orders_followed(control);
     out->groups = g_new0(struct pooler_group_report, g_hash_table_size(control->groups) + 1);
     GHashTableIter iterator;
@@ -208,7 +211,7 @@
     pooler_heartbeat_clear(&heartbeat);
 }
 
-/* When the heartbeat of this sequence was sent; 0 if it is no longer known. */
+/* When the heartbeat of this sequence number was sent; 0 if it is no longer known. */
 static time_ns
 sent_time(const struct control *control, uint64_t sequence)
 {
@@ -227,7 +230,8 @@
                      order->service, group_phase_name(order->phase), order->primary);
 }
 
-/* True if the order is the first that is known of its group, and tells nothing out of the usual. */
+/* True if the order is the first one known of its group and opens it, which is not worth a log
+ * line. */
 static bool
 take_order(struct control *control, const struct pooler_group_order *order)
 {
@@ -249,8 +253,8 @@
     return first;
 }
 
-/* A pooler that starts is told all groups at once, which have one line together: a thousand would
- * take it longer than reading them. */
+/* A pooler that starts receives the orders of all groups at once. They are logged in one line: a
+ * thousand lines would take longer than decoding the orders. */
 static void
 take_orders(struct control *control, const struct pooler_grant *grant)
 {
@@ -261,13 +265,13 @@
     if (first > 0) {
         g_autofree char *version = g_strdup_printf("%" PRIu64, grant->orders_version);
         g_log_structured(G_LOG_DOMAIN, G_LOG_LEVEL_INFO, "SW_VERSION", version, "MESSAGE",
-                         "%u groups are open that were not known, by orders up to %s.", first,
+                         "%u groups opened for the first time, by orders up to version %s.", first,
                          version);
     }
 }
 
-/* The grant permits reads at the primaries that this coordinator has named, once the workers follow
- * its order: a worker that still follows an older one would read at a replaced primary. */
+/* The grant permits reads at the primaries that this coordinator's orders name, once all workers
+ * follow the order: a worker that still follows an older one would read at a replaced primary. */
 static void
 take_permit(struct control *control, struct group_state *group, uint64_t token, time_ns until)
 {
@@ -295,7 +299,7 @@
 control_member_found_coordinator(struct control *control)
 {
     if (!control->at_coordinator && control->connected_address != NULL) {
-        g_message("The coordinator is at %s, found there.", control->connected_address);
+        g_message("Found the coordinator at %s.", control->connected_address);
         g_free(control->coordinator_address);
         control->coordinator_address = g_strdup(control->connected_address);
         control->at_coordinator = true;
@@ -338,8 +342,8 @@
     }
 }
 
-/* What a pooler knows that is not the coordinator: enough to serve by, where neither the store nor
- * a coordinator can be reached. It permits nothing, and obeys nobody. */
+/* The reply of a pooler that is not the coordinator contains enough to serve by while neither the
+ * store nor a coordinator can be reached. It grants no permits and gives no orders of its own. */
 static void
 take_nonauthoritative(struct control *control, const struct pooler_grant *grant, time_ns now)
 {
@@ -363,12 +367,13 @@
     if (g_strcmp0(address, control->coordinator_address) != 0) {
         return true;
     }
-    /* Others follow orders of a later one than that which granted anything here. */
+    /* Other poolers follow orders of a later coordinator than the one that last sent a grant here.
+     */
     bool newer = control->orders_known >> EPOCH_SHIFT > control->newest_token;
     return newer && !control->at_coordinator && now > control->redirected_at + REDIRECT_INTERVAL_NS;
 }
 
-/* False if the connection is of no more use. */
+/* Returns false if the connection should be closed. */
 static bool
 take_answer(struct control *control, const struct pooler_grant *grant)
 {
@@ -390,7 +395,8 @@
     control->introduced_self = false;
     const char *address = grant->coordinator_address;
     if (g_strcmp0(address, control->address) == 0 && !control->lease.held) {
-        /* An earlier life of this pooler holds the lease, which only this one may take at once. */
+        /* The lease is held by an earlier process of this pooler; only this one may take it over at
+         * once. */
         control_lease_invite(control);
         return false;
     }
@@ -400,7 +406,8 @@
         control->connect_now = true;
         return false;
     }
-    /* It may be about to learn that it is the coordinator, or may not know us any more. */
+    /* The pooler may be about to become the coordinator, or no longer have this pooler's
+     * introduction. */
     bool early = now < control->connected_at + NOT_READY_WINDOW_NS ||
                  (unknown && g_strcmp0(address, control->coordinator_address) == 0);
     control->heartbeat_at = now + (early ? NOT_READY_RETRY_NS : HEARTBEAT_INTERVAL_NS);
@@ -414,13 +421,13 @@
     struct pooler_grant grant = {0};
     g_autoptr(GError) error = NULL;
     if (!pooler_grant_decode(data, length, &grant, &error)) {
-        g_warning("A coordinator's message can't be read: %s.", error->message);
+        g_warning("Message from a coordinator could not be decoded: %s.", error->message);
         return false;
     }
     peer_bytes_t kind = grant.token == 0 ? PEER_BYTES_HEARSAY : PEER_BYTES_GRANT;
     control_counts_grant(&control->counts, PEER_RECEIVED, kind, &grant, length);
     if (!control_news_decompress(&grant, &error)) {
-        g_warning("A coordinator's news can't be read: %s.", error->message);
+        g_warning("Compressed update from a coordinator could not be decoded: %s.", error->message);
         pooler_grant_clear(&grant);
         return false;
     }
@@ -457,9 +464,9 @@
     control_wake_soon(control);
 }
 
-/* An address by its place in the order in which they are tried: the coordinator's, then those of
- * the poolers that follow the store, then those of the settings; NULL if there is none, or it is
- * our own. Everybody begins with another follower. */
+/* Address number `place` in the order of attempts: the coordinator's, then the followers', then
+ * those of the settings; NULL if there is none or it is this pooler's own. Poolers start at
+ * different followers. */
 static const char *
 address_at(const struct control *control, unsigned place)
 {
@@ -521,7 +528,7 @@
     control->heartbeat_at = now;
 }
 
-/* A new fault, work that has ended, and orders that are followed from now on are told at once. */
+/* A new fault, completed work and newly followed orders are reported at once. */
 static bool
 has_updates(struct control *control)
 {
@@ -531,8 +538,8 @@
     return changed || orders_followed(control) != control->orders_reported;
 }
 
-/* How long to stay with a pooler that does not grant anything. One that follows the store is worth
- * to be kept to for a while; it may still be that only this pooler has lost the coordinator. */
+/* How long a connection without grants is kept. A pooler that relays recent rows of the store is
+ * kept for longer; possibly only this pooler has lost the coordinator. */
 static time_ns
 silence_timeout(const struct control *control, time_ns now)
 {
