--- a/src/pooler/control/control_reachability.c
+++ b/src/pooler/control/control_reachability.c
@@ -1,7 +1,6 @@
-/* Asks poolers of other zones for a request of life while none is contact, so that a zone that is
- * cut off is known to be (zone_reachability.h). A pooler that answers is asked again on the same
- * connection; so a zone whose coordinator is its own costs each of its poolers two small messages a
- * second. */
+/* Pings poolers of other zones while no message comes from any, to detect a partition of this zone
+ * (zone_reachability.h). A pooler that responds is pinged again on the same connection, so a zone
+ * whose coordinator is in the same zone costs each of its poolers two small messages a second. */
 #define G_LOG_DOMAIN "reach"
 #include "pooler/control/control_internal.h"
 
@@ -10,12 +9,12 @@
 #include <inttypes.h>
 #include <string.h>
 
-/* A look goes through all members of the fleet, hundreds of them; the decision takes more than half
- * a second, so looks may be this far apart. */
+/* A check goes through all members of the fleet, hundreds of them. The decision takes more than
+ * half a second, so this interval is short enough. */
 #define CHECK_INTERVAL_NS (50 * MS)
 
-/* A ping counts as timeouts after so long. Usually an answer from another zone takes some
- * milliseconds; on a machine that has used up its processor quota, up to a tenth of a second. */
+/* Time-out of a ping. A response from another zone usually takes some milliseconds, and up to a
+ * tenth of a second from a machine that has used up its processor quota. */
 #define PING_TIMEOUT_NS (250 * MS)
 
 static void
@@ -38,7 +37,7 @@
 on_closed(void *user, struct peer *peer)
 {
     reachability_ping_t *ping = user;
-    ping->peer = NULL; /* freed by the caller; counted as timeouts once its time is over */
+    ping->peer = NULL; /* freed by the caller; the ping counts as failed once it times out */
 }
 
 void
@@ -49,7 +48,7 @@
     }
 }
 
-/* A pooler takes statements and messages of others at one IP address. */
+/* A pooler has one IP address for forwarded statements and for messages of other poolers. */
 static bool
 is_same_host(const char *first, const char *second)
 {
@@ -57,8 +56,8 @@
     return length == strcspn(second, ":") && strncmp(first, second, length) == 0;
 }
 
-/* True if the member is in the fleet or may come back to it. A coordinator inside a zone that is
- * cut off takes the members outside out of the fleet; they still count, and are asked. */
+/* True if the member is in the fleet or may come back to it. A coordinator inside a partitioned
+ * zone removes the members outside from the fleet; they still count here and are pinged. */
 static bool
 is_expected(const fleet_member_t *member)
 {
@@ -86,7 +85,7 @@
     return false;
 }
 
-/* The next pooler of another zone, in turn; NULL if there is none. */
+/* The next pooler of another zone, round robin; NULL if there is none. */
 static const fleet_member_t *
 next_in_other_zone(struct control *control, const zone_reachability_inputs_t *inputs)
 {
@@ -138,13 +137,13 @@
     }
     ping->sent_at = now;
     if (ping->peer != NULL) {
-        forward_ask_init(&request); /* channel 0: asks for a request of life */
+        forward_ask_init(&request); /* channel 0: a ping */
         peer_send(ping->peer, forward_ask_encode(&request));
         forward_ask_clear(&request);
     }
 }
 
-/* How long ago that was, for the log; a moment of 0 never was. */
+/* The age of `moment` for the log; 0 means never. */
 static char *
 age_text(time_ns moment, time_ns now)
 {
@@ -161,10 +160,12 @@
     g_autofree char *timeouts = g_strdup_printf("%u", reach->timeouts);
     g_log_structured(
         G_LOG_DOMAIN, G_LOG_LEVEL_MESSAGE, "SW_HEARD", contact, "SW_STORE", store, "SW_UNANSWERED",
-        timeouts, "MESSAGE", "Zone %s is %s; another zone was heard %s, the store %s.",
+        timeouts, "MESSAGE",
+        "Zone %s is %s; last contact with another zone %s, store known as of %s.",
         control->settings->pooler.zone,
-        reach->partitioned ? "cut off from all others, clients are better served there: not ready"
-                           : "no longer cut off",
+        reach->partitioned
+            ? "partitioned from all other zones and reports not ready, so that clients go there"
+            : "no longer partitioned",
         contact, store);
 }
 
@@ -185,7 +186,7 @@
             zone_reachability_note_timeout(reach, ping->sent_at);
             close_ping(ping);
         }
-        bool enough = i > 0 && reach->timeouts == 0; /* one that answers is enough */
+        bool enough = i > 0 && reach->timeouts == 0; /* one pooler that responds is enough */
         if (ping->sent_at == 0 && !enough && zone_reachability_needs_ping(reach, now)) {
             send_ping(control, ping, &inputs, now);
         }
