--- a/src/pooler/control/control_view.c
+++ b/src/pooler/control/control_view.c
@@ -8,16 +8,17 @@
 #include <urcu-bp.h>
 #include <xxhash.h>
 
-/* Connections to each database left for the coordinator and for poolers that come and go. */
+/* Connections to each database reserved for the coordinator and for poolers that join or leave. */
 #define CONNECTIONS_SPARE 3
 
-/* Connections to each database of a pooler that nobody has told how many poolers there are. */
+/* Connections to each database that a worker may open while the size of the fleet is unknown. */
 #define CONNECTIONS_FLEET_UNKNOWN 1
 
-/* A pooler that starts opens no connections before: with many poolers, these would be too many. */
+/* A pooler that starts opens no connections earlier while the size of the fleet is unknown: a large
+ * fleet would open too many. */
 #define FLEET_SIZE_WAIT_NS (600 * MS)
 
-/* That of an earlier life stays, as workers may still have it. */
+/* The state of the database's earlier process is kept, as workers may still refer to it. */
 struct member_shared *
 control_member(struct control *control, const struct directory_entry *entry)
 {
@@ -61,8 +62,8 @@
     return members == 0 ? 0 : capacity / (members * control->workers_count);
 }
 
-/* A pooler that starts while neither the store nor a coordinator is there opens a few connections
- * after a while. */
+/* A pooler that starts while neither the store nor a coordinator can be reached opens a few
+ * connections after a while. */
 static uint32_t
 direct_connections(const struct control *control, const struct service *service)
 {
@@ -99,7 +100,7 @@
     }
 }
 
-/* Near owners come first. Each pooler begins with another one, so that they share the load. */
+/* Owners in this zone come first. Poolers start at different owners, to distribute the load. */
 static void
 fill_owners(const struct control *control, const fleet_owners_t *owners, struct pooled_group *out)
 {
@@ -144,8 +145,8 @@
     out->slots = entry->slots;
 }
 
-/* Where connections are a tenant's each, most of them are where most statements reach the database.
- */
+/* If each tenant has its own connections, owners in the database's zone get more, as most
+ * statements reach the database through them. */
 static void
 fill_share(const struct control *control, const struct service *service, struct member_view *out)
 {
@@ -156,9 +157,9 @@
         keyed ? fleet_owners_share(control->fleet, owners, out->zone, out->same_zone) : 0;
 }
 
-/* Before any order is known, as after a loss of power, work goes to the database that says it
- * leads: a replaced one can acknowledge nothing, and reads there are proven by the databases'
- * statuses. */
+/* Before any order is known, as after a power failure, work goes to the database that reports to be
+ * the primary: a replaced primary can acknowledge no write, and reads there are proven by the
+ * databases' statuses. */
 static void
 assume_primary(struct control *control, const struct service *service, struct group_state *assumed)
 {
@@ -168,7 +169,7 @@
     }
 }
 
-/* Everything of the directory that a group's view shows. */
+/* Digest of everything in the directory that the group's view contains. */
 static uint64_t
 digest_of_members(const struct control *control, const GPtrArray *entries, time_ns now)
 {
@@ -183,7 +184,7 @@
     return digest;
 }
 
-/* How many workers of poolers give statements to the group's databases. */
+/* Number of workers, of all poolers, that send statements to the group's databases. */
 static uint32_t
 count_sharers(const struct control *control, const struct service *service)
 {
@@ -193,8 +194,8 @@
     return poolers * control->workers_count;
 }
 
-/* Who opens connections to the group's databases: this pooler, as many as it is told, or its
- * owners. */
+/* The inputs of the group's view: among them which poolers open connections to its databases,
+ * either all or the owners, and how many. */
 static void
 compute_inputs(const struct control *control, const struct service *service,
                const struct group_state *state, time_ns now, view_inputs_t *out)
@@ -260,7 +261,7 @@
     return out;
 }
 
-/* The group as it is published now: the one of the last view, unless something of it changed. */
+/* The group's view to publish: the last one, unless one of its inputs has changed. */
 static struct pooled_group *
 group_to_publish(struct control *control, const struct service *service, time_ns now)
 {
@@ -309,14 +310,15 @@
     if (control->view_dirty) {
         publish_view(control);
     }
-    /* After the view: a worker that sees this moment sees the configuration that it is told of. */
+    /* After the view: a worker that reads this time also sees the configuration that it refers to.
+     */
     atomic_store(&control->shared.configuration_proven_at, control->proven_at);
     if (control->shared.counting != NULL) {
         counting_rely_until(control->shared.counting, control->roster_valid_until);
     }
 }
 
-/* True if some database is known that no fault stands against. */
+/* True if there is a known database without a fault. */
 static bool
 any_database_answers(const struct control *control)
 {
@@ -333,7 +335,7 @@
     return false;
 }
 
-/* Without proof that keys still stand, clients are better served elsewhere. */
+/* Without proof that keys are still valid, clients are better served by another pooler. */
 static bool
 may_serve_keys(const struct control *control)
 {
