--- a/src/pooler/control/control_fleet.c
+++ b/src/pooler/control/control_fleet.c
@@ -100,29 +100,30 @@
 }
 
 void
-control_fleet_take(struct control *control, const struct pooler_fleet *told)
+control_fleet_take(struct control *control, const struct pooler_fleet *received)
 {
     fleet_t *fleet = control->fleet;
     uint64_t known = control_fleet_version(control);
-    bool complete = told->base == 0 || known >= told->base;
-    if (told->version <= known || !complete) {
+    bool complete = received->base == 0 || known >= received->base;
+    if (received->version <= known || !complete) {
         return;
     }
-    for (size_t i = 0; i < told->members_count; i++) {
-        const struct pooler_member *member = &told->members[i];
+    for (size_t i = 0; i < received->members_count; i++) {
+        const struct pooler_member *member = &received->members[i];
         if (member->gone) {
-            fleet_leave(fleet, member->address, told->version);
+            fleet_leave(fleet, member->address, received->version);
         } else {
             fleet_join(fleet, member->address, member->zone, member->workers, member->weight,
-                       told->version);
+                       received->version);
         }
-        fleet_set_counting(fleet, member->address, member->away, member->entering, told->version);
+        fleet_set_counting(fleet, member->address, member->away, member->entering,
+                           received->version);
     }
-    if (told->base == 0) {
-        fleet_leave_older(fleet, told->version);
+    if (received->base == 0) {
+        fleet_leave_older(fleet, received->version);
     }
-    fleet_set_counted(fleet, told->counted, told->version);
-    fleet_note_version(fleet, told->version);
+    fleet_set_counted(fleet, received->counted, received->version);
+    fleet_note_version(fleet, received->version);
     control->view_dirty = true;
 }
 
@@ -396,11 +397,11 @@
     if (member->gone || !member->entering) {
         return false;
     }
-    bool heard = all_have_confirmed(control, contacts, member, now);
-    bool starts = heard || roster_may_count(true, since, now);
+    bool confirmed = all_have_confirmed(control, contacts, member, now);
+    bool starts = confirmed || roster_may_count(true, since, now);
     if (starts) {
         g_info("The pooler at %s starts counting operations, %" PRIu64 " ms after it joined%s.",
-               member->address, (now - since) / MS, heard ? ": confirmed by all others" : "");
+               member->address, (now - since) / MS, confirmed ? ": confirmed by all others" : "");
     }
     return starts;
 }
--- a/src/pooler/control/control_internal.h
+++ b/src/pooler/control/control_internal.h
@@ -490,17 +490,18 @@
 void control_relayed_peer_answered(struct control *control, time_ns now);
 /** @brief Takes over how recent the other pooler's tables are, after their rows were taken, and
  * uses them in place of own reads of the store for as long as that allows.
- * @param asked when the request that this answers was sent, by this machine's clock; 0: unknown. */
+ * @param requested_at when the request that this answers was sent, by this machine's clock; 0:
+ * unknown. */
 void control_relayed_accept(struct control *control, const struct pooler_relay *relay,
-                            time_ns asked);
+                            time_ns requested_at);
 /** @brief Does the same for tables that came from a mirror. */
 void control_relayed_accept_tables(struct control *control, const struct pooler_relay *relay,
-                                   time_ns asked);
+                                   time_ns requested_at);
 /** @brief Takes over how recent the other pooler's tables are, after their rows were taken.
  * Parameters as of control_relayed_accept().
  * @return when everything known here was the store's newest, by that message; 0: unknown. */
 time_ns control_relayed_accept_proofs(struct control *control, const struct pooler_relay *relay,
-                                      time_ns asked);
+                                      time_ns requested_at);
 /** @return true if relayed state is valid, so that this pooler need not read the store. */
 bool control_relayed_is_valid(const struct control *control, time_ns now);
 /** @return true if the relayed state is so recent that its sender follows the store now. */
@@ -566,10 +567,10 @@
 void control_mirrors_fill(struct control *control, const row_versions_t *known, bool takes_deltas,
                           time_ns now, struct pooler_grant *grant);
 /** @brief Takes over tables that a mirror sent.
- * @param asked when the request was sent, by this machine's clock.
+ * @param requested_at when the request was sent, by this machine's clock.
  * @return false with `error` if they can't be read. */
 bool control_mirrors_take_tables(struct control *control, const struct pooler_grant *grant,
-                                 time_ns asked, GError **error);
+                                 time_ns requested_at, GError **error);
 /** @brief Answers pending requests, and sends a mirror a request for tables that are missing here.
  */
 void control_mirrors_tick(struct control *control, time_ns now);
@@ -586,7 +587,7 @@
 uint64_t control_fleet_fill(const struct control *control, uint64_t known,
                             struct pooler_fleet *out);
 /** @brief Takes over a fleet that another pooler sent or that the lease's row holds. */
-void control_fleet_take(struct control *control, const struct pooler_fleet *told);
+void control_fleet_take(struct control *control, const struct pooler_fleet *received);
 /** @return true while a new coordinator waits for more poolers to connect before it decides. */
 bool control_fleet_is_gathering(const struct control *control, time_ns now);
 /** @return the roster to publish; NULL if no fleet is known. */
--- a/src/pooler/control/control_member.c
+++ b/src/pooler/control/control_member.c
@@ -275,9 +275,9 @@
 static void
 take_permit(struct control *control, struct group_state *group, uint64_t token, time_ns until)
 {
-    bool good = group->phase == GROUP_PHASE_OPEN && group->epoch >> EPOCH_SHIFT == token &&
-                epoch_followed(control, group) == group->epoch;
-    if (!good) {
+    bool permitted = group->phase == GROUP_PHASE_OPEN && group->epoch >> EPOCH_SHIFT == token &&
+                     epoch_followed(control, group) == group->epoch;
+    if (!permitted) {
         atomic_store(&group->shared->permit_until, 0);
     } else if (until > atomic_load(&group->shared->permit_until)) {
         atomic_store(&group->shared->permit_until, until);
@@ -552,14 +552,14 @@
 void
 control_member_tick(struct control *control, time_ns now)
 {
-    bool silent =
+    bool timed_out =
         now > MAX(control->granted_at, control->connected_at) + silence_timeout(control, now);
     bool unanswered = control->coordinator != NULL &&
                       control->answered_at < control->connected_at &&
                       now > control->connected_at + ANSWER_TIMEOUT_NS;
     bool missing =
         control->coordinator == NULL && now > control->connected_at + CONNECT_INTERVAL_NS;
-    if (silent || unanswered || missing || control->connect_now) {
+    if (timed_out || unanswered || missing || control->connect_now) {
         connect_anew(control, now);
         control->connect_now = false;
     }
--- a/src/pooler/control/control_mirrors.c
+++ b/src/pooler/control/control_mirrors.c
@@ -127,11 +127,11 @@
     if (count == 0 || control->lease.held) {
         return; /* not in the message, or chosen here */
     }
-    GPtrArray *told = mirrors_new();
+    GPtrArray *received = mirrors_new();
     for (size_t i = 0; i < count; i++) {
-        mirrors_add(told, mirrors[i].address, mirrors[i].zone);
+        mirrors_add(received, mirrors[i].address, mirrors[i].zone);
     }
-    replace_known(control, told);
+    replace_known(control, received);
 }
 
 /* ---- as a mirror ---- */
@@ -160,11 +160,11 @@
         }
         g_clear_pointer(&snapshot->compressed, g_bytes_unref);
     }
-    struct pooler_relay whole;
-    pooler_relay_init(&whole);
-    control_relay_fill_full(control, &whole);
-    g_autoptr(GBytes) content = g_byte_array_free_to_bytes(pooler_relay_encode(&whole));
-    pooler_relay_clear(&whole);
+    struct pooler_relay full;
+    pooler_relay_init(&full);
+    control_relay_fill_full(control, &full);
+    g_autoptr(GBytes) content = g_byte_array_free_to_bytes(pooler_relay_encode(&full));
+    pooler_relay_clear(&full);
     snapshot->through = control_relay_versions(control);
     snapshot->length = (uint32_t)g_bytes_get_size(content);
     snapshot->compressed = compression_compress(content);
@@ -345,7 +345,7 @@
 
 bool
 control_mirrors_take_tables(struct control *control, const struct pooler_grant *grant,
-                            time_ns asked, GError **error)
+                            time_ns requested_at, GError **error)
 {
     gsize length = grant->tables_length;
     g_autoptr(GBytes) content =
@@ -355,17 +355,17 @@
     if (content == NULL) {
         return false;
     }
-    struct pooler_relay whole = {0};
+    struct pooler_relay full = {0};
     const uint8_t *data = g_bytes_get_data(content, &length);
     if (length > 0) {
-        if (!pooler_relay_decode(data, length, &whole, error)) {
+        if (!pooler_relay_decode(data, length, &full, error)) {
             return false;
         }
-        control_relay_take(control, &whole);
-        pooler_relay_clear(&whole);
+        control_relay_take(control, &full);
+        pooler_relay_clear(&full);
     }
     control_relay_take(control, &grant->relay);
-    control_relayed_accept_tables(control, &grant->relay, asked);
+    control_relayed_accept_tables(control, &grant->relay, requested_at);
     return true;
 }
 
--- a/src/pooler/control/control_relayed.c
+++ b/src/pooler/control/control_relayed.c
@@ -35,22 +35,22 @@
  * than is known here, or of another era, in which the store may have lost rows that are missing
  * here. */
 static time_ns
-reported_moment(const struct feed *feed, uint64_t reported, uint32_t age_ms, time_ns asked)
+reported_moment(const struct feed *feed, uint64_t reported, uint32_t age_ms, time_ns requested_at)
 {
     bool comparable = feed->version >= reported && store_era(feed->version) == store_era(reported);
-    return asked != 0 && comparable ? evidence_from_age(asked, age_ms) : 0;
+    return requested_at != 0 && comparable ? evidence_from_age(requested_at, age_ms) : 0;
 }
 
 time_ns
 control_relayed_accept_proofs(struct control *control, const struct pooler_relay *relay,
-                              time_ns asked)
+                              time_ns requested_at)
 {
     struct feed *configuration = &control->feeds[STORE_TABLE_CONFIGURATION];
     struct feed *directory = &control->feeds[STORE_TABLE_DIRECTORY];
     time_ns configuration_at = reported_moment(configuration, relay->configuration_row,
-                                               relay->configuration_age_ms, asked);
+                                               relay->configuration_age_ms, requested_at);
     time_ns directory_at =
-        reported_moment(directory, relay->directory_row, relay->directory_age_ms, asked);
+        reported_moment(directory, relay->directory_row, relay->directory_age_ms, requested_at);
     control_feed_prove(configuration, configuration_at);
     control_feed_prove(directory, directory_at);
     return MIN(configuration_at, directory_at);
@@ -70,8 +70,8 @@
 static void
 note_missing_of(struct feed *feed, uint64_t reported, bool incomplete)
 {
-    bool lacks = incomplete && feed->version <= reported;
-    feed->missing = lacks || (feed->missing && feed->version < reported);
+    bool newly_missing = incomplete && feed->version <= reported;
+    feed->missing = newly_missing || (feed->missing && feed->version < reported);
 }
 
 /* Notes which tables must be read at the store, as their rows were too large to be sent or
@@ -86,17 +86,18 @@
 }
 
 void
-control_relayed_accept(struct control *control, const struct pooler_relay *relay, time_ns asked)
+control_relayed_accept(struct control *control, const struct pooler_relay *relay,
+                       time_ns requested_at)
 {
-    control_relayed_accept_tables(control, relay, asked);
+    control_relayed_accept_tables(control, relay, requested_at);
     note_coordinator_rows(control, relay);
 }
 
 void
 control_relayed_accept_tables(struct control *control, const struct pooler_relay *relay,
-                              time_ns asked)
+                              time_ns requested_at)
 {
-    time_ns known_at = control_relayed_accept_proofs(control, relay, asked);
+    time_ns known_at = control_relayed_accept_proofs(control, relay, requested_at);
     note_missing(control, relay);
     if (known_at != 0) {
         control->relayed_as_of = MAX(control->relayed_as_of, known_at);
--- a/src/pooler/control/delta.c
+++ b/src/pooler/control/delta.c
@@ -158,9 +158,9 @@
     gsize offset = number_at(data);
     gsize copied = number_at(data + sizeof(uint32_t));
     gsize literal = number_at(data + 2 * sizeof(uint32_t));
-    bool good = offset <= from_length && copied <= from_length - offset &&
-                literal <= left - STEP_SIZE && out->len + copied + literal <= COMPRESSION_MAX;
-    if (!good) {
+    bool valid = offset <= from_length && copied <= from_length - offset &&
+                 literal <= left - STEP_SIZE && out->len + copied + literal <= COMPRESSION_MAX;
+    if (!valid) {
         return 0;
     }
     if (copied > 0) {
--- a/src/pooler/control/zone_reachability.c
+++ b/src/pooler/control/zone_reachability.c
@@ -26,13 +26,13 @@
 }
 
 void
-zone_reachability_note_timeout(zone_reachability_t *reach, time_ns asked)
+zone_reachability_note_timeout(zone_reachability_t *reach, time_ns sent_at)
 {
-    if (asked <= reach->last_contact_at) {
+    if (sent_at <= reach->last_contact_at) {
         return; /* a later message came from another zone */
     }
     if (reach->timeouts_since == 0) {
-        reach->timeouts_since = asked;
+        reach->timeouts_since = sent_at;
     }
     reach->timeouts++;
 }
--- a/src/pooler/control/zone_reachability.h
+++ b/src/pooler/control/zone_reachability.h
@@ -44,8 +44,8 @@
 /** @brief Notes a message from a pooler of another zone. */
 void zone_reachability_note_contact(zone_reachability_t *reach, time_ns now);
 
-/** @brief Notes that a ping sent to another zone at `asked` had no response in time. */
-void zone_reachability_note_timeout(zone_reachability_t *reach, time_ns asked);
+/** @brief Notes that a ping sent to another zone at `sent_at` had no response in time. */
+void zone_reachability_note_timeout(zone_reachability_t *reach, time_ns sent_at);
 
 /** @return true if the last contact is so old that a pooler of another zone should be pinged. */
 bool zone_reachability_needs_ping(const zone_reachability_t *reach, time_ns now);
