--- a/tests/pooler/test_fleet.c
+++ b/tests/pooler/test_fleet.c
@@ -1,5 +1,5 @@
-/* Poolers as processes, before stand-ins of the platform: what must hold when primaries, poolers
- * and the store fail. Waits for states, never for times. */
+/* End-to-end tests of pooler processes with stand-ins of the platform: what must hold when
+ * primaries, poolers and the store fail. The tests wait for states, not for fixed times. */
 #include <arpa/inet.h>
 #include <gio/gio.h>
 #include <glib.h>
@@ -18,7 +18,7 @@
 #define TIMEOUT_US (60 * G_USEC_PER_SEC)
 #define POLL_US    5000
 
-/* Of a zone that is evacuated, as the settings' default has it. */
+/* Default of store.evacuate_ms. */
 #define EVACUATED_WITHIN_US (5 * G_USEC_PER_SEC)
 
 struct fixture {
@@ -30,12 +30,12 @@
     uint16_t probes[POOLERS];
     uint16_t metrics[POOLERS];
     uint16_t forwards[POOLERS];
-    bool no_store[POOLERS]; /* its way to the store leads nowhere */
+    bool no_store[POOLERS]; /* the pooler's store address refuses connections */
     unsigned max_connections;
-    unsigned heartbeat_ms; /* of databases' records */
-    bool one_zone;         /* all databases are in one; else each in its own */
-    bool poolers_together; /* all poolers are in one zone; else each in its own */
-    unsigned more_routes;  /* of the configuration, with names that can't be compressed well */
+    unsigned heartbeat_ms; /* interval of the databases' records */
+    bool one_zone;         /* all databases are in one zone; otherwise each in its own */
+    bool poolers_together; /* all poolers are in one zone; otherwise each in its own */
+    unsigned extra_routes; /* added to the configuration, with names that compress badly */
     unsigned version;
     GPtrArray *acknowledged; /* values whose write was acknowledged */
     unsigned next_value;
@@ -57,7 +57,7 @@
     g_autofree char *strict = g_strdup_printf(route, "r1", "strict", "primary");
     g_autofree char *stale = g_strdup_printf(route, "r2", "stale", "bounded_staleness");
     g_autoptr(GString) more = g_string_new(NULL);
-    for (unsigned i = 0; i < fixture->more_routes; i++) {
+    for (unsigned i = 0; i < fixture->extra_routes; i++) {
         g_autofree char *name =
             g_strdup_printf("h%08x%08x%08x%u", g_random_int(), g_random_int(), g_random_int(), i);
         g_string_append_printf(more, ",{\"hostname\":\"%s\",\"service\":\"ledger\"}", name);
@@ -161,18 +161,18 @@
 set_up_together(struct fixture *fixture, gconstpointer unused)
 {
     fixture->poolers_together = true;
-    fixture->more_routes = 3000; /* more than a message of changes holds */
+    fixture->extra_routes = 3000; /* larger than a message of changes */
     set_up_with(fixture, 40);
 }
 
-/* So few connections that two of the poolers own them. */
+/* Few enough connections that two of the poolers own them. */
 static void
 set_up_owned(struct fixture *fixture, gconstpointer unused)
 {
     set_up_with(fixture, 8);
 }
 
-/* A heartbeat long enough that what takes four of them and what takes sixteen differ by seconds. */
+/* With this heartbeat, limits of four and of sixteen heartbeats differ by seconds. */
 static void
 set_up_slow_heartbeat(struct fixture *fixture, gconstpointer unused)
 {
@@ -202,7 +202,8 @@
     g_ptr_array_unref(fixture->acknowledged);
 }
 
-/* Asks one thing of a pooler over a session of its own; the answer's lines, NULL if it broke. */
+/* Sends one query to a pooler in a new session.
+ * @return the lines of the reply; NULL if the connection failed. */
 static char *
 query(const struct fixture *fixture, unsigned pooler, const char *database, const char *text)
 {
@@ -232,8 +233,8 @@
 }
 
 static bool
-succeeds(const struct fixture *fixture, unsigned pooler, const char *database, const char *text,
-         const char *row)
+query_succeeds(const struct fixture *fixture, unsigned pooler, const char *database,
+               const char *text, const char *row)
 {
     g_autofree char *answer = query(fixture, pooler, database, text);
     return answer != NULL && strstr(answer, "COMPLETE") != NULL &&
@@ -248,7 +249,7 @@
     while (g_get_monotonic_time() < end) {
         g_autofree char *value = g_strdup_printf("v%u", ++fixture->next_value);
         g_autofree char *text = g_strdup_printf("WRITE hut %s", value);
-        if (succeeds(fixture, pooler, "strict", text, NULL)) {
+        if (query_succeeds(fixture, pooler, "strict", text, NULL)) {
             g_ptr_array_add(fixture->acknowledged, g_steal_pointer(&value));
             return;
         }
@@ -258,7 +259,7 @@
 }
 
 static void
-assert_all_kept(struct fixture *fixture)
+assert_all_writes_kept(struct fixture *fixture)
 {
     bool fell = false;
     for (guint i = 0; i < fixture->acknowledged->len; i++) {
@@ -285,7 +286,7 @@
     g_error("no read was answered");
 }
 
-/* True if the pooler's metrics hold this line. */
+/* True if the pooler's metrics contain this line. */
 static bool
 metrics_contain(const struct fixture *fixture, unsigned pooler, const char *line)
 {
@@ -305,7 +306,7 @@
     return strstr(answer, line) != NULL;
 }
 
-/* Which pooler holds the lease; POOLERS if none does. */
+/* The pooler that holds the lease; POOLERS if none does. */
 static unsigned
 find_coordinator(const struct fixture *fixture)
 {
@@ -346,13 +347,13 @@
 }
 
 static void
-test_calm(struct fixture *fixture, gconstpointer unused)
+test_no_faults(struct fixture *fixture, gconstpointer unused)
 {
     write_until_done(fixture, 0);
     assert_read_sees_last(fixture, 1);
     write_until_done(fixture, 2);
     assert_read_sees_last(fixture, 0);
-    assert_all_kept(fixture);
+    assert_all_writes_kept(fixture);
 }
 
 static void
@@ -367,7 +368,7 @@
         assert_read_sees_last(fixture, (i + 1) % POOLERS);
     }
     g_assert_cmpuint(leader(fixture), !=, 0);
-    assert_all_kept(fixture);
+    assert_all_writes_kept(fixture);
 }
 
 static void
@@ -379,12 +380,12 @@
     line_group_set_faults(fixture->group, 0, &(struct line_faults){.down = true});
     write_until_done(fixture, (coordinator + 1) % POOLERS);
     assert_read_sees_last(fixture, (coordinator + 2) % POOLERS);
-    assert_all_kept(fixture);
+    assert_all_writes_kept(fixture);
 }
 
-/* A machine's process that is started again takes its own lease over at once. */
+/* A restarted pooler takes over its own lease at once. */
 static void
-test_coordinator_comes_back(struct fixture *fixture, gconstpointer unused)
+test_coordinator_restart(struct fixture *fixture, gconstpointer unused)
 {
     write_until_done(fixture, 0);
     unsigned coordinator = wait_for_coordinator(fixture, POOLERS);
@@ -392,13 +393,13 @@
     start_pooler(fixture, coordinator);
     wait_for_coordinator(fixture, POOLERS);
     write_until_done(fixture, coordinator);
-    assert_all_kept(fixture);
+    assert_all_writes_kept(fixture);
 }
 
 static void
-test_store_is_silent(struct fixture *fixture, gconstpointer unused)
+test_store_unresponsive(struct fixture *fixture, gconstpointer unused)
 {
-    /* A pooler that has not met the store yet has nothing to serve by. */
+    /* A pooler that has never had an answer of the store can't serve. */
     for (unsigned i = 0; i < POOLERS; i++) {
         write_until_done(fixture, i);
     }
@@ -407,23 +408,24 @@
     while (find_coordinator(fixture) != POOLERS && g_get_monotonic_time() < end) {
         g_usleep(POLL_US);
     }
-    /* The store answers nobody: to leave the lease to another would only end its permits sooner. */
+    /* No pooler gets an answer of the store, so a handover of the lease would only end its permits
+     * sooner. */
     for (unsigned i = 0; i < POOLERS; i++) {
         g_assert_true(metrics_contain(fixture, i, "swiftworks_leases_ceded_to_this_total 0\n"));
     }
-    /* Nobody holds the lease: reads at the primary go on by what the databases tell. */
+    /* Without a lease holder, reads at the primary continue by the databases' own statuses. */
     write_until_done(fixture, 1);
     assert_read_sees_last(fixture, 2);
     row_store_set_faults(fixture->store, &(struct row_store_faults){0});
     wait_for_coordinator(fixture, POOLERS);
     line_group_set_faults(fixture->group, 0, &(struct line_faults){.down = true});
     write_until_done(fixture, 0);
-    assert_all_kept(fixture);
+    assert_all_writes_kept(fixture);
 }
 
-/* A pooler that starts while the store is silent learns from another one what to serve by. */
+/* A pooler that starts while the store does not respond gets the tables from another pooler. */
 static void
-test_start_while_the_store_is_silent(struct fixture *fixture, gconstpointer unused)
+test_start_while_store_unresponsive(struct fixture *fixture, gconstpointer unused)
 {
     for (unsigned i = 0; i < POOLERS; i++) {
         write_until_done(fixture, i);
@@ -433,13 +435,13 @@
     start_pooler(fixture, 2);
     write_until_done(fixture, 2);
     assert_read_sees_last(fixture, 2);
-    assert_all_kept(fixture);
+    assert_all_writes_kept(fixture);
 }
 
-/* The renewals are done, and their answers lost: the lease is kept or taken anew, the token never
- * falls. */
+/* Writes to the store succeed and their answers are lost: the lease is kept or acquired again, and
+ * the token never falls. */
 static void
-test_lost_answers_of_the_store(struct fixture *fixture, gconstpointer unused)
+test_lost_store_answers(struct fixture *fixture, gconstpointer unused)
 {
     write_until_done(fixture, 0);
     row_store_set_faults(fixture->store, &(struct row_store_faults){.lose_writes = true});
@@ -448,12 +450,12 @@
     row_store_set_faults(fixture->store, &(struct row_store_faults){0});
     write_until_done(fixture, 1);
     assert_read_sees_last(fixture, 2);
-    assert_all_kept(fixture);
+    assert_all_writes_kept(fixture);
 }
 
-/* Waits until all poolers have the route "stale", or have it no more. */
+/* Waits until all poolers have the route "stale" (`there`), or none has. */
 static void
-expect_stale_route(struct fixture *fixture, bool there)
+wait_for_stale_route(struct fixture *fixture, bool there)
 {
     gint64 end = g_get_monotonic_time() + TIMEOUT_US;
     for (unsigned i = 0; i < POOLERS;) {
@@ -469,12 +471,12 @@
 }
 
 static void
-test_forgotten_history(struct fixture *fixture, gconstpointer unused)
+test_history_gone(struct fixture *fixture, gconstpointer unused)
 {
     write_until_done(fixture, 0);
     row_store_set_faults(fixture->store, &(struct row_store_faults){.no_history = true});
     put_configuration(fixture, false);
-    expect_stale_route(fixture, false);
+    wait_for_stale_route(fixture, false);
     write_until_done(fixture, 0);
 }
 
@@ -490,11 +492,11 @@
     }
     write_until_done(fixture, 2);
     assert_read_sees_last(fixture, 0);
-    assert_all_kept(fixture);
+    assert_all_writes_kept(fixture);
 }
 
-/* The zone of the primary is evacuated: another one leads soon, and within the bound nothing that
- * clients send reaches the zone's database. */
+/* After the zone of the primary is evacuated, a database of another zone becomes the primary, and
+ * once the time limit has passed no statement reaches the evacuated zone's database. */
 static void
 test_evacuated_zone(struct fixture *fixture, gconstpointer unused)
 {
@@ -515,11 +517,12 @@
         const struct line_run *run = g_ptr_array_index(after, i);
         g_assert_cmpuint(run->database, !=, 0);
     }
-    assert_all_kept(fixture);
+    assert_all_writes_kept(fixture);
 }
 
-/* The store comes back from a copy of before a change of primary and a configuration: both stand,
- * the next configuration is in force everywhere, and a later loss of the primary is mended. */
+/* The store is restored from a copy that precedes a change of primary and a configuration. Both
+ * stay in force, the next configuration comes into force everywhere, and a later loss of the
+ * primary is handled. */
 static void
 test_restored_store(struct fixture *fixture, gconstpointer unused)
 {
@@ -529,13 +532,13 @@
     write_until_done(fixture, 1);
     line_group_set_faults(fixture->group, 0, &(struct line_faults){0});
     put_configuration(fixture, true);
-    expect_stale_route(fixture, true);
+    wait_for_stale_route(fixture, true);
     row_store_restore(fixture->store, copied);
     for (unsigned i = 0; i < DATABASES; i++) {
-        put_record(fixture, i, "ready"); /* as databases and operators write again */
+        put_record(fixture, i, "ready"); /* databases and operators write again */
     }
     put_configuration(fixture, false);
-    expect_stale_route(fixture, false);
+    wait_for_stale_route(fixture, false);
     for (unsigned i = 0; i < POOLERS; i++) {
         write_until_done(fixture, i);
         assert_read_sees_last(fixture, i);
@@ -548,10 +551,10 @@
     line_group_set_faults(fixture->group, leader, &(struct line_faults){.down = true});
     write_until_done(fixture, 2);
     assert_read_sees_last(fixture, 0);
-    assert_all_kept(fixture);
+    assert_all_writes_kept(fixture);
 }
 
-/* The databases but the one that left renew their records for so many heartbeats. */
+/* All databases except `leaving` renew their records for this many heartbeats. */
 static void
 renew_records(struct fixture *fixture, unsigned leaving, const char *state, unsigned heartbeats)
 {
@@ -567,9 +570,9 @@
     }
 }
 
-/* A replica that drained and left can't be asked to receive nothing more. It must not hold up the
- * change when the primary and the coordinator are lost some heartbeats later: the records of
- * databases that vanish are kept for sixteen. */
+/* A replica that has drained and left can't be asked to stop receiving the log of the old primary.
+ * It must not delay the change of primary when the primary and the coordinator are lost some
+ * heartbeats later, although records of vanished databases are kept for sixteen heartbeats. */
 static void
 test_lost_primary_after_a_replica_left(struct fixture *fixture, gconstpointer unused)
 {
@@ -584,13 +587,14 @@
     unsigned coordinator = wait_for_coordinator(fixture, POOLERS);
     kill_pooler(fixture, coordinator);
     line_group_set_faults(fixture->group, 0, &(struct line_faults){.down = true});
-    /* The one that is left leads. It acknowledges nothing for want of another replica. */
+    /* The remaining database becomes the primary. It acknowledges no write, as there is no replica.
+     */
     gint64 heartbeat_us = (gint64)fixture->heartbeat_ms * 1000;
     while (leader(fixture) != 1) {
         g_assert_cmpint(g_get_monotonic_time() - left_at, <, heartbeat_us * 15);
         g_usleep(POLL_US);
     }
-    assert_all_kept(fixture);
+    assert_all_writes_kept(fixture);
 }
 
 static void
@@ -603,15 +607,15 @@
     g_assert_cmpint(g_subprocess_get_exit_status(fixture->poolers[1]), ==, 0);
     g_clear_object(&fixture->poolers[1]);
     write_until_done(fixture, 2);
-    assert_all_kept(fixture);
+    assert_all_writes_kept(fixture);
 }
 
-/* A coordinator that stops leaves the lease to another at once, under a higher token. */
+/* A coordinator that stops hands the lease over at once, under a higher token. */
 static void
 test_stopped_coordinator(struct fixture *fixture, gconstpointer unused)
 {
     for (unsigned i = 0; i < POOLERS; i++) {
-        write_until_done(fixture, i); /* all are heard by the coordinator */
+        write_until_done(fixture, i); /* all have sent the coordinator heartbeats */
     }
     unsigned coordinator = wait_for_coordinator(fixture, POOLERS);
     g_subprocess_send_signal(fixture->poolers[coordinator], SIGTERM);
@@ -622,12 +626,12 @@
     g_subprocess_wait(fixture->poolers[coordinator], NULL, NULL);
     g_assert_cmpint(g_subprocess_get_exit_status(fixture->poolers[coordinator]), ==, 0);
     g_clear_object(&fixture->poolers[coordinator]);
-    assert_all_kept(fixture);
+    assert_all_writes_kept(fixture);
 }
 
-/* A pooler that the store turns away learns all from the coordinator, also what changes. */
+/* A pooler that can't reach the store gets all rows and changes from the coordinator. */
 static void
-test_turned_away_by_the_store(struct fixture *fixture, gconstpointer unused)
+test_pooler_without_store(struct fixture *fixture, gconstpointer unused)
 {
     write_until_done(fixture, 0);
     kill_pooler(fixture, 2);
@@ -644,7 +648,7 @@
         g_assert_cmpint(g_get_monotonic_time(), <, end);
         g_usleep(POLL_US);
     }
-    assert_all_kept(fixture);
+    assert_all_writes_kept(fixture);
 }
 
 static unsigned
@@ -659,9 +663,9 @@
     return POOLERS;
 }
 
-/* Two of three poolers own the group; each of the three serves all of it. */
+/* Number of poolers whose metrics contain this line. */
 static unsigned
-count_telling(const struct fixture *fixture, const char *line)
+count_with_metric(const struct fixture *fixture, const char *line)
 {
     unsigned count = 0;
     for (unsigned i = 0; i < POOLERS; i++) {
@@ -670,16 +674,16 @@
     return count;
 }
 
-/* The coordinator has had the time to name the mirrors, and to renew the lease's row after that. */
-#define MIRRORS_NAMED_US (2500 * 1000)
+/* Long enough for the coordinator to announce the mirrors and then renew the lease's row. */
+#define MIRRORS_ANNOUNCED_US (2500 * 1000)
 
-/* After the loss of all, the lease's row names one of the three as the mirror: it and the
- * coordinator read the store, and the third one is told the tables. */
+/* After the loss of all poolers, the lease's row names one of the three as mirror. The mirror and
+ * the coordinator read the store, and the third pooler gets the tables from the mirror. */
 static void
 test_tables_from_a_mirror(struct fixture *fixture, gconstpointer unused)
 {
     write_until_done(fixture, wait_for_coordinator(fixture, POOLERS));
-    g_usleep(MIRRORS_NAMED_US);
+    g_usleep(MIRRORS_ANNOUNCED_US);
     for (unsigned i = 0; i < POOLERS; i++) {
         kill_pooler(fixture, i);
     }
@@ -689,9 +693,9 @@
     for (unsigned i = 0; i < POOLERS; i++) {
         write_until_done(fixture, i);
     }
-    g_assert_cmpuint(count_telling(fixture, "swiftworks_tables_received_total 1\n"), ==, 1);
-    g_assert_cmpuint(count_telling(fixture, "swiftworks_tables_sent_total 1\n"), ==, 1);
-    assert_all_kept(fixture);
+    g_assert_cmpuint(count_with_metric(fixture, "swiftworks_tables_received_total 1\n"), ==, 1);
+    g_assert_cmpuint(count_with_metric(fixture, "swiftworks_tables_sent_total 1\n"), ==, 1);
+    assert_all_writes_kept(fixture);
 }
 
 static void
@@ -705,10 +709,10 @@
         }
     }
     assert_read_sees_last(fixture, find_forwarding(fixture));
-    assert_all_kept(fixture);
+    assert_all_writes_kept(fixture);
 }
 
-/* Each pooler is lost in turn, and with it an owner or the coordinator. */
+/* Each pooler is lost and restarted in turn, among them owners and the coordinator. */
 static void
 test_lost_owners(struct fixture *fixture, gconstpointer unused)
 {
@@ -724,7 +728,7 @@
     for (unsigned i = 0; i < POOLERS; i++) {
         write_until_done(fixture, i);
     }
-    assert_all_kept(fixture);
+    assert_all_writes_kept(fixture);
 }
 
 static void
@@ -746,14 +750,14 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    ADD("calm", test_calm);
+    ADD("no-faults", test_no_faults);
     ADD("lost-primary", test_lost_primary);
     ADD("lost-coordinator-and-primary", test_lost_primary_after_lost_coordinator);
-    ADD("coordinator-comes-back", test_coordinator_comes_back);
-    ADD("silent-store", test_store_is_silent);
-    ADD("start-while-silent", test_start_while_the_store_is_silent);
-    ADD("lost-answers", test_lost_answers_of_the_store);
-    ADD("forgotten-history", test_forgotten_history);
+    ADD("coordinator-restart", test_coordinator_restart);
+    ADD("store-unresponsive", test_store_unresponsive);
+    ADD("start-while-store-unresponsive", test_start_while_store_unresponsive);
+    ADD("lost-store-answers", test_lost_store_answers);
+    ADD("history-gone", test_history_gone);
     ADD("evacuated-zone", test_evacuated_zone);
     ADD("restored-store", test_restored_store);
     ADD("leaving-primary", test_leaving_primary);
@@ -762,7 +766,7 @@
     ADD("stopped-coordinator", test_stopped_coordinator);
     g_test_add("/pooler/fleet/tables-from-a-mirror", struct fixture, NULL, set_up_together,
                test_tables_from_a_mirror, tear_down);
-    ADD("turned-away", test_turned_away_by_the_store);
+    ADD("pooler-without-store", test_pooler_without_store);
     ADD_OWNED("owners", test_owners);
     ADD_OWNED("lost-owners", test_lost_owners);
     ADD_OWNED("lost-primary-behind-owners", test_lost_primary_behind_owners);
--- a/tests/pooler/test_mirrors.c
+++ b/tests/pooler/test_mirrors.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * @brief Poolers that pass the store's tables on: who they are, whom a pooler asks when, and what
- * the return of a whole fleet costs the store by these decisions, at several sizes.
+ * @brief Mirrors of the store's tables: how they are chosen, when a pooler sends a request to which
+ * mirror, and how many poolers read the store when a complete fleet of several sizes restarts.
  */
 #include "control_fixture.h"
 
@@ -15,87 +15,88 @@
                                          .mirrors = 0,
                                          .missing_since = 10 * MS};
 
-/* What to do at that moment, in ms, with these requests. */
+/* The decision at `ms` milliseconds. */
 static mirror_step_t
-step_at(mirror_inputs_t view, mirror_requests_t requests, unsigned ms)
+step_at(mirror_inputs_t inputs, mirror_requests_t requests, unsigned ms)
 {
-    return mirror_next_step(&requests, &view, ms * MS);
+    return mirror_next_step(&requests, &inputs, ms * MS);
 }
 
 static void
 test_mirrors_read_the_store(void)
 {
-    mirror_inputs_t view = starting;
-    view.mirrors = 5;
-    g_assert_cmpint(step_at(view, (mirror_requests_t){0}, 20), ==, MIRROR_STEP_REQUEST);
-    view.reads_store = true;
-    g_assert_cmpint(step_at(view, (mirror_requests_t){0}, 20), ==, MIRROR_STEP_STORE);
+    mirror_inputs_t inputs = starting;
+    inputs.mirrors = 5;
+    g_assert_cmpint(step_at(inputs, (mirror_requests_t){0}, 20), ==, MIRROR_STEP_REQUEST);
+    inputs.reads_store = true;
+    g_assert_cmpint(step_at(inputs, (mirror_requests_t){0}, 20), ==, MIRROR_STEP_STORE);
 }
 
-/* Until somebody may have named the mirrors, and no longer than the bound. */
+/* A starting pooler without a list of mirrors waits for one until MIRROR_NAMES_WAIT_NS has passed.
+ */
 static void
-test_waits_to_be_told(void)
+test_waits_for_list(void)
 {
-    mirror_inputs_t view = starting;
-    g_assert_cmpint(step_at(view, (mirror_requests_t){0}, 11), ==, MIRROR_STEP_WAIT);
-    g_assert_cmpint(step_at(view, (mirror_requests_t){0}, 3000), ==, MIRROR_STEP_WAIT);
-    g_assert_cmpint(step_at(view, (mirror_requests_t){0}, 3010), ==, MIRROR_STEP_STORE);
-    view.may_learn_mirrors = false;
-    g_assert_cmpint(step_at(view, (mirror_requests_t){0}, 11), ==, MIRROR_STEP_STORE);
+    mirror_inputs_t inputs = starting;
+    g_assert_cmpint(step_at(inputs, (mirror_requests_t){0}, 11), ==, MIRROR_STEP_WAIT);
+    g_assert_cmpint(step_at(inputs, (mirror_requests_t){0}, 3000), ==, MIRROR_STEP_WAIT);
+    g_assert_cmpint(step_at(inputs, (mirror_requests_t){0}, 3010), ==, MIRROR_STEP_STORE);
+    inputs.may_learn_mirrors = false;
+    g_assert_cmpint(step_at(inputs, (mirror_requests_t){0}, 11), ==, MIRROR_STEP_STORE);
 }
 
-/* One without a sign is given up sooner than one that is about to answer; then the next one is
- * asked, and the store after two. */
+/* A request without acknowledgement times out sooner than an acknowledged one. Then the next mirror
+ * is tried, and the store after two requests. */
 static void
-test_gives_up(void)
+test_timeouts(void)
 {
-    mirror_inputs_t view = starting;
-    view.mirrors = 5;
+    mirror_inputs_t inputs = starting;
+    inputs.mirrors = 5;
     mirror_requests_t requests = {.sent = 1, .first_sent_at = 20 * MS, .sent_at = 20 * MS};
-    g_assert_cmpint(step_at(view, requests, 419), ==, MIRROR_STEP_WAIT);
-    g_assert_cmpint(step_at(view, requests, 420), ==, MIRROR_STEP_REQUEST);
+    g_assert_cmpint(step_at(inputs, requests, 419), ==, MIRROR_STEP_WAIT);
+    g_assert_cmpint(step_at(inputs, requests, 420), ==, MIRROR_STEP_REQUEST);
     requests.acknowledged = true;
-    g_assert_cmpint(step_at(view, requests, 1519), ==, MIRROR_STEP_WAIT);
-    g_assert_cmpint(step_at(view, requests, 1520), ==, MIRROR_STEP_REQUEST);
+    g_assert_cmpint(step_at(inputs, requests, 1519), ==, MIRROR_STEP_WAIT);
+    g_assert_cmpint(step_at(inputs, requests, 1520), ==, MIRROR_STEP_REQUEST);
     requests.sent = 2;
-    g_assert_cmpint(step_at(view, requests, 1520), ==, MIRROR_STEP_STORE);
+    g_assert_cmpint(step_at(inputs, requests, 1520), ==, MIRROR_STEP_STORE);
 }
 
-/* Machines start together, mirrors among them: one that refuses a connection is asked again, with
- * pauses, also if there is no other one; not for ever. */
+/* Mirrors start together with other machines: one that refuses the connection is tried again after
+ * a pause, even if it is the only one, until MIRROR_TRY_MIN_NS has passed. */
 static void
-test_mirror_that_starts(void)
+test_starting_mirror(void)
 {
-    mirror_inputs_t view = starting;
-    view.mirrors = 1;
+    mirror_inputs_t inputs = starting;
+    inputs.mirrors = 1;
     mirror_requests_t requests = {.sent = 1, .first_sent_at = 20 * MS, .failed_at = 22 * MS};
-    g_assert_cmpint(step_at(view, requests, 71), ==, MIRROR_STEP_WAIT);
-    g_assert_cmpint(step_at(view, requests, 72), ==, MIRROR_STEP_REQUEST);
+    g_assert_cmpint(step_at(inputs, requests, 71), ==, MIRROR_STEP_WAIT);
+    g_assert_cmpint(step_at(inputs, requests, 72), ==, MIRROR_STEP_REQUEST);
     requests.sent = 9;
     requests.failed_at = 900 * MS;
-    g_assert_cmpint(step_at(view, requests, 950), ==, MIRROR_STEP_REQUEST);
-    g_assert_cmpint(step_at(view, requests, 1020), ==, MIRROR_STEP_STORE);
+    g_assert_cmpint(step_at(inputs, requests, 950), ==, MIRROR_STEP_REQUEST);
+    g_assert_cmpint(step_at(inputs, requests, 1020), ==, MIRROR_STEP_STORE);
 }
 
-/* A change must be in force within its bound: one mirror has a tenth of it. */
+/* A change must be in force within its bound: one mirror is tried for a tenth of it. */
 static void
 test_change(void)
 {
-    mirror_inputs_t view = starting;
-    view.starts = false;
-    view.mirrors = 5;
-    view.bound = 3000 * MS;
-    g_assert_cmpint(step_at(view, (mirror_requests_t){0}, 20), ==, MIRROR_STEP_REQUEST);
+    mirror_inputs_t inputs = starting;
+    inputs.starts = false;
+    inputs.mirrors = 5;
+    inputs.bound = 3000 * MS;
+    g_assert_cmpint(step_at(inputs, (mirror_requests_t){0}, 20), ==, MIRROR_STEP_REQUEST);
     const mirror_requests_t requests = {.sent = 1, .sent_at = 20 * MS, .acknowledged = true};
-    g_assert_cmpint(step_at(view, requests, 319), ==, MIRROR_STEP_WAIT);
-    g_assert_cmpint(step_at(view, requests, 320), ==, MIRROR_STEP_STORE);
-    view.mirrors = 0;
-    g_assert_cmpint(step_at(view, (mirror_requests_t){0}, 20), ==, MIRROR_STEP_STORE);
+    g_assert_cmpint(step_at(inputs, requests, 319), ==, MIRROR_STEP_WAIT);
+    g_assert_cmpint(step_at(inputs, requests, 320), ==, MIRROR_STEP_STORE);
+    inputs.mirrors = 0;
+    g_assert_cmpint(step_at(inputs, (mirror_requests_t){0}, 20), ==, MIRROR_STEP_STORE);
 }
 
 #define ZONES 5
 
-/* A fleet as candidates: one strong machine in twenty. */
+/* Candidates of a fleet, a quarter of them on strong machines. */
 static GArray *
 make_fleet(unsigned poolers)
 {
@@ -123,7 +124,7 @@
     g_autoptr(GArray) fleet = make_fleet(985);
     g_autoptr(GPtrArray) mirrors = choose(fleet);
     g_assert_cmpuint(mirrors->len, ==, 5 * ZONES);
-    for (guint i = 0; i < fleet->len / 2; i++) { /* in whatever order the poolers are candidates */
+    for (guint i = 0; i < fleet->len / 2; i++) { /* the order of the candidates must not matter */
         mirror_candidate_t swapped = g_array_index(fleet, mirror_candidate_t, i);
         mirror_candidate_t *other = &g_array_index(fleet, mirror_candidate_t, fleet->len - 1 - i);
         g_array_index(fleet, mirror_candidate_t, i) = *other;
@@ -141,7 +142,7 @@
     }
 }
 
-/* However many poolers there are, the list fits into a message, with mirrors in each zone. */
+/* However large the fleet is, the list fits into a message and has mirrors of each zone. */
 static void
 test_choice_is_bounded(void)
 {
@@ -157,10 +158,10 @@
     }
 }
 
-/* The quickest few of a fleet that connects are not named to all, and a new coordinator names no
- * fewer than it was told while poolers connect to it. */
+/* While a fleet connects, the few poolers that connected first are not announced as mirrors, and a
+ * new coordinator does not replace the list that it had received by a shorter one. */
 static void
-test_gathering(void)
+test_settled_choice(void)
 {
     mirror_gathering_t first = {.since = 0, .candidates = 40, .candidates_before = 0, .chosen = 5};
     g_assert_false(mirrors_choice_is_settled(&first, 10 * MS));
@@ -178,9 +179,9 @@
     g_assert_true(mirrors_choice_is_settled(&next, 10 * MS));
 }
 
-/* Own zone first, never oneself, and no mirror twice. */
+/* A pooler tries mirrors of its own zone first, never itself, and no mirror twice in one round. */
 static void
-test_turns(void)
+test_order_of_requests(void)
 {
     g_autoptr(GPtrArray) mirrors = mirrors_new();
     mirrors_add(mirrors, "a", "z0");
@@ -203,10 +204,11 @@
     g_assert_cmpuint(mirrors_count_others(mirrors, "x"), ==, 3);
 }
 
-/* After the loss of all, every pooler starts with what the lease's row names. Who reads the store,
- * and how many ask the busiest mirror? Both grow with the fleet no more than stated. */
+/* After the loss of all poolers, every one starts with the list of the lease's row. Bounds how many
+ * poolers read the store, and how many requests the busiest mirror gets, at each size of the fleet.
+ */
 static void
-test_return_of_all(void)
+test_restart_of_fleet(void)
 {
     static const unsigned sizes[] = {100, 400, 985, 1970, 4060};
     for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
@@ -217,10 +219,10 @@
         guint most = 0;
         for (guint j = 0; j < fleet->len; j++) {
             const mirror_candidate_t *member = &g_array_index(fleet, mirror_candidate_t, j);
-            mirror_inputs_t view = starting;
-            view.mirrors = mirrors_count_others(mirrors, member->address);
-            view.reads_store = view.mirrors < mirrors->len;
-            if (mirror_next_step(&(mirror_requests_t){0}, &view, 20 * MS) == MIRROR_STEP_STORE) {
+            mirror_inputs_t inputs = starting;
+            inputs.mirrors = mirrors_count_others(mirrors, member->address);
+            inputs.reads_store = inputs.mirrors < mirrors->len;
+            if (mirror_next_step(&(mirror_requests_t){0}, &inputs, 20 * MS) == MIRROR_STEP_STORE) {
                 readers++;
                 continue;
             }
@@ -257,9 +259,9 @@
     control_fixture_free(fixture->starting);
 }
 
-/* A configuration of so many services, and three databases for each. */
+/* Adds a configuration of this many services, and three databases for each. */
 static void
-learn(struct control *control, unsigned groups, uint64_t version)
+add_rows(struct control *control, unsigned groups, uint64_t version)
 {
     GString *text = g_string_new(NULL);
     g_string_append_printf(text, "{\"version\":%u,\"services\":[", (unsigned)version);
@@ -294,7 +296,8 @@
     }
 }
 
-/* Asks the mirror, and returns the bytes of its message. */
+/* Requests the tables from the mirror.
+ * @return the bytes of its message. */
 static size_t
 request_tables(fixture_t *fixture)
 {
@@ -310,26 +313,28 @@
     return g_bytes_get_size(message);
 }
 
-/* All of both tables in one message, a fraction of what the store would send, with their age. */
+/* A full copy of both tables fits into one message, a fraction of the bytes that the store would
+ * send, and contains the tables' ages. */
 static void
-test_whole_tables(fixture_t *fixture, gconstpointer unused)
+test_full_copy(fixture_t *fixture, gconstpointer unused)
 {
-    learn(fixture->mirror, 400, 5);
+    add_rows(fixture->mirror, 400, 5);
     size_t bytes = request_tables(fixture);
     g_assert_cmpuint(g_hash_table_size(fixture->starting->directory.entries), ==, 1200);
     g_assert_cmpuint(g_hash_table_size(fixture->starting->configuration->routes), ==, 1200);
     g_assert_cmpuint(control_relay_versions(fixture->starting).directory, ==, 6);
     g_assert_true(control_relayed_is_valid(fixture->starting, backend_now()));
     g_assert_false(fixture->starting->feeds[STORE_TABLE_DIRECTORY].missing);
-    g_assert_cmpuint(bytes, <, 60000); /* of 390 kB; 40 kB at the store for each start at most */
+    g_assert_cmpuint(bytes, <,
+                     60000); /* of 390 kB uncompressed; a start may read 40 kB at the store */
 }
 
-/* What has changed since the message was made goes beside it; who knows that much is told no more
- * than the change. */
+/* Changes after the snapshot was built are sent beside it. A receiver that has the snapshot gets
+ * only the changes. */
 static void
-test_changes_beside(fixture_t *fixture, gconstpointer unused)
+test_changes_beside_snapshot(fixture_t *fixture, gconstpointer unused)
 {
-    learn(fixture->mirror, 40, 5);
+    add_rows(fixture->mirror, 40, 5);
     request_tables(fixture);
     const GBytes *made = fixture->mirror->mirrors.snapshot.compressed;
     control_take_row(fixture->mirror, STORE_TABLE_DIRECTORY, "i-00000000", 9, NULL);
@@ -347,13 +352,13 @@
     g_assert_cmpuint(entry->gone_at, !=, 0);
 }
 
-/* A message that is broken on its way leaves the pooler as it was. */
+/* A corrupt message leaves the receiver's state unchanged. */
 static void
 test_broken_message(fixture_t *fixture, gconstpointer unused)
 {
     struct pooler_grant grant;
     g_autoptr(GError) error = NULL;
-    learn(fixture->mirror, 40, 5);
+    add_rows(fixture->mirror, 40, 5);
     pooler_grant_init(&grant);
     control_mirrors_fill(fixture->mirror, &(row_versions_t){0}, true, backend_now(), &grant);
     grant.tables[grant.tables_length / 2] ^= 0x5a;
@@ -364,16 +369,17 @@
     pooler_grant_clear(&grant);
 }
 
-/* The lease's row names the mirrors to those who start while nobody else answers. */
+/* The lease's row contains the list of mirrors for poolers that start while no other pooler
+ * responds. */
 static void
-test_lease_names_them(fixture_t *fixture, gconstpointer unused)
+test_lease_row_lists_mirrors(fixture_t *fixture, gconstpointer unused)
 {
     struct lease_record record;
     struct lease_record read = {0};
     g_autoptr(GError) error = NULL;
     struct control *control = fixture->mirror;
-    const struct pooler_mirror told = {(char *)"10.0.0.1:8782", (char *)"z1"};
-    control_mirrors_take(control, &told, 1);
+    const struct pooler_mirror received = {(char *)"10.0.0.1:8782", (char *)"z1"};
+    control_mirrors_take(control, &received, 1);
     lease_record_init(&record);
     record.mirrors_count = control_mirrors_copy(control, &record.mirrors);
     g_autoptr(GBytes) row = g_byte_array_free_to_bytes(control_lease_encode(control, &record));
@@ -394,18 +400,18 @@
 {
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/pooler/mirrors/read-the-store", test_mirrors_read_the_store);
-    g_test_add_func("/pooler/mirrors/waits-to-be-told", test_waits_to_be_told);
-    g_test_add_func("/pooler/mirrors/gives-up", test_gives_up);
-    g_test_add_func("/pooler/mirrors/mirror-that-starts", test_mirror_that_starts);
+    g_test_add_func("/pooler/mirrors/waits-for-list", test_waits_for_list);
+    g_test_add_func("/pooler/mirrors/timeouts", test_timeouts);
+    g_test_add_func("/pooler/mirrors/starting-mirror", test_starting_mirror);
     g_test_add_func("/pooler/mirrors/change", test_change);
     g_test_add_func("/pooler/mirrors/choice", test_choice);
     g_test_add_func("/pooler/mirrors/choice-is-bounded", test_choice_is_bounded);
-    g_test_add_func("/pooler/mirrors/gathering", test_gathering);
-    g_test_add_func("/pooler/mirrors/turns", test_turns);
-    g_test_add_func("/pooler/mirrors/return-of-all", test_return_of_all);
-    ADD("whole-tables", test_whole_tables);
-    ADD("changes-beside", test_changes_beside);
+    g_test_add_func("/pooler/mirrors/settled-choice", test_settled_choice);
+    g_test_add_func("/pooler/mirrors/order-of-requests", test_order_of_requests);
+    g_test_add_func("/pooler/mirrors/restart-of-fleet", test_restart_of_fleet);
+    ADD("full-copy", test_full_copy);
+    ADD("changes-beside-snapshot", test_changes_beside_snapshot);
     ADD("broken-message", test_broken_message);
-    ADD("lease-names-them", test_lease_names_them);
+    ADD("lease-row-lists-mirrors", test_lease_row_lists_mirrors);
     return g_test_run();
 }
--- a/tests/pooler/test_relay.c
+++ b/tests/pooler/test_relay.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * @brief Rows of the store passed from pooler to pooler: what is told, what is known afterwards,
- * and who asks the store by itself.
+ * @brief Rows of the store relayed from pooler to pooler: what is sent, what is known afterwards,
+ * and which pooler reads the store itself.
  */
 #include "control_fixture.h"
 
@@ -31,7 +31,7 @@
     control_fixture_free(fixture->to);
 }
 
-/* Bytes that can't be packed. */
+/* Incompressible bytes. */
 static GBytes *
 random_bytes(gsize len)
 {
@@ -42,9 +42,10 @@
     return g_bytes_new_take(data, len);
 }
 
-/* A row of the configuration's table other than the configuration itself is kept, not decoded. */
+/* Adds a row of the configuration's table. Rows other than the configuration itself are kept
+ * without being decoded. */
 static void
-learn(struct control *control, const char *key, uint64_t version, gsize len)
+add_row(struct control *control, const char *key, uint64_t version, gsize len)
 {
     g_autoptr(GBytes) value = len == 0 ? NULL : random_bytes(len);
     control_take_row(control, STORE_TABLE_CONFIGURATION, key, version, value);
@@ -61,7 +62,8 @@
     return g_hash_table_lookup(control->feeds[STORE_TABLE_CONFIGURATION].rows, key);
 }
 
-/* Tells `to` what it lacks beyond `known`; returns how many rows that took. */
+/* Relays to `to` what it is missing beyond `known`.
+ * @return the number of rows sent. */
 static size_t
 relay(const fixture_t *fixture, row_versions_t known)
 {
@@ -76,10 +78,10 @@
 }
 
 static void
-test_whole_table(fixture_t *fixture, gconstpointer unused)
+test_full_table(fixture_t *fixture, gconstpointer unused)
 {
-    learn(fixture->from, "a", 4, 10);
-    learn(fixture->from, "b", 7, 10);
+    add_row(fixture->from, "a", 4, 10);
+    add_row(fixture->from, "b", 7, 10);
     g_assert_cmpuint(relay(fixture, (row_versions_t){0}), ==, 2);
     g_assert_cmpuint(row_of(fixture->to, "a")->version, ==, 4);
     g_assert_cmpuint(row_of(fixture->to, "b")->version, ==, 7);
@@ -89,46 +91,47 @@
 static void
 test_only_changes(fixture_t *fixture, gconstpointer unused)
 {
-    learn(fixture->from, "a", 4, 10);
+    add_row(fixture->from, "a", 4, 10);
     relay(fixture, (row_versions_t){0});
-    learn(fixture->from, "b", 7, 10);
-    learn(fixture->from, "a", 9, 0);
+    add_row(fixture->from, "b", 7, 10);
+    add_row(fixture->from, "a", 9, 0);
     g_assert_cmpuint(relay(fixture, control_relay_versions(fixture->to)), ==, 2);
     g_assert_true(row_of(fixture->to, "a")->gone);
     g_assert_cmpuint(control_relay_versions(fixture->to).configuration, ==, 9);
     g_assert_cmpuint(relay(fixture, control_relay_versions(fixture->to)), ==, 0);
 }
 
-/* Changes above a version that the receiver never reached do not make it know the table. */
+/* Changes above a version that the receiver does not have must not raise its version of the table.
+ */
 static void
 test_gap(fixture_t *fixture, gconstpointer unused)
 {
-    learn(fixture->from, "a", 4, 10);
-    learn(fixture->from, "b", 7, 10);
+    add_row(fixture->from, "a", 4, 10);
+    add_row(fixture->from, "b", 7, 10);
     g_assert_cmpuint(relay(fixture, (row_versions_t){.configuration = 5}), ==, 1);
     g_assert_cmpuint(row_of(fixture->to, "b")->version, ==, 7);
     g_assert_cmpuint(control_relay_versions(fixture->to).configuration, ==, 0);
 }
 
-/* An older pooler's news takes nothing back. */
+/* An older row replaces no newer one. */
 static void
 test_older_sender(fixture_t *fixture, gconstpointer unused)
 {
-    learn(fixture->from, "a", 4, 10);
-    learn(fixture->to, "a", 9, 12);
+    add_row(fixture->from, "a", 4, 10);
+    add_row(fixture->to, "a", 9, 12);
     relay(fixture, (row_versions_t){0});
     g_assert_cmpuint(row_of(fixture->to, "a")->version, ==, 9);
     g_assert_cmpuint(control_relay_versions(fixture->to).configuration, ==, 9);
 }
 
-/* A large row is left to the store, and the receiver is told to ask there, and about that table
- * only. One that the store does not answer is told all the same. */
+/* A large row is left out, and the receiver is told to read that table at the store, and only that
+ * table. A receiver that the store does not answer gets the row nevertheless. */
 static void
 test_large_row(fixture_t *fixture, gconstpointer unused)
 {
     struct pooler_grant grant;
-    learn(fixture->from, "a", 4, 10);
-    learn(fixture->from, "large", 6, LARGE_ROW);
+    add_row(fixture->from, "a", 4, 10);
+    add_row(fixture->from, "large", 6, LARGE_ROW);
     time_ns now = backend_now();
     pooler_grant_init(&grant);
     control_relay_fill(fixture->from, &(relay_receiver_t){0}, now, &grant.relay);
@@ -136,7 +139,7 @@
     g_assert_cmpuint(grant.relay.rows_count, ==, 0);
     control_relay_take(fixture->to, &grant.relay);
     fixture->to->relayed_valid_until =
-        now + 500 * MS; /* others told it, lately, what there was before */
+        now + 500 * MS; /* relayed state from earlier messages is still valid */
     control_relayed_accept(fixture->to, &grant.relay, now);
     g_assert_cmpuint(control_relay_versions(fixture->to).configuration, ==, 0);
     g_assert_true(control_relayed_needs_store(fixture->to, STORE_TABLE_CONFIGURATION, now));
@@ -156,7 +159,8 @@
     pooler_grant_clear(&grant);
 }
 
-/* Rows that come quicker than they are confirmed are not queued: the newest one is sent then. */
+/* Rows that change faster than they are confirmed are not queued: the newest value is sent after
+ * the confirmation. */
 static void
 test_unconfirmed(fixture_t *fixture, gconstpointer unused)
 {
@@ -164,7 +168,7 @@
     size_t sent = 0;
     for (uint64_t version = 1; version <= 50; version++) {
         struct pooler_relay message;
-        learn(fixture->from, "a", version, 1000);
+        add_row(fixture->from, "a", version, 1000);
         pooler_relay_init(&message);
         control_relay_fill_pooler(fixture->from, &pooler, backend_now(), &message);
         sent += message.rows_count;
@@ -177,8 +181,8 @@
     g_assert_cmpuint(sent, ==, 2);
 }
 
-/* Rows for all poolers share the link with permits: they go out as it carries them, and who has
- * waited too long reads the store. */
+/* Rows for all poolers share the link with permits. They are sent at the rate of their share, and a
+ * receiver that has waited too long is told to read the store. */
 static void
 test_link(fixture_t *fixture, gconstpointer unused)
 {
@@ -186,7 +190,7 @@
     unsigned sent = 0;
     unsigned left_to_store = 0;
     fixture->settings.pooler.link_mbps = 2; /* 125,000 bytes a second for rows */
-    learn(fixture->from, "a", 5, 20000);
+    add_row(fixture->from, "a", 5, 20000);
     time_ns start = backend_now();
     for (unsigned ms = 0; ms < 2000; ms += 50) {
         for (unsigned i = 0; i < G_N_ELEMENTS(poolers); i++) {
@@ -205,15 +209,16 @@
     g_assert_cmpuint(left_to_store, >, 0);
 }
 
-/* Changes of a large row that may have been missed are not read one by one. */
+/* If changes of a large row may have been missed, the table is listed, rather than the changes
+ * read. */
 static void
 test_missed_changes(fixture_t *fixture, gconstpointer unused)
 {
     struct feed *feed = &fixture->from->feeds[STORE_TABLE_CONFIGURATION];
-    learn(fixture->from, "a", 5, 1000);
+    add_row(fixture->from, "a", 5, 1000);
     time_ns now = feed->as_of;
     g_assert_false(control_feed_needs_listing(feed, now + 5000 * MS));
-    learn(fixture->from, "a", 6, 100000);
+    add_row(fixture->from, "a", 6, 100000);
     now = feed->as_of;
     g_assert_false(control_feed_needs_listing(feed, now + 1000 * MS));
     g_assert_true(control_feed_needs_listing(feed, now + 5000 * MS));
@@ -221,19 +226,18 @@
     g_assert_true(control_feed_needs_listing(feed, now));
     fixture->settings.store.reads_per_s = 2000;
     control_feed_answered(feed, now);
-    g_assert_false(
-        control_feed_needs_listing(feed, now)); /* and not again before it is said again */
+    g_assert_false(control_feed_needs_listing(feed, now)); /* only once per message */
 }
 
-/* A pooler that asks again before it has got what it was sent is not sent it again. */
+/* A pooler that sends another request before it has received the rows is not sent them again. */
 static void
-test_slow_listener(fixture_t *fixture, gconstpointer unused)
+test_slow_receiver(fixture_t *fixture, gconstpointer unused)
 {
     struct pooler_heartbeat heartbeat;
-    struct peer *peer = (struct peer *)fixture; /* a key only */
+    struct peer *peer = (struct peer *)fixture; /* used as a key only */
     unsigned sent = 0;
     fixture->from->listeners = g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, g_free);
-    learn(fixture->from, "a", 5, 1000);
+    add_row(fixture->from, "a", 5, 1000);
     pooler_heartbeat_init(&heartbeat);
     for (unsigned i = 0; i < 20; i++) {
         struct pooler_relay message;
@@ -247,13 +251,13 @@
     g_hash_table_unref(fixture->from->listeners);
 }
 
-/* What a pooler knows better than the coordinator is told once, and again after a while. */
+/* Rows that the coordinator is missing are offered once, and again after OFFER_AGAIN_NS. */
 static void
 test_offer(fixture_t *fixture, gconstpointer unused)
 {
     struct control *control = fixture->from;
     unsigned sent = 0;
-    learn(control, "a", 5, 1000);
+    add_row(control, "a", 5, 1000);
     time_ns start = backend_now();
     for (unsigned ms = 0; ms < 3000; ms += 250) {
         struct pooler_relay message;
@@ -266,10 +270,10 @@
     g_assert_cmpuint(sent, ==, 2);
 }
 
-/* A text that repeats itself is passed on packed, and lies there as it was; a broken one is not
- * taken for known. */
+/* A repetitive text is sent compressed and stored uncompressed. A corrupt one does not raise the
+ * table's version. */
 static void
-test_packed(fixture_t *fixture, gconstpointer unused)
+test_compressed(fixture_t *fixture, gconstpointer unused)
 {
     struct pooler_relay message;
     g_autofree char *text = g_strnfill(40000, 'x');
@@ -281,7 +285,8 @@
     g_assert_cmpuint(message.rows_count, ==, 1);
     g_assert_cmpuint(message.rows[0].value_length, <, 1000);
     message.rows[0].unpacked_length++;
-    GLogLevelFlags fatal = g_log_set_always_fatal(G_LOG_FATAL_MASK); /* it warns */
+    GLogLevelFlags fatal =
+        g_log_set_always_fatal(G_LOG_FATAL_MASK); /* the function logs a warning */
     control_relay_take(fixture->to, &message);
     g_log_set_always_fatal(fatal);
     g_assert_cmpuint(control_relay_versions(fixture->to).configuration, ==, 0);
@@ -292,9 +297,9 @@
     pooler_relay_clear(&message);
 }
 
-/* A large text that repeats little, but for one place: `at` tells which, `to` what stands there. */
+/* Adds a large text with few repetitions. The number at position `at` is `to`. */
 static void
-learn_large(struct control *control, uint64_t version, unsigned at, unsigned to)
+add_large_row(struct control *control, uint64_t version, unsigned at, unsigned to)
 {
     GString *text = g_string_new(NULL);
     GRand *random = g_rand_new_with_seed(3);
@@ -314,14 +319,14 @@
     return g_bytes_equal(row_of(fixture->from, key)->value, row_of(fixture->to, key)->value);
 }
 
-/* The change of a large row is told by what differs, to whoever has one of its last values. */
+/* The change of a large row is sent as a delta to a receiver that has one of its last values. */
 static void
 test_change_of_a_large_row(fixture_t *fixture, gconstpointer unused)
 {
-    learn_large(fixture->from, 4, 0, 0);
-    learn_large(fixture->to, 4, 0, 0);
+    add_large_row(fixture->from, 4, 0, 0);
+    add_large_row(fixture->to, 4, 0, 0);
     for (uint64_t version = 5; version < 40; version++) {
-        learn_large(fixture->from, version, 100, (unsigned)version);
+        add_large_row(fixture->from, version, 100, (unsigned)version);
         if (version % 3 == 0) {
             g_assert_cmpuint(relay(fixture, control_relay_versions(fixture->to)), ==, 1);
             g_assert_cmpuint(control_relay_versions(fixture->to).configuration, ==, version);
@@ -330,13 +335,13 @@
     }
 }
 
-/* A pooler of before is told the whole, or reads it at the store. */
+/* A receiver without support of deltas gets the complete value, or reads it at the store. */
 static void
 test_receiver_without_deltas(fixture_t *fixture, gconstpointer unused)
 {
     struct pooler_relay message;
-    learn_large(fixture->from, 4, 0, 0);
-    learn_large(fixture->from, 5, 100, 5);
+    add_large_row(fixture->from, 4, 0, 0);
+    add_large_row(fixture->from, 5, 100, 5);
     pooler_relay_init(&message);
     relay_receiver_t to = {.known = {4, 4}};
     control_relay_fill(fixture->from, &to, backend_now(), &message);
@@ -350,35 +355,37 @@
     pooler_relay_clear(&message);
 }
 
-/* Who has none of them is told nothing of it, and reads it at the store. */
+/* A receiver that has none of the kept values gets no row and reads it at the store. */
 static void
-test_change_from_long_ago(fixture_t *fixture, gconstpointer unused)
+test_change_from_old_value(fixture_t *fixture, gconstpointer unused)
 {
-    learn_large(fixture->from, 4, 0, 0);
-    learn_large(fixture->to, 4, 0, 0);
+    add_large_row(fixture->from, 4, 0, 0);
+    add_large_row(fixture->to, 4, 0, 0);
     for (uint64_t version = 5; version < 20; version++) {
-        learn_large(fixture->from, version, 100, (unsigned)version);
+        add_large_row(fixture->from, version, 100, (unsigned)version);
     }
     g_assert_cmpuint(relay(fixture, control_relay_versions(fixture->to)), ==, 0);
     g_assert_cmpuint(control_relay_versions(fixture->to).configuration, ==, 4);
 }
 
-/* A difference from a value that is not the one here is not taken: the table is not known any
- * further, and is read at the store at once, whatever else is told. */
+/* A delta to another value than the known one is rejected: the table's version does not rise, and
+ * the table is read at the store at once, although relayed state is valid. */
 static void
 test_change_from_another_value(fixture_t *fixture, gconstpointer unused)
 {
     struct pooler_relay message;
-    learn_large(fixture->from, 4, 0, 0);
-    learn_large(fixture->from, 9, 100, 9);
-    learn_large(fixture->to, 6, 100, 6); /* learned at the store, which the other one has missed */
+    add_large_row(fixture->from, 4, 0, 0);
+    add_large_row(fixture->from, 9, 100, 9);
+    add_large_row(fixture->to, 6, 100,
+                  6); /* read at the store; the sender has not seen this version */
     fixture->to->relayed_valid_until = backend_now() + 1000 * MS;
     pooler_relay_init(&message);
     row_versions_t known = control_relay_versions(fixture->to);
     control_relay_fill(fixture->from, &(relay_receiver_t){known, false, true}, backend_now(),
                        &message);
     g_assert_cmpuint(message.rows[0].delta_base, ==, 4);
-    GLogLevelFlags fatal = g_log_set_always_fatal(G_LOG_FATAL_MASK); /* it warns */
+    GLogLevelFlags fatal =
+        g_log_set_always_fatal(G_LOG_FATAL_MASK); /* the function logs a warning */
     control_relay_take(fixture->to, &message);
     g_log_set_always_fatal(fatal);
     control_relayed_accept(fixture->to, &message, backend_now());
@@ -388,15 +395,15 @@
     pooler_relay_clear(&message);
 }
 
-/* Many small rows are as much as a large one: a fleet that starts reads thousands of databases'
- * records at the store, not at one pooler. */
+/* Many small rows are limited like a large one: poolers of a starting fleet read thousands of
+ * databases' records at the store, not from one pooler. */
 static void
 test_many_rows(fixture_t *fixture, gconstpointer unused)
 {
     struct pooler_relay message;
     for (unsigned i = 0; i < 1000; i++) {
         g_autofree char *key = g_strdup_printf("row-%u", i);
-        learn(fixture->from, key, i + 1, 100);
+        add_row(fixture->from, key, i + 1, 100);
     }
     pooler_relay_init(&message);
     control_relay_fill(fixture->from, &(relay_receiver_t){0}, backend_now(), &message);
@@ -411,32 +418,33 @@
     pooler_relay_clear(&message);
 }
 
-/* A pooler that is not the coordinator is relied on as well, if it knows how new its rows are and
- * nothing is missing of them here. */
+/* Rows of a pooler that is not the coordinator are valid, too, if it sends their age and the
+ * receiver is missing none of them. */
 static void
-test_hearsay(fixture_t *fixture, gconstpointer unused)
+test_nonauthoritative_sender(fixture_t *fixture, gconstpointer unused)
 {
     struct control *to = fixture->to;
     struct pooler_relay message;
-    learn(fixture->from, "a", 4, 10);
+    add_row(fixture->from, "a", 4, 10);
     time_ns now = backend_now();
     pooler_relay_init(&message);
     control_relay_fill(fixture->from, &(relay_receiver_t){0}, now, &message);
     control_relayed_accept(to, &message, now);
-    g_assert_false(control_relayed_is_valid(to, now)); /* what it knows is not known yet */
+    g_assert_false(
+        control_relayed_is_valid(to, now)); /* rows that the sender has are missing here */
     control_relay_take(to, &message);
     control_relayed_accept(to, &message, now);
     g_assert_true(control_relayed_is_valid(to, now + 1500 * MS));
     g_assert_false(control_relayed_is_valid(to, now + 2000 * MS));
     g_assert_true(control_relayed_covers_lease(to, now + 1000 * MS));
     g_assert_false(
-        control_relayed_covers_lease(to, now + 1600 * MS));      /* whoever told may be gone */
-    g_assert_cmpuint(to->coordinator_rows.configuration, ==, 4); /* and is not told it back */
+        control_relayed_covers_lease(to, now + 1600 * MS));      /* the sender may have failed */
+    g_assert_cmpuint(to->coordinator_rows.configuration, ==, 4); /* not sent back to the sender */
     message.configuration_age_ms = 4000;
     control_relayed_accept(to, &message, now + 2500 * MS);
     g_assert_false(control_relayed_is_valid(to, now + 2500 * MS));
     message.configuration_age_ms = 1;
-    message.directory_age_ms = 0; /* it knows more of that table than it tells */
+    message.directory_age_ms = 0; /* it knows more of that table than it has sent */
     control_relayed_accept(to, &message, now + 2500 * MS);
     g_assert_false(control_relayed_is_valid(to, now + 2500 * MS));
     to->follows_store = true;
@@ -453,13 +461,13 @@
     pooler->name = (char *)name;
     pooler->zone = (char *)zone;
     pooler->millicores = millicores;
-    pooler->peer = (struct peer *)control; /* compared with NULL only */
+    pooler->peer = (struct peer *)control; /* only compared with NULL */
     pooler->peer_address = (char *)name;
     g_hash_table_insert(control->poolers, pooler->name, pooler);
 }
 
-/* Strong machines follow the store, one that it does not answer gives way, and all are told who
- * they are. */
+/* Poolers on strong machines become followers, one that the store does not answer is replaced, and
+ * the list is announced to all. */
 static void
 test_followers(fixture_t *fixture, gconstpointer unused)
 {
@@ -497,10 +505,10 @@
     g_hash_table_unref(from->poolers);
 }
 
-/* Only a coordinator that the store answers is relied on, and for a while only: three fifths of the
- * bound on a configuration, from when the store was sure to have nothing newer. */
+/* Relayed state is valid only from a coordinator that the store answers, and for three fifths of
+ * the bound on a configuration from the time at which it was proven to be the store's newest. */
 static void
-test_relayed(fixture_t *fixture, gconstpointer unused)
+test_validity(fixture_t *fixture, gconstpointer unused)
 {
     struct pooler_relay relay;
     time_ns now = backend_now();
@@ -522,8 +530,8 @@
     pooler_relay_clear(&relay);
 }
 
-/* After the loss of all poolers nobody answers one that starts: it asks the store soon, and no
- * later for an answer of one that knows nothing either. */
+/* After the loss of all poolers none answers one that starts. It reads the store soon, and only a
+ * little later after an answer of a pooler that knows nothing either. */
 static void
 test_start(fixture_t *fixture, gconstpointer unused)
 {
@@ -549,7 +557,7 @@
 
 #define ADD(name, test) g_test_add("/pooler/relay/" name, fixture_t, NULL, set_up, test, tear_down)
 
-/* One heartbeat and its answer, as between a pooler (`to`) and its coordinator (`from`). */
+/* One heartbeat and its answer between a pooler (`to`) and its coordinator (`from`). */
 static void
 exchange_heartbeat(const fixture_t *fixture, struct pooler_peer *pooler, time_ns now)
 {
@@ -567,11 +575,11 @@
     pooler_relay_clear(&answer);
 }
 
-/* The store answers: all rows of 1,000 databases and the large configuration, as of this moment. */
+/* The store answers with all rows of 1,000 databases and the large configuration, as of now. */
 static void
-read_whole(struct control *control, uint64_t version, time_ns now)
+read_all_from_store(struct control *control, uint64_t version, time_ns now)
 {
-    learn_large(control, version, 1, 1);
+    add_large_row(control, version, 1, 1);
     for (unsigned i = 0; i < 1000; i++) {
         g_autofree char *key = g_strdup_printf("database-%u", i);
         g_autofree char *text = g_strdup_printf(
@@ -590,8 +598,9 @@
     }
 }
 
-/* 334 groups, whose configuration and databases are more than a message holds: a pooler reads them
- * once at the store. Then it says so, is told of nothing missing, and relies on its coordinator. */
+/* The configuration and databases of 334 groups exceed one message: a pooler reads them once at the
+ * store. Then it reports their versions, gets no incomplete flag, and uses its coordinator's state.
+ */
 static void
 test_large_tables_read_once(fixture_t *fixture, gconstpointer unused)
 {
@@ -600,7 +609,7 @@
     fixture->settings.store.reads_per_s = 6000;
     fixture->settings.store.heartbeat_ms = 1200;
     time_ns start = backend_now();
-    read_whole(fixture->from, 4, start);
+    read_all_from_store(fixture->from, 4, start);
     for (unsigned ms = 0; ms < 20000; ms += 250) {
         time_ns now = start + ms * MS;
         control_feed_prove(&fixture->from->feeds[STORE_TABLE_CONFIGURATION], now);
@@ -608,26 +617,27 @@
         exchange_heartbeat(fixture, &pooler, now);
         if (control_relayed_needs_store(fixture->to, STORE_TABLE_CONFIGURATION, now)) {
             reads++;
-            read_whole(fixture->to, 4, now);
+            read_all_from_store(fixture->to, 4, now);
         }
     }
     g_assert_cmpuint(reads, ==, 1);
     g_assert_true(control_relayed_is_valid(fixture->to, start + 20000 * MS));
 }
 
-/* What the other side said before it heard that the store was read makes nobody read it again. */
+/* An incomplete flag sent before the peer knew that the store was read causes no further read. */
 static void
-test_outdated_word_of_missing_rows(fixture_t *fixture, gconstpointer unused)
+test_outdated_incomplete_flag(fixture_t *fixture, gconstpointer unused)
 {
     struct feed *feed = &fixture->to->feeds[STORE_TABLE_CONFIGURATION];
     struct pooler_relay message;
     time_ns now = backend_now();
-    read_whole(fixture->to, 4, now);
+    read_all_from_store(fixture->to, 4, now);
     pooler_relay_init(&message);
     message.configuration_incomplete = true;
     control_relayed_accept(fixture->to, &message, now);
     g_assert_false(feed->missing);
-    message.configuration_base = message.configuration_row = 4; /* it has heard, and knows more */
+    message.configuration_base = message.configuration_row =
+        4; /* the peer has the new version, and knows more */
     control_relayed_accept(fixture->to, &message, now);
     g_assert_true(feed->missing);
     pooler_relay_clear(&message);
@@ -637,27 +647,27 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    ADD("whole-table", test_whole_table);
+    ADD("full-table", test_full_table);
     ADD("only-changes", test_only_changes);
     ADD("gap", test_gap);
     ADD("older-sender", test_older_sender);
     ADD("large-row", test_large_row);
     ADD("unconfirmed", test_unconfirmed);
     ADD("link", test_link);
-    ADD("slow-listener", test_slow_listener);
+    ADD("slow-receiver", test_slow_receiver);
     ADD("offer", test_offer);
     ADD("missed-changes", test_missed_changes);
-    ADD("packed", test_packed);
+    ADD("compressed", test_compressed);
     ADD("change-of-a-large-row", test_change_of_a_large_row);
-    ADD("change-from-long-ago", test_change_from_long_ago);
+    ADD("change-from-old-value", test_change_from_old_value);
     ADD("receiver-without-deltas", test_receiver_without_deltas);
     ADD("change-from-another-value", test_change_from_another_value);
     ADD("many-rows", test_many_rows);
-    ADD("hearsay", test_hearsay);
+    ADD("nonauthoritative-sender", test_nonauthoritative_sender);
     ADD("followers", test_followers);
-    ADD("reliance", test_relayed);
+    ADD("validity", test_validity);
     ADD("start", test_start);
     ADD("large-tables-read-once", test_large_tables_read_once);
-    ADD("outdated-word-of-missing-rows", test_outdated_word_of_missing_rows);
+    ADD("outdated-incomplete-flag", test_outdated_incomplete_flag);
     return g_test_run();
 }
--- a/tests/pooler/test_relayed.c
+++ b/tests/pooler/test_relayed.c
@@ -1,22 +1,22 @@
 /**
  * @file
- * @brief How far a pooler relies on what another one tells it of the store.
+ * @brief Validity of relayed state.
  *
- * Seen on real processes: after the loss of all poolers, four of eight served by an old
- * configuration for as long as their connection to the coordinator lasted, to the run's end. The
- * store had forgotten its history just as they were told that they need not ask it any more. So
- * they had dropped what they knew of the tables' versions, read nothing anew, and were sent no rows
- * either: the coordinator took its earlier ones to be on their way. Each message still said that it
- * knew the store as of now, and that was enough to be relied on. The same follows from any message
- * that is late, or that leaves out what the receiver lacks. `forgotten-history` is that course;
- * `tests/soak/soak.py --seed 1 --seconds 70 --faults=incident` showed it on processes.
+ * Guards against a pooler that serves by an old configuration for as long as its connection to the
+ * coordinator lasts, which happened to four of eight poolers after the loss of all. The store had
+ * lost its history just as the poolers received valid relayed state. They had reset the known
+ * versions of their tables, did not read them again, and got no rows either, as the coordinator
+ * counted earlier rows as sent and not confirmed. Each message still stated a recent age, which
+ * alone made the state valid. The same follows from a late message, or from one that leaves out
+ * rows that the receiver is missing. `history-gone` reproduces this without processes;
+ * `tests/soak/soak.py --seed 1 --seconds 70 --faults=incident` does with processes.
  */
 #include "control_fixture.h"
 #include "standins/session_platform/row_store.h"
 
 #include <string.h>
 
-/* Within which a configuration must be in force, and a heartbeat's interval. */
+/* Time within which a configuration must be in force, and the interval of heartbeats. */
 #define BOUND_NS     (3000 * MS)
 #define HEARTBEAT_NS (250 * MS)
 
@@ -24,7 +24,7 @@
     struct control *coordinator;
     struct control *member;
     struct pooler_settings settings;
-    struct pooler_peer pooler; /* the member, as the coordinator knows it */
+    struct pooler_peer pooler; /* the member, as the coordinator sees it */
     struct row_store *store;
     struct event_base *base;
     time_ns now;
@@ -67,9 +67,9 @@
     event_base_free(fixture->base);
 }
 
-/* The coordinator learns a row from the store, and that this is all so far. */
+/* The coordinator reads a row from the store, which has no other changes. */
 static void
-learn(fixture_t *fixture, uint64_t version)
+add_row(fixture_t *fixture, uint64_t version)
 {
     struct control *coordinator = fixture->coordinator;
     g_autofree char *text = g_strdup_printf("value %" G_GUINT64_FORMAT, version);
@@ -81,7 +81,7 @@
 
 /* The store has answered the coordinator just now. */
 static void
-refresh(fixture_t *fixture)
+prove_current(fixture_t *fixture)
 {
     control_feed_prove(&fixture->coordinator->feeds[STORE_TABLE_CONFIGURATION], fixture->now);
     control_feed_prove(&fixture->coordinator->feeds[STORE_TABLE_DIRECTORY], fixture->now);
@@ -91,22 +91,22 @@
 static void
 exchange(fixture_t *fixture)
 {
-    struct pooler_relay told;
+    struct pooler_relay offer;
     struct pooler_grant grant;
     time_ns requested_at = fixture->now + HEARTBEAT_NS;
     fixture->now = requested_at + 1;
-    refresh(fixture);
-    pooler_relay_init(&told);
-    control_relay_fill_offer(fixture->member, fixture->now, &told);
+    prove_current(fixture);
+    pooler_relay_init(&offer);
+    control_relay_fill_offer(fixture->member, fixture->now, &offer);
     struct pooler_peer *pooler = &fixture->pooler;
-    pooler->confirmed = (row_versions_t){told.configuration_row, told.directory_row};
-    pooler->known.configuration = MAX(pooler->known.configuration, told.configuration_row);
-    pooler->known.directory = MAX(pooler->known.directory, told.directory_row);
+    pooler->confirmed = (row_versions_t){offer.configuration_row, offer.directory_row};
+    pooler->known.configuration = MAX(pooler->known.configuration, offer.configuration_row);
+    pooler->known.directory = MAX(pooler->known.directory, offer.directory_row);
     pooler_grant_init(&grant);
     control_relay_fill_pooler(fixture->coordinator, pooler, fixture->now, &grant.relay);
     control_relay_take(fixture->member, &grant.relay);
     control_relayed_accept(fixture->member, &grant.relay, requested_at);
-    pooler_relay_clear(&told);
+    pooler_relay_clear(&offer);
     pooler_grant_clear(&grant);
 }
 
@@ -119,40 +119,40 @@
 }
 
 static bool
-calls(const struct control *control)
+has_open_call(const struct control *control)
 {
     return control->feeds[STORE_TABLE_CONFIGURATION].calling ||
            control->feeds[STORE_TABLE_DIRECTORY].calling;
 }
 
-/* Until the store has answered all calls of the member. */
+/* Runs until the store has answered all calls of the member. */
 static void
 finish_calls(fixture_t *fixture)
 {
-    while (calls(fixture->member)) {
+    while (has_open_call(fixture->member)) {
         event_base_loop(fixture->base, EVLOOP_ONCE);
     }
 }
 
-/* The store forgets its history while the member asks it, and the member is told meanwhile that it
- * need not ask. What the coordinator learns later reaches the member all the same, also where the
- * store refuses the member from then on. */
+/* The store loses its history while the member has a call open, and the member gets valid relayed
+ * state meanwhile. Later rows of the coordinator must still reach the member, even if the store
+ * refuses the member from then on. */
 static void
-test_forgotten_history(fixture_t *fixture, gconstpointer unused)
+test_history_gone(fixture_t *fixture, gconstpointer unused)
 {
-    learn(fixture, 4);
+    add_row(fixture, 4);
     exchange(fixture);
     exchange(fixture);
     g_assert_cmpuint(version_of(fixture->member), ==, 4);
     row_store_set_faults(fixture->store, &(struct row_store_faults){.no_history = true});
-    fixture->now += BOUND_NS; /* nobody has told it anything for long */
+    fixture->now += BOUND_NS; /* the relayed state has expired */
     control_feeds_tick(fixture->member, fixture->now);
-    g_assert_true(calls(fixture->member));
+    g_assert_true(has_open_call(fixture->member));
     exchange(fixture);
     finish_calls(fixture);
     row_store_set_faults(fixture->store, &(struct row_store_faults){.refuse = true});
     for (uint64_t version = 9; version <= 12; version++) {
-        learn(fixture, version);
+        add_row(fixture, version);
         for (unsigned i = 0; i < BOUND_NS / HEARTBEAT_NS; i++) {
             exchange(fixture);
             control_feeds_tick(fixture->member, fixture->now);
@@ -162,16 +162,15 @@
     }
 }
 
-/* Rows that do not come while messages without rows do: the member asks the store within the
- * bound. */
+/* Rows are lost while messages without rows arrive: the member reads the store within the bound. */
 static void
-test_rows_that_do_not_come(fixture_t *fixture, gconstpointer unused)
+test_missing_rows(fixture_t *fixture, gconstpointer unused)
 {
-    learn(fixture, 4);
+    add_row(fixture, 4);
     exchange(fixture);
     exchange(fixture);
-    learn(fixture, 9);
-    fixture->pooler.known = (row_versions_t){9, 9}; /* sent, as the coordinator sees it */
+    add_row(fixture, 9);
+    fixture->pooler.known = (row_versions_t){9, 9}; /* the coordinator counts them as sent */
     for (time_ns passed = 0; passed < BOUND_NS * 3 / 4; passed += HEARTBEAT_NS) {
         exchange(fixture);
         fixture->pooler.known = (row_versions_t){9, 9};
@@ -181,12 +180,12 @@
         control_relayed_needs_store(fixture->member, STORE_TABLE_CONFIGURATION, fixture->now));
 }
 
-/* A coordinator that the store no longer answers is left in time to ask the store before the bound,
- * however often it says something meanwhile. */
+/* If the store no longer answers the coordinator, the member reads the store itself before the
+ * bound, however many messages the coordinator sends. */
 static void
 test_coordinator_without_store(fixture_t *fixture, gconstpointer unused)
 {
-    learn(fixture, 4);
+    add_row(fixture, 4);
     exchange(fixture);
     exchange(fixture);
     time_ns answered = fixture->now;
@@ -205,17 +204,17 @@
         control_relayed_needs_store(fixture->member, STORE_TABLE_CONFIGURATION, fixture->now));
 }
 
-/* A message that was long on its way, or lay in the buffer of a process that stood still, is as old
- * as it is: counted from when it was requested_at for, not from when it came. */
+/* The age of a late message, or of one that waited in the buffer of a stopped process, counts from
+ * the time of the request, not of the receipt. */
 static void
 test_late_message(fixture_t *fixture, gconstpointer unused)
 {
     struct pooler_grant grant;
-    learn(fixture, 4);
+    add_row(fixture, 4);
     exchange(fixture);
     exchange(fixture);
     time_ns requested_at = fixture->now;
-    refresh(fixture);
+    prove_current(fixture);
     pooler_grant_init(&grant);
     control_relay_fill_pooler(fixture->coordinator, &fixture->pooler, fixture->now, &grant.relay);
     fixture->now += BOUND_NS;
@@ -223,18 +222,19 @@
     control_relayed_accept(fixture->member, &grant.relay, requested_at);
     g_assert_true(
         control_relayed_needs_store(fixture->member, STORE_TABLE_CONFIGURATION, fixture->now));
-    control_relayed_accept(fixture->member, &grant.relay, 0); /* sent unasked: of an unknown age */
+    control_relayed_accept(fixture->member, &grant.relay,
+                           0); /* not requested, so its age is unknown */
     g_assert_true(
         control_relayed_needs_store(fixture->member, STORE_TABLE_CONFIGURATION, fixture->now));
     pooler_grant_clear(&grant);
 }
 
-/* In time, a coordinator that the store answers is relied on without a gap. */
+/* With a healthy coordinator, relayed state stays valid without interruption. */
 static void
 test_healthy_coordinator(fixture_t *fixture, gconstpointer unused)
 {
     for (uint64_t version = 4; version < 40; version++) {
-        learn(fixture, version);
+        add_row(fixture, version);
         exchange(fixture);
         g_assert_cmpuint(version_of(fixture->member), ==, version);
         g_assert_false(
@@ -249,8 +249,8 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    ADD("forgotten-history", test_forgotten_history);
-    ADD("rows-that-do-not-come", test_rows_that_do_not_come);
+    ADD("history-gone", test_history_gone);
+    ADD("missing-rows", test_missing_rows);
     ADD("coordinator-without-store", test_coordinator_without_store);
     ADD("late-message", test_late_message);
     ADD("healthy-coordinator", test_healthy_coordinator);
