--- a/tests/pooler/test_delta.c
+++ b/tests/pooler/test_delta.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * @brief Differences of texts: the second text comes out of the first again, a small change is a
- * small difference, and a broken one is refused.
+ * @brief Deltas of texts: applying a delta gives the second text, a small change gives a small
+ * delta, and a corrupt delta is rejected.
  */
 #include "pooler/control/delta.h"
 
@@ -15,7 +15,7 @@
     return g_bytes_new(text, strlen(text));
 }
 
-/* A configuration of so many routes; the route at `changed` has another service. */
+/* A configuration with this many routes. The route at `changed` has another service. */
 static GBytes *
 configuration(unsigned version, unsigned routes, unsigned changed)
 {
@@ -79,7 +79,7 @@
     }
 }
 
-/* Texts of few letters, in which much repeats itself. */
+/* Texts with few different letters and many repetitions. */
 static GBytes *
 random_text(GRand *random)
 {
@@ -103,9 +103,9 @@
     g_rand_free(random);
 }
 
-/* Bytes from another process: whatever they are, they give the right text or an error. */
+/* Received bytes may be corrupt: whatever they are, the result is the right text or an error. */
 static void
-test_broken(void)
+test_corrupt(void)
 {
     GRand *random = g_rand_new_with_seed(8);
     g_autoptr(GBytes) from = configuration(1, 50, 3);
@@ -134,6 +134,6 @@
     g_test_add_func("/pooler/delta/routes-come-and-go", test_routes_come_and_go);
     g_test_add_func("/pooler/delta/edges", test_edges);
     g_test_add_func("/pooler/delta/random-texts", test_random_texts);
-    g_test_add_func("/pooler/delta/broken", test_broken);
+    g_test_add_func("/pooler/delta/corrupt", test_corrupt);
     return g_test_run();
 }
--- a/tests/pooler/test_news.c
+++ b/tests/pooler/test_news.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * @brief Orders and members as a coordinator tells them to hundreds of poolers: compressed once for
- * all who lack the same, and the same afterwards as if they were told one by one.
+ * @brief Orders and members as a coordinator sends them to hundreds of poolers: compressed once for
+ * all receivers that have the same versions, with the same content as uncompressed.
  */
 #include "pooler/control/control_internal.h"
 
@@ -60,7 +60,8 @@
     g_free(fixture->control);
 }
 
-/* What comes out at the pooler, after the way over the wire; `bytes` is the message's length. */
+/* Encodes, decodes and decompresses the grant for a pooler. `bytes` is the length of the message.
+ */
 static struct pooler_grant
 send_grant(const fixture_t *fixture, struct pooler_peer *pooler, size_t *bytes)
 {
@@ -105,8 +106,9 @@
     g_assert_cmpuint(a->fleet.members_count, ==, b->fleet.members_count);
 }
 
-/* A new coordinator of 300 poolers and 1,000 groups tells each of them all: half the bytes or less,
- * and the same content as an older pooler gets, which does not take it compressed. */
+/* A new coordinator of 300 poolers and 1,000 groups sends every pooler everything, in less than
+ * half the bytes and with the same content as to an older pooler, which does not support compressed
+ * updates. */
 static void
 test_new_coordinator_of_300(fixture_t *fixture, gconstpointer unused)
 {
@@ -132,8 +134,9 @@
     g_assert_cmpuint(fixture->control->news.entries->len, ==, 1);
 }
 
-/* A group changes its primary: those who know all else are told that one, as it is; who comes then
- * is told the new order with all others, not what was compressed before. */
+/* A group changes its primary. A pooler that has everything else gets just that order,
+ * uncompressed. A pooler that connects afterwards gets all orders with the new one, not the cached
+ * message. */
 static void
 test_change_of_primary(fixture_t *fixture, gconstpointer unused)
 {
@@ -162,9 +165,9 @@
     pooler_grant_clear(&plain);
 }
 
-/* Each pooler lacks something else: what is remembered stays bounded, and nothing is lost. */
+/* With a different version at each pooler, the cache stays bounded and nothing is lost. */
 static void
-test_all_lack_different_news(fixture_t *fixture, gconstpointer unused)
+test_different_versions(fixture_t *fixture, gconstpointer unused)
 {
     uint64_t first = (TOKEN << EPOCH_SHIFT) + 1;
     for (unsigned i = 0; i < POOLERS; i++) {
@@ -180,10 +183,10 @@
     g_assert_cmpuint(fixture->control->news.entries->len, <=, 32);
 }
 
-/* 140 poolers start again beside a follower, while there is no coordinator: each is told all that
- * the follower knows, compressed once, and nothing twice. */
+/* 140 poolers connect to a follower while there is no coordinator. Each gets everything that the
+ * follower knows, compressed once, and nothing twice. */
 static void
-test_hearsay(fixture_t *fixture, gconstpointer unused)
+test_nonauthoritative_reply(fixture_t *fixture, gconstpointer unused)
 {
     struct control *control = fixture->control;
     control->groups = g_hash_table_new(g_str_hash, g_str_equal);
@@ -231,9 +234,9 @@
     g_hash_table_unref(control->groups);
 }
 
-/* What is broken closes the connection, and is not received. */
+/* A corrupt message is reported as an error, and its content is not taken over. */
 static void
-test_broken(fixture_t *fixture, gconstpointer unused)
+test_corrupt_message(fixture_t *fixture, gconstpointer unused)
 {
     struct pooler_peer pooler = {.takes_news = true};
     struct pooler_grant grant;
@@ -248,10 +251,10 @@
     pooler_grant_clear(&grant);
 }
 
-/* A coordinator begins with a fleet that has not changed, tells its followers so, and later lets a
- * member count operations: a follower that had nothing to change at first learns it all the same.
- * Otherwise it asks no home of any tenant's limit, and refuses the tenant for as long as this
- * coordinator holds the lease. */
+/* A coordinator starts with an unchanged fleet, announces it, and later lets a member start
+ * counting operations. A pooler for which the first announcement contained no change must receive
+ * the later one. Otherwise it finds no home of any tenant's limit and refuses the tenants for as
+ * long as this coordinator holds the lease. */
 static void
 test_change_after_an_unchanged_fleet(fixture_t *fixture, gconstpointer unused)
 {
@@ -264,7 +267,7 @@
     fleet_join(fixture->control->fleet, address, "north-a", 1, 120, before);
     fleet_join(follower.fleet, address, "north-a", 1, 120, before);
     struct pooler_peer pooler = {.takes_news = true, .fleet_told = before};
-    for (unsigned told = 0; told < 2; told++) {
+    for (unsigned round = 0; round < 2; round++) {
         struct pooler_grant grant = send_grant(fixture, &pooler, &bytes);
         control_fleet_take(&follower, &grant.fleet);
         pooler_grant_clear(&grant);
@@ -287,9 +290,9 @@
 #define ADD(name, test) g_test_add("/pooler/news/" name, fixture_t, NULL, set_up, test, tear_down)
     ADD("new-coordinator-of-300", test_new_coordinator_of_300);
     ADD("change-of-primary", test_change_of_primary);
-    ADD("all-lack-different-news", test_all_lack_different_news);
-    ADD("hearsay", test_hearsay);
-    ADD("broken", test_broken);
+    ADD("different-versions", test_different_versions);
+    ADD("nonauthoritative-reply", test_nonauthoritative_reply);
+    ADD("corrupt-message", test_corrupt_message);
     ADD("change-after-an-unchanged-fleet", test_change_after_an_unchanged_fleet);
     return g_test_run();
 }
--- a/tests/pooler/test_store.c
+++ b/tests/pooler/test_store.c
@@ -1,6 +1,7 @@
 /**
  * @file
- * @brief The client of the store against its stand-in: listings that don't fit into one answer.
+ * @brief The client of the store with its stand-in: listings of several pages, and a restored
+ * store.
  */
 #include "pooler/control/store.h"
 #include "standins/session_platform/row_store.h"
@@ -14,7 +15,7 @@
     struct event_base *base;
     struct store *store;
     enum store_outcome outcome;
-    GHashTable *keys; /* of the rows that came */
+    GHashTable *keys; /* of the received rows */
     uint64_t version;
     bool answered;
 } fixture_t;
@@ -78,7 +79,7 @@
     g_assert_true(fixture->answered);
 }
 
-/* One row of many, and none where there is none. */
+/* Reads one row of many, and no row if there is none with the key. */
 static void
 test_one_row(fixture_t *fixture, gconstpointer unused)
 {
@@ -94,7 +95,7 @@
     }
 }
 
-/* More databases than one answer holds: the rest must not be taken for gone. */
+/* A listing of several pages is complete: rows after the first page must not count as deleted. */
 static void
 test_pages(fixture_t *fixture, gconstpointer unused)
 {
@@ -125,14 +126,14 @@
     g_assert_cmpuint(g_hash_table_size(fixture->keys), ==, 0);
 }
 
-/* An answer without a readable body tells nothing: not that a table is empty, nor that it is as it
- * was. */
+/* An answer without a readable body has an unknown outcome: neither an empty table nor an unchanged
+ * one. */
 static void
 test_unreadable(fixture_t *fixture, gconstpointer unused)
 {
     put_databases(fixture, 20);
     row_store_set_faults(fixture->stand_in, &(struct row_store_faults){.empty = true});
-    GLogLevelFlags fatal = g_log_set_always_fatal(G_LOG_FATAL_MASK); /* it warns */
+    GLogLevelFlags fatal = g_log_set_always_fatal(G_LOG_FATAL_MASK); /* the client logs a warning */
     list(fixture);
     g_log_set_always_fatal(fatal);
     g_assert_cmpint((int)fixture->outcome, ==, (int)STORE_UNKNOWN);
@@ -147,8 +148,8 @@
     g_assert_true(fixture->answered);
 }
 
-/* Versions go on rising over a restore, and changes follow a version of the same era only: the
- * store's numbers are given out again. */
+/* Versions keep rising over a restore, and changes are only read after a version of the same era,
+ * as the store assigns its numbers again. */
 static void
 test_restored_watch(fixture_t *fixture, gconstpointer unused)
 {
@@ -166,7 +167,7 @@
     g_assert_cmpuint(fixture->version, ==, store_version(1, 35));
 }
 
-/* Pages of two eras make no listing. */
+/* Pages of two eras do not form a listing. */
 static void
 test_restored_listing(fixture_t *fixture, gconstpointer unused)
 {
@@ -189,8 +190,8 @@
     g_assert_true(fixture->answered);
 }
 
-/* A write whose condition names a version of an earlier era proves nothing, even where the row has
- * that number again. */
+/* A write with a version of an earlier era as its condition has an unknown outcome, even if the row
+ * has the same number again. */
 static void
 test_restored_condition(fixture_t *fixture, gconstpointer unused)
 {
@@ -204,7 +205,7 @@
     write_lease(fixture, store_version(1, 0));
     g_assert_cmpint((int)fixture->outcome, ==, (int)STORE_DONE);
     g_assert_cmpuint(fixture->version, ==, store_version(1, 7));
-    write_lease(fixture, store_version(0, 7)); /* the number fits, the era does not */
+    write_lease(fixture, store_version(0, 7)); /* the same number in another era */
     g_assert_cmpint((int)fixture->outcome, ==, (int)STORE_UNKNOWN);
 }
 
--- a/tests/pooler/test_store_era.c
+++ b/tests/pooler/test_store_era.c
@@ -1,37 +1,36 @@
 /**
  * @file
- * @brief What a pooler does once the store was restored from an older copy of itself.
+ * @brief A pooler's behaviour after the store was restored from an older copy of itself.
  *
- * Seen on eight simulated machines: the store was away for 2.5 s and came back with what it had
- * held some seconds before. Configurations acknowledged afterwards were in force nowhere, or at two
- * of eight poolers, and statements ran by an older one; four poolers read both tables whole sixty
- * times a second, until the store's versions had passed those known before. The store gives
- * versions out again then, and tells so by its era. Rows and tables were compared by version alone:
- * the rows of the new configurations ranked below the known ones and were passed over, and the
- * known version of a table, which never falls, requested_at for changes that the store did not
- * have. `configuration` is that course; the calls refused until the versions had caught up, and
- * rows that showed at two poolers by a listing and at the others never, proved it.
+ * Guards against configurations that never come into force after a restore. The store was
+ * unavailable for 2.5 s and came back with the state of some seconds before. It assigns versions
+ * again after that and marks them with a new era. Rows and tables were compared by version alone:
+ * rows of new configurations had lower versions than the known ones and were ignored, and the known
+ * version of a table, which never falls, was ahead of the store. So acknowledged configurations
+ * were in force at none or at two of eight poolers, statements were executed by an older one, and
+ * four poolers listed both tables sixty times a second until the store's versions had passed the
+ * known ones. `configuration` reproduces this.
  */
 #include "control_fixture.h"
 #include "standins/session_platform/row_store.h"
 
 #include <string.h>
 
-/* Within which a configuration must be in force, and a heartbeat's interval. */
+/* Time within which a configuration must be in force, and the interval of heartbeats. */
 #define BOUND_NS     (3000 * MS)
 #define HEARTBEAT_NS (250 * MS)
 
-/* Writes of others that the store forgets in the drill. */
-#define FORGOTTEN_WRITES 20
+/* Writes by other clients that the store loses. */
+#define LOST_WRITES 20
 
 typedef struct fixture {
     struct control *coordinator;
     struct control *member;
     struct pooler_settings settings;
-    struct pooler_peer pooler; /* the member, as the coordinator knows it */
+    struct pooler_peer pooler; /* the member, as the coordinator sees it */
     struct row_store *store;
     struct event_base *base;
-    time_ns heartbeat_at; /* the member's next */
+    time_ns heartbeat_at; /* when the member's next one is due */
 } fixture_t;
 
 static struct control *
@@ -58,7 +57,7 @@
     fixture->base = event_base_new();
     fixture->store = row_store_start(refuse_promotion, NULL);
     fixture->coordinator = control_new(fixture);
-    fixture->coordinator->follows_store = true; /* asks the store, whoever tells it what */
+    fixture->coordinator->follows_store = true; /* reads the store whatever is relayed to it */
     fixture->member = control_new(fixture);
 }
 
@@ -79,7 +78,7 @@
     row_store_put(fixture->store, "op", store_configuration_key, text);
 }
 
-/* Others write, so that the store's version rises. */
+/* Writes other rows, so that the store's version rises. */
 static void
 write_others(fixture_t *fixture, unsigned count)
 {
@@ -97,21 +96,21 @@
 static void
 exchange(fixture_t *fixture, time_ns now)
 {
-    struct pooler_relay told;
+    struct pooler_relay offer;
     struct pooler_grant grant;
-    pooler_relay_init(&told);
-    control_relay_fill_offer(fixture->member, now, &told);
-    control_relay_take(fixture->coordinator, &told);
-    control_relay_confirm(&fixture->pooler, &told);
+    pooler_relay_init(&offer);
+    control_relay_fill_offer(fixture->member, now, &offer);
+    control_relay_take(fixture->coordinator, &offer);
+    control_relay_confirm(&fixture->pooler, &offer);
     pooler_grant_init(&grant);
     control_relay_fill_pooler(fixture->coordinator, &fixture->pooler, now, &grant.relay);
     control_relay_take(fixture->member, &grant.relay);
     control_relayed_accept(fixture->member, &grant.relay, now);
-    pooler_relay_clear(&told);
+    pooler_relay_clear(&offer);
     pooler_grant_clear(&grant);
 }
 
-/* Both poolers run for a moment, and the member speaks to the coordinator from time to time. */
+/* Runs both poolers for a moment, with heartbeats from the member to the coordinator. */
 static void
 step(fixture_t *fixture)
 {
@@ -136,9 +135,9 @@
     }
 }
 
-/* Until the configuration is in force at the pooler, or for as long as one may take. */
+/* Waits until the configuration is in force at the pooler, for BOUND_NS at most. */
 static bool
-reaches(fixture_t *fixture, const struct control *control, unsigned version)
+wait_until_in_force(fixture_t *fixture, const struct control *control, unsigned version)
 {
     time_ns until = backend_now() + BOUND_NS;
     while (in_force(control) < version && backend_now() < until) {
@@ -147,9 +146,9 @@
     return in_force(control) >= version;
 }
 
-/* Until the coordinator knows both tables as the store holds them in this era. */
+/* Waits until the coordinator has versions of both tables of this era. */
 static void
-follow_into(fixture_t *fixture, uint64_t era)
+wait_for_era(fixture_t *fixture, uint64_t era)
 {
     const struct control *control = fixture->coordinator;
     time_ns until = backend_now() + BOUND_NS;
@@ -161,47 +160,46 @@
     }
 }
 
-/* The store is restored from a copy of before its newest writes; then the operator changes the
- * configuration, once more than the store forgot. */
+/* Restores the store from a copy taken before its last writes. */
 static void
 restore(fixture_t *fixture, unsigned writes_since)
 {
     uint64_t copied = row_store_version(fixture->store, 0);
     write_others(fixture, writes_since);
-    g_assert_true(reaches(fixture, fixture->member, 20));
+    g_assert_true(wait_until_in_force(fixture, fixture->member, 20));
     row_store_restore(fixture->store, copied);
 }
 
-/* The versions of what is written after the restore are below those known before it. */
+/* Versions written after the restore are lower than those known before it. */
 static void
 test_configuration(fixture_t *fixture, gconstpointer unused)
 {
     write_others(fixture, 5);
     configure(fixture, 14);
     uint64_t copied = row_store_version(fixture->store, 0);
-    write_others(fixture, FORGOTTEN_WRITES);
+    write_others(fixture, LOST_WRITES);
     configure(fixture, 20);
-    g_assert_true(reaches(fixture, fixture->coordinator, 20));
+    g_assert_true(wait_until_in_force(fixture, fixture->coordinator, 20));
     row_store_restore(fixture->store, copied);
-    configure(fixture, 20); /* the operator writes again what was lost */
+    configure(fixture, 20); /* the operator repeats the lost write */
     configure(fixture, 24);
-    g_assert_true(reaches(fixture, fixture->coordinator, 24));
+    g_assert_true(wait_until_in_force(fixture, fixture->coordinator, 24));
 }
 
-/* One that is told by others what the store holds is told the new one as well. */
+/* A pooler with relayed state gets the new configuration, too. */
 static void
 test_relayed(fixture_t *fixture, gconstpointer unused)
 {
     configure(fixture, 20);
-    g_assert_true(reaches(fixture, fixture->member, 20));
-    restore(fixture, FORGOTTEN_WRITES);
+    g_assert_true(wait_until_in_force(fixture, fixture->member, 20));
+    restore(fixture, LOST_WRITES);
     configure(fixture, 24);
-    g_assert_true(reaches(fixture, fixture->member, 24));
+    g_assert_true(wait_until_in_force(fixture, fixture->member, 24));
 }
 
-/* The pooler knows both tables up to this version, as the store held them at that moment. */
+/* Sets the pooler's versions of both tables, as proven at this time. */
 static void
-know(struct control *control, uint64_t version, time_ns moment)
+set_known(struct control *control, uint64_t version, time_ns moment)
 {
     for (int table = 0; table < STORE_TABLE_CONTROL; table++) {
         control->feeds[table].version = version;
@@ -209,8 +207,9 @@
     }
 }
 
-/* One that has not heard of the restore vouches for nothing that is known after it, and one that
- * has vouches for nothing that was known before: what either knows may lack what the other has. */
+/* A pooler that does not know of the restore must not state an age for versions of the new era, and
+ * one that does must not state an age for versions of the old era: either may be missing rows that
+ * the other has. */
 static void
 test_ages(fixture_t *fixture, gconstpointer unused)
 {
@@ -222,8 +221,8 @@
         const row_versions_t known = {store_version(eras[i][1], 40), store_version(eras[i][1], 40)};
         struct pooler_relay relay;
         pooler_relay_init(&relay);
-        know(sender, store_version(eras[i][0], 60), now - 10 * MS);
-        know(receiver, known.configuration, now - BOUND_NS);
+        set_known(sender, store_version(eras[i][0], 60), now - 10 * MS);
+        set_known(receiver, known.configuration, now - BOUND_NS);
         control_relay_fill_versions(sender, &known, now, &relay);
         g_assert_cmpuint(relay.configuration_age_ms, ==, 0);
         g_assert_cmpuint(relay.directory_age_ms, ==, 0);
@@ -238,17 +237,17 @@
     }
 }
 
-/* One that starts while the store holds its copy is told what the others know, not what the copy
- * says: what was revoked since must not come back with the poolers that start. */
+/* A pooler that starts while the store holds the copy gets the configuration that the others know,
+ * not the copy's: keys that were revoked since must not become valid again. */
 static void
 test_older_configuration(fixture_t *fixture, gconstpointer unused)
 {
     configure(fixture, 14);
     uint64_t copied = row_store_version(fixture->store, 0);
     configure(fixture, 20);
-    g_assert_true(reaches(fixture, fixture->coordinator, 20));
+    g_assert_true(wait_until_in_force(fixture, fixture->coordinator, 20));
     row_store_restore(fixture->store, copied);
-    follow_into(fixture, 1);
+    wait_for_era(fixture, 1);
     struct control *starting = control_fixture_new(&fixture->settings);
     struct pooler_relay relay;
     pooler_relay_init(&relay);
@@ -260,18 +259,18 @@
     control_fixture_free(starting);
 }
 
-/* The same where the copy is of before the first configuration. */
+/* The same with a copy from before the first configuration. */
 static void
 test_no_configuration(fixture_t *fixture, gconstpointer unused)
 {
     configure(fixture, 20);
-    g_assert_true(reaches(fixture, fixture->member, 20));
+    g_assert_true(wait_until_in_force(fixture, fixture->member, 20));
     row_store_restore(fixture->store, 0);
-    follow_into(fixture, 1);
+    wait_for_era(fixture, 1);
     const struct feed *feed = &fixture->coordinator->feeds[STORE_TABLE_CONFIGURATION];
     const struct known_row *row = g_hash_table_lookup(feed->rows, store_configuration_key);
     g_assert_false(row->gone);
-    configure(fixture, 14); /* written late, before 20 is written again */
+    configure(fixture, 14); /* a late write, before 20 is written again */
     run_for(fixture, 300 * MS);
     g_assert_cmpuint(in_force(fixture->coordinator), ==, 20);
     g_assert_cmpuint(in_force(fixture->member), ==, 20);
@@ -287,9 +286,10 @@
         state, role, sequence);
 }
 
-/* A database's record, as one of its writes. */
+/* Writes a database's record. */
 static void
-record(fixture_t *fixture, const char *id, unsigned sequence, const char *state, const char *role)
+write_record(fixture_t *fixture, const char *id, unsigned sequence, const char *state,
+             const char *role)
 {
     g_autofree char *text = record_text(sequence, state, role);
     row_store_put(fixture->store, "servers", id, text);
@@ -301,26 +301,26 @@
     return g_hash_table_lookup(control->directory.entries, id);
 }
 
-/* The copy says that a database is ready, and leads, which has said since that it drains, or is
- * gone: nothing is sent to it for that. Its next write counts. */
+/* In the copy a database is ready, or a primary, that has since reported to be draining, or has
+ * left: it gets no work by the copy's record. Its next write counts. */
 static void
 test_older_records(fixture_t *fixture, gconstpointer unused)
 {
-    record(fixture, "drained", 5, "ready", "replica");
-    record(fixture, "gone", 5, "ready", "replica");
-    record(fixture, "replaced", 5, "ready", "primary");
-    record(fixture, "same", 5, "ready", "replica");
+    write_record(fixture, "drained", 5, "ready", "replica");
+    write_record(fixture, "gone", 5, "ready", "replica");
+    write_record(fixture, "replaced", 5, "ready", "primary");
+    write_record(fixture, "same", 5, "ready", "replica");
     configure(fixture, 14);
-    run_for(fixture, 1200 * MS); /* the directory is looked at once a second */
+    run_for(fixture, 1200 * MS); /* the directory is polled once a second */
     uint64_t copied = row_store_version(fixture->store, 0);
-    record(fixture, "drained", 9, "draining", "replica");
-    record(fixture, "replaced", 9, "ready", "replica");
+    write_record(fixture, "drained", 9, "draining", "replica");
+    write_record(fixture, "replaced", 9, "ready", "replica");
     row_store_put(fixture->store, "servers", "gone", NULL);
     configure(fixture, 20);
     run_for(fixture, 1200 * MS);
     g_assert_true(entry_of(fixture->member, "drained")->draining);
     row_store_restore(fixture->store, copied);
-    follow_into(fixture, 1);
+    wait_for_era(fixture, 1);
     run_for(fixture, 600 * MS);
     const struct control *both[] = {fixture->coordinator, fixture->member};
     for (size_t i = 0; i < G_N_ELEMENTS(both); i++) {
@@ -330,8 +330,8 @@
         g_assert_cmpuint(entry_of(both[i], "gone")->gone_at, !=, 0);
         g_assert_cmpuint(entry_of(both[i], "same")->gone_at, ==, 0);
     }
-    record(fixture, "drained", 10, "ready", "replica");
-    record(fixture, "gone", 10, "ready", "replica");
+    write_record(fixture, "drained", 10, "ready", "replica");
+    write_record(fixture, "gone", 10, "ready", "replica");
     run_for(fixture, 1500 * MS);
     for (size_t i = 0; i < G_N_ELEMENTS(both); i++) {
         g_assert_false(entry_of(both[i], "drained")->draining);
@@ -339,33 +339,32 @@
     }
 }
 
-/* A database that was taken for gone, lives, and renews the record that the copy has without a
- * change: the store does not tell that, so the table is read once more after its row would have
- * lapsed. */
+/* A live database that counted as deleted renews the record in the copy without changing it. The
+ * store reports no change, so the table is listed once more after the record would have expired. */
 static void
 test_record_renewed(fixture_t *fixture, gconstpointer unused)
 {
     fixture->settings.store.heartbeat_ms = 300;
-    record(fixture, "lapsed", 6, "ready", "replica");
+    write_record(fixture, "lapsed", 6, "ready", "replica");
     run_for(fixture, 1200 * MS);
     uint64_t copied = row_store_version(fixture->store, 0);
     row_store_put(fixture->store, "servers", "lapsed", NULL);
     run_for(fixture, 1200 * MS);
     g_assert_cmpuint(entry_of(fixture->member, "lapsed")->gone_at, !=, 0);
     row_store_restore(fixture->store, copied);
-    follow_into(fixture, 1);
+    wait_for_era(fixture, 1);
     g_assert_cmpuint(entry_of(fixture->coordinator, "lapsed")->gone_at, !=, 0);
     row_store_renew(fixture->store, "servers", "lapsed");
     for (unsigned i = 0; i < 12; i++) {
-        write_others(fixture, 1); /* as the lease is renewed */
+        write_others(fixture, 1); /* the lease is renewed */
         run_for(fixture, 200 * MS);
     }
     g_assert_cmpuint(entry_of(fixture->coordinator, "lapsed")->gone_at, ==, 0);
     g_assert_cmpuint(entry_of(fixture->member, "lapsed")->gone_at, ==, 0);
 }
 
-/* A record that only a member knew, and that the others' tables of the new era lack, does not stand
- * for ever. */
+/* A record that only one member knew, and that is missing in the other poolers' tables of the new
+ * era, must not stay for ever. */
 static void
 test_lost_record(fixture_t *fixture, gconstpointer unused)
 {
@@ -375,9 +374,9 @@
     struct control *member = control_fixture_new(&fixture->settings);
     struct pooler_relay relay;
     control_take_row(member, STORE_TABLE_DIRECTORY, "lost", 90, value);
-    know(member, 90, backend_now());
+    set_known(member, 90, backend_now());
     control_take_row(sender, STORE_TABLE_DIRECTORY, "there", store_version(1, 30), value);
-    know(sender, store_version(1, 40), backend_now());
+    set_known(sender, store_version(1, 40), backend_now());
     const relay_receiver_t to = {.known = control_relay_versions(member)};
     pooler_relay_init(&relay);
     control_relay_fill(sender, &to, backend_now(), &relay);
@@ -389,19 +388,19 @@
     control_fixture_free(member);
 }
 
-/* Operators have written again what the store lost, this long after it answers again. */
-#define WRITTEN_AGAIN_NS (1000 * MS)
+/* Operators have repeated the lost writes this long after the store answers again. */
+#define REWRITTEN_NS (1000 * MS)
 
-/* The restored store's newest configuration is an earlier one until the operator writes again, so
- * it proves of no key that it still stands, neither here nor where it is passed on, and not to one
- * that starts just then. After that it does again. */
+/* The restored store's newest configuration is an older one until the operator writes again. So it
+ * must not prove keys valid: not here, not where it is relayed, and not at a pooler that starts
+ * meanwhile. Afterwards it proves them again. */
 static void
 test_proof(fixture_t *fixture, gconstpointer unused)
 {
     configure(fixture, 14);
     uint64_t copied = row_store_version(fixture->store, 0);
     configure(fixture, 20);
-    g_assert_true(reaches(fixture, fixture->member, 20));
+    g_assert_true(wait_until_in_force(fixture, fixture->member, 20));
     run_for(fixture, 300 * MS);
     time_ns before = backend_now();
     g_assert_cmpuint(fixture->coordinator->proven_at, !=, 0);
@@ -413,8 +412,8 @@
         control_feeds_tick(starting, backend_now());
         step(fixture);
     }
-    follow_into(fixture, 1);
-    run_for(fixture, WRITTEN_AGAIN_NS / 2);
+    wait_for_era(fixture, 1);
+    run_for(fixture, REWRITTEN_NS / 2);
     g_assert_cmpuint(in_force(starting), ==, 14);
     g_assert_cmpuint(starting->proven_at, ==, 0);
     g_assert_cmpuint(fixture->coordinator->proven_at, <, before + 100 * MS);
@@ -430,54 +429,57 @@
     control_fixture_free(starting);
 }
 
-/* A store that refuses each question for changes, and lists its tables well, is not read over and
- * over: the same happens where its copy has no history. What it lists is still taken in time. */
+/* A store that answers each read of changes with a missing history, but lists its tables, must not
+ * be listed in a loop. The same happens if the copy has no history. Listed changes are still taken
+ * over in time. */
 static void
 test_no_history(fixture_t *fixture, gconstpointer unused)
 {
     configure(fixture, 20);
-    g_assert_true(reaches(fixture, fixture->coordinator, 20));
+    g_assert_true(wait_until_in_force(fixture, fixture->coordinator, 20));
     row_store_set_faults(fixture->store, &(struct row_store_faults){.no_history = true});
     const control_counts_t *counts = &fixture->coordinator->counts;
     uint64_t before = counts->calls[STORE_TABLE_CONFIGURATION][CALL_FOLLOWER];
     run_for(fixture, 3000 * MS);
     uint64_t calls = counts->calls[STORE_TABLE_CONFIGURATION][CALL_FOLLOWER] - before;
-    g_assert_cmpuint(calls, <, 30); /* about as many as a store that fails is requested_at */
+    g_assert_cmpuint(calls, <, 30); /* about the rate of calls to a failing store */
     configure(fixture, 24);
-    g_assert_true(reaches(fixture, fixture->coordinator, 24));
+    g_assert_true(wait_until_in_force(fixture, fixture->coordinator, 24));
 }
 
-/* An answer that was given before the restore, and comes after others have told of it, tells
- * neither a version nor how new anything is. */
+/* An answer from before the restore that arrives after another pooler has announced the new era
+ * proves neither versions nor ages. */
 static void
 test_late_answer(fixture_t *fixture, gconstpointer unused)
 {
     configure(fixture, 20);
-    g_assert_true(reaches(fixture, fixture->coordinator, 20));
+    g_assert_true(wait_until_in_force(fixture, fixture->coordinator, 20));
     const struct feed *feed = &fixture->coordinator->feeds[STORE_TABLE_CONFIGURATION];
     control_era_note(fixture->coordinator, 1, 0);
-    time_ns told = backend_now();
-    run_for(fixture, 1500 * MS); /* the store answers as before */
-    g_assert_cmpuint(feed->as_of, <, told);
+    time_ns announced_at = backend_now();
+    run_for(fixture, 1500 * MS); /* the store still answers in the old era */
+    g_assert_cmpuint(feed->as_of, <, announced_at);
     row_store_restore(fixture->store, row_store_version(fixture->store, 0));
-    follow_into(fixture, 1); /* by the member's word, it may be: its own answer comes, too */
+    wait_for_era(fixture, 1); /* the versions may come from the member; the coordinator's own answer
+                                 is still to come */
     time_ns until = backend_now() + BOUND_NS;
-    while (feed->as_of < told) {
+    while (feed->as_of < announced_at) {
         g_assert_cmpuint(backend_now(), <, until);
         step(fixture);
     }
 }
 
-/* How often a follower asks about a table in some seconds. */
+/* Number of a follower's reads of the directory in four seconds. `relayed`: its relayed state is
+ * recent. */
 static uint64_t
-count_polls(fixture_t *fixture, bool told)
+count_polls(fixture_t *fixture, bool relayed)
 {
     struct control *follower = fixture->coordinator;
     const uint64_t *calls = follower->counts.calls[STORE_TABLE_DIRECTORY];
     uint64_t before = calls[CALL_FOLLOWER];
     time_ns until = backend_now() + 4000 * MS;
     while (backend_now() < until) {
-        if (told) {
+        if (relayed) {
             follower->relayed_as_of = backend_now();
         }
         step(fixture);
@@ -485,35 +487,35 @@
     return calls[CALL_FOLLOWER] - before;
 }
 
-/* A follower asks now and then while its coordinator tells it what the store holds, and as often as
- * that one otherwise. A configuration is in force in time either way. */
+/* A follower polls at a longer interval while its coordinator relays recent state, and as often as
+ * the coordinator otherwise. A configuration is in force in time either way. */
 static void
-test_follower_in_reserve(fixture_t *fixture, gconstpointer unused)
+test_standby_follower(fixture_t *fixture, gconstpointer unused)
 {
     configure(fixture, 14);
-    g_assert_true(reaches(fixture, fixture->coordinator, 14));
+    g_assert_true(wait_until_in_force(fixture, fixture->coordinator, 14));
     g_assert_cmpuint(count_polls(fixture, false), >=, 4);
-    uint64_t told = count_polls(fixture, true);
-    g_assert_cmpuint(told, >=, 1);
-    g_assert_cmpuint(told, <=, 3);
-    configure(fixture, 20); /* the coordinator is lost just now */
-    g_assert_true(reaches(fixture, fixture->coordinator, 20));
+    uint64_t standby_polls = count_polls(fixture, true);
+    g_assert_cmpuint(standby_polls, >=, 1);
+    g_assert_cmpuint(standby_polls, <=, 3);
+    configure(fixture, 20); /* the coordinator is lost now */
+    g_assert_true(wait_until_in_force(fixture, fixture->coordinator, 20));
 }
 
-/* A database that recorded itself just before the store went away may be a member that nobody here
- * knows, and hold commits: members count as all of their group's only after every living one has
- * had the time to record itself again. */
+/* A database that was recorded just before the store failed may be an unknown member of its group
+ * and hold commits. So the members of a group count as complete only after every live database has
+ * had time to record itself again. */
 static void
 test_members_settle_again(fixture_t *fixture, gconstpointer unused)
 {
     fixture->settings.store.heartbeat_ms = 200;
-    record(fixture, "a", 5, "ready", "primary");
+    write_record(fixture, "a", 5, "ready", "primary");
     configure(fixture, 20);
     run_for(fixture, 2500 * MS);
     g_assert_true(fixture->coordinator->directory_settled);
     g_assert_true(fixture->member->directory_settled);
     row_store_restore(fixture->store, row_store_version(fixture->store, 0));
-    follow_into(fixture, 1);
+    wait_for_era(fixture, 1);
     time_ns restored = fixture->coordinator->era_since;
     while (!fixture->coordinator->directory_settled || !fixture->member->directory_settled) {
         g_assert_cmpuint(backend_now(), <, restored + BOUND_NS);
@@ -525,7 +527,7 @@
     }
 }
 
-/* The store's steady clock may be another machine's now. */
+/* The restored store's steady clock may be that of another machine. */
 static void
 test_clock(fixture_t *fixture, gconstpointer unused)
 {
@@ -556,6 +558,6 @@
     ADD("no-history", test_no_history);
     ADD("members-settle-again", test_members_settle_again);
     ADD("clock", test_clock);
-    ADD("follower-in-reserve", test_follower_in_reserve);
+    ADD("standby-follower", test_standby_follower);
     return g_test_run();
 }
--- a/tests/pooler/test_zone_reachability.c
+++ b/tests/pooler/test_zone_reachability.c
@@ -1,5 +1,5 @@
-/* Whether a zone is stale_minority off from the others: what is asked in vain, and what else could
- * explain it. */
+/* Whether a zone counts as partitioned from the others: pings without a response, and other
+ * explanations of them. */
 #include <glib.h>
 
 #include "pooler/control/zone_reachability.h"
@@ -7,7 +7,7 @@
 #define MS     NANOSECONDS_PER_MILLISECOND
 #define SECOND NANOSECONDS_PER_SECOND
 
-/* Two of three poolers are in other zones, and what is known of the store is old. */
+/* Inputs of a zone with a third of the fleet, while what is known of the store is old. */
 static const zone_reachability_inputs_t stale_minority = {9, 6, SECOND};
 
 static zone_reachability_t
@@ -18,7 +18,7 @@
     return reach;
 }
 
-/* Asks from `first` on, one each 100 ms. */
+/* Reports pings without a response, sent every 100 ms from `first` on. */
 static void
 ping_without_reply(zone_reachability_t *reach, time_ns first, unsigned count)
 {
@@ -27,9 +27,9 @@
     }
 }
 
-/* All questions in vain for more than half a second, and the store's word 2 s old. */
+/* No ping was answered for more than half a second, and what is known of the store is 2 s old. */
 static void
-test_cut_off(void)
+test_partitioned(void)
 {
     zone_reachability_t reach = contacted_at(10 * SECOND);
     g_assert_false(zone_reachability_needs_ping(&reach, 10 * SECOND + 400 * MS));
@@ -42,23 +42,23 @@
     g_assert_true(reach.partitioned);
 }
 
-/* The first sign of another zone ends it. */
+/* The first message from another zone ends the partition. */
 static void
-test_back(void)
+test_partition_ends(void)
 {
     zone_reachability_t reach = contacted_at(10 * SECOND);
     ping_without_reply(&reach, 11 * SECOND, 6);
     zone_reachability_evaluate(&reach, &stale_minority, 12 * SECOND);
     g_assert_true(reach.partitioned);
     zone_reachability_note_contact(&reach, 13 * SECOND);
-    zone_reachability_note_timeout(&reach, 12 * SECOND + 900 * MS); /* asked before */
+    zone_reachability_note_timeout(&reach, 12 * SECOND + 900 * MS); /* sent before the message */
     g_assert_true(zone_reachability_evaluate(&reach, &stale_minority, 13 * SECOND + 10 * MS));
     g_assert_false(reach.partitioned);
 }
 
-/* Two or three machines that are gone or slow are no partition. */
+/* Two or three machines that have failed or are slow are no partition. */
 static void
-test_few_silent(void)
+test_few_timeouts(void)
 {
     zone_reachability_t reach = contacted_at(10 * SECOND);
     ping_without_reply(&reach, 11 * SECOND, 3);
@@ -66,7 +66,7 @@
     g_assert_false(reach.partitioned);
 }
 
-/* Four that refuse at once, as a fleet that restarts does, are not yet one. */
+/* Refusals by four poolers at once, as when a fleet restarts, are no partition yet. */
 static void
 test_refused_at_once(void)
 {
@@ -78,20 +78,21 @@
     g_assert_false(reach.partitioned);
 }
 
-/* While the store's word comes, others may be lost: this zone serves. */
+/* While the store's rows are recent, the other zones may have failed: this zone serves. */
 static void
-test_store_is_heard(void)
+test_store_recent(void)
 {
     zone_reachability_t reach = contacted_at(10 * SECOND);
-    const zone_reachability_inputs_t view = {9, 6, 12 * SECOND};
+    const zone_reachability_inputs_t inputs = {9, 6, 12 * SECOND};
     ping_without_reply(&reach, 11 * SECOND, 20);
-    zone_reachability_evaluate(&reach, &view, 13 * SECOND);
+    zone_reachability_evaluate(&reach, &inputs, 13 * SECOND);
     g_assert_false(reach.partitioned);
 }
 
-/* The greater part of a fleet goes on, and so does half of it: the other half may know no more. */
+/* The larger part of a fleet keeps serving, and so does one half: the other half may have no more
+ * information. */
 static void
-test_most_are_here(void)
+test_majority_here(void)
 {
     zone_reachability_t reach = contacted_at(10 * SECOND);
     const zone_reachability_inputs_t half = {8, 4, SECOND};
@@ -103,15 +104,15 @@
     g_assert_false(reach.partitioned);
 }
 
-/* A process that starts in a zone that is stale_minority off: its neighbours told it the fleet, and
- * what they knew of the store is old. After the loss of all the store itself is heard first. */
+/* A process starts in a partitioned zone: its neighbours sent it the fleet, and their rows of the
+ * store are old. After the loss of all poolers, the store itself answers first. */
 static void
 test_start(void)
 {
     zone_reachability_t reach = {0};
-    const zone_reachability_inputs_t fresh = {9, 6, 20 * SECOND};
+    const zone_reachability_inputs_t recent = {9, 6, 20 * SECOND};
     g_assert_true(zone_reachability_needs_ping(&reach, 20 * SECOND));
-    zone_reachability_evaluate(&reach, &fresh, 20 * SECOND + 100 * MS);
+    zone_reachability_evaluate(&reach, &recent, 20 * SECOND + 100 * MS);
     g_assert_false(reach.partitioned);
     zone_reachability_evaluate(&reach, &stale_minority, 20 * SECOND + 100 * MS);
     g_assert_true(reach.partitioned);
@@ -124,12 +125,12 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/zone-reachability/cut-off", test_cut_off);
-    g_test_add_func("/zone-reachability/back", test_back);
-    g_test_add_func("/zone-reachability/few-silent", test_few_silent);
+    g_test_add_func("/zone-reachability/partitioned", test_partitioned);
+    g_test_add_func("/zone-reachability/partition-ends", test_partition_ends);
+    g_test_add_func("/zone-reachability/few-timeouts", test_few_timeouts);
     g_test_add_func("/zone-reachability/refused-at-once", test_refused_at_once);
-    g_test_add_func("/zone-reachability/store-is-heard", test_store_is_heard);
-    g_test_add_func("/zone-reachability/most-are-here", test_most_are_here);
+    g_test_add_func("/zone-reachability/store-recent", test_store_recent);
+    g_test_add_func("/zone-reachability/majority-here", test_majority_here);
     g_test_add_func("/zone-reachability/start", test_start);
     return g_test_run();
 }
