--- a/src/pooler/control/control_fleet.c
+++ b/src/pooler/control/control_fleet.c
@@ -22,12 +22,12 @@
 /** A pooler without a heartbeat for this long owns nothing. */
 #define OWNER_CONTACT_NS (1200 * MS)
 
-/** A member that has never connected to a new coordinator is kept for this long. As long as the
- * coordinator remembers a pooler. */
+/** A member that has never connected to a new coordinator is kept for this long, the time for which
+ * the coordinator remembers a disconnected pooler. */
 #define UNSEEN_KEPT_NS (4000 * MS)
 
-/** If more than one in MISSING_SHARE members are missing, they are kept for this long. Machines
- * came back from partitions and power failures after 2 to 12 s. */
+/** If more than one in MISSING_SHARE members are missing, they are kept for MANY_MISSING_KEPT_NS.
+ * Machines came back from partitions and power failures after 2 to 12 s. */
 #define MISSING_SHARE        4
 #define MANY_MISSING_KEPT_NS (15000 * MS)
 
@@ -57,8 +57,8 @@
 uint64_t
 control_fleet_version(const struct control *control)
 {
-    uint64_t least = control->lease.held ? control->lease.token << EPOCH_SHIFT : 0;
-    return fleet_size(control->fleet) == 0 ? 0 : MAX(fleet_version(control->fleet), least);
+    uint64_t minimum = control->lease.held ? control->lease.token << EPOCH_SHIFT : 0;
+    return fleet_size(control->fleet) == 0 ? 0 : MAX(fleet_version(control->fleet), minimum);
 }
 
 static void
@@ -203,8 +203,7 @@
     GHashTable *ended;  /* stopping, or the process has ended */
     GHashTable *known;  /* connected to this coordinator at any time and remembered; address ->
                            struct pooler_peer */
-    bool many_missing; /* many members are missing: no recent heartbeat, and not known to have ended
-                        */
+    bool many_missing;  /* many members have no recent heartbeat and are not known to have ended */
 } contacts_t;
 
 static void
--- a/src/pooler/control/control_internal.h
+++ b/src/pooler/control/control_internal.h
@@ -133,8 +133,7 @@
     time_ns standby_until;     /* a standby follower makes no call before this; 0: no restriction */
     uint32_t failures;         /* consecutive */
     uint32_t history_failures; /* consecutive calls that the store answered by STORE_HISTORY_GONE */
-    bool missing;    /* another pooler has newer rows that were too large to be sent or could not be
-                        read */
+    bool missing;    /* another pooler has newer rows, too large to be sent or unreadable */
     time_ns list_at; /* a full listing is due once more at this time, after a restore of the store;
                         0: none is due */
 };
@@ -557,7 +556,7 @@
                           size_t count);
 /** @brief Answers a pooler's request for the tables, or queues it. */
 void control_mirrors_request(struct control *control, struct peer *peer,
-                             const struct pooler_heartbeat *question, time_ns now);
+                             const struct pooler_heartbeat *heartbeat, time_ns now);
 /** @brief Drops the pending requests of a connection that was closed. */
 void control_mirrors_cancel(struct control *control, const struct peer *peer);
 /** @return true while requests to this pooler are pending. */
--- a/src/pooler/control/control_mirrors.c
+++ b/src/pooler/control/control_mirrors.c
@@ -79,7 +79,7 @@
     g_autoptr(GArray) candidates = list_candidates(control);
     GPtrArray *chosen =
         mirrors_choose((mirror_candidate_t *)(void *)candidates->data, candidates->len);
-    const mirror_gathering_t gathering = {
+    const mirror_choice_t choice = {
         .since = control->coordinator_since,
         .candidates = candidates->len,
         .candidates_before = control->mirrors.candidates,
@@ -88,7 +88,7 @@
     };
     control->mirrors.candidates = candidates->len;
     if (mirrors_equal(chosen, known_mirrors(control)) ||
-        !mirrors_choice_is_settled(&gathering, backend_now())) {
+        !mirrors_choice_is_settled(&choice, backend_now())) {
         g_ptr_array_unref(chosen);
         return;
     }
@@ -177,7 +177,7 @@
 
 /* True if no version of one of the tables is known. */
 static bool
-lacks_table(const row_versions_t *known)
+misses_table(const row_versions_t *known)
 {
     return known->configuration == 0 || known->directory == 0;
 }
@@ -187,7 +187,7 @@
                      time_ns now, struct pooler_grant *grant)
 {
     relay_receiver_t to = {*known, true, takes_deltas};
-    if (lacks_table(known)) {
+    if (misses_table(known)) {
         const table_snapshot_t *snapshot = current_snapshot(control, now);
         gsize size = 0;
         gconstpointer data = g_bytes_get_data(snapshot->compressed, &size);
@@ -218,7 +218,7 @@
 }
 
 static void
-answer(struct control *control, const mirror_request_t *request, time_ns now)
+send_tables(struct control *control, const mirror_request_t *request, time_ns now)
 {
     struct pooler_grant grant;
     init_answer(control, request, &grant);
@@ -278,7 +278,7 @@
         control->mirrors.pending = g_array_new(FALSE, FALSE, sizeof(mirror_request_t));
     }
     if (control->mirrors.pending->len == 0 && may_answer(control, &request, now)) {
-        answer(control, &request, now);
+        send_tables(control, &request, now);
         return;
     }
     send_acknowledgement(control, &request, has_no_source(control));
@@ -301,7 +301,7 @@
 }
 
 static void
-answer_waiting(struct control *control, time_ns now)
+answer_pending(struct control *control, time_ns now)
 {
     GArray *pending = control->mirrors.pending;
     while (pending != NULL && pending->len > 0) {
@@ -314,7 +314,7 @@
         if (declines) {
             send_acknowledgement(control, &request, true);
         } else {
-            answer(control, &request, now);
+            send_tables(control, &request, now);
         }
     }
 }
@@ -370,7 +370,7 @@
 }
 
 static void
-log_taken(const struct control *control, size_t length, time_ns now)
+log_received(const struct control *control, size_t length, time_ns now)
 {
     const mirrors_t *mirrors = &control->mirrors;
     g_autofree char *bytes = g_strdup_printf("%zu", length);
@@ -402,7 +402,7 @@
         mirrors->requests.acknowledged = true;
     } else if (control_mirrors_take_tables(control, &grant, mirrors->requests.sent_at, &error)) {
         control->counts.tables_received++;
-        log_taken(control, length, backend_now());
+        log_received(control, length, backend_now());
         control_publish(control);
     } else {
         g_warning("Tables from a mirror could not be decoded: %s.", error->message);
@@ -472,10 +472,10 @@
 {
     const GPtrArray *known = known_mirrors(control);
     row_versions_t here = control_relay_versions(control);
-    bool starts = lacks_table(&here);
+    bool starts = misses_table(&here);
     bool mirror = is_mirror(control) && !has_no_source(control);
-    bool follows = control->follows_store &&
-                   !starts; /* a follower without tables gets them from a mirror sooner */
+    /* A follower that starts gets the tables from a mirror sooner than from the store. */
+    bool follows = control->follows_store && !starts;
     return (mirror_inputs_t){
         .starts = starts,
         .bound = control->settings->store.apply_ms * MS,
@@ -501,9 +501,9 @@
 control_mirrors_tick(struct control *control, time_ns now)
 {
     mirrors_t *mirrors = &control->mirrors;
-    answer_waiting(control, now);
+    answer_pending(control, now);
     row_versions_t here = control_relay_versions(control);
-    if (!lacks_table(&here) && !is_missing(control)) {
+    if (!misses_table(&here) && !is_missing(control)) {
         close_request(control);
         mirrors->requests = (mirror_requests_t){0};
         mirrors->missing_since = 0;
@@ -513,8 +513,8 @@
     if (mirrors->missing_since == 0 && now >= control->relayed_valid_until) {
         mirrors->missing_since = now;
     }
-    const mirror_inputs_t view = make_inputs(control);
-    mirror_step_t step = mirror_next_step(&mirrors->requests, &view, now);
+    const mirror_inputs_t inputs = make_inputs(control);
+    mirror_step_t step = mirror_next_step(&mirrors->requests, &inputs, now);
     if (step == MIRROR_STEP_REQUEST) {
         guint seed = g_str_hash(control->settings->pooler.name);
         send_request(control,
--- a/src/pooler/control/control_store.c
+++ b/src/pooler/control/control_store.c
@@ -95,8 +95,7 @@
                   feed->failures);
     }
     feed->failures = 0;
-    feed->missing =
-        false; /* otherwise the table would be listed repeatedly until the next message */
+    feed->missing = false; /* else the table would be listed again until the next message */
     feed->last_answer_at = now;
     feed->next_at = feed->table == STORE_TABLE_DIRECTORY ? now + DIRECTORY_POLL_NS : now;
     feed->standby_until = 0;
@@ -109,9 +108,9 @@
 
 /* Exponential backoff; the second half of the delay is random. */
 static time_ns
-retry_delay(uint32_t times)
+retry_delay(uint32_t attempts)
 {
-    time_ns wait = MIN(RETRY_MIN_NS << MIN(times, 4), RETRY_MAX_NS);
+    time_ns wait = MIN(RETRY_MIN_NS << MIN(attempts, 4), RETRY_MAX_NS);
     return wait / 2 + (time_ns)g_random_int_range(0, (gint32)(wait / 2000)) * 1000;
 }
 
--- a/src/pooler/control/mirrors.c
+++ b/src/pooler/control/mirrors.c
@@ -137,16 +137,15 @@
 }
 
 bool
-mirrors_choice_is_settled(const mirror_gathering_t *gathering, time_ns now)
+mirrors_choice_is_settled(const mirror_choice_t *choice, time_ns now)
 {
-    if (now >= gathering->since + MIRRORS_KEEP_NS) {
+    if (now >= choice->since + MIRRORS_KEEP_NS) {
         return true;
     }
-    if (gathering->known > 0) {
-        return gathering->chosen >= gathering->known;
+    if (choice->known > 0) {
+        return choice->chosen >= choice->known;
     }
-    return gathering->candidates * GROWTH_SLACK <=
-           gathering->candidates_before * (GROWTH_SLACK + 1);
+    return choice->candidates * GROWTH_SLACK <= choice->candidates_before * (GROWTH_SLACK + 1);
 }
 
 bool
--- a/src/pooler/control/mirrors.h
+++ b/src/pooler/control/mirrors.h
@@ -79,10 +79,9 @@
 
 /** @brief What else the decision needs. */
 typedef struct mirror_inputs {
-    bool reads_store; /* this pooler is the coordinator, a mirror, or a follower that has the tables
-                       */
-    bool starts;      /* it has no version of some table, and can't serve yet */
-    time_ns bound;    /* time within which a change must be in force */
+    bool reads_store;       /* as the coordinator, a mirror, or a follower that has the tables */
+    bool starts;            /* it has no version of some table, and can't serve yet */
+    time_ns bound;          /* time within which a change must be in force */
     bool may_learn_mirrors; /* the list of mirrors may still arrive */
     unsigned mirrors;       /* known mirrors without this pooler */
     time_ns missing_since;  /* end of the wait after the start, or when tables were found missing */
@@ -111,18 +110,18 @@
  * @return an array of pooler_mirror, which owns them. */
 GPtrArray *mirrors_choose(mirror_candidate_t *candidates, size_t count);
 
-/** @brief Whether a new choice of mirrors should be announced yet: inputs of the decision. */
-typedef struct mirror_gathering {
+/** @brief Inputs of the decision whether a new choice of mirrors replaces the list. */
+typedef struct mirror_choice {
     time_ns since;            /* start of the coordinator's lease */
     size_t candidates;        /* poolers connected to it now */
     size_t candidates_before; /* poolers connected at the previous choice */
     guint known;              /* number of mirrors in the list now */
     guint chosen;             /* number of mirrors in the new choice */
-} mirror_gathering_t;
+} mirror_choice_t;
 
 /** @return true if the new choice should replace the list now. While a fleet connects, a choice
  * would consist of the few poolers that connected first. */
-bool mirrors_choice_is_settled(const mirror_gathering_t *gathering, time_ns now);
+bool mirrors_choice_is_settled(const mirror_choice_t *choice, time_ns now);
 
 /** @return true if both lists have the same poolers in the same order. */
 bool mirrors_equal(const GPtrArray *a, const GPtrArray *b);
--- a/tests/pooler/test_mirrors.c
+++ b/tests/pooler/test_mirrors.c
@@ -163,16 +163,15 @@
 static void
 test_settled_choice(void)
 {
-    mirror_gathering_t first = {.since = 0, .candidates = 40, .candidates_before = 0, .chosen = 5};
+    mirror_choice_t first = {.since = 0, .candidates = 40, .candidates_before = 0, .chosen = 5};
     g_assert_false(mirrors_choice_is_settled(&first, 10 * MS));
-    first = (mirror_gathering_t){.candidates = 900, .candidates_before = 500, .chosen = 10};
+    first = (mirror_choice_t){.candidates = 900, .candidates_before = 500, .chosen = 10};
     g_assert_false(mirrors_choice_is_settled(&first, 500 * MS));
-    first = (mirror_gathering_t){.candidates = 985, .candidates_before = 900, .chosen = 10};
+    first = (mirror_choice_t){.candidates = 985, .candidates_before = 900, .chosen = 10};
     g_assert_true(mirrors_choice_is_settled(&first, 1000 * MS));
-    first = (mirror_gathering_t){.candidates = 900, .candidates_before = 500, .chosen = 10};
+    first = (mirror_choice_t){.candidates = 900, .candidates_before = 500, .chosen = 10};
     g_assert_true(mirrors_choice_is_settled(&first, 3000 * MS));
-    mirror_gathering_t next = {
-        .candidates = 300, .candidates_before = 290, .known = 10, .chosen = 5};
+    mirror_choice_t next = {.candidates = 300, .candidates_before = 290, .known = 10, .chosen = 5};
     g_assert_false(mirrors_choice_is_settled(&next, 1000 * MS));
     g_assert_true(mirrors_choice_is_settled(&next, 3000 * MS));
     next.chosen = 10;
