--- a/src/pooler/control/control_internal.h
+++ b/src/pooler/control/control_internal.h
@@ -48,9 +48,8 @@
 typedef struct past_value {
     uint64_t version;
     GBytes *value;
-    GBytes *delta; /* from this value to the row's current one; NULL: not computed yet */
-    GBytes
-        *compressed; /* the delta compressed; NULL: it would not be smaller, or was not tried yet */
+    GBytes *delta;      /* from this value to the row's current one; NULL: not computed yet */
+    GBytes *compressed; /* delta compressed; NULL: not smaller, or not tried yet */
 } past_value_t;
 
 /* The newest version of a row of the store that is known here, kept to pass it on to poolers that
@@ -381,7 +380,7 @@
 /* control.c */
 void control_wake_soon(struct control *control);
 
-/* control_view.c */
+/* control_view.c: the view, an immutable snapshot that the workers use for routing */
 /** @return true if the database may be given new work. */
 bool control_takes_work(const struct control *control, const struct directory_entry *entry,
                         time_ns now);
@@ -416,7 +415,7 @@
 bool control_era_keeps(const struct control *control, enum store_table table,
                        const struct known_row *known, GBytes *value);
 
-/* control_rows.c */
+/* control_rows.c: the rows of the store that are known here */
 void control_feeds_start(struct control *control);
 /* Takes over a row that came from the store or from another pooler, if it is newer than the known
  * one. `value` is NULL for a deleted row. */
@@ -424,14 +423,14 @@
                       uint64_t version, GBytes *value);
 /** @brief Takes over the rows of an answer of the store. */
 void control_rows_take(struct feed *feed, const struct store_answer *answer);
-/** @brief Takes known rows that a full listing does not contain as deleted. */
+/** @brief Marks known rows as deleted that a full listing does not contain. */
 void control_rows_drop_missing(struct feed *feed, const struct store_answer *answer);
-/** @brief After a full copy of the table in a new era: takes rows of earlier eras that it did not
- * contain as deleted.
+/** @brief After a full copy of the table in a new era: marks rows of earlier eras as deleted that
+ * the copy did not contain.
  * @param version up to which the table is known now. */
 void control_rows_drop_earlier(struct feed *feed, uint64_t version);
 
-/* control_store.c */
+/* control_store.c: reads of the store's tables */
 void control_feeds_tick(struct control *control, time_ns now);
 /** @brief Notes that the store has answered about the table, and schedules the next call. */
 void control_feed_answered(struct feed *feed, time_ns now);
@@ -442,7 +441,7 @@
  */
 void control_feed_prove(struct feed *feed, time_ns moment);
 
-/* control_relay.c */
+/* control_relay.c: the relay, which passes rows of the store from pooler to pooler */
 /** @brief Fills in the rows that the receiver is missing. If they exceed the size of one message,
  * they are left out for the receiver to read at the store, unless the store does not answer it. */
 void control_relay_fill(const struct control *control, const relay_receiver_t *to, time_ns now,
@@ -460,8 +459,8 @@
  * carries them, only the newest values are sent, and they do not delay orders and permits. */
 void control_relay_fill_pooler(struct control *control, struct pooler_peer *pooler, time_ns now,
                                struct pooler_relay *relay);
-/** @brief Does the same for a non-authoritative reply: by the versions in the pooler's heartbeat,
- * as this pooler is not its coordinator. */
+/** @brief Does the same for a non-authoritative reply, which a pooler sends that is not the
+ * coordinator, by the versions in the heartbeat. */
 void control_relay_fill_nonauthoritative(struct control *control, struct peer *peer,
                                          const struct pooler_heartbeat *heartbeat, time_ns now,
                                          struct pooler_relay *relay);
@@ -481,7 +480,7 @@
 /** @brief Consumes the sent bytes from that share. */
 void control_relay_consume_budget(struct control *control, size_t bytes);
 
-/* control_relayed.c */
+/* control_relayed.c: how long rows from other poolers replace own reads of the store */
 /** @brief At a start, delays this pooler's first call at the store, so that another pooler can send
  * the tables first. */
 void control_relayed_start(struct control *control);
@@ -489,8 +488,7 @@
 void control_relayed_peer_answered(struct control *control, time_ns now);
 /** @brief Takes over how recent the other pooler's tables are, after their rows were taken, and
  * uses them in place of own reads of the store for as long as that allows.
- * @param requested_at when the request that this answers was sent, by this machine's clock; 0:
- * unknown. */
+ * @param requested_at when the answered request was sent, by this machine's clock; 0: unknown. */
 void control_relayed_accept(struct control *control, const struct pooler_relay *relay,
                             time_ns requested_at);
 /** @brief Does the same for tables that came from a mirror. */
@@ -516,7 +514,7 @@
 /** @return milliseconds since the store last answered this pooler; UINT32_MAX: never. */
 uint32_t control_relayed_store_age_ms(const struct control *control, time_ns now);
 
-/* control_news.c */
+/* control_news.c: the coordinator's updates, which are group orders and members of the fleet */
 /** @brief Fills in the orders and members that a pooler under this coordinator is missing, and
  * notes them as sent. */
 void control_news_fill(struct control *control, struct pooler_peer *pooler,
@@ -532,7 +530,7 @@
 /** @brief Frees all entries; the cache may be filled again. */
 void control_news_clear(news_cache_t *cache);
 
-/* control_followers.c */
+/* control_followers.c: followers, which read the store's changes beside the coordinator */
 /** @brief Fills in the followers' addresses, unless the receiver has `known_version` already. */
 void control_followers_announce(const struct control *control, uint64_t known_version,
                                 struct pooler_grant *grant);
@@ -541,7 +539,7 @@
 /** @brief Chooses, at the coordinator, which poolers follow the store beside it. */
 void control_followers_choose(struct control *control);
 
-/* control_mirrors.c */
+/* control_mirrors.c: mirrors, which serve full copies of the store's tables to other poolers */
 /** @brief Chooses, at the coordinator, which poolers are mirrors of the store's tables. */
 void control_mirrors_choose(struct control *control);
 /** @brief Copies the list of known mirrors.
@@ -574,7 +572,7 @@
  */
 void control_mirrors_tick(struct control *control, time_ns now);
 
-/* control_fleet.c */
+/* control_fleet.c: the fleet, the poolers that share the connections to the databases */
 /** @return the poolers that own the connections to the service's databases; NULL if no fleet is
  * known. */
 const fleet_owners_t *control_fleet_owners(const struct control *control,
@@ -656,7 +654,7 @@
 const char *control_member_next_address(struct control *control);
 void control_member_stop(struct control *control);
 
-/* control_reachability.c */
+/* control_reachability.c: detection of a partition of this zone */
 /** @brief Pings poolers of other zones while no message comes from any, and decides whether this
  * zone is partitioned from the others. */
 void control_reachability_tick(struct control *control, time_ns now);
--- a/src/pooler/control/control_rows.c
+++ b/src/pooler/control/control_rows.c
@@ -257,7 +257,7 @@
     }
 }
 
-/* Takes all known rows with a version below `below` as deleted, except those in `present`. */
+/* Marks all known rows with a version below `below` as deleted, except those in `present`. */
 static void
 drop_below(struct feed *feed, uint64_t below, GHashTable *present, uint64_t version)
 {
