--- a/src/pooler/control/control_rows.c
+++ b/src/pooler/control/control_rows.c
@@ -217,9 +217,9 @@
 {
     struct feed *feed = &control->feeds[table];
     const struct known_row *known = g_hash_table_lookup(feed->rows, key);
-    bool over =
-        store_era(version) < store_era(feed->version); /* the row may no longer be in the store */
-    if (over || (known != NULL && known->version >= version)) {
+    /* A row of an earlier era may no longer be in the store. */
+    bool earlier_era = store_era(version) < store_era(feed->version);
+    if (earlier_era || (known != NULL && known->version >= version)) {
         return;
     }
     control_era_note(control, store_era(version), 0);
