--- a/src/pooler/control/control.c
+++ b/src/pooler/control/control.c
@@ -57,11 +57,11 @@
         due = MIN(due, control->heartbeat_at);
     }
     due = MIN(due, control_coordinator_due(control));
-    if (control->granted_at == 0 && control->relied_until > now) {
+    if (control->granted_at == 0 && control->relayed_valid_until > now) {
         /* The first store call after the start. */
-        due = MIN(due, control->relied_until);
+        due = MIN(due, control->relayed_valid_until);
     }
-    if (control_mirrors_is_asked(control)) {
+    if (control_mirrors_has_requests(control)) {
         /* The link may have capacity for waiting answers. */
         due = MIN(due, now + TICK_MIN_MS * MS);
     }
@@ -100,7 +100,7 @@
     control_lease_tick(control, now);
     control_coordinator_tick(control, now);
     control_member_tick(control, now);
-    control_reach_tick(control, now);
+    control_reachability_tick(control, now);
     control_publish(control);
     if (atomic_load(&control->shared.stop_at) != 0 && all_workers_ended(control)) {
         event_base_loopbreak(control->base);
@@ -288,7 +288,8 @@
     print_uses(control, out);
     g_string_append_printf(out, "swiftworks_sessions %u\n", sessions);
     g_string_append_printf(out, "swiftworks_coordinator %d\n", control->lease.held);
-    g_string_append_printf(out, "swiftworks_zone_cut_off %d\n", control->zone_reach.cut_off);
+    g_string_append_printf(out, "swiftworks_zone_cut_off %d\n",
+                           control->zone_reachability.partitioned);
     g_string_append_printf(out, "swiftworks_leases_ceded_to_this_total %" G_GUINT64_FORMAT "\n",
                            control->lease.handovers_received);
     g_string_append_printf(out, "swiftworks_configuration_version %" G_GUINT64_FORMAT "\n",
@@ -399,7 +400,7 @@
     lease_record_init(&control->lease.record);
     control->started_at = backend_now();
     control_feeds_start(control);
-    control_reliance_start(control);
+    control_relayed_start(control);
     control->fleet = fleet_new();
     control->followers = g_ptr_array_new_with_free_func(g_free);
     control->responsive_addresses = g_hash_table_new(g_str_hash, g_str_equal);
--- a/src/pooler/control/control_coordinator.c
+++ b/src/pooler/control/control_coordinator.c
@@ -157,8 +157,8 @@
     if (has_identity(heartbeat)) {
         grant.mirrors_count = control_mirrors_copy(control, &grant.mirrors);
     }
-    control_news_fill_hearsay(control, heartbeat, &grant);
-    control_relay_fill_hearsay(control, peer, heartbeat, backend_now(), &grant.relay);
+    control_news_fill_nonauthoritative(control, heartbeat, &grant);
+    control_relay_fill_nonauthoritative(control, peer, heartbeat, backend_now(), &grant.relay);
     send_counted(control, peer, &grant, PEER_BYTES_HEARSAY);
     pooler_grant_clear(&grant);
 }
@@ -189,10 +189,10 @@
     grant.members = control_coordinator_count(control);
     grant.follows_store = pooler->follows_store;
     control_news_fill(control, pooler, &grant);
-    control_followers_tell(control, pooler->followers_sent, &grant);
+    control_followers_announce(control, pooler->followers_sent, &grant);
     pooler->followers_sent = control->followers_version;
-    control_mirrors_tell(control, pooler, &grant);
-    control_relay_fill_for(control, pooler, now, &grant.relay);
+    control_mirrors_announce(control, pooler, &grant);
+    control_relay_fill_pooler(control, pooler, now, &grant.relay);
     if (heartbeat != NULL) {
         grant.sequence = heartbeat->sequence;
         grant.permit_ms = (uint32_t)MIN(control_lease_remaining(control, now) / MS, PERMIT_MS);
@@ -211,7 +211,7 @@
     const struct pooler_relay *relay = &heartbeat->relay;
     control_relay_take(control, relay);
     /* The heartbeat was sent after the grant whose stamp it has. */
-    control_reliance_prove(control, relay, heartbeat->grant_stamp);
+    control_relayed_accept_proofs(control, relay, heartbeat->grant_stamp);
     control_relay_confirm(pooler, relay);
 }
 
@@ -279,7 +279,7 @@
     }
     apply_relay(control, pooler, heartbeat);
     contact_note(&pooler->contact, now);
-    control_reach_heard(control, pooler->zone, now);
+    control_reachability_note_contact(control, pooler->zone, now);
     pooler->fleet_reported = heartbeat->fleet_version;
     pooler->fleet_reported_as_of = heartbeat->grant_stamp;
     pooler->stopping = heartbeat->stopping;
@@ -309,7 +309,7 @@
     }
     control_counts_heartbeat(&control->counts, PEER_RECEIVED, &heartbeat, length);
     if (heartbeat.wants_tables) {
-        control_mirrors_question(control, peer, &heartbeat, backend_now());
+        control_mirrors_request(control, peer, &heartbeat, backend_now());
     } else if (control->lease.held) {
         handle_heartbeat(control, peer, &heartbeat);
     } else {
@@ -330,7 +330,7 @@
         g_hash_table_remove(control->poolers_by_peer, peer);
     }
     g_hash_table_remove(control->unconfirmed_rows, peer);
-    control_mirrors_forget(control, peer);
+    control_mirrors_cancel(control, peer);
     g_ptr_array_remove_fast(control->connected, peer);
 }
 
@@ -388,7 +388,7 @@
     g_hash_table_remove_all(control->poolers);
     control->followers_version++;
     control->mirrors.version++;
-    control->mirrors.heard = 0;
+    control->mirrors.candidates = 0;
     control->coordinator_since = backend_now();
     control->predecessor_permits_until =
         control->lease.handover_token == 0 ? 0 : control->coordinator_since + PERMIT_MS * MS;
@@ -455,7 +455,7 @@
     if (pooler->peer != NULL) {
         g_hash_table_remove(control->poolers_by_peer, pooler->peer);
         g_hash_table_remove(control->unconfirmed_rows, pooler->peer);
-        control_mirrors_forget(control, pooler->peer);
+        control_mirrors_cancel(control, pooler->peer);
         g_ptr_array_remove_fast(control->connected, pooler->peer);
         peer_free(pooler->peer);
         pooler->peer = NULL;
--- a/src/pooler/control/control_fleet.c
+++ b/src/pooler/control/control_fleet.c
@@ -1,12 +1,13 @@
 /**
  * @file
- * @brief The control thread's part in the fleet: the coordinator decides who belongs to it, by the
- * poolers that it hears, and everybody passes the list on (fleet.h works the owners out of it).
+ * @brief The control thread's part in the fleet: the coordinator decides which poolers are members,
+ * by their heartbeats, and all poolers pass the list on (fleet.h computes the owners from it).
  *
- * Everybody keeps the newest list that it was told, so that the loss of a coordinator changes
- * nothing. A new coordinator goes on with what it was told as a pooler. Versions hold the lease's
- * token, so that they rise from one coordinator to the next; under another token the whole list is
- * told, as an earlier coordinator may have told changes that the new one never heard of.
+ * Every pooler keeps the newest list that it received, so that the loss of a coordinator changes
+ * nothing. A new coordinator continues with the list that it received as a pooler. Versions contain
+ * the lease's token, so that they rise from one coordinator to the next. After a change of token
+ * the complete list is sent, as an earlier coordinator may have announced changes that never
+ * reached the new one.
  */
 #define G_LOG_DOMAIN "fleet"
 #include "pooler/control/control_internal.h"
@@ -16,28 +17,29 @@
 #include <inttypes.h>
 #include <string.h>
 
-#define DECIDE_EVERY_NS (250 * MS)
+#define DECIDE_INTERVAL_NS (250 * MS)
 
-/** A pooler that was not heard for this long owns nothing. */
-#define OWNER_HEARD_NS (1200 * MS)
+/** A pooler without a heartbeat for this long owns nothing. */
+#define OWNER_CONTACT_NS (1200 * MS)
 
-/** One that a new coordinator has never heard has so long to come. As long as a pooler is
- *  remembered. */
-#define UNHEARD_KEPT_NS (4000 * MS)
+/** A member that has never connected to a new coordinator is kept for this long, the time for which
+ * the coordinator remembers a disconnected pooler. */
+#define UNSEEN_KEPT_NS (4000 * MS)
 
-/** Where more than one in so many are missing, they stay for so long: longer than the partitions
- * and losses of power that machines come back from (2 to 12 s were seen). */
-#define MISSING_SHARE 4
-#define THIN_KEPT_NS  (15000 * MS)
+/** If more than one in MISSING_SHARE members are missing, they are kept for MANY_MISSING_KEPT_NS.
+ * Machines came back from partitions and power failures after 2 to 12 s. */
+#define MISSING_SHARE        4
+#define MANY_MISSING_KEPT_NS (15000 * MS)
 
-/** A new coordinator waits until it hears as many poolers as the one before, but no longer than
- *  this: a little where nothing is served without owners, longer where owners are at work, or all
- *  poolers can serve by themselves. */
+/** A new coordinator waits until as many poolers have connected as its predecessor had, but no
+ * longer than this: briefly if groups without owners can't be served, longer if they have owners or
+ * all poolers can serve them directly. */
 #define GATHER_IDLE_NS   (400 * MS)
 #define GATHER_SERVED_NS (1500 * MS)
 
-/** The share of each pooler grows only once the fleet has lost one in so many: a fleet that loses
- *  and regains a few does not move between connections of its own and owners' each time. */
+/** The number of poolers by which connections are divided falls only once the fleet has lost more
+ * than one in this many. Otherwise a fleet that loses and regains a few poolers would alternate
+ * between direct connections and owners. */
 #define COUNTED_SLACK 8
 
 const fleet_owners_t *
@@ -55,8 +57,8 @@
 uint64_t
 control_fleet_version(const struct control *control)
 {
-    uint64_t least = control->lease.held ? control->lease.token << EPOCH_SHIFT : 0;
-    return fleet_size(control->fleet) == 0 ? 0 : MAX(fleet_version(control->fleet), least);
+    uint64_t minimum = control->lease.held ? control->lease.token << EPOCH_SHIFT : 0;
+    return fleet_size(control->fleet) == 0 ? 0 : MAX(fleet_version(control->fleet), minimum);
 }
 
 static void
@@ -98,36 +100,37 @@
 }
 
 void
-control_fleet_take(struct control *control, const struct pooler_fleet *told)
+control_fleet_take(struct control *control, const struct pooler_fleet *received)
 {
     fleet_t *fleet = control->fleet;
     uint64_t known = control_fleet_version(control);
-    bool complete = told->base == 0 || known >= told->base;
-    if (told->version <= known || !complete) {
+    bool complete = received->base == 0 || known >= received->base;
+    if (received->version <= known || !complete) {
         return;
     }
-    for (size_t i = 0; i < told->members_count; i++) {
-        const struct pooler_member *member = &told->members[i];
+    for (size_t i = 0; i < received->members_count; i++) {
+        const struct pooler_member *member = &received->members[i];
         if (member->gone) {
-            fleet_leave(fleet, member->address, told->version);
+            fleet_leave(fleet, member->address, received->version);
         } else {
             fleet_join(fleet, member->address, member->zone, member->workers, member->weight,
-                       told->version);
+                       received->version);
         }
-        fleet_set_counting(fleet, member->address, member->away, member->entering, told->version);
+        fleet_set_counting(fleet, member->address, member->away, member->entering,
+                           received->version);
     }
-    if (told->base == 0) {
-        fleet_leave_older(fleet, told->version);
+    if (received->base == 0) {
+        fleet_leave_older(fleet, received->version);
     }
-    fleet_set_counted(fleet, told->counted, told->version);
-    fleet_note_version(fleet, told->version);
+    fleet_set_counted(fleet, received->counted, received->version);
+    fleet_note_version(fleet, received->version);
     control->view_dirty = true;
 }
 
 void
-control_fleet_rely(struct control *control, time_ns moment)
+control_fleet_extend_validity(struct control *control, time_ns moment)
 {
-    control->roster_until = MAX(control->roster_until, moment + ROSTER_VALID_NS);
+    control->roster_valid_until = MAX(control->roster_valid_until, moment + ROSTER_VALID_NS);
 }
 
 static bool
@@ -154,7 +157,7 @@
                    roster_member_t *out)
 {
     if (!parse_address(member->address, &out->socket_address)) {
-        g_warning("A pooler's address can't be read: %s.", member->address);
+        g_warning("Invalid pooler address: %s.", member->address);
     }
     out->address = g_strdup(member->address);
     out->weight = member->weight;
@@ -194,48 +197,48 @@
     return control->roster;
 }
 
-/** @brief What this coordinator knows of the poolers, by forward address. */
-typedef struct hearing {
-    GHashTable *heard; /* lately */
-    GHashTable *ended; /* stopping, or its process has ended */
-    GHashTable *known; /* heard at any time under this coordinator, and remembered; address ->
-                          struct pooler_peer */
-    bool thin;         /* many are missing: neither heard nor known to have ended */
-} hearing_t;
+/** @brief The poolers as this coordinator sees them, by forward address. */
+typedef struct contacts {
+    GHashTable *recent; /* heartbeat within OWNER_CONTACT_NS */
+    GHashTable *ended;  /* stopping, or the process has ended */
+    GHashTable *known;  /* connected to this coordinator at any time and remembered; address ->
+                           struct pooler_peer */
+    bool many_missing;  /* many members have no recent heartbeat and are not known to have ended */
+} contacts_t;
 
 static void
-hearing_init(hearing_t *hearing)
+contacts_init(contacts_t *contacts)
 {
-    hearing->heard = g_hash_table_new(g_str_hash, g_str_equal);
-    hearing->ended = g_hash_table_new(g_str_hash, g_str_equal);
-    hearing->known = g_hash_table_new(g_str_hash, g_str_equal);
-    hearing->thin = false;
+    contacts->recent = g_hash_table_new(g_str_hash, g_str_equal);
+    contacts->ended = g_hash_table_new(g_str_hash, g_str_equal);
+    contacts->known = g_hash_table_new(g_str_hash, g_str_equal);
+    contacts->many_missing = false;
 }
 
 static void
-hearing_clear(hearing_t *hearing)
+contacts_clear(contacts_t *contacts)
 {
-    g_hash_table_unref(hearing->heard);
-    g_hash_table_unref(hearing->ended);
-    g_hash_table_unref(hearing->known);
+    g_hash_table_unref(contacts->recent);
+    g_hash_table_unref(contacts->ended);
+    g_hash_table_unref(contacts->known);
 }
 
 static void
-sort_pooler(hearing_t *hearing, const struct pooler_peer *pooler, time_ns now)
+classify_pooler(contacts_t *contacts, const struct pooler_peer *pooler, time_ns now)
 {
     if (pooler->forward_address == NULL || pooler->forward_address[0] == '\0') {
         return;
     }
-    g_hash_table_insert(hearing->known, pooler->forward_address, (gpointer)pooler);
+    g_hash_table_insert(contacts->known, pooler->forward_address, (gpointer)pooler);
     if (pooler->stopping || (pooler->peer == NULL && pooler->process_ended)) {
-        g_hash_table_add(hearing->ended, pooler->forward_address);
-    } else if (pooler->peer != NULL && now < pooler->contact.last_heartbeat_at + OWNER_HEARD_NS) {
-        g_hash_table_add(hearing->heard, pooler->forward_address);
+        g_hash_table_add(contacts->ended, pooler->forward_address);
+    } else if (pooler->peer != NULL && now < pooler->contact.last_heartbeat_at + OWNER_CONTACT_NS) {
+        g_hash_table_add(contacts->recent, pooler->forward_address);
     }
 }
 
 static uint32_t
-join_heard(struct control *control, uint64_t version, hearing_t *hearing, time_ns now)
+join_recent(struct control *control, uint64_t version, contacts_t *contacts, time_ns now)
 {
     uint32_t joined = 0;
     GHashTableIter iterator;
@@ -243,9 +246,9 @@
     g_hash_table_iter_init(&iterator, control->poolers);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const struct pooler_peer *pooler = value;
-        sort_pooler(hearing, pooler, now);
+        classify_pooler(contacts, pooler, now);
         if (pooler->forward_address != NULL &&
-            g_hash_table_contains(hearing->heard, pooler->forward_address)) {
+            g_hash_table_contains(contacts->recent, pooler->forward_address)) {
             joined += fleet_join(control->fleet, pooler->forward_address, pooler->zone,
                                  pooler->workers, pooler->millicores, version);
         }
@@ -254,51 +257,51 @@
 }
 
 static bool
-is_missing(const hearing_t *hearing, const fleet_member_t *member)
+is_missing(const contacts_t *contacts, const fleet_member_t *member)
 {
-    return !member->gone && !g_hash_table_contains(hearing->heard, member->address) &&
-           !g_hash_table_contains(hearing->ended, member->address);
+    return !member->gone && !g_hash_table_contains(contacts->recent, member->address) &&
+           !g_hash_table_contains(contacts->ended, member->address);
 }
 
 /* Notes whether many members are missing, and since when. */
 static void
-find_thin(struct control *control, hearing_t *hearing, time_ns now)
+note_many_missing(struct control *control, contacts_t *contacts, time_ns now)
 {
     uint32_t missing = 0;
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, fleet_members(control->fleet));
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        missing += is_missing(hearing, value);
+        missing += is_missing(contacts, value);
     }
-    hearing->thin = missing > fleet_size(control->fleet) / MISSING_SHARE;
-    if (!hearing->thin) {
-        control->thin_since = 0;
-    } else if (control->thin_since == 0) {
-        control->thin_since = now;
+    contacts->many_missing = missing > fleet_size(control->fleet) / MISSING_SHARE;
+    if (!contacts->many_missing) {
+        control->many_missing_since = 0;
+    } else if (control->many_missing_since == 0) {
+        control->many_missing_since = now;
     }
 }
 
-/* Owners that are gone cost little, as forwarders pass over those that don't answer; a fleet that
- * shrinks to the few that a coordinator happens to hear is lost. So where many are missing, it is
- * taken for this coordinator that is slow or cut off, and who was never heard under it gets the
- * time to come. */
+/* An owner that has left costs little, as forwarding skips owners that don't respond; a fleet
+ * reduced to the few poolers that reach the coordinator cannot serve. So if many members are
+ * missing, the cause is assumed to be this coordinator, slow or partitioned, and they are kept. A
+ * member that has never connected to it gets time to do so. */
 static bool
-stays(const struct control *control, const hearing_t *hearing, const fleet_member_t *member,
-      time_ns now)
+is_kept(const struct control *control, const contacts_t *contacts, const fleet_member_t *member,
+        time_ns now)
 {
-    if (!is_missing(hearing, member)) {
-        return g_hash_table_contains(hearing->heard, member->address);
+    if (!is_missing(contacts, member)) {
+        return g_hash_table_contains(contacts->recent, member->address);
     }
-    if (hearing->thin) {
-        return now < control->thin_since + THIN_KEPT_NS;
+    if (contacts->many_missing) {
+        return now < control->many_missing_since + MANY_MISSING_KEPT_NS;
     }
-    return !g_hash_table_contains(hearing->known, member->address) &&
-           now < control->coordinator_since + UNHEARD_KEPT_NS;
+    return !g_hash_table_contains(contacts->known, member->address) &&
+           now < control->coordinator_since + UNSEEN_KEPT_NS;
 }
 
 static uint32_t
-leave_missing(struct control *control, uint64_t version, const hearing_t *hearing, time_ns now)
+leave_missing(struct control *control, uint64_t version, const contacts_t *contacts, time_ns now)
 {
     uint32_t left = 0;
     GHashTableIter iterator;
@@ -306,27 +309,27 @@
     g_hash_table_iter_init(&iterator, fleet_members(control->fleet));
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const fleet_member_t *member = value;
-        if (!member->gone && !stays(control, hearing, member, now)) {
+        if (!member->gone && !is_kept(control, contacts, member, now)) {
             left += fleet_leave(control->fleet, member->address, version);
         }
     }
     return left;
 }
 
-/* Since when the member's state is as it is, as far as this coordinator knows. */
+/* Since when the member has had its state, as far as this coordinator knows. */
 static time_ns
 settled_since(struct control *control, fleet_member_t *member, time_ns now)
 {
     if (member->seen_version != member->version) {
         member->seen_version = member->version;
         member->seen_at = now;
-        member->row_told_at = 0;
+        member->row_stored_at = 0;
     }
     return MAX(member->seen_at, control->coordinator_since);
 }
 
 void
-control_fleet_row_told(struct control *control, uint64_t version, time_ns now)
+control_fleet_note_stored(struct control *control, uint64_t version, time_ns now)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
@@ -334,27 +337,28 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         fleet_member_t *member = value;
         bool seen = member->seen_version == member->version;
-        if (seen && member->row_told_at == 0 && member->version <= version) {
-            member->row_told_at = now;
+        if (seen && member->row_stored_at == 0 && member->version <= version) {
+            member->row_stored_at = now;
         }
     }
 }
 
 void
-control_fleet_row_lost(struct control *control)
+control_fleet_forget_stored(struct control *control)
 {
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, fleet_members(control->fleet));
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        ((fleet_member_t *)value)->row_told_at = 0;
+        ((fleet_member_t *)value)->row_stored_at = 0;
     }
 }
 
 static roster_member_state_t
-standing_of(struct control *control, const hearing_t *hearing, fleet_member_t *member, time_ns now)
+standing_of(struct control *control, const contacts_t *contacts, fleet_member_t *member,
+            time_ns now)
 {
-    const struct pooler_peer *pooler = g_hash_table_lookup(hearing->known, member->address);
+    const struct pooler_peer *pooler = g_hash_table_lookup(contacts->known, member->address);
     roster_member_state_t standing = {.away = member->gone,
                                       .away_since = settled_since(control, member, now)};
     if (pooler != NULL) {
@@ -364,11 +368,11 @@
     return standing;
 }
 
-/* True if no other member counts shares any more that this one has taken over: all of them have
- * heard of the list in which it has them, or have stopped. */
+/* True if no other member still counts the shares that this member has taken over: all of them have
+ * confirmed the version of the list that names it, or have stopped. */
 static bool
-all_have_heard(struct control *control, const hearing_t *hearing, const fleet_member_t *entering,
-               time_ns now)
+all_have_confirmed(struct control *control, const contacts_t *contacts,
+                   const fleet_member_t *entering, time_ns now)
 {
     uint64_t version = MAX(entering->version, control->lease.token << EPOCH_SHIFT);
     GHashTableIter iterator;
@@ -376,9 +380,9 @@
     g_hash_table_iter_init(&iterator, fleet_members(control->fleet));
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         fleet_member_t *member = value;
-        const roster_member_state_t standing = standing_of(control, hearing, member, now);
+        const roster_member_state_t standing = standing_of(control, contacts, member, now);
         if (is_listed(member) &&
-            !roster_member_is_up_to_date(&standing, version, entering->row_told_at, now)) {
+            !roster_member_is_up_to_date(&standing, version, entering->row_stored_at, now)) {
             return false;
         }
     }
@@ -386,25 +390,25 @@
 }
 
 static bool
-begins_to_count(struct control *control, const hearing_t *hearing, const fleet_member_t *member,
+starts_counting(struct control *control, const contacts_t *contacts, const fleet_member_t *member,
                 time_ns since, time_ns now)
 {
     if (member->gone || !member->entering) {
         return false;
     }
-    bool heard = all_have_heard(control, hearing, member, now);
-    bool begins = heard || roster_may_count(true, since, now);
-    if (begins) {
-        g_info("The pooler at %s counts operations, %" PRIu64 " ms after it came%s.",
-               member->address, (now - since) / MS, heard ? ": all others know" : "");
+    bool confirmed = all_have_confirmed(control, contacts, member, now);
+    bool starts = confirmed || roster_may_count(true, since, now);
+    if (starts) {
+        g_info("The pooler at %s starts counting operations, %" PRIu64 " ms after it joined%s.",
+               member->address, (now - since) / MS, confirmed ? ": confirmed by all others" : "");
     }
-    return begins;
+    return starts;
 }
 
-/* Who is away for long loses its place in counting operations; who has had one for long enough that
- * whoever had it before has stopped, counts. */
+/* A member that has been absent for long loses its place in counting operations. A member that has
+ * entered starts to count once the previous holder of its shares is certain to have stopped. */
 static uint32_t
-settle_counting(struct control *control, const hearing_t *hearing, uint64_t version, time_ns now)
+settle_counting(struct control *control, const contacts_t *contacts, uint64_t version, time_ns now)
 {
     uint32_t changed = 0;
     GHashTableIter iterator;
@@ -414,7 +418,7 @@
         fleet_member_t *member = value;
         time_ns since = settled_since(control, member, now);
         bool lost = roster_loses_place(member->away, since, now);
-        bool entered = begins_to_count(control, hearing, member, since, now);
+        bool entered = starts_counting(control, contacts, member, since, now);
         if (lost || entered) {
             changed += fleet_set_counting(control->fleet, member->address, member->away && !lost,
                                           member->entering && !entered, version);
@@ -423,7 +427,7 @@
     return changed;
 }
 
-/* Shares fall at once as the fleet grows, and grow only once it is certainly smaller. */
+/* Rises at once with the size of the fleet, and falls only if the fleet is clearly smaller. */
 static uint32_t
 count_damped(uint32_t counted, uint32_t size)
 {
@@ -434,21 +438,21 @@
 bool
 control_fleet_decide(struct control *control, time_ns now)
 {
-    hearing_t hearing;
-    hearing_init(&hearing);
+    contacts_t contacts;
+    contacts_init(&contacts);
     uint64_t version = MAX(control_fleet_version(control), control->lease.token << EPOCH_SHIFT) + 1;
-    uint32_t joined = join_heard(control, version, &hearing, now);
-    find_thin(control, &hearing, now);
-    uint32_t left = leave_missing(control, version, &hearing, now);
-    uint32_t settled = settle_counting(control, &hearing, version, now);
-    hearing_clear(&hearing);
+    uint32_t joined = join_recent(control, version, &contacts, now);
+    note_many_missing(control, &contacts, now);
+    uint32_t left = leave_missing(control, version, &contacts, now);
+    uint32_t settled = settle_counting(control, &contacts, version, now);
+    contacts_clear(&contacts);
     uint32_t size = fleet_size(control->fleet);
     uint32_t counted = count_damped(fleet_counted(control->fleet), size);
     bool changed = joined + left + settled > 0 || counted != fleet_counted(control->fleet);
     fleet_set_counted(control->fleet, counted, version);
     if (changed) {
-        g_info("The fleet has %u poolers, counted as %u: %u have joined, %u have left.", size,
-               counted, joined, left);
+        g_info("The fleet has %u poolers, counted as %u: %u joined, %u left.", size, counted,
+               joined, left);
         control->view_dirty = true;
     }
     return changed;
@@ -471,7 +475,7 @@
 }
 
 bool
-control_fleet_early(const struct control *control, time_ns now)
+control_fleet_is_gathering(const struct control *control, time_ns now)
 {
     bool complete = control->members_before > 0 &&
                     g_hash_table_size(control->poolers) >= control->members_before;
@@ -483,10 +487,10 @@
 control_fleet_tick(struct control *control, time_ns now)
 {
     if (control->configuration == NULL || now < control->fleet_at ||
-        control_fleet_early(control, now)) {
+        control_fleet_is_gathering(control, now)) {
         return;
     }
-    control->fleet_at = now + DECIDE_EVERY_NS;
+    control->fleet_at = now + DECIDE_INTERVAL_NS;
     if (control_fleet_decide(control, now)) {
         control_coordinator_push(control);
     }
--- a/src/pooler/control/control_followers.c
+++ b/src/pooler/control/control_followers.c
@@ -1,34 +1,35 @@
 /**
  * @file
- * @brief Who follows the store beside the coordinator: a few poolers, chosen by it, named to all.
- * They can succeed it, and tell the others what the store holds while there is no coordinator.
+ * @brief Followers: a few poolers that read the store's changes beside the coordinator. The
+ * coordinator chooses them and announces them to all poolers. They can take over the lease, and
+ * they relay the store's rows to the other poolers while there is no coordinator.
  */
 #define G_LOG_DOMAIN "coordinator"
 #include "pooler/control/control_internal.h"
 
-/** Poolers that follow the store beside the coordinator, so that one of them can succeed it. */
+/** Number of followers. */
 #define FOLLOWERS 3
 
-/* One that follows the store, and that the store has not answered for so long, gives way to
- * another: three looks. In milliseconds. */
-#define FOLLOWER_LOST_MS 2700
+/* A follower that the store has not answered for this many milliseconds is replaced. Three poll
+ * intervals. */
+#define FOLLOWER_FAILING_MS 2700
 
 static bool
-is_lost_follower(const struct pooler_peer *pooler)
+is_failing_follower(const struct pooler_peer *pooler)
 {
-    return pooler->followed_store && pooler->store_age_ms > FOLLOWER_LOST_MS;
+    return pooler->followed_store && pooler->store_age_ms > FOLLOWER_FAILING_MS;
 }
 
-/* Those that the store answers, as far as they ask it. Then strong machines first, as a follower
- * becomes the coordinator, which hears all the others; among equals by hash, so that the same ones
- * are chosen each time. */
+/* Followers that the store does not answer come last. Then strong machines come first, as a
+ * follower may become the coordinator, which receives the heartbeats of all poolers. Equals are
+ * ordered by hash, so that the choice is stable. */
 static gint
 compare_candidates(gconstpointer a, gconstpointer b)
 {
     const struct pooler_peer *first = *(struct pooler_peer *const *)a;
     const struct pooler_peer *second = *(struct pooler_peer *const *)b;
-    if (is_lost_follower(first) != is_lost_follower(second)) {
-        return is_lost_follower(first) ? 1 : -1;
+    if (is_failing_follower(first) != is_failing_follower(second)) {
+        return is_failing_follower(first) ? 1 : -1;
     }
     if (first->millicores != second->millicores) {
         return first->millicores > second->millicores ? -1 : 1;
@@ -39,7 +40,7 @@
 }
 
 static bool
-zone_follows(const GPtrArray *poolers, const char *zone)
+zone_has_follower(const GPtrArray *poolers, const char *zone)
 {
     for (guint i = 0; i < poolers->len; i++) {
         const struct pooler_peer *pooler = g_ptr_array_index(poolers, i);
@@ -50,7 +51,7 @@
     return false;
 }
 
-/* Those from which a follower may be chosen, in an order of their own. */
+/* The poolers that may become followers, best first. */
 static GPtrArray *
 list_candidates(const struct control *control)
 {
@@ -71,9 +72,9 @@
     return poolers;
 }
 
-/* Poolers that lose the coordinator ask the followers, so all are told who these are. */
+/* Updates the announced list: poolers that lose the coordinator connect to the followers. */
 static void
-name_followers(struct control *control, const GPtrArray *poolers)
+update_followers(struct control *control, const GPtrArray *poolers)
 {
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
     for (guint i = 0; i < poolers->len; i++) {
@@ -103,20 +104,21 @@
     for (int other_zones = 1; other_zones >= 0; other_zones--) {
         for (guint i = 0; i < poolers->len && chosen < FOLLOWERS; i++) {
             struct pooler_peer *pooler = g_ptr_array_index(poolers, i);
-            bool good = !pooler->follows_store &&
-                        (other_zones == 0 ||
-                         (!zone_follows(poolers, pooler->zone) && !is_lost_follower(pooler)));
-            pooler->follows_store = pooler->follows_store || good;
-            chosen += good;
+            bool eligible = !pooler->follows_store &&
+                            (other_zones == 0 || (!zone_has_follower(poolers, pooler->zone) &&
+                                                  !is_failing_follower(pooler)));
+            pooler->follows_store = pooler->follows_store || eligible;
+            chosen += eligible;
         }
     }
-    name_followers(control, poolers);
+    update_followers(control, poolers);
 }
 
 void
-control_followers_tell(const struct control *control, uint64_t told, struct pooler_grant *grant)
+control_followers_announce(const struct control *control, uint64_t known_version,
+                           struct pooler_grant *grant)
 {
-    if (told == control->followers_version) {
+    if (known_version == control->followers_version) {
         return;
     }
     grant->followers = g_new0(char *, control->followers->len + 1);
--- a/src/pooler/control/control_lease.c
+++ b/src/pooler/control/control_lease.c
@@ -15,7 +15,7 @@
  */
 #define G_LOG_DOMAIN "lease"
 #include "pooler/control/control_internal.h"
-#include "pooler/control/packing.h"
+#include "pooler/control/compression.h"
 
 #include <inttypes.h>
 #include <string.h>
@@ -139,8 +139,8 @@
     if (record->packed_fleet_unpacked == 0) {
         return true;
     }
-    g_autoptr(GBytes) content = packing_unpack(record->packed_fleet, record->packed_fleet_length,
-                                               record->packed_fleet_unpacked, error);
+    g_autoptr(GBytes) content = compression_decompress(
+        record->packed_fleet, record->packed_fleet_length, record->packed_fleet_unpacked, error);
     gsize length = 0;
     const uint8_t *data = content == NULL ? NULL : g_bytes_get_data(content, &length);
     struct pooler_fleet fleet = {0};
@@ -267,7 +267,7 @@
 compress_fleet(struct lease_record *record)
 {
     g_autoptr(GBytes) content = g_byte_array_free_to_bytes(pooler_fleet_encode(&record->fleet));
-    g_autoptr(GBytes) compressed = packing_pack(content);
+    g_autoptr(GBytes) compressed = compression_compress(content);
     clear_fleet(record);
     if (compressed != NULL) {
         gsize size = 0;
@@ -373,7 +373,7 @@
         lease->row_version = answer->version;
         if (!lease->releasing) {
             become_holder(control, lease->call_sent, now);
-            control_fleet_row_told(control, lease->proposed_fleet, now);
+            control_fleet_note_stored(control, lease->proposed_fleet, now);
         }
         note_clock(control, answer, now);
         break;
@@ -413,7 +413,7 @@
     if (lease->free_since == 0) {
         lease->free_since = now;
     }
-    bool weaker = control_millicores(control) < fleet_weight_most(control->fleet);
+    bool weaker = control_millicores(control) < fleet_max_weight(control->fleet);
     return weaker && now < lease->free_since + WEAK_DEFERS_NS;
 }
 
@@ -517,7 +517,7 @@
     bool current =
         has_row(control) && listed_version != 0 && control_fleet_version(control) == listed_version;
     if (current && lease->call_sent > LEASE_NS) {
-        control_fleet_rely(control, lease->call_sent - LEASE_NS);
+        control_fleet_extend_validity(control, lease->call_sent - LEASE_NS);
     }
 }
 
@@ -598,7 +598,7 @@
     if (lease->held) {
         write_row(control, lease->token, false, now);
     } else if (no_coordinator && !stopping &&
-               (lease->check_now || !control_reliance_is_led(control, now))) {
+               (lease->check_now || !control_relayed_covers_lease(control, now))) {
         read_row(control, now);
     }
 }
--- a/src/pooler/control/control_view.c
+++ b/src/pooler/control/control_view.c
@@ -8,16 +8,17 @@
 #include <urcu-bp.h>
 #include <xxhash.h>
 
-/* Connections to each database left for the coordinator and for poolers that come and go. */
+/* Connections to each database reserved for the coordinator and for poolers that join or leave. */
 #define CONNECTIONS_SPARE 3
 
-/* Connections to each database of a pooler that nobody has told how many poolers there are. */
-#define CONNECTIONS_UNTOLD 1
+/* Connections to each database that a worker may open while the size of the fleet is unknown. */
+#define CONNECTIONS_FLEET_UNKNOWN 1
 
-/* A pooler that starts opens no connections before: with many poolers, these would be too many. */
-#define TOLD_SOON_NS (600 * MS)
+/* A pooler that starts opens no connections earlier while the size of the fleet is unknown: a large
+ * fleet would open too many. */
+#define FLEET_SIZE_WAIT_NS (600 * MS)
 
-/* That of an earlier life stays, as workers may still have it. */
+/* The state of the database's earlier process is kept, as workers may still refer to it. */
 struct member_shared *
 control_member(struct control *control, const struct directory_entry *entry)
 {
@@ -48,28 +49,28 @@
 uint32_t
 control_fleet_size(const struct control *control)
 {
-    return control->members_told > 0 ? control->members_told : control->lease.record.poolers;
+    return control->fleet_count > 0 ? control->fleet_count : control->lease.record.poolers;
 }
 
 uint32_t
 control_direct_share(const struct control *control, const struct service *service)
 {
     uint32_t members = control_fleet_size(control);
-    uint32_t room = service->max_connections > CONNECTIONS_SPARE
-                        ? service->max_connections - CONNECTIONS_SPARE
-                        : 1;
-    return members == 0 ? 0 : room / (members * control->workers_count);
+    uint32_t capacity = service->max_connections > CONNECTIONS_SPARE
+                            ? service->max_connections - CONNECTIONS_SPARE
+                            : 1;
+    return members == 0 ? 0 : capacity / (members * control->workers_count);
 }
 
-/* A pooler that starts while neither the store nor a coordinator is there opens a few connections
- * after a while. */
+/* A pooler that starts while neither the store nor a coordinator can be reached opens a few
+ * connections after a while. */
 static uint32_t
-connections_of(const struct control *control, const struct service *service)
+direct_connections(const struct control *control, const struct service *service)
 {
     if (control_fleet_size(control) > 0) {
         return control_direct_share(control, service);
     }
-    return backend_now() < control->started_at + TOLD_SOON_NS ? 0 : CONNECTIONS_UNTOLD;
+    return backend_now() < control->started_at + FLEET_SIZE_WAIT_NS ? 0 : CONNECTIONS_FLEET_UNKNOWN;
 }
 
 static bool
@@ -99,18 +100,18 @@
     }
 }
 
-/* Near owners come first. Each pooler begins with another one, so that they share the load. */
+/* Owners in this zone come first. Poolers start at different owners, to distribute the load. */
 static void
 fill_owners(const struct control *control, const fleet_owners_t *owners, struct pooled_group *out)
 {
     guint start = g_str_hash(control->settings->pooler.name);
     out->owners = g_new0(owner_view_t, owners->members->len);
-    for (int near = 1; near >= 0; near--) {
+    for (int same = 1; same >= 0; same--) {
         for (guint i = 0; i < owners->members->len; i++) {
             const fleet_member_t *owner =
                 g_ptr_array_index(owners->members, (start + i) % owners->members->len);
             bool same_zone = g_str_equal(owner->zone, control->settings->pooler.zone);
-            if (same_zone == (near == 1)) {
+            if (same_zone == (same == 1)) {
                 add_owner(control, owner, same_zone, out);
             }
         }
@@ -118,7 +119,7 @@
 }
 
 static evacuation_phase_t
-phase_of(const struct control *control, const struct directory_entry *entry, time_ns now)
+evacuation_phase(const struct control *control, const struct directory_entry *entry, time_ns now)
 {
     return evacuations_phase(&control->evacuations, entry->zone, now);
 }
@@ -128,7 +129,7 @@
 {
     time_ns heartbeat = control->settings->store.heartbeat_ms * MS;
     return !directory_entry_leaves(entry, now, heartbeat) &&
-           phase_of(control, entry, now) == EVACUATION_NONE;
+           evacuation_phase(control, entry, now) == EVACUATION_NONE;
 }
 
 static void
@@ -140,12 +141,12 @@
     out->zone = g_intern_string(entry->zone);
     out->same_zone = g_str_equal(entry->zone, control->settings->pooler.zone);
     out->takes_work = control_takes_work(control, entry, now);
-    out->closed = phase_of(control, entry, now) == EVACUATION_CLOSED;
+    out->closed = evacuation_phase(control, entry, now) == EVACUATION_CLOSED;
     out->slots = entry->slots;
 }
 
-/* Where connections are a tenant's each, most of them are where most statements reach the database.
- */
+/* If each tenant has its own connections, owners in the database's zone get more, as most
+ * statements reach the database through them. */
 static void
 fill_share(const struct control *control, const struct service *service, struct member_view *out)
 {
@@ -156,11 +157,11 @@
         keyed ? fleet_owners_share(control->fleet, owners, out->zone, out->same_zone) : 0;
 }
 
-/* Before any order is known, as after a loss of power, work goes to the database that says it
- * leads: a replaced one can acknowledge nothing, and reads there are proven by the databases'
- * statuses. */
+/* Before any order is known, as after a power failure, work goes to the database that reports to be
+ * the primary: a replaced primary can acknowledge no write, and reads there are proven by the
+ * databases' statuses. */
 static void
-fill_unordered(struct control *control, const struct service *service, struct group_state *assumed)
+assume_primary(struct control *control, const struct service *service, struct group_state *assumed)
 {
     if (assumed->epoch == 0 && service->sync_replicas > 0) {
         assumed->primary = (char *)directory_leader(&control->directory, service->name);
@@ -168,7 +169,7 @@
     }
 }
 
-/* Everything of the directory that a group's view shows. */
+/* Digest of everything in the directory that the group's view contains. */
 static uint64_t
 digest_of_members(const struct control *control, const GPtrArray *entries, time_ns now)
 {
@@ -177,13 +178,13 @@
         const struct directory_entry *entry = g_ptr_array_index(entries, i);
         const uint64_t state[] = {entry->version, entry->deleted_at,
                                   control_takes_work(control, entry, now),
-                                  phase_of(control, entry, now), g_str_hash(entry->id)};
+                                  evacuation_phase(control, entry, now), g_str_hash(entry->id)};
         digest ^= XXH3_64bits(state, sizeof state);
     }
     return digest;
 }
 
-/* How many workers of poolers give statements to the group's databases. */
+/* Number of workers, of all poolers, that send statements to the group's databases. */
 static uint32_t
 count_sharers(const struct control *control, const struct service *service)
 {
@@ -193,11 +194,11 @@
     return poolers * control->workers_count;
 }
 
-/* Who opens connections to the group's databases: this pooler, as many as it is told, or its
- * owners. */
+/* The inputs of the group's view: among them which poolers open connections to its databases,
+ * either all or the owners, and how many. */
 static void
-find_inputs(const struct control *control, const struct service *service,
-            const struct group_state *state, time_ns now, view_inputs_t *out)
+compute_inputs(const struct control *control, const struct service *service,
+               const struct group_state *state, time_ns now, view_inputs_t *out)
 {
     const fleet_owners_t *owners = control_fleet_owners(control, service);
     const GPtrArray *entries = directory_group(&control->directory, service->name);
@@ -210,7 +211,7 @@
         .keyed = control->configuration->keys != NULL,
     };
     if (owners == NULL || owners->direct) {
-        out->connections = connections_of(control, service);
+        out->connections = direct_connections(control, service);
     } else if (is_owner(control, owners)) {
         out->connections = owners->connections;
     } else {
@@ -241,7 +242,7 @@
 {
     struct group_state assumed = *state;
     struct pooled_group *out = pooled_group_new();
-    fill_unordered(control, service, &assumed);
+    assume_primary(control, service, &assumed);
     out->shared = state->shared;
     out->revision = ++control->view_revision;
     out->epoch = assumed.epoch;
@@ -260,13 +261,13 @@
     return out;
 }
 
-/* The group as it is published now: the one of the last view, unless something of it changed. */
+/* The group's view to publish: the last one, unless one of its inputs has changed. */
 static struct pooled_group *
 group_to_publish(struct control *control, const struct service *service, time_ns now)
 {
     struct group_state *state = control_group(control, service->name);
     view_inputs_t inputs;
-    find_inputs(control, service, state, now, &inputs);
+    compute_inputs(control, service, state, now, &inputs);
     bool same = state->view != NULL && memcmp(&inputs, &state->view_inputs, sizeof inputs) == 0;
     if (!same) {
         g_clear_pointer(&state->view, pooled_group_unref);
@@ -309,14 +310,15 @@
     if (control->view_dirty) {
         publish_view(control);
     }
-    /* After the view: a worker that sees this moment sees the configuration that it is told of. */
+    /* After the view: a worker that reads this time also sees the configuration that it refers to.
+     */
     atomic_store(&control->shared.configuration_proven_at, control->proven_at);
     if (control->shared.counting != NULL) {
-        counting_set_valid_until(control->shared.counting, control->roster_until);
+        counting_set_valid_until(control->shared.counting, control->roster_valid_until);
     }
 }
 
-/* True if some database is known that no fault stands against. */
+/* True if there is a known database without a fault. */
 static bool
 any_database_answers(const struct control *control)
 {
@@ -333,7 +335,7 @@
     return false;
 }
 
-/* Without proof that keys still stand, clients are better served elsewhere. */
+/* Without proof that keys are still valid, clients are better served by another pooler. */
 static bool
 may_serve_keys(const struct control *control)
 {
@@ -345,5 +347,6 @@
 control_is_ready(const struct control *control)
 {
     return control->configuration != NULL && atomic_load(&control->shared.stop_at) == 0 &&
-           may_serve_keys(control) && any_database_answers(control) && !control->zone_reach.cut_off;
+           may_serve_keys(control) && any_database_answers(control) &&
+           !control->zone_reachability.partitioned;
 }
--- a/src/pooler/control/mirrors.c
+++ b/src/pooler/control/mirrors.c
@@ -1,47 +1,50 @@
-/* Who passes the store's tables on, and when a pooler asks them; see the header. */
+/* Which poolers are mirrors, and when a pooler requests the tables; see the header. */
 #include "pooler/control/mirrors.h"
 
 #include <string.h>
 
-/* A fleet that has grown by more than one in so many since the last look still connects. */
+/* A fleet that has grown by more than one in this many since the previous choice is still
+ * connecting. */
 #define GROWTH_SLACK 8
 
-/* How long the open question may take. */
+/* Time-out of the open request. */
 static time_ns
-patience(const mirror_questions_t *questions, const mirror_view_t *view)
+request_timeout(const mirror_requests_t *requests, const mirror_inputs_t *view)
 {
-    time_ns wait = questions->signed_on ? MIRROR_ANSWER_NS : MIRROR_SIGN_NS;
-    return view->starts ? wait : MIN(wait, (time_ns)((double)view->bound * MIRROR_CHANGE_PART));
+    time_ns wait = requests->acknowledged ? MIRROR_ANSWER_TIMEOUT_NS : MIRROR_ACK_TIMEOUT_NS;
+    return view->starts ? wait
+                        : MIN(wait, (time_ns)((double)view->bound * MIRROR_CHANGE_TIMEOUT_PART));
 }
 
 static bool
-has_asked_enough(const mirror_questions_t *questions, const mirror_view_t *view, time_ns now)
+has_tried_enough(const mirror_requests_t *requests, const mirror_inputs_t *view, time_ns now)
 {
     if (!view->starts) {
-        return questions->asked > 0;
+        return requests->sent > 0;
     }
-    return questions->asked >= MIRRORS_ASKED && now >= questions->first_at + MIRROR_TRIED_NS;
+    return requests->sent >= MIRROR_REQUESTS_MIN &&
+           now >= requests->first_sent_at + MIRROR_TRY_MIN_NS;
 }
 
 mirror_step_t
-mirror_next_step(const mirror_questions_t *questions, const mirror_view_t *view, time_ns now)
+mirror_next_step(const mirror_requests_t *requests, const mirror_inputs_t *view, time_ns now)
 {
     if (view->reads_store) {
         return MIRROR_STEP_STORE;
     }
-    if (questions->asked_at != 0 && now < questions->asked_at + patience(questions, view)) {
+    if (requests->sent_at != 0 && now < requests->sent_at + request_timeout(requests, view)) {
         return MIRROR_STEP_WAIT;
     }
     if (view->mirrors == 0) {
-        bool told_soon =
-            view->starts && view->may_be_told && now < view->lacks_since + MIRROR_NAMED_NS;
+        bool told_soon = view->starts && view->may_learn_mirrors &&
+                         now < view->missing_since + MIRROR_NAMES_WAIT_NS;
         return told_soon ? MIRROR_STEP_WAIT : MIRROR_STEP_STORE;
     }
-    if (has_asked_enough(questions, view, now)) {
+    if (has_tried_enough(requests, view, now)) {
         return MIRROR_STEP_STORE;
     }
-    bool rests = questions->failed_at != 0 && now < questions->failed_at + MIRROR_AGAIN_NS;
-    return rests ? MIRROR_STEP_WAIT : MIRROR_STEP_ASK;
+    bool rests = requests->failed_at != 0 && now < requests->failed_at + MIRROR_RETRY_NS;
+    return rests ? MIRROR_STEP_WAIT : MIRROR_STEP_REQUEST;
 }
 
 static void
@@ -67,7 +70,8 @@
     g_ptr_array_add(mirrors, mirror);
 }
 
-/* Strong machines first; among equals by hash, so that the choice stays as poolers come and go. */
+/* Strong machines first; among equals by hash, so that the choice is stable as poolers come and go.
+ */
 static int
 compare(const void *a, const void *b)
 {
@@ -84,7 +88,7 @@
     return strcmp(first->address, second->address);
 }
 
-/* How many candidates there are in each zone. */
+/* Number of candidates in each zone. */
 static GHashTable *
 count_zones(const mirror_candidate_t *candidates, size_t count)
 {
@@ -106,13 +110,12 @@
     return count;
 }
 
-/* Poolers for each mirror, so that with a last one for each zone no more than the most are named.
- */
+/* Poolers per mirror, such that MIRRORS_MAX is kept although each zone rounds its number up. */
 static size_t
 poolers_for_each(size_t count, guint zones)
 {
-    size_t most = MIRRORS_MOST > zones ? MIRRORS_MOST - zones : 1;
-    return MAX(MIRROR_POOLERS, (count + most - 1) / most);
+    size_t most = MIRRORS_MAX > zones ? MIRRORS_MAX - zones : 1;
+    return MAX(POOLERS_PER_MIRROR, (count + most - 1) / most);
 }
 
 GPtrArray *
@@ -125,7 +128,7 @@
     for (size_t i = 0; i < count; i++) {
         guint poolers = GPOINTER_TO_UINT(g_hash_table_lookup(zones, candidates[i].zone));
         size_t most = (poolers + each - 1) / each;
-        bool fits = mirrors->len < MIRRORS_MOST;
+        bool fits = mirrors->len < MIRRORS_MAX;
         if (fits && count_in_zone(mirrors, candidates[i].zone) < most) {
             mirrors_add(mirrors, candidates[i].address, candidates[i].zone);
         }
@@ -134,15 +137,15 @@
 }
 
 bool
-mirrors_are_gathered(const mirror_gathering_t *gathering, time_ns now)
+mirrors_choice_is_settled(const mirror_choice_t *choice, time_ns now)
 {
-    if (now >= gathering->since + MIRRORS_KEPT_NS) {
+    if (now >= choice->since + MIRRORS_KEEP_NS) {
         return true;
     }
-    if (gathering->known > 0) {
-        return gathering->chosen >= gathering->known;
+    if (choice->known > 0) {
+        return choice->chosen >= choice->known;
     }
-    return gathering->heard * GROWTH_SLACK <= gathering->heard_before * (GROWTH_SLACK + 1);
+    return choice->candidates * GROWTH_SLACK <= choice->candidates_before * (GROWTH_SLACK + 1);
 }
 
 bool
@@ -161,8 +164,8 @@
     return true;
 }
 
-/* The mirrors of one zone, or of all others, without this pooler: their number, and the one at the
- * place that the turn falls on. */
+/* Counts the mirrors without this pooler in one zone (`same`) or in all others, and sets `out` to
+ * the address of number `place` among them. */
 static unsigned
 pick(const GPtrArray *mirrors, const char *zone, bool same, const char *own, unsigned place,
      const char **out)
--- a/tests/pooler/test_delta.c
+++ b/tests/pooler/test_delta.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * @brief Differences of texts: the second text comes out of the first again, a small change is a
- * small difference, and a broken one is refused.
+ * @brief Deltas of texts: applying a delta gives the second text, a small change gives a small
+ * delta, and a corrupt delta is rejected.
  */
 #include "pooler/control/delta.h"
 
@@ -15,7 +15,7 @@
     return g_bytes_new(text, strlen(text));
 }
 
-/* A configuration of so many routes; the route at `changed` has another service. */
+/* A configuration with this many routes. The route at `changed` has another service. */
 static GBytes *
 configuration(unsigned version, unsigned routes, unsigned changed)
 {
@@ -31,7 +31,7 @@
 }
 
 static gsize
-there_and_back(GBytes *from, GBytes *to)
+apply_delta_of(GBytes *from, GBytes *to)
 {
     g_autoptr(GError) error = NULL;
     g_autoptr(GBytes) delta = delta_make(from, to);
@@ -47,7 +47,7 @@
     g_autoptr(GBytes) from = configuration(1, 5000, 5000);
     g_autoptr(GBytes) to = configuration(2, 5000, 3210);
     g_assert_cmpuint(g_bytes_get_size(from), >, 250000);
-    g_assert_cmpuint(there_and_back(from, to), <, 300);
+    g_assert_cmpuint(apply_delta_of(from, to), <, 300);
 }
 
 static void
@@ -55,8 +55,8 @@
 {
     g_autoptr(GBytes) few = configuration(1, 100, 7);
     g_autoptr(GBytes) many = configuration(2, 140, 7);
-    g_assert_cmpuint(there_and_back(few, many), <, 4000);
-    g_assert_cmpuint(there_and_back(many, few), <, 300);
+    g_assert_cmpuint(apply_delta_of(few, many), <, 4000);
+    g_assert_cmpuint(apply_delta_of(many, few), <, 300);
 }
 
 static void
@@ -74,12 +74,12 @@
         for (gsize j = 0; j < G_N_ELEMENTS(texts); j++) {
             g_autoptr(GBytes) from = bytes_of(texts[i]);
             g_autoptr(GBytes) to = bytes_of(texts[j]);
-            there_and_back(from, to);
+            apply_delta_of(from, to);
         }
     }
 }
 
-/* Texts of few letters, in which much repeats itself. */
+/* Texts with few different letters and many repetitions. */
 static GBytes *
 random_text(GRand *random)
 {
@@ -98,14 +98,14 @@
     for (unsigned i = 0; i < ROUNDS; i++) {
         g_autoptr(GBytes) from = random_text(random);
         g_autoptr(GBytes) to = random_text(random);
-        there_and_back(from, to);
+        apply_delta_of(from, to);
     }
     g_rand_free(random);
 }
 
-/* Bytes from another process: whatever they are, they give the right text or an error. */
+/* Received bytes may be corrupt: whatever they are, the result is the right text or an error. */
 static void
-test_broken(void)
+test_corrupt(void)
 {
     GRand *random = g_rand_new_with_seed(8);
     g_autoptr(GBytes) from = configuration(1, 50, 3);
@@ -134,6 +134,6 @@
     g_test_add_func("/pooler/delta/routes-come-and-go", test_routes_come_and_go);
     g_test_add_func("/pooler/delta/edges", test_edges);
     g_test_add_func("/pooler/delta/random-texts", test_random_texts);
-    g_test_add_func("/pooler/delta/broken", test_broken);
+    g_test_add_func("/pooler/delta/corrupt", test_corrupt);
     return g_test_run();
 }
--- a/tests/pooler/test_lease_era.c
+++ b/tests/pooler/test_lease_era.c
@@ -339,7 +339,7 @@
     run_for(fixture, 300 * MS);
     g_assert_cmpuint(starting->store_era, ==, 1);
     g_assert_cmpuint(fleet_size(starting->fleet), ==, 1);
-    g_assert_cmpuint(starting->roster_until, ==, 0);
+    g_assert_cmpuint(starting->roster_valid_until, ==, 0);
 }
 
 /* After a restore, members that the row of the earlier era had do not count as stored. */
@@ -350,12 +350,12 @@
     fleet_join(control->fleet, "10.0.0.7:7440", "z1", 1, 120, 5);
     fleet_member_t *member = g_hash_table_lookup(fleet_members(control->fleet), "10.0.0.7:7440");
     member->seen_version = member->version;
-    control_fleet_row_told(control, 5, backend_now());
-    g_assert_cmpuint(member->row_told_at, !=, 0);
+    control_fleet_note_stored(control, 5, backend_now());
+    g_assert_cmpuint(member->row_stored_at, !=, 0);
     control_era_note(control, 1, 0);
-    g_assert_cmpuint(member->row_told_at, ==, 0);
-    control_fleet_row_told(control, 5, backend_now());
-    g_assert_cmpuint(member->row_told_at, !=, 0);
+    g_assert_cmpuint(member->row_stored_at, ==, 0);
+    control_fleet_note_stored(control, 5, backend_now());
+    g_assert_cmpuint(member->row_stored_at, !=, 0);
 }
 
 /* Writes the record of a promotion as a coordinator with this token does. */
