--- a/src/backend/channel.c
+++ b/src/backend/channel.c
@@ -1,9 +1,9 @@
 #include "backend/channel.h"
 
-#include "backend/endings.h"
+#include "backend/closing_list.h"
 
 /* A closed connection is taken to have ended after so long at the latest. */
-#define ENDING_MAX_MS 1000
+#define CLOSE_TIMEOUT_MS 1000
 
 /* A command under way. */
 struct channel_command {
@@ -23,7 +23,7 @@
     GQueue commands; /* of struct channel_command, oldest first */
     struct pipeline_reader reader;
     bool reading; /* `reader` reads the oldest command's answer */
-    struct endings endings;
+    struct closing_list closing;
 };
 
 struct channel *channel_new(const struct channel_options *options)
@@ -31,7 +31,7 @@
     struct channel *channel = g_new0(struct channel, 1);
     channel->options = *options;
     connection_settings_copy(&channel->options.connection, &options->connection);
-    endings_init(&channel->endings);
+    closing_list_init(&channel->closing);
     g_queue_init(&channel->commands);
     return channel;
 }
@@ -49,8 +49,8 @@
 /* Closes the connection, and watches for its end at the database. */
 static void close_connection(struct channel *channel, time_ns now)
 {
-    time_ns until = now + ENDING_MAX_MS * NANOSECONDS_PER_MILLISECOND;
-    endings_add(&channel->endings, channel->connection, 0, until);
+    time_ns until = now + CLOSE_TIMEOUT_MS * NANOSECONDS_PER_MILLISECOND;
+    closing_list_add(&channel->closing, channel->connection, 0, until);
     channel->connection = NULL;
     channel->state = CHANNEL_STATE_CLOSED;
 }
@@ -86,18 +86,18 @@
 void channel_free(struct channel *channel)
 {
     channel_close(channel, 0);
-    endings_clear(&channel->endings);
+    closing_list_clear(&channel->closing);
     connection_settings_clear(&channel->options.connection);
     g_free(channel);
 }
 
 bool channel_open(struct channel *channel, time_ns now)
 {
-    struct ending ended;
-    while (endings_take(&channel->endings, now, &ended)) {
+    struct closing_entry ended;
+    while (closing_list_take_closed(&channel->closing, now, &ended)) {
     }
     if (channel->state != CHANNEL_STATE_CLOSED ||
-        endings_count(&channel->endings) > channel->options.endings_max) {
+        closing_list_count(&channel->closing) > channel->options.closing_max) {
         return false;
     }
     channel->connection = backend_connection_start(&channel->options.connection);
--- a/src/backend/channel.h
+++ b/src/backend/channel.h
@@ -24,7 +24,7 @@
     struct connection_settings connection; /* copied */
     uint32_t open_timeout_ms;
     /* Closed connections that the database may still count while another is opened. */
-    uint32_t endings_max;
+    uint32_t closing_max;
 };
 
 /* What came of a command. */
--- a/src/backend/endings.h
+++ b/src/backend/closing_list.h
@@ -1,12 +1,12 @@
 /* Connections that were closed here and whose end at the database has not been seen yet: until then
  * the database may still count them. */
-#ifndef SW_BACKEND_ENDINGS_H
-#define SW_BACKEND_ENDINGS_H
+#ifndef SW_BACKEND_CLOSING_LIST_H
+#define SW_BACKEND_CLOSING_LIST_H
 
 #include "backend/connection.h"
 
 /* One such connection. */
-struct ending {
+struct closing_entry {
     int socket_fd; /* or -1 if there is nothing to watch */
     time_ns until; /* taken to have ended at this time at the latest */
     int32_t number;
@@ -14,22 +14,22 @@
 };
 
 /* Owned by one thread at a time; no locks. */
-struct endings {
-    GArray *items; /* of struct ending */
+struct closing_list {
+    GArray *items; /* of struct closing_entry */
 };
 
-void endings_init(struct endings *endings);
+void closing_list_init(struct closing_list *list);
 
 /* Forgets those that are left. */
-void endings_clear(struct endings *endings);
+void closing_list_clear(struct closing_list *list);
 
 /* Closes and frees a connection, and watches for its end until `until`. */
-void endings_add(struct endings *endings, struct backend_connection *connection, int cause,
-                 time_ns until);
+void closing_list_add(struct closing_list *list, struct backend_connection *connection, int cause,
+                      time_ns until);
 
 /* Takes one that has ended out; false if there is none. Never waits. */
-bool endings_take(struct endings *endings, time_ns now, struct ending *ended);
+bool closing_list_take_closed(struct closing_list *list, time_ns now, struct closing_entry *ended);
 
-uint32_t endings_count(const struct endings *endings);
+uint32_t closing_list_count(const struct closing_list *list);
 
 #endif
--- a/src/backend/evidence.c
+++ b/src/backend/evidence.c
@@ -306,7 +306,7 @@
     struct channel_options options = {
         .connection = *settings,
         .open_timeout_ms = service->options.open_timeout_ms,
-        .endings_max = 0,
+        .closing_max = 0,
     };
     member->service = service;
     member->group = group;
--- a/src/backend/pool.c
+++ b/src/backend/pool.c
@@ -5,20 +5,20 @@
 
 #include "backend/adapter.h"
 #include "backend/clock.h"
-#include "backend/endings.h"
+#include "backend/closing_list.h"
 #include "backend/pool_budget.h"
 #include "core/error.h"
 #include "generated/errors.h"
 
 /* A closed connection counts against the limit until the database has closed its end, for so long
  * at most: a database that takes longer is frozen or cut off. */
-#define ENDING_MAX_MS 5000
+#define CLOSE_TIMEOUT_MS 5000
 
 /* The same for one that never came to be used. */
-#define ENDING_FAILED_MAX_MS 1000
+#define CLOSE_FAILED_TIMEOUT_MS 1000
 
 /* How often the sockets being closed are looked at, while there are any. */
-#define ENDING_CHECK_MS 2
+#define CLOSE_CHECK_MS 2
 
 /* How often idle connections are looked at: one that the database ended has lost its number. */
 #define IDLE_CHECK_MS 500
@@ -41,11 +41,11 @@
     pthread_t thread;
     bool stopping;
     bool reachable;
-    bool draining;  /* nothing is kept warm */
-    GQueue waiters; /* of struct waiter */
-    GQueue idle;    /* of struct backend_connection; the most recently used at the head */
-    GQueue closing; /* of struct backend_connection, for the maintenance thread to close */
-    struct endings endings;
+    bool draining;   /* nothing is kept warm */
+    GQueue waiters;  /* of struct waiter */
+    GQueue idle;     /* of struct backend_connection; the most recently used at the head */
+    GQueue to_close; /* of struct backend_connection, for the maintenance thread to close */
+    struct closing_list closing;
     uint32_t failures;    /* to open, in a row */
     time_ns next_open_at; /* earliest time of the next opening */
     time_ns next_idle_check_at;
@@ -82,8 +82,8 @@
 /* Connections besides those being closed. */
 static uint32_t count_live(const struct pool *pool)
 {
-    return pool->open - g_queue_get_length((GQueue *)&pool->closing) -
-           endings_count(&pool->endings);
+    return pool->open - g_queue_get_length((GQueue *)&pool->to_close) -
+           closing_list_count(&pool->closing);
 }
 
 /* True if a connection that nobody uses is to be closed. */
@@ -96,12 +96,12 @@
 }
 
 /* Leaves a connection to the maintenance thread; it counts as open until it is closed. */
-static void push_closing(struct pool *pool, struct backend_connection *connection)
+static void queue_close(struct pool *pool, struct backend_connection *connection)
 {
     if (pool->budget != NULL) {
         pool_budget_closing(pool->budget, connection);
     }
-    g_queue_push_tail(&pool->closing, connection);
+    g_queue_push_tail(&pool->to_close, connection);
     wake_maintenance(pool);
 }
 
@@ -118,7 +118,7 @@
 static void offer(struct pool *pool, struct backend_connection *connection)
 {
     if (is_excess(pool, connection)) {
-        push_closing(pool, connection);
+        queue_close(pool, connection);
         return;
     }
     struct waiter *waiter = g_queue_pop_head(&pool->waiters);
@@ -150,7 +150,7 @@
         }
         pool->broken_total++;
         backend_connection_break(connection);
-        push_closing(pool, connection);
+        queue_close(pool, connection);
     }
     return NULL;
 }
@@ -220,12 +220,12 @@
 }
 
 /* Closes a connection; it counts as open until the database has closed its end. */
-static void start_ending(struct pool *pool, struct backend_connection *connection,
-                         enum pool_ending cause)
+static void start_close(struct pool *pool, struct backend_connection *connection,
+                        enum pool_close_cause cause)
 {
-    uint64_t most = cause == POOL_ENDING_CLOSED ? ENDING_MAX_MS : ENDING_FAILED_MAX_MS;
+    uint64_t most = cause == POOL_CLOSE_CLOSED ? CLOSE_TIMEOUT_MS : CLOSE_FAILED_TIMEOUT_MS;
     time_ns until = backend_now() + most * NANOSECONDS_PER_MILLISECOND;
-    endings_add(&pool->endings, connection, (int)cause, until);
+    closing_list_add(&pool->closing, connection, (int)cause, until);
 }
 
 /* Closes the idle connections that are to be closed or have ended at the database. */
@@ -241,7 +241,7 @@
             pool->idle_count--;
             pool->broken_total += !healthy;
             backend_connection_break(connection);
-            push_closing(pool, connection);
+            queue_close(pool, connection);
         }
         link = next;
     }
@@ -269,14 +269,14 @@
 }
 
 /* Stops counting the connections that have ended. */
-static void check_endings(struct pool *pool)
+static void check_closing(struct pool *pool)
 {
-    struct ending ended;
-    while (endings_take(&pool->endings, backend_now(), &ended)) {
+    struct closing_entry ended;
+    while (closing_list_take_closed(&pool->closing, backend_now(), &ended)) {
         pool->open--;
         if (pool->budget != NULL) {
-            pool_budget_ended(pool->budget, (uint32_t)ended.number, (enum pool_ending)ended.cause,
-                              backend_now());
+            pool_budget_ended(pool->budget, (uint32_t)ended.number,
+                              (enum pool_close_cause)ended.cause, backend_now());
             follow_budget(pool);
         }
     }
@@ -297,16 +297,16 @@
 
 /* Opens a connection and takes its number, if it is to have one. Called without the lock. */
 static bool open_connection(const struct pool *pool, struct backend_connection *connection,
-                            time_ns deadline, enum pool_ending *failure)
+                            time_ns deadline, enum pool_close_cause *failure)
 {
     g_autoptr(GError) error = NULL;
-    *failure = POOL_ENDING_FAILED;
+    *failure = POOL_CLOSE_FAILED;
     bool usable = backend_connection_await_open(connection, deadline, &error);
     if (usable && connection->number >= 0) {
         enum number_result result =
             adapter_take_number(connection, (uint32_t)connection->number, deadline, &error);
         usable = result == NUMBER_HELD;
-        *failure = result == NUMBER_TAKEN ? POOL_ENDING_TAKEN : POOL_ENDING_FAILED;
+        *failure = result == NUMBER_TAKEN ? POOL_CLOSE_NUMBER_TAKEN : POOL_CLOSE_FAILED;
     }
     if (error != NULL) {
         g_debug("pool: %s:%u: %s", pool->options.connection.host,
@@ -319,7 +319,7 @@
 static void open_one(struct pool *pool)
 {
     int32_t number = pool->budget != NULL ? (int32_t)pool_budget_begin_open(pool->budget) : -1;
-    enum pool_ending failure;
+    enum pool_close_cause failure;
     pool->open++;
     pthread_mutex_unlock(&pool->lock);
     time_ns started_at = backend_now();
@@ -328,15 +328,15 @@
     connection->number = number;
     bool usable = open_connection(pool, connection, deadline, &failure);
     pthread_mutex_lock(&pool->lock);
-    schedule_next_open(pool, started_at, usable || failure == POOL_ENDING_TAKEN);
+    schedule_next_open(pool, started_at, usable || failure == POOL_CLOSE_NUMBER_TAKEN);
     if (usable) {
         take_in(pool, connection);
         return;
     }
-    pool->open_failed_total += failure == POOL_ENDING_FAILED;
-    pool->numbers_taken_total += failure == POOL_ENDING_TAKEN;
-    start_ending(pool, connection, failure);
-    if (count_live(pool) == 0 && failure == POOL_ENDING_FAILED) {
+    pool->open_failed_total += failure == POOL_CLOSE_FAILED;
+    pool->numbers_taken_total += failure == POOL_CLOSE_NUMBER_TAKEN;
+    start_close(pool, connection, failure);
+    if (count_live(pool) == 0 && failure == POOL_CLOSE_FAILED) {
         refuse_waiters(pool);
     }
 }
@@ -349,8 +349,8 @@
     if (wants_open(pool)) {
         until = MIN(until, pool->next_open_at);
     }
-    if (endings_count(&pool->endings) > 0) {
-        until = MIN(until, backend_now() + ENDING_CHECK_MS * NANOSECONDS_PER_MILLISECOND);
+    if (closing_list_count(&pool->closing) > 0) {
+        until = MIN(until, backend_now() + CLOSE_CHECK_MS * NANOSECONDS_PER_MILLISECOND);
     }
     if (pool->budget != NULL) {
         until = MIN(until, pool_budget_wake_at(pool->budget));
@@ -364,14 +364,14 @@
     struct pool *pool = data;
     pthread_setname_np(pthread_self(), "pool");
     pthread_mutex_lock(&pool->lock);
-    while (!pool->stopping || !g_queue_is_empty(&pool->closing)) {
-        check_endings(pool);
+    while (!pool->stopping || !g_queue_is_empty(&pool->to_close)) {
+        check_closing(pool);
         tick_budget(pool);
         if (backend_now() >= pool->next_idle_check_at) {
             check_idle(pool);
         }
-        if (!g_queue_is_empty(&pool->closing)) {
-            start_ending(pool, g_queue_pop_head(&pool->closing), POOL_ENDING_CLOSED);
+        if (!g_queue_is_empty(&pool->to_close)) {
+            start_close(pool, g_queue_pop_head(&pool->to_close), POOL_CLOSE_CLOSED);
         } else if (wants_open(pool) && backend_now() >= pool->next_open_at) {
             open_one(pool);
         } else {
@@ -406,10 +406,10 @@
     } else {
         pool->limit = options->limit;
     }
-    endings_init(&pool->endings);
+    closing_list_init(&pool->closing);
     g_queue_init(&pool->waiters);
     g_queue_init(&pool->idle);
-    g_queue_init(&pool->closing);
+    g_queue_init(&pool->to_close);
     pthread_mutex_init(&pool->lock, NULL);
     condition_init(&pool->work);
     pthread_create(&pool->thread, NULL, maintain, pool);
@@ -422,12 +422,12 @@
     pool->stopping = true;
     refuse_waiters(pool);
     while (pool->idle_count > 0) {
-        push_closing(pool, pop_idle(pool));
+        queue_close(pool, pop_idle(pool));
     }
     wake_maintenance(pool);
     pthread_mutex_unlock(&pool->lock);
     pthread_join(pool->thread, NULL);
-    endings_clear(&pool->endings);
+    closing_list_clear(&pool->closing);
     pool_budget_free(pool->budget);
     pthread_cond_destroy(&pool->work);
     pthread_mutex_destroy(&pool->lock);
@@ -497,7 +497,7 @@
     } else {
         pool->broken_total++;
         backend_connection_break(connection);
-        push_closing(pool, connection);
+        queue_close(pool, connection);
     }
     pthread_mutex_unlock(&pool->lock);
 }
@@ -580,7 +580,7 @@
     pthread_mutex_lock(&pool->lock);
     pool->draining = true;
     while (pool->idle_count > 0) {
-        push_closing(pool, pop_idle(pool));
+        queue_close(pool, pop_idle(pool));
     }
     pthread_mutex_unlock(&pool->lock);
 }
--- a/src/backend/pool_budget.c
+++ b/src/backend/pool_budget.c
@@ -128,17 +128,17 @@
     budget->holders[connection->number] = NULL;
 }
 
-void pool_budget_ended(struct pool_budget *budget, uint32_t number, enum pool_ending ending,
+void pool_budget_ended(struct pool_budget *budget, uint32_t number, enum pool_close_cause cause,
                        time_ns now)
 {
-    switch (ending) {
-    case POOL_ENDING_CLOSED:
+    switch (cause) {
+    case POOL_CLOSE_CLOSED:
         budget_closed(budget->core, number, now, budget->actions);
         break;
-    case POOL_ENDING_TAKEN:
+    case POOL_CLOSE_NUMBER_TAKEN:
         budget_number_taken(budget->core, number, now, budget->actions);
         break;
-    case POOL_ENDING_FAILED:
+    case POOL_CLOSE_FAILED:
         budget_failed(budget->core, number, now, budget->actions);
         break;
     }
--- a/src/backend/pool_budget.h
+++ b/src/backend/pool_budget.h
@@ -11,10 +11,10 @@
 
 /* How an attempt to open ended without a connection that can be used, or one that was used ended.
  */
-enum pool_ending {
-    POOL_ENDING_CLOSED, /* it held its number */
-    POOL_ENDING_TAKEN,  /* another connection holds its number */
-    POOL_ENDING_FAILED, /* it did not come about */
+enum pool_close_cause {
+    POOL_CLOSE_CLOSED,       /* it held its number */
+    POOL_CLOSE_NUMBER_TAKEN, /* another connection holds its number */
+    POOL_CLOSE_FAILED,       /* it did not come about */
 };
 
 struct pool_budget *pool_budget_new(const struct budget_options *options);
@@ -40,7 +40,7 @@
 void pool_budget_closing(struct pool_budget *budget, const struct backend_connection *connection);
 
 /* The database has closed its end, too. */
-void pool_budget_ended(struct pool_budget *budget, uint32_t number, enum pool_ending ending,
+void pool_budget_ended(struct pool_budget *budget, uint32_t number, enum pool_close_cause cause,
                        time_ns now);
 
 /* Does what is due; pool_budget_wake_at tells when something is, UINT64_MAX for never. */
--- a/src/backend/prober.c
+++ b/src/backend/prober.c
@@ -14,7 +14,7 @@
 
 /* A closed connection that has not ended yet doesn't keep the next from being opened: a probe must
  * find out soon whether the database is back. */
-#define ENDINGS_MAX 1
+#define CLOSING_MAX 1
 
 /* A command on its way. Owned by the inbox, then by its target. */
 struct probe_command {
@@ -244,7 +244,7 @@
     struct channel_options options = {
         .connection = item->settings,
         .open_timeout_ms = prober->options.open_timeout_ms,
-        .endings_max = ENDINGS_MAX,
+        .closing_max = CLOSING_MAX,
     };
     gint64 key = target_key(item->group, item->database);
     target->prober = prober;
