--- a/src/backend/adapter.c
+++ b/src/backend/adapter.c
@@ -6,7 +6,7 @@
 
 #define COMMAND_PARAMETERS_MAX 3
 
-/* A command's SQL and how many parameters it takes. */
+/* SQL text of a command and its number of parameters. */
 struct command_text {
     const char *sql;
     size_t parameters_count;
@@ -22,7 +22,7 @@
     [ADAPTER_COMMAND_WAIT_APPLIED] = {"SELECT * FROM swiftworks_wait_applied($1, $2, $3)", 3},
 };
 
-/* Error classes that decide what a caller is told. */
+/* SQLSTATEs that are mapped to their own results. */
 #define SQLSTATE_READ_ONLY             "25006"
 #define SQLSTATE_SERIALIZATION_FAILURE "40001"
 #define SQLSTATE_DEADLOCK              "40P01"
@@ -137,7 +137,8 @@
     return g_ascii_string_to_unsigned(fields[field], 10, 0, G_MAXINT64, number, NULL);
 }
 
-/* None of our fields holds a character that the text form would quote. */
+/* Splitting at commas is safe: no value of a status field contains a character that the text form
+ * of a row would quote. */
 static bool parse_status_record(const char *text, struct database_status *status)
 {
     if (text == NULL || text[0] != '(' || !g_str_has_suffix(text, ")")) {
@@ -179,8 +180,8 @@
            parse_number(result, "applied_offset", &status->applied.offset);
 }
 
-/* What an error means, given that its transaction is rolled back. */
-static enum execute_result classify(const char *sqlstate)
+/* Maps an SQLSTATE to a result, given that the error rolled the transaction back. */
+static enum execute_result result_of_sqlstate(const char *sqlstate)
 {
     if (strcmp(sqlstate, SQLSTATE_READ_ONLY) == 0) {
         return EXECUTE_NOT_PRIMARY;
@@ -196,17 +197,17 @@
     return EXECUTE_FAILED;
 }
 
-enum execute_result adapter_take_error(const struct query_reply *reply,
-                                       struct execute_answer *answer)
+enum execute_result adapter_set_database_error(const struct query_reply *reply,
+                                               struct execute_answer *answer)
 {
     g_free(answer->error_text);
     answer->error_text = g_strdup(reply->error_text);
     g_strlcpy(answer->sqlstate, reply->sqlstate, sizeof answer->sqlstate);
     answer->error_position = reply->error_position;
-    return classify(reply->sqlstate);
+    return result_of_sqlstate(reply->sqlstate);
 }
 
-void adapter_take_results(struct query_reply *replies, size_t count, struct execute_answer *answer)
+void adapter_move_results(struct query_reply *replies, size_t count, struct execute_answer *answer)
 {
     answer->results = g_new0(struct sql_result, count);
     answer->results_count = count;
@@ -216,24 +217,26 @@
     }
 }
 
-void adapter_take_nonsense(struct backend_connection *connection, const char *text,
-                           struct execute_answer *answer)
+void adapter_set_protocol_error(struct backend_connection *connection, const char *text,
+                                struct execute_answer *answer)
 {
     backend_connection_break(connection);
     g_free(answer->error_text);
     answer->error_text = g_strdup(text);
 }
 
-void adapter_take_loss(const struct backend_connection *connection, struct execute_answer *answer)
+void adapter_set_loss_error(const struct backend_connection *connection,
+                            struct execute_answer *answer)
 {
     if (answer->error_text != NULL) {
         return;
     }
     g_autofree char *text = backend_connection_error(connection);
-    answer->error_text = text[0] != '\0' ? g_steal_pointer(&text) : g_strdup("no answer in time");
+    answer->error_text =
+        text[0] != '\0' ? g_steal_pointer(&text) : g_strdup("no answer before the deadline");
 }
 
-void adapter_abandon(struct backend_connection *connection, time_ns deadline)
+void adapter_abort_transaction(struct backend_connection *connection, time_ns deadline)
 {
     struct query_reply reply;
     if (connection->state == CONNECTION_STATE_BROKEN ||
@@ -250,7 +253,7 @@
     }
 }
 
-/* A parameter for each text; NULL ends the list. */
+/* Queues a query with `count` text parameters; a NULL text is the SQL value NULL. */
 static bool send_with_texts(struct backend_connection *connection, const char *sql,
                             const char *const *texts, size_t count)
 {
@@ -305,17 +308,17 @@
     return adapter_send(connection, &call);
 }
 
-/* Reads what a command answered. */
-static enum execute_result take_command_reply(struct backend_connection *connection,
-                                              const struct query_reply *reply,
-                                              struct execute_answer *answer)
+/* Handles the reply to a command. */
+static enum execute_result handle_command_reply(struct backend_connection *connection,
+                                                const struct query_reply *reply,
+                                                struct execute_answer *answer)
 {
     if (reply->status == QUERY_STATUS_ERROR) {
-        adapter_take_error(reply, answer);
+        adapter_set_database_error(reply, answer);
         return EXECUTE_FAILED;
     }
     if (!adapter_parse_status(&reply->result, &answer->status)) {
-        adapter_take_nonsense(connection, "not a status row", answer);
+        adapter_set_protocol_error(connection, "unexpected answer: not a status row", answer);
         return EXECUTE_LOST;
     }
     return EXECUTE_DONE;
@@ -329,10 +332,10 @@
     enum execute_result result = EXECUTE_LOST;
     execute_answer_clear(answer);
     adapter_send(connection, call);
-    if (pipeline_finish(connection, deadline, NULL, &reply, 1) == PIPELINE_WHOLE) {
-        result = take_command_reply(connection, &reply, answer);
+    if (pipeline_finish(connection, deadline, NULL, &reply, 1) == PIPELINE_COMPLETE) {
+        result = handle_command_reply(connection, &reply, answer);
     } else {
-        adapter_take_loss(connection, answer);
+        adapter_set_loss_error(connection, answer);
     }
     pipeline_replies_clear(&reply, 1);
     return result;
--- a/src/backend/adapter_number.c
+++ b/src/backend/adapter_number.c
@@ -1,23 +1,24 @@
-/* The numbered locks that connections hold at their database; see core/budget.h. */
+/* Advisory locks on connection numbers, see core/budget.h. */
 #include "backend/adapter.h"
 #include "backend/adapter_internal.h"
 #include "core/error.h"
 #include "generated/errors.h"
 
-/* First key of the locks, so that they are no others'; the second is the number. */
+/* First key of the advisory locks, which keeps them apart from the locks of other programs. The
+ * second key is the number. */
 #define LOCK_SPACE 0x73777770
 
 #define SQL_TAKE_NUMBER "SELECT pg_try_advisory_lock($1, $2)"
 
-/* What the one cell of the answer says. */
-static enum number_result take_answer(const struct query_reply *reply, GError **error)
+/* Maps the reply to a result. */
+static enum number_result parse_lock_reply(const struct query_reply *reply, GError **error)
 {
     const struct sql_result *result = &reply->result;
     bool row = reply->status == QUERY_STATUS_DONE && result->rows_count == 1 &&
                result->rows[0].cells_count == 1;
     if (!row) {
-        g_set_error(error, SW_ERROR, ERROR_KIND_OVERLOADED, "no lock of a number: %s",
-                    reply->error_text != NULL ? reply->error_text : "not a row");
+        g_set_error(error, SW_ERROR, ERROR_KIND_OVERLOADED, "connection number not locked: %s",
+                    reply->error_text != NULL ? reply->error_text : "unexpected answer");
         return NUMBER_FAILED;
     }
     return g_strcmp0(result->rows[0].cells[0].text, "t") == 0 ? NUMBER_HELD : NUMBER_TAKEN;
@@ -34,10 +35,11 @@
     struct query_reply reply;
     enum number_result result = NUMBER_FAILED;
     pipeline_send(connection, SQL_TAKE_NUMBER, parameters, G_N_ELEMENTS(parameters));
-    if (pipeline_finish(connection, deadline, NULL, &reply, 1) == PIPELINE_WHOLE) {
-        result = take_answer(&reply, error);
+    if (pipeline_finish(connection, deadline, NULL, &reply, 1) == PIPELINE_COMPLETE) {
+        result = parse_lock_reply(&reply, error);
     } else {
-        g_set_error(error, SW_ERROR, ERROR_KIND_OVERLOADED, "no answer to the lock of a number");
+        g_set_error(error, SW_ERROR, ERROR_KIND_OVERLOADED,
+                    "connection number not locked: no answer before the deadline");
     }
     pipeline_replies_clear(&reply, 1);
     return result;
--- a/src/backend/adapter_transaction.c
+++ b/src/backend/adapter_transaction.c
@@ -1,15 +1,14 @@
-/* Transactions of several requests, on one connection that is theirs alone until the end. */
+/* Transactions that span several requests. Each has its connection to itself until it ends. */
 #include "backend/adapter.h"
 #include "backend/adapter_internal.h"
 #include "backend/ledger.h"
 
 #define SQL_SET_IDLE_FORMAT "SET LOCAL idle_in_transaction_session_timeout = %u"
 
-/* Queries that start a transaction, at most: BEGIN, SET and one more. */
+/* Maximum of queries that start a transaction: BEGIN, SET and one more. */
 #define START_QUERIES_MAX 3
 
-/* Queues the transaction's begin, and how long the database lets it pause. Returns how many queries
- * that was. */
+/* Queues BEGIN and, if set, the idle time-out. Returns the number of queries. */
 static size_t send_begin(struct backend_connection *connection, const char *begin,
                          const struct adapter_transaction_options *options)
 {
@@ -22,7 +21,7 @@
     return 2;
 }
 
-/* Starts a read: the guard is checked once, before anything is read. */
+/* Starts a read. The guard is checked once, before the first statement. */
 static enum execute_result begin_read(struct backend_connection *connection,
                                       const struct adapter_transaction_options *options,
                                       time_ns deadline, struct execute_answer *answer)
@@ -34,7 +33,7 @@
     enum execute_result result =
         adapter_finish_uncommitted(connection, deadline, NULL, replies, count, answer);
     if (result == EXECUTE_DONE && !adapter_parse_status(&replies[guard].result, &answer->status)) {
-        adapter_take_nonsense(connection, "not a status row", answer);
+        adapter_set_protocol_error(connection, "unexpected answer: not a status row", answer);
         result = EXECUTE_NOT_SENT;
     } else if (result == EXECUTE_DONE &&
                !log_position_covers(answer->status.applied, options->guard)) {
@@ -45,7 +44,8 @@
     return result;
 }
 
-/* Starts a write. Its key is claimed only by its commit, lest other writers wait meanwhile. */
+/* Starts a write. The key is claimed only at commit, so that other writes with the same key don't
+ * wait on its row in the meantime. */
 static enum execute_result begin_write(struct backend_connection *connection,
                                        const struct adapter_transaction_options *options,
                                        time_ns deadline, struct execute_answer *answer)
@@ -64,7 +64,7 @@
     if (!taken) {
         return result;
     }
-    return adapter_resolve_taken(connection, &options->key, deadline, answer);
+    return adapter_resolve_claimed(connection, &options->key, deadline, answer);
 }
 
 enum execute_result adapter_begin(struct backend_connection *connection,
@@ -76,7 +76,7 @@
                                      ? begin_read(connection, options, deadline, answer)
                                      : begin_write(connection, options, deadline, answer);
     if (result != EXECUTE_DONE) {
-        adapter_abandon(connection, deadline);
+        adapter_abort_transaction(connection, deadline);
     }
     return result;
 }
@@ -90,22 +90,22 @@
     g_autofree struct query_reply *replies = g_new0(struct query_reply, total);
     struct result_limits extended = adapter_extend_limits(limits);
     adapter_send_statements(connection, statements, count);
-    /* What the statements may have seen is known only after them. */
+    /* The status is read last: its position is an upper bound of what the statements saw. */
     adapter_send_simple(connection, SQL_STATUS);
     enum execute_result result =
         adapter_finish_uncommitted(connection, deadline, &extended, replies, total, answer);
     if (result == EXECUTE_DONE && !adapter_parse_status(&replies[count].result, &answer->status)) {
-        adapter_take_nonsense(connection, "not a status row", answer);
+        adapter_set_protocol_error(connection, "unexpected answer: not a status row", answer);
         result = EXECUTE_NOT_SENT;
     } else if (result == EXECUTE_DONE) {
         answer->position = answer->status.applied;
-        adapter_take_results(replies, count, answer);
+        adapter_move_results(replies, count, answer);
     }
     pipeline_replies_clear(replies, total);
     return result;
 }
 
-/* Ends a read. What it may have seen is told by the status after its last statement. */
+/* Commits a read. The status after its last statement gives the upper bound of what it saw. */
 static enum execute_result commit_read(struct backend_connection *connection, time_ns deadline,
                                        struct execute_answer *answer)
 {
@@ -113,15 +113,15 @@
     enum execute_result result = EXECUTE_LOST;
     adapter_send_simple(connection, SQL_STATUS);
     adapter_send_simple(connection, "COMMIT");
-    if (pipeline_finish(connection, deadline, NULL, replies, 2) != PIPELINE_WHOLE) {
-        adapter_take_loss(connection, answer);
+    if (pipeline_finish(connection, deadline, NULL, replies, 2) != PIPELINE_COMPLETE) {
+        adapter_set_loss_error(connection, answer);
     } else if (pipeline_first_error(replies, 2) != NULL) {
-        result = adapter_take_error(pipeline_first_error(replies, 2), answer);
+        result = adapter_set_database_error(pipeline_first_error(replies, 2), answer);
     } else if (adapter_parse_status(&replies[0].result, &answer->status)) {
         answer->position = answer->status.applied;
         result = EXECUTE_DONE;
     } else {
-        adapter_take_nonsense(connection, "not a status row", answer);
+        adapter_set_protocol_error(connection, "unexpected answer: not a status row", answer);
     }
     pipeline_replies_clear(replies, 2);
     return result;
@@ -135,12 +135,12 @@
     enum execute_result result =
         options->read_only ? commit_read(connection, deadline, answer)
                            : adapter_commit_claiming(connection, &options->key, deadline, answer);
-    adapter_abandon(connection, deadline);
+    adapter_abort_transaction(connection, deadline);
     return result;
 }
 
 enum execute_result adapter_rollback(struct backend_connection *connection, time_ns deadline)
 {
-    adapter_abandon(connection, deadline);
+    adapter_abort_transaction(connection, deadline);
     return connection->state == CONNECTION_STATE_BROKEN ? EXECUTE_NOT_SENT : EXECUTE_DONE;
 }
--- a/src/backend/channel.c
+++ b/src/backend/channel.c
@@ -2,10 +2,10 @@
 
 #include "backend/closing_list.h"
 
-/* A closed connection is taken to have ended after so long at the latest. */
+/* Time after which a closed connection is assumed to have ended at the database. */
 #define CLOSE_TIMEOUT_MS 1000
 
-/* A command under way. */
+/* A command that was sent and not completed yet. */
 struct channel_command {
     struct query_reply reply;
     time_ns sent_at;
@@ -22,7 +22,7 @@
     short events;
     GQueue commands; /* of struct channel_command, oldest first */
     struct pipeline_reader reader;
-    bool reading; /* `reader` reads the oldest command's answer */
+    bool reading; /* true while `reader` reads the answer to the oldest command */
     struct closing_list closing;
 };
 
@@ -46,7 +46,7 @@
     return g_queue_get_length((GQueue *)&channel->commands);
 }
 
-/* Closes the connection, and watches for its end at the database. */
+/* Closes the connection, and keeps its socket to detect its end at the database. */
 static void close_connection(struct channel *channel, time_ns now)
 {
     time_ns until = now + CLOSE_TIMEOUT_MS * NANOSECONDS_PER_MILLISECOND;
@@ -55,7 +55,7 @@
     channel->state = CHANNEL_STATE_CLOSED;
 }
 
-/* Tells what came of a command, and frees it. */
+/* Reports the result of a command and frees it. */
 static void complete(struct channel_command *command, struct channel_reply *reply, time_ns now)
 {
     reply->sent_at = command->sent_at;
@@ -75,7 +75,7 @@
         channel->reading = false;
     }
     close_connection(channel, now);
-    /* A callback sees the channel closed, so it adds no command. */
+    /* The state is already CLOSED, so callbacks send no further command. */
     struct channel_command *command;
     while ((command = g_queue_pop_head(&channel->commands)) != NULL) {
         struct channel_reply reply = {.result = EXECUTE_LOST};
@@ -120,7 +120,7 @@
     command->callback = callback;
     command->user = user;
     g_queue_push_tail(&channel->commands, command);
-    /* A failure shows as a broken connection at the next channel_advance. */
+    /* If sending fails, channel_advance finds the connection BROKEN. */
     adapter_send(channel->connection, call);
     pipeline_end(channel->connection);
     channel->events = POLLIN | POLLOUT;
@@ -169,7 +169,7 @@
     }
 }
 
-/* Completes the oldest command, whose answer is whole. */
+/* Completes the oldest command, whose answer is complete. */
 static void complete_oldest(struct channel *channel, time_ns now)
 {
     struct channel_command *command = g_queue_pop_head(&channel->commands);
@@ -184,7 +184,8 @@
     complete(command, &reply, now);
 }
 
-/* Reads the answer of the oldest command as far as it is there; true if it is whole. */
+/* Reads the available part of the answer to the oldest command; true if it is complete or has
+ * failed. */
 static bool read_oldest(struct channel *channel, short ready)
 {
     struct channel_command *command = g_queue_peek_head(&channel->commands);
@@ -199,7 +200,8 @@
 static void advance_open(struct channel *channel, short ready, time_ns now)
 {
     if (channel_outstanding(channel) == 0 && ready != 0) {
-        /* Nothing was asked: the database ended the connection, or speaks out of turn. */
+        /* Input without an outstanding command: the database closed the connection or broke the
+         * protocol. */
         channel_close(channel, now);
         return;
     }
@@ -207,7 +209,7 @@
         if (!read_oldest(channel, ready)) {
             break;
         }
-        if (channel->reader.outcome != PIPELINE_WHOLE) {
+        if (channel->reader.outcome != PIPELINE_COMPLETE) {
             channel_close(channel, now);
             return;
         }
--- a/src/backend/clock.h
+++ b/src/backend/clock.h
@@ -1,4 +1,4 @@
-/* The monotonic clock of the back-end threads. Deadlines are absolute values of it. */
+/* The monotonic clock of the back-end threads. All deadlines are absolute times of this clock. */
 #ifndef SW_BACKEND_CLOCK_H
 #define SW_BACKEND_CLOCK_H
 
--- a/src/backend/closing_list.c
+++ b/src/backend/closing_list.c
@@ -7,8 +7,8 @@
     list->items = g_array_new(FALSE, FALSE, sizeof(struct closing_entry));
 }
 
-/* By GLib, as libpq's closing of descriptors is hidden from ThreadSanitizer too: it would take a
- * number that was used again for one that two threads share. */
+/* Closed with GLib's function, because ThreadSanitizer does not see libpq closing its descriptors
+ * either: with close() it would report a reused descriptor number as one shared by two threads. */
 static void close_socket(const struct closing_entry *entry)
 {
     if (entry->socket_fd >= 0) {
@@ -37,7 +37,7 @@
     for (guint i = 0; i < list->items->len; i++) {
         *ended = g_array_index(list->items, struct closing_entry, i);
         bool over = ended->socket_fd < 0 || backend_connection_has_ended(ended->socket_fd) ||
-                    (now >= ended->until && !backend_connection_end_is_awaited(ended->socket_fd));
+                    (now >= ended->until && !backend_connection_close_is_acked(ended->socket_fd));
         if (over) {
             close_socket(ended);
             g_array_remove_index_fast(list->items, i);
--- a/src/backend/closing_list.h
+++ b/src/backend/closing_list.h
@@ -1,5 +1,5 @@
-/* Connections that were closed here and whose end at the database has not been seen yet: until then
- * the database may still count them. */
+/* Connections that were closed on this side and whose end at the database has not been seen yet:
+ * until then the database may still count them. */
 #ifndef SW_BACKEND_CLOSING_LIST_H
 #define SW_BACKEND_CLOSING_LIST_H
 
@@ -7,10 +7,10 @@
 
 /* One such connection. */
 struct closing_entry {
-    int socket_fd; /* or -1 if there is nothing to watch */
-    time_ns until; /* taken to have ended at this time at the latest */
+    int socket_fd; /* duplicate of the socket; -1 if there is none */
+    time_ns until; /* assumed to have ended at this time at the latest */
     int32_t number;
-    int cause; /* the user's */
+    int cause; /* value for the caller */
 };
 
 /* Owned by one thread at a time; no locks. */
@@ -20,14 +20,15 @@
 
 void closing_list_init(struct closing_list *list);
 
-/* Forgets those that are left. */
+/* Drops the remaining entries and frees the list. */
 void closing_list_clear(struct closing_list *list);
 
-/* Closes and frees a connection, and watches for its end until `until`. */
+/* Closes and frees a connection, and watches its socket until `until`. */
 void closing_list_add(struct closing_list *list, struct backend_connection *connection, int cause,
                       time_ns until);
 
-/* Takes one that has ended out; false if there is none. Never waits. */
+/* Removes an entry whose connection has ended and copies it to `ended`; false if there is none.
+ * Never waits. */
 bool closing_list_take_closed(struct closing_list *list, time_ns now, struct closing_entry *ended);
 
 uint32_t closing_list_count(const struct closing_list *list);
--- a/src/backend/connection.c
+++ b/src/backend/connection.c
@@ -38,7 +38,7 @@
     memset(settings, 0, sizeof *settings);
 }
 
-/* Parameters of the session, as the startup message tells them. The caller frees the text. */
+/* Returns the session parameters for the startup message. The caller frees the text. */
 static char *session_options(const struct connection_settings *settings)
 {
     uint32_t idle_ms = settings->idle_transaction_ms > 0 ? settings->idle_transaction_ms
@@ -75,7 +75,7 @@
     return connection;
 }
 
-/* Ends the opening: the connection stays in non-blocking pipeline mode from here on. */
+/* Completes opening: from here on the connection is in non-blocking pipeline mode. */
 static void finish_opening(struct backend_connection *connection)
 {
     bool ready = PQsetnonblocking(connection->pg, 1) == 0;
@@ -148,7 +148,7 @@
     int copy = socket_fd >= 0 ? fcntl(socket_fd, F_DUPFD_CLOEXEC, 0) : -1;
     backend_connection_close(connection);
     if (copy >= 0 && shutdown(copy, SHUT_WR) != 0) {
-        /* Not connected yet: closed for good, it never will be. */
+        /* The socket was not connected yet, and never will be: there is no end to watch. */
         close(copy);
         return -1;
     }
@@ -165,7 +165,7 @@
     return errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR;
 }
 
-bool backend_connection_end_is_awaited(int socket_fd)
+bool backend_connection_close_is_acked(int socket_fd)
 {
     struct tcp_info info;
     socklen_t length = sizeof info;
@@ -193,7 +193,7 @@
            PQpipelineStatus(connection->pg) == PQ_PIPELINE_ON;
 }
 
-/* True if there is something to read, or the end. */
+/* True if there is input or end of file, without consuming it. */
 static bool has_input(const struct backend_connection *connection)
 {
     char byte;
@@ -206,7 +206,7 @@
     return backend_connection_is_clean(connection) && !has_input(connection);
 }
 
-bool backend_connection_was_ended(struct backend_connection *connection)
+bool backend_connection_was_terminated(struct backend_connection *connection)
 {
     bool ended = connection->state == CONNECTION_STATE_BROKEN;
     while (!ended && has_input(connection)) {
--- a/src/backend/evidence.c
+++ b/src/backend/evidence.c
@@ -9,20 +9,21 @@
 #include "backend/channel.h"
 #include "backend/clock.h"
 
-/* Questions under way to one member. Each write with a newer position may add one, so that its
- * answer needn't wait for those before it to come back; above this they are put together. */
-#define QUESTIONS_MAX 8
+/* Maximum of outstanding requests to one member. A write with a newer position adds a request, so
+ * that its answer needn't wait for the earlier ones. Above this maximum the writes share the next
+ * request. */
+#define REQUESTS_MAX 8
 
-/* Pause before a member is asked again that answered early without holding the position: it has
- * promised a newer term and does not follow it yet. */
-#define ASK_AGAIN_MS 5
+/* Delay before the next request to a member that answered early without holding the position: it
+ * has promised a newer term and does not follow it yet. */
+#define RETRY_MS 5
 
-/* One write that waits, on the stack of its thread. */
-struct gatherer {
+/* One evidence_gather call that waits, on the stack of its thread. */
+struct pending_write {
     pthread_cond_t decided;
     struct acknowledge_evidence *evidence;
     enum acknowledge_verdict verdict;
-    bool ended; /* decided, or the group is gone */
+    bool ended; /* decided, or the group was removed */
 };
 
 /* One database of a group. */
@@ -32,8 +33,8 @@
     uint32_t database;
     struct channel *channel;
     time_ns next_open_at;
-    time_ns next_ask_at;
-    struct log_position asked; /* the highest position under way */
+    time_ns next_request_at;
+    struct log_position requested; /* the highest position requested so far */
     bool known;
     struct database_status status; /* the last one read, if known */
 };
@@ -42,79 +43,80 @@
     uint32_t group;
     uint32_t count;
     struct evidence_member members[GROUP_DATABASES_MAX];
-    GQueue gatherers; /* of struct gatherer */
+    GQueue pending_writes; /* of struct pending_write */
 };
 
-/* All under `lock`, which no thread holds while it waits. Threads of writes send questions
- * themselves; the service's thread reads the answers. */
+/* All fields that change are under `lock`, which no thread holds while it waits. Threads of writes
+ * send requests themselves; the service's thread reads the answers. */
 struct evidence_service {
     struct evidence_options options;
     pthread_t thread;
     int wake_fd;
     pthread_mutex_t lock;
     bool stopping;
-    time_ns sleeping_until; /* when the service's thread wakes by itself; 0 if it is awake */
+    time_ns sleeping_until; /* wake-up time of the sleeping service thread; 0 while it runs */
     GHashTable *groups;     /* number to struct evidence_group */
 };
 
-/* The steps below are called with the lock held. */
+/* The static functions below are called with the lock held, except run and init_member. */
 
 static void wake(struct evidence_service *service)
 {
     eventfd_write(service->wake_fd, 1);
 }
 
-/* Judges a write anew, and lets its thread go on if it is decided. */
-static bool judge(struct gatherer *gatherer)
+/* Re-evaluates a write, and wakes its thread if it is decided. Returns true if so. */
+static bool evaluate(struct pending_write *pending)
 {
-    gatherer->verdict = acknowledge_judge(gatherer->evidence);
-    gatherer->ended = gatherer->verdict != ACKNOWLEDGE_PENDING;
-    if (gatherer->ended) {
-        pthread_cond_signal(&gatherer->decided);
+    pending->verdict = acknowledge_judge(pending->evidence);
+    pending->ended = pending->verdict != ACKNOWLEDGE_PENDING;
+    if (pending->ended) {
+        pthread_cond_signal(&pending->decided);
     }
-    return gatherer->ended;
+    return pending->ended;
 }
 
-/* Takes a member's status as evidence for all writes that wait. */
-static void take_status(struct evidence_member *member, const struct database_status *status)
+/* Adds a member's status to the evidence of all pending writes. */
+static void add_status(struct evidence_member *member, const struct database_status *status)
 {
-    GQueue *gatherers = &member->group->gatherers;
-    GList *link = gatherers->head;
+    GQueue *pending_writes = &member->group->pending_writes;
+    GList *link = pending_writes->head;
     member->status = *status;
     member->known = true;
     while (link != NULL) {
         GList *next = link->next;
-        struct gatherer *gatherer = link->data;
-        acknowledge_add(gatherer->evidence, member->database, status);
-        if (judge(gatherer)) {
-            g_queue_delete_link(gatherers, link);
+        struct pending_write *pending = link->data;
+        acknowledge_add(pending->evidence, member->database, status);
+        if (evaluate(pending)) {
+            g_queue_delete_link(pending_writes, link);
         }
         link = next;
     }
 }
 
-/* The highest position that a write still wants this member to hold; false if there is none. */
-static bool wanted_position(const struct evidence_member *member, struct log_position *wanted)
+/* The highest position for which a pending write still needs this member; false if there is none.
+ */
+static bool needed_position(const struct evidence_member *member, struct log_position *needed)
 {
     uint32_t bit = UINT32_C(1) << member->database;
     bool found = false;
-    for (const GList *link = member->group->gatherers.head; link != NULL; link = link->next) {
-        const struct gatherer *gatherer = link->data;
-        const struct acknowledge_evidence *evidence = gatherer->evidence;
+    for (const GList *link = member->group->pending_writes.head; link != NULL; link = link->next) {
+        const struct pending_write *pending = link->data;
+        const struct acknowledge_evidence *evidence = pending->evidence;
         if (((evidence->held_mask | evidence->fenced_mask) & bit) != 0) {
             continue;
         }
-        if (!found || log_position_compare(evidence->position, *wanted) > 0) {
-            *wanted = evidence->position;
+        if (!found || log_position_compare(evidence->position, *needed) > 0) {
+            *needed = evidence->position;
             found = true;
         }
     }
     return found;
 }
 
-static void on_answer(void *user, const struct channel_reply *reply);
+static void on_reply(void *user, const struct channel_reply *reply);
 
-static void ask(struct evidence_member *member, struct log_position position, time_ns now)
+static void send_request(struct evidence_member *member, struct log_position position, time_ns now)
 {
     const struct evidence_options *options = &member->service->options;
     struct adapter_call call = {
@@ -122,45 +124,45 @@
         .position = position,
         .wait_ms = options->wait_ms,
     };
-    time_ns patience =
+    time_ns timeout =
         (time_ns)(options->wait_ms + options->timeout_ms) * NANOSECONDS_PER_MILLISECOND;
-    /* Questions before this one may each take their whole wait. */
-    patience +=
+    /* Each earlier outstanding request may use its full wait. */
+    timeout +=
         channel_outstanding(member->channel) * options->wait_ms * NANOSECONDS_PER_MILLISECOND;
-    member->asked = position;
-    channel_send(member->channel, &call, now + patience, on_answer, member, now);
+    member->requested = position;
+    channel_send(member->channel, &call, now + timeout, on_reply, member, now);
 }
 
-/* Asks a member for what is wanted and not asked yet. */
-static void ask_if_wanted(struct evidence_member *member, time_ns now)
+/* Sends a request for the needed position unless one for it is outstanding. */
+static void send_request_if_needed(struct evidence_member *member, time_ns now)
 {
-    struct log_position wanted = {0};
-    if (channel_state(member->channel) != CHANNEL_STATE_OPEN || now < member->next_ask_at ||
-        !wanted_position(member, &wanted)) {
+    struct log_position needed = {0};
+    if (channel_state(member->channel) != CHANNEL_STATE_OPEN || now < member->next_request_at ||
+        !needed_position(member, &needed)) {
         return;
     }
     uint32_t outstanding = channel_outstanding(member->channel);
-    bool newer = log_position_compare(wanted, member->asked) > 0;
-    if (outstanding == 0 || (newer && outstanding < QUESTIONS_MAX)) {
-        ask(member, wanted, now);
+    bool newer = log_position_compare(needed, member->requested) > 0;
+    if (outstanding == 0 || (newer && outstanding < REQUESTS_MAX)) {
+        send_request(member, needed, now);
     }
 }
 
-static void on_answer(void *user, const struct channel_reply *reply)
+static void on_reply(void *user, const struct channel_reply *reply)
 {
     struct evidence_member *member = user;
     if (reply->result != EXECUTE_DONE) {
         return;
     }
-    take_status(member, &reply->status);
-    /* With nothing else under way this answers the last question. */
-    bool fell_short = !log_position_covers(reply->status.held, member->asked);
-    if (fell_short && channel_outstanding(member->channel) == 0) {
-        member->next_ask_at = reply->received_at + ASK_AGAIN_MS * NANOSECONDS_PER_MILLISECOND;
+    add_status(member, &reply->status);
+    /* With no other request outstanding, this answers the last one. */
+    bool not_held = !log_position_covers(reply->status.held, member->requested);
+    if (not_held && channel_outstanding(member->channel) == 0) {
+        member->next_request_at = reply->received_at + RETRY_MS * NANOSECONDS_PER_MILLISECOND;
     }
 }
 
-/* Lets a member's connection go on, and starts what is due. */
+/* Drives a member's connection, reopens it when due, and sends the next request. */
 static void advance_member(struct evidence_member *member, short ready, time_ns now)
 {
     channel_advance(member->channel, ready, now);
@@ -169,19 +171,19 @@
         channel_open(member->channel, now);
         member->next_open_at = now + pause * NANOSECONDS_PER_MILLISECOND;
     }
-    ask_if_wanted(member, now);
+    send_request_if_needed(member, now);
 }
 
-/* When a member must be looked at again, even if its connection brings nothing. */
+/* Time at which advance_member must run even without input. */
 static time_ns member_wake_at(const struct evidence_member *member, time_ns now)
 {
-    struct log_position wanted = {0};
+    struct log_position needed = {0};
     time_ns at = channel_wake_at(member->channel);
     if (channel_state(member->channel) == CHANNEL_STATE_CLOSED) {
         at = MIN(at, member->next_open_at);
     }
-    if (member->next_ask_at > now && wanted_position(member, &wanted)) {
-        at = MIN(at, member->next_ask_at);
+    if (member->next_request_at > now && needed_position(member, &needed)) {
+        at = MIN(at, member->next_request_at);
     }
     return at;
 }
@@ -189,10 +191,10 @@
 static void free_group(void *data)
 {
     struct evidence_group *group = data;
-    struct gatherer *gatherer;
-    while ((gatherer = g_queue_pop_head(&group->gatherers)) != NULL) {
-        gatherer->ended = true;
-        pthread_cond_signal(&gatherer->decided);
+    struct pending_write *pending;
+    while ((pending = g_queue_pop_head(&group->pending_writes)) != NULL) {
+        pending->ended = true;
+        pthread_cond_signal(&pending->decided);
     }
     for (uint32_t i = 0; i < group->count; i++) {
         channel_free(group->members[i].channel);
@@ -205,14 +207,14 @@
     return g_hash_table_lookup(service->groups, GUINT_TO_POINTER(group));
 }
 
-/* What the service's thread polls, between two times it holds the lock. The descriptor of a
- * connection names it, since groups may come and go meanwhile. */
+/* What the service's thread polls while it does not hold the lock. A member's entry is found by its
+ * descriptor, since groups may be added and removed in the meantime. */
 struct poll_set {
     GArray *poll_fds; /* of struct pollfd; the first is the wake descriptor */
     time_ns wake_at;
 };
 
-/* The events that came for a member's connection. */
+/* The poll events for a member's connection. */
 static short ready_events(const struct poll_set *set, const struct evidence_member *member)
 {
     int socket_fd = channel_pollfd(member->channel).fd;
@@ -225,7 +227,7 @@
     return 0;
 }
 
-/* Lets all connections go on, then notes what to poll. */
+/* Drives all connections, then builds the next poll set. */
 static void advance_all(struct evidence_service *service, struct poll_set *set)
 {
     GHashTableIter iterator;
@@ -320,7 +322,7 @@
     struct evidence_group *added = g_new0(struct evidence_group, 1);
     added->group = group;
     added->count = count;
-    g_queue_init(&added->gatherers);
+    g_queue_init(&added->pending_writes);
     for (uint32_t i = 0; i < count; i++) {
         init_member(service, added, i, &members[i]);
     }
@@ -338,13 +340,14 @@
     pthread_mutex_unlock(&service->lock);
 }
 
-/* Asks all members of a group; wakes the service's thread if it would sleep past a time-out. */
-static void ask_group(struct evidence_service *service, struct evidence_group *group)
+/* Sends requests to all members of a group; wakes the service's thread if a time-out is due before
+ * its wake-up time. */
+static void send_requests(struct evidence_service *service, struct evidence_group *group)
 {
     time_ns now = backend_now();
     time_ns wake_at = UINT64_MAX;
     for (uint32_t i = 0; i < group->count; i++) {
-        ask_if_wanted(&group->members[i], now);
+        send_request_if_needed(&group->members[i], now);
         wake_at = MIN(wake_at, member_wake_at(&group->members[i], now));
     }
     if (service->sleeping_until > wake_at) {
@@ -352,37 +355,37 @@
     }
 }
 
-/* Takes what is known already as evidence for a new write; true if that decides it. */
-static bool add_known(struct evidence_group *group, struct gatherer *gatherer,
+/* Adds the statuses known already to the evidence of a new write; true if that decides it. */
+static bool add_known(struct evidence_group *group, struct pending_write *pending,
                       uint32_t known_database, const struct database_status *known)
 {
     if (known != NULL) {
-        acknowledge_add(gatherer->evidence, known_database, known);
+        acknowledge_add(pending->evidence, known_database, known);
     }
     for (uint32_t i = 0; i < group->count; i++) {
         if (group->members[i].known) {
-            acknowledge_add(gatherer->evidence, i, &group->members[i].status);
+            acknowledge_add(pending->evidence, i, &group->members[i].status);
         }
     }
-    return judge(gatherer);
+    return evaluate(pending);
 }
 
-/* Waits until the write is decided, its group is gone, or `deadline`. */
+/* Waits until the write is decided, the group is removed, or `deadline` passes. */
 static void wait_for_decision(struct evidence_service *service, uint32_t group,
-                              struct gatherer *gatherer, time_ns deadline)
+                              struct pending_write *pending, time_ns deadline)
 {
     struct timespec until = backend_timespec(deadline);
     int waited = 0;
-    while (!gatherer->ended && waited == 0) {
-        waited = pthread_cond_timedwait(&gatherer->decided, &service->lock, &until);
+    while (!pending->ended && waited == 0) {
+        waited = pthread_cond_timedwait(&pending->decided, &service->lock, &until);
     }
-    if (!gatherer->ended) {
-        g_queue_remove(&find_group(service, group)->gatherers, gatherer);
+    if (!pending->ended) {
+        g_queue_remove(&find_group(service, group)->pending_writes, pending);
     }
 }
 
 static void gather_locked(struct evidence_service *service, uint32_t group,
-                          struct gatherer *gatherer, uint32_t known_database,
+                          struct pending_write *pending, uint32_t known_database,
                           const struct database_status *known, struct log_position position,
                           time_ns deadline)
 {
@@ -390,13 +393,13 @@
     if (found == NULL) {
         return;
     }
-    acknowledge_start(gatherer->evidence, position, found->count);
-    if (add_known(found, gatherer, known_database, known)) {
+    acknowledge_start(pending->evidence, position, found->count);
+    if (add_known(found, pending, known_database, known)) {
         return;
     }
-    g_queue_push_tail(&found->gatherers, gatherer);
-    ask_group(service, found);
-    wait_for_decision(service, group, gatherer, deadline);
+    g_queue_push_tail(&found->pending_writes, pending);
+    send_requests(service, found);
+    wait_for_decision(service, group, pending, deadline);
 }
 
 enum acknowledge_verdict evidence_gather(struct evidence_service *service, uint32_t group,
@@ -404,18 +407,18 @@
                                          const struct database_status *known, time_ns deadline,
                                          struct acknowledge_evidence *evidence)
 {
-    struct gatherer gatherer = {.evidence = evidence, .verdict = ACKNOWLEDGE_PENDING};
+    struct pending_write pending = {.evidence = evidence, .verdict = ACKNOWLEDGE_PENDING};
     pthread_condattr_t attributes;
     acknowledge_start(evidence, position, 0);
     pthread_condattr_init(&attributes);
     pthread_condattr_setclock(&attributes, CLOCK_MONOTONIC);
-    pthread_cond_init(&gatherer.decided, &attributes);
+    pthread_cond_init(&pending.decided, &attributes);
     pthread_condattr_destroy(&attributes);
     pthread_mutex_lock(&service->lock);
-    gather_locked(service, group, &gatherer, known_database, known, position, deadline);
+    gather_locked(service, group, &pending, known_database, known, position, deadline);
     pthread_mutex_unlock(&service->lock);
-    pthread_cond_destroy(&gatherer.decided);
-    return gatherer.verdict;
+    pthread_cond_destroy(&pending.decided);
+    return pending.verdict;
 }
 
 void evidence_offer(struct evidence_service *service, uint32_t group, uint32_t database,
@@ -424,7 +427,7 @@
     pthread_mutex_lock(&service->lock);
     struct evidence_group *found = find_group(service, group);
     if (found != NULL && database < found->count) {
-        take_status(&found->members[database], status);
+        add_status(&found->members[database], status);
     }
     pthread_mutex_unlock(&service->lock);
 }
--- a/src/backend/ledger.c
+++ b/src/backend/ledger.c
@@ -43,7 +43,7 @@
     return value;
 }
 
-/* Seconds of the wall clock: the age of a row is counted in days, so small differences between
+/* Wall-clock time in seconds. The age of rows is counted in days, so clock differences between
  * daemons don't matter. */
 static uint64_t wall_clock_seconds(void)
 {
@@ -92,12 +92,12 @@
     return reply->result.rows_count > 0;
 }
 
-bool ledger_claim_won(const struct query_reply *reply)
+bool ledger_claim_inserted(const struct query_reply *reply)
 {
     return g_strcmp0(reply->result.command, "INSERT 0 1") == 0;
 }
 
-/* The results as text, or NULL if they are too large to be kept. */
+/* Encodes the results as base64 text. Returns NULL if they are too large to be recorded. */
 static char *encode_results(const struct sql_result *results, size_t count)
 {
     struct reply reply;
@@ -113,7 +113,7 @@
     return text;
 }
 
-/* The reverse; false if the text is none of ours. */
+/* Decodes recorded results. False if the text is not valid. */
 static bool decode_results(const char *text, struct execute_answer *answer)
 {
     struct reply reply;
@@ -137,9 +137,9 @@
     return pipeline_send(connection, SQL_RECORD, parameters, G_N_ELEMENTS(parameters));
 }
 
-/* Says what a key's row means. */
-static enum execute_result judge_row(const struct sql_row *row, const struct adapter_key *key,
-                                     struct execute_answer *answer)
+/* Maps a key's row to a result. */
+static enum execute_result result_of_row(const struct sql_row *row, const struct adapter_key *key,
+                                         struct execute_answer *answer)
 {
     char fingerprint[NUMBER_TEXT_SIZE];
     g_snprintf(fingerprint, sizeof fingerprint, "%" G_GUINT64_FORMAT, key->fingerprint);
@@ -155,18 +155,18 @@
     return EXECUTE_ALREADY_DONE;
 }
 
-/* Judges the answers to SQL_RESOLVE and SQL_STATUS. */
-static enum execute_result take_resolution(struct backend_connection *connection,
-                                           const struct query_reply *replies,
-                                           const struct adapter_key *key,
-                                           struct execute_answer *answer)
+/* Handles the replies to SQL_RESOLVE and SQL_STATUS. */
+static enum execute_result handle_resolve_replies(struct backend_connection *connection,
+                                                  const struct query_reply *replies,
+                                                  const struct adapter_key *key,
+                                                  struct execute_answer *answer)
 {
     const struct query_reply *failed = pipeline_first_error(replies, 2);
     if (failed != NULL) {
-        return adapter_take_error(failed, answer);
+        return adapter_set_database_error(failed, answer);
     }
     if (!adapter_parse_status(&replies[1].result, &answer->status)) {
-        adapter_take_nonsense(connection, "not a status row", answer);
+        adapter_set_protocol_error(connection, "unexpected answer: not a status row", answer);
         return EXECUTE_NOT_SENT;
     }
     const struct sql_result *found = &replies[0].result;
@@ -174,7 +174,7 @@
         return EXECUTE_CONFLICT;
     }
     answer->position = answer->status.held;
-    return judge_row(&found->rows[0], key, answer);
+    return result_of_row(&found->rows[0], key, answer);
 }
 
 enum execute_result ledger_resolve(struct backend_connection *connection,
@@ -185,12 +185,12 @@
     const struct sql_value parameters[] = {text_value(key->key)};
     enum execute_result result = EXECUTE_NOT_SENT;
     pipeline_send(connection, SQL_RESOLVE, parameters, G_N_ELEMENTS(parameters));
-    /* The status is read after the row, so that what it holds includes the row. */
+    /* The status is read after the row, so that its held position covers the row. */
     adapter_send_simple(connection, SQL_STATUS);
-    if (pipeline_finish(connection, deadline, NULL, replies, 2) == PIPELINE_WHOLE) {
-        result = take_resolution(connection, replies, key, answer);
+    if (pipeline_finish(connection, deadline, NULL, replies, 2) == PIPELINE_COMPLETE) {
+        result = handle_resolve_replies(connection, replies, key, answer);
     } else {
-        adapter_take_loss(connection, answer);
+        adapter_set_loss_error(connection, answer);
     }
     pipeline_replies_clear(replies, 2);
     return result;
--- a/src/backend/pipeline.c
+++ b/src/backend/pipeline.c
@@ -5,13 +5,14 @@
 
 #include "backend/clock.h"
 
-/* Bounds of the message schema: a result over these could not be forwarded. */
+/* Limits of the message schema: a larger result could not be forwarded. */
 #define SCHEMA_ROWS_MAX    10000
 #define SCHEMA_COLUMNS_MAX 256
 #define SCHEMA_CELL_MAX    1048576
 #define CELL_OVERHEAD      8
-/* An answer over its limit is read to its end, without keeping it, up to this multiple: closing the
- * connection costs the database more than the rest of a slightly too large answer. */
+/* An answer over its limit is read to its end and dropped, up to this multiple of the limit:
+ * closing the connection costs the database more than sending the rest of a slightly too large
+ * answer. */
 #define DISCARD_FACTOR 4
 #define BYTES_MAX      (16 * 1024 * 1024)
 
@@ -58,7 +59,7 @@
     }
 }
 
-/* Counts a row against the limits; false if it must not be kept. */
+/* Counts a row against the limits; false if it must be dropped. */
 static bool count_row(struct pipeline_reader *reader, const PGresult *from, int row)
 {
     int columns = PQnfields(from);
@@ -76,8 +77,9 @@
     return !reader->too_large;
 }
 
-/* True while it is worth reading on, although rows are dropped. */
-static bool within_discard(const struct pipeline_reader *reader)
+/* True while the answer, whose rows are dropped, is still within DISCARD_FACTOR times its limits.
+ */
+static bool within_discard_limit(const struct pipeline_reader *reader)
 {
     return reader->bytes_total / DISCARD_FACTOR <= reader->bytes_max &&
            reader->rows_total / DISCARD_FACTOR <= reader->rows_max;
@@ -111,7 +113,7 @@
     reply->error_position = position != NULL ? (uint32_t)g_ascii_strtoull(position, NULL, 10) : 0;
 }
 
-/* True if the rows read are as many as the command's tag says. */
+/* True if the number of rows read matches the command tag. */
 static bool row_count_matches(const PGresult *last, size_t rows)
 {
     const char *tag = PQcmdStatus((PGresult *)last);
@@ -121,7 +123,7 @@
     return g_ascii_strtoull(tag + strlen("SELECT "), NULL, 10) == rows;
 }
 
-static void take_rows(struct pipeline_reader *reader, const PGresult *from,
+static void read_rows(struct pipeline_reader *reader, const PGresult *from,
                       struct sql_result *result)
 {
     if (result->columns == NULL && PQnfields(from) > 0) {
@@ -135,28 +137,28 @@
     }
 }
 
-static void take_command(const PGresult *from, struct query_reply *reply)
+static void read_command_tag(const PGresult *from, struct query_reply *reply)
 {
     g_free(reply->result.command);
     reply->result.command = g_strdup(PQcmdStatus((PGresult *)from));
     reply->status = QUERY_STATUS_DONE;
 }
 
-/* Takes one libpq result of a query into its reply. False if the answer can't be whole. */
-static bool take_result(struct pipeline_reader *reader, const PGresult *from)
+/* Reads one libpq result of a query into its reply. False if the answer can't be completed. */
+static bool read_result(struct pipeline_reader *reader, const PGresult *from)
 {
     struct query_reply *reply = &reader->replies[reader->next];
     switch (PQresultStatus(from)) {
     case PGRES_SINGLE_TUPLE:
-        take_rows(reader, from, &reply->result);
-        return within_discard(reader);
+        read_rows(reader, from, &reply->result);
+        return within_discard_limit(reader);
     case PGRES_TUPLES_OK:
-        take_rows(reader, from, &reply->result);
-        take_command(from, reply);
+        read_rows(reader, from, &reply->result);
+        read_command_tag(from, reply);
         return row_count_matches(from, reader->reply_rows);
     case PGRES_COMMAND_OK:
     case PGRES_EMPTY_QUERY:
-        take_command(from, reply);
+        read_command_tag(from, reply);
         return true;
     case PGRES_PIPELINE_ABORTED:
         reply->status = QUERY_STATUS_SKIPPED;
@@ -164,13 +166,13 @@
     case PGRES_FATAL_ERROR:
         copy_error(from, reply);
         return PQstatus(reader->connection->pg) == CONNECTION_OK;
-    default: /* COPY, and a sync before its time */
+    default: /* COPY, or a sync before the end of the batch */
         return false;
     }
 }
 
-/* Readies the next reply; rows then come one by one, so that too large an answer is noticed before
- * all of it is in memory. */
+/* Prepares the next reply. Rows arrive one at a time, so that an answer over its limit is detected
+ * before all of it is in memory. */
 static void start_reply(struct pipeline_reader *reader)
 {
     reader->reply_rows = 0;
@@ -198,30 +200,30 @@
     reader->outcome = reader->too_large ? PIPELINE_TOO_LARGE : PIPELINE_LOST;
 }
 
-/* Takes what libpq has next: a result, the end of a reply, or the sync that ends the batch. False
- * if the batch can't become whole. */
-static bool take_next(struct pipeline_reader *reader)
+/* Reads the next item from libpq: a result, the end of a reply, or the sync that ends the batch.
+ * False if the batch can't be completed. */
+static bool read_next(struct pipeline_reader *reader)
 {
     PGresult *result = PQgetResult(reader->connection->pg);
-    bool good;
+    bool valid;
     if (reader->next == reader->count) {
-        good = PQresultStatus(result) == PGRES_PIPELINE_SYNC;
+        valid = PQresultStatus(result) == PGRES_PIPELINE_SYNC;
         reader->next++;
     } else if (result == NULL) {
-        good = reader->replies[reader->next].status != QUERY_STATUS_PENDING;
+        valid = reader->replies[reader->next].status != QUERY_STATUS_PENDING;
         end_reply(reader);
         reader->connection->unread_answers--;
         reader->next++;
         start_reply(reader);
     } else {
-        good = take_result(reader, result);
+        valid = read_result(reader, result);
     }
     PQclear(result);
-    return good;
+    return valid;
 }
 
-/* Sends and reads until nothing more is there; the poll events that would bring more, 0 at the
- * sync, or -1 if the batch can't become whole. */
+/* Sends and reads as far as possible without blocking. Returns the poll events to wait for, 0 at
+ * the sync, or -1 if the batch can't be completed. */
 static int advance(struct pipeline_reader *reader, short ready)
 {
     PGconn *pg = reader->connection->pg;
@@ -236,7 +238,7 @@
         return -1;
     }
     while (!PQisBusy(pg)) {
-        if (!take_next(reader)) {
+        if (!read_next(reader)) {
             return -1;
         }
         if (reader->next > reader->count) {
@@ -256,7 +258,7 @@
     if (events < 0) {
         pipeline_reader_abandon(reader);
     } else {
-        reader->outcome = reader->too_large ? PIPELINE_TOO_LARGE : PIPELINE_WHOLE;
+        reader->outcome = reader->too_large ? PIPELINE_TOO_LARGE : PIPELINE_COMPLETE;
     }
     return 0;
 }
--- a/src/backend/pool.c
+++ b/src/backend/pool.c
@@ -10,28 +10,29 @@
 #include "core/error.h"
 #include "generated/errors.h"
 
-/* A closed connection counts against the limit until the database has closed its end, for so long
- * at most: a database that takes longer is frozen or cut off. */
+/* Maximum time for which a closed connection counts against the limit while the database has not
+ * closed its end: a database that takes longer is stopped or unreachable. */
 #define CLOSE_TIMEOUT_MS 5000
 
-/* The same for one that never came to be used. */
+/* The same for a connection that was never used. */
 #define CLOSE_FAILED_TIMEOUT_MS 1000
 
-/* How often the sockets being closed are looked at, while there are any. */
+/* Interval between checks of the sockets that are being closed. */
 #define CLOSE_CHECK_MS 2
 
-/* How often idle connections are looked at: one that the database ended has lost its number. */
+/* Interval between checks of the idle connections: one that the database has ended no longer holds
+ * its number. */
 #define IDLE_CHECK_MS 500
 
 /* A thread waiting in pool_acquire, on its own stack. */
 struct waiter {
     pthread_cond_t ready;
-    struct backend_connection *connection; /* handed over by another thread */
-    bool refused;                          /* the database is down or the pool ends */
+    struct backend_connection *connection; /* assigned by another thread */
+    bool refused;                          /* the database is down, or the pool is being freed */
 };
 
-/* All fields under `lock`, except the counters, which any thread reads, and the options, which
- * don't change. The maintenance thread alone opens and closes connections, so that at most one is
+/* All fields are under `lock`, except the counters, which any thread reads, and the options, which
+ * don't change. Only the maintenance thread opens and closes connections, so that at most one is
  * being opened and no request thread waits for either. */
 struct pool {
     struct pool_options options;
@@ -41,12 +42,12 @@
     pthread_t thread;
     bool stopping;
     bool reachable;
-    bool draining;   /* nothing is kept warm */
+    bool draining;   /* idle_min is ignored */
     GQueue waiters;  /* of struct waiter */
     GQueue idle;     /* of struct backend_connection; the most recently used at the head */
-    GQueue to_close; /* of struct backend_connection, for the maintenance thread to close */
+    GQueue to_close; /* of struct backend_connection, to be closed by the thread */
     struct closing_list closing;
-    uint32_t failures;    /* to open, in a row */
+    uint32_t failures;    /* consecutive failures to open */
     time_ns next_open_at; /* earliest time of the next opening */
     time_ns next_idle_check_at;
     struct pool_budget *budget; /* or NULL */
@@ -72,21 +73,21 @@
     pthread_condattr_destroy(&attributes);
 }
 
-/* The steps below are called with the lock held. */
+/* The static functions below, up to maintain, are called with the lock held unless noted. */
 
 static void wake_maintenance(struct pool *pool)
 {
     pthread_cond_signal(&pool->work);
 }
 
-/* Connections besides those being closed. */
+/* Number of connections that are not being closed. */
 static uint32_t count_live(const struct pool *pool)
 {
     return pool->open - g_queue_get_length((GQueue *)&pool->to_close) -
            closing_list_count(&pool->closing);
 }
 
-/* True if a connection that nobody uses is to be closed. */
+/* True if a connection that is not in use should be closed. */
 static bool is_excess(const struct pool *pool, const struct backend_connection *connection)
 {
     if (pool->stopping) {
@@ -95,7 +96,8 @@
     return pool->budget != NULL ? connection->retiring : count_live(pool) > pool->limit;
 }
 
-/* Leaves a connection to the maintenance thread; it counts as open until it is closed. */
+/* Queues a connection for the maintenance thread to close. It counts as open until its end at the
+ * database was seen. */
 static void queue_close(struct pool *pool, struct backend_connection *connection)
 {
     if (pool->budget != NULL) {
@@ -105,8 +107,8 @@
     wake_maintenance(pool);
 }
 
-static void hand_over(struct pool *pool, struct waiter *waiter,
-                      struct backend_connection *connection)
+static void assign_connection(struct pool *pool, struct waiter *waiter,
+                              struct backend_connection *connection)
 {
     connection->state = CONNECTION_STATE_IN_USE;
     waiter->connection = connection;
@@ -114,8 +116,9 @@
     pthread_cond_signal(&waiter->ready);
 }
 
-/* Makes a clean connection available: to the first waiter, else idle. */
-static void offer(struct pool *pool, struct backend_connection *connection)
+/* Makes a clean connection available: assigns it to the first waiter, or adds it to the idle ones.
+ */
+static void make_available(struct pool *pool, struct backend_connection *connection)
 {
     if (is_excess(pool, connection)) {
         queue_close(pool, connection);
@@ -123,7 +126,7 @@
     }
     struct waiter *waiter = g_queue_pop_head(&pool->waiters);
     if (waiter != NULL) {
-        hand_over(pool, waiter, connection);
+        assign_connection(pool, waiter, connection);
         return;
     }
     connection->state = CONNECTION_STATE_IDLE;
@@ -140,7 +143,8 @@
     return connection;
 }
 
-/* The most recently used idle connection that is still healthy. */
+/* Takes the most recently used idle connection that is still healthy; closes the others on the way.
+ */
 static struct backend_connection *take_idle(struct pool *pool)
 {
     struct backend_connection *connection;
@@ -155,16 +159,19 @@
     return NULL;
 }
 
-/* True if this daemon may hold no connection. */
-static bool is_barred(const struct pool *pool)
+/* True if no connection may be opened and none can be acquired: the limit is 0, or this daemon lost
+ * its position in the budget and holds no connection. */
+static bool has_no_share(const struct pool *pool)
 {
     return pool->budget != NULL ? pool_budget_is_empty(pool->budget) : pool->limit == 0;
 }
 
-/* True if no connection can come before `deadline`: none is open, and none will be opened. */
+/* True if an acquisition must be refused at once: the pool is being freed, the database is
+ * unreachable, no connection may be opened, or none is in use and the next opening is not due
+ * before `deadline`. */
 static bool is_down(const struct pool *pool, time_ns deadline)
 {
-    if (pool->stopping || !pool->reachable || is_barred(pool)) {
+    if (pool->stopping || !pool->reachable || has_no_share(pool)) {
         return true;
     }
     return pool->in_use == 0 && pool->failures > 0 && pool->next_open_at >= deadline;
@@ -179,22 +186,22 @@
     }
 }
 
-/* True if a connection must be opened: the budget asks for it, a waiter, or to keep enough of them
- * warm. */
-static bool wants_open(const struct pool *pool)
+/* True if a connection must be opened: for the budget, for a waiter, or to keep idle_min. */
+static bool needs_open(const struct pool *pool)
 {
     if (!pool->reachable || pool->stopping) {
         return false;
     }
     if (pool->budget != NULL) {
-        return pool_budget_wants_open(pool->budget);
+        return pool_budget_needs_open(pool->budget);
     }
     bool warm = pool->draining || pool->idle_count >= pool->options.idle_min;
     bool wanted = !warm || g_queue_get_length((GQueue *)&pool->waiters) > 0;
     return wanted && pool->open < pool->limit;
 }
 
-/* Pause after the failures so far: doubled each time, then half of it at random. */
+/* Delay after consecutive failures: doubles with each one up to backoff_max_ms, then is reduced by
+ * up to a half at random. */
 static time_ns backoff(const struct pool *pool)
 {
     uint64_t most = pool->options.backoff_max_ms;
@@ -206,7 +213,7 @@
     return (time_ns)(pause * (0.5 + g_random_double() / 2) * NANOSECONDS_PER_MILLISECOND);
 }
 
-/* Notes when the next opening may start, after one that started at `started_at`. */
+/* Sets the earliest time of the next opening, after one that started at `started_at`. */
 static void schedule_next_open(struct pool *pool, time_ns started_at, bool opened)
 {
     if (!opened) {
@@ -219,7 +226,7 @@
     pool->next_open_at = rate > 0 ? started_at + NANOSECONDS_PER_SECOND / rate : 0;
 }
 
-/* Closes a connection; it counts as open until the database has closed its end. */
+/* Closes a connection. It counts as open until the database has closed its end. */
 static void start_close(struct pool *pool, struct backend_connection *connection,
                         enum pool_close_cause cause)
 {
@@ -228,7 +235,7 @@
     closing_list_add(&pool->closing, connection, (int)cause, until);
 }
 
-/* Closes the idle connections that are to be closed or have ended at the database. */
+/* Closes the idle connections that exceed the limit or have ended at the database. */
 static void check_idle(struct pool *pool)
 {
     GList *link = pool->idle.head;
@@ -248,27 +255,28 @@
     pool->next_idle_check_at = backend_now() + IDLE_CHECK_MS * NANOSECONDS_PER_MILLISECOND;
 }
 
-/* Follows a change of the budget: closes what it gives up, and refuses those who wait in vain. */
-static void follow_budget(struct pool *pool)
+/* Applies a change of the budget: closes the connections that it gave up, and refuses the waiters
+ * if no connection can come. */
+static void apply_budget(struct pool *pool)
 {
     pool->limit = pool_budget_limit(pool->budget);
     check_idle(pool);
-    if (is_barred(pool)) {
+    if (has_no_share(pool)) {
         refuse_waiters(pool);
     }
 }
 
-/* Does what is due in the budget. */
+/* Runs the budget's timers that are due. */
 static void tick_budget(struct pool *pool)
 {
     time_ns now = backend_now();
     if (pool->budget != NULL && now >= pool_budget_wake_at(pool->budget)) {
         pool_budget_tick(pool->budget, now);
-        follow_budget(pool);
+        apply_budget(pool);
     }
 }
 
-/* Stops counting the connections that have ended. */
+/* Stops counting the closed connections that have ended at the database. */
 static void check_closing(struct pool *pool)
 {
     struct closing_entry ended;
@@ -277,25 +285,26 @@
         if (pool->budget != NULL) {
             pool_budget_ended(pool->budget, (uint32_t)ended.number,
                               (enum pool_close_cause)ended.cause, backend_now());
-            follow_budget(pool);
+            apply_budget(pool);
         }
     }
 }
 
-/* Makes a new connection available. */
-static void take_in(struct pool *pool, struct backend_connection *connection)
+/* Adds a new connection to the pool. */
+static void add_opened(struct pool *pool, struct backend_connection *connection)
 {
     pool->opened_total++;
     if (pool->budget != NULL) {
         pool_budget_opened(pool->budget, connection, backend_now());
     }
-    offer(pool, connection);
+    make_available(pool, connection);
     if (pool->budget != NULL) {
-        follow_budget(pool);
+        apply_budget(pool);
     }
 }
 
-/* Opens a connection and takes its number, if it is to have one. Called without the lock. */
+/* Completes the opening of a connection and locks its number, if it has one. Called without the
+ * lock. */
 static bool open_connection(const struct pool *pool, struct backend_connection *connection,
                             time_ns deadline, enum pool_close_cause *failure)
 {
@@ -315,7 +324,7 @@
     return usable;
 }
 
-/* Opens one connection, with the lock released meanwhile. */
+/* Opens one connection. The lock is released while it waits. */
 static void open_one(struct pool *pool)
 {
     int32_t number = pool->budget != NULL ? (int32_t)pool_budget_begin_open(pool->budget) : -1;
@@ -330,7 +339,7 @@
     pthread_mutex_lock(&pool->lock);
     schedule_next_open(pool, started_at, usable || failure == POOL_CLOSE_NUMBER_TAKEN);
     if (usable) {
-        take_in(pool, connection);
+        add_opened(pool, connection);
         return;
     }
     pool->open_failed_total += failure == POOL_CLOSE_FAILED;
@@ -341,12 +350,11 @@
     }
 }
 
-/* Sleeps until there is work, or an opening that is wanted may start, or sockets are to be looked
- * at. */
+/* Sleeps until there is work, the next opening may start, or a check is due. */
 static void wait_for_work(struct pool *pool)
 {
     time_ns until = pool->next_idle_check_at;
-    if (wants_open(pool)) {
+    if (needs_open(pool)) {
         until = MIN(until, pool->next_open_at);
     }
     if (closing_list_count(&pool->closing) > 0) {
@@ -372,7 +380,7 @@
         }
         if (!g_queue_is_empty(&pool->to_close)) {
             start_close(pool, g_queue_pop_head(&pool->to_close), POOL_CLOSE_CLOSED);
-        } else if (wants_open(pool) && backend_now() >= pool->next_open_at) {
+        } else if (needs_open(pool) && backend_now() >= pool->next_open_at) {
             open_one(pool);
         } else {
             wait_for_work(pool);
@@ -382,9 +390,9 @@
     return NULL;
 }
 
-static uint32_t value_or(uint32_t value, uint32_t standard)
+static uint32_t value_or(uint32_t value, uint32_t default_value)
 {
-    return value > 0 ? value : standard;
+    return value > 0 ? value : default_value;
 }
 
 static void copy_options(struct pool *pool, const struct pool_options *options)
@@ -435,7 +443,8 @@
     g_free(pool);
 }
 
-/* Waits in the queue until handed a connection, refused, or out of time. Lock held. */
+/* Waits in the queue until a connection is assigned, the wait is refused, or `deadline` passes.
+ * Lock held. */
 static struct backend_connection *wait_in_queue(struct pool *pool, time_ns deadline)
 {
     struct waiter waiter = {0};
@@ -456,7 +465,8 @@
     return waiter.connection;
 }
 
-/* Takes a connection under the lock, or says whether the database is down. */
+/* Takes a connection or waits for one, with the lock held. `down` is set if the database is down.
+ */
 static struct backend_connection *acquire_locked(struct pool *pool, time_ns deadline, bool *down)
 {
     struct backend_connection *connection = NULL;
@@ -482,7 +492,8 @@
     if (connection == NULL) {
         pool->refused_total++;
         g_set_error(error, SW_ERROR, ERROR_KIND_OVERLOADED, "%s",
-                    down ? "the database is down" : "no connection came free in time");
+                    down ? "the database is down"
+                         : "no connection became free before the deadline");
     }
     return connection;
 }
@@ -493,7 +504,7 @@
     pthread_mutex_lock(&pool->lock);
     pool->in_use--;
     if (clean) {
-        offer(pool, connection);
+        make_available(pool, connection);
     } else {
         pool->broken_total++;
         backend_connection_break(connection);
@@ -506,7 +517,7 @@
 {
     pthread_mutex_lock(&pool->lock);
     pool_budget_set_position(pool->budget, position, handing_over, backend_now());
-    follow_budget(pool);
+    apply_budget(pool);
     wake_maintenance(pool);
     pthread_mutex_unlock(&pool->lock);
 }
@@ -515,7 +526,7 @@
 {
     pthread_mutex_lock(&pool->lock);
     pool_budget_peer_warm(pool->budget, backend_now());
-    follow_budget(pool);
+    apply_budget(pool);
     wake_maintenance(pool);
     pthread_mutex_unlock(&pool->lock);
 }
@@ -524,7 +535,7 @@
 {
     pthread_mutex_lock(&pool->lock);
     pool_budget_peer_released(pool->budget, backend_now());
-    follow_budget(pool);
+    apply_budget(pool);
     wake_maintenance(pool);
     pthread_mutex_unlock(&pool->lock);
 }
--- a/src/backend/pool_budget.c
+++ b/src/backend/pool_budget.c
@@ -6,12 +6,13 @@
 struct pool_budget {
     struct budget *core;
     struct budget_options options;
-    GArray *actions;  /* of struct budget_action; empty between calls */
-    int32_t position; /* or -1 */
-    bool placed;      /* a place was told at least once */
+    GArray *actions;     /* of struct budget_action; empty between calls */
+    int32_t position;    /* or -1 */
+    bool position_known; /* pool_budget_set_position was called */
     bool warm;
-    int32_t to_open;                                            /* number, or NO_NUMBER */
-    struct backend_connection *holders[BUDGET_CONNECTIONS_MAX]; /* not owned; NULL if not held */
+    int32_t to_open; /* number, or NO_NUMBER */
+    struct backend_connection
+        *holders[BUDGET_CONNECTIONS_MAX]; /* by number; not owned; NULL if not held */
 };
 
 struct pool_budget *pool_budget_new(const struct budget_options *options)
@@ -35,7 +36,7 @@
     g_free(budget);
 }
 
-/* The pool closes a retiring connection as soon as nobody uses it. */
+/* Marks the holder of a number; the pool closes it as soon as it is not in use. */
 static void retire(struct pool_budget *budget, uint32_t number)
 {
     if (budget->holders[number] != NULL) {
@@ -43,7 +44,7 @@
     }
 }
 
-static void perform(struct pool_budget *budget)
+static void perform_actions(struct pool_budget *budget)
 {
     for (guint i = 0; i < budget->actions->len; i++) {
         const struct budget_action *action =
@@ -59,13 +60,13 @@
             budget->warm = true;
             break;
         case BUDGET_ACTION_RELEASED:
-            break; /* asked for by pool_budget_is_released */
+            break; /* callers poll pool_budget_is_released */
         }
     }
     g_array_set_size(budget->actions, 0);
 }
 
-/* Takes back an opening that has not begun. */
+/* Cancels an opening that has not begun. */
 static void cancel_open(struct pool_budget *budget, time_ns now)
 {
     if (budget->to_open == NO_NUMBER) {
@@ -79,7 +80,7 @@
 void pool_budget_set_position(struct pool_budget *budget, int32_t position, bool handing_over,
                               time_ns now)
 {
-    budget->placed = true;
+    budget->position_known = true;
     if (position != budget->position) {
         budget->position = position;
         budget->warm = false;
@@ -88,22 +89,22 @@
     if (position < 0) {
         cancel_open(budget, now);
     }
-    perform(budget);
+    perform_actions(budget);
 }
 
 void pool_budget_peer_warm(struct pool_budget *budget, time_ns now)
 {
     budget_peer_warm(budget->core, now, budget->actions);
-    perform(budget);
+    perform_actions(budget);
 }
 
 void pool_budget_peer_released(struct pool_budget *budget, time_ns now)
 {
     budget_peer_released(budget->core, now, budget->actions);
-    perform(budget);
+    perform_actions(budget);
 }
 
-bool pool_budget_wants_open(const struct pool_budget *budget)
+bool pool_budget_needs_open(const struct pool_budget *budget)
 {
     return budget->to_open != NO_NUMBER;
 }
@@ -120,7 +121,7 @@
 {
     budget->holders[connection->number] = connection;
     budget_opened(budget->core, (uint32_t)connection->number, now, budget->actions);
-    perform(budget);
+    perform_actions(budget);
 }
 
 void pool_budget_closing(struct pool_budget *budget, const struct backend_connection *connection)
@@ -142,13 +143,13 @@
         budget_failed(budget->core, number, now, budget->actions);
         break;
     }
-    perform(budget);
+    perform_actions(budget);
 }
 
 void pool_budget_tick(struct pool_budget *budget, time_ns now)
 {
     budget_tick(budget->core, now, budget->actions);
-    perform(budget);
+    perform_actions(budget);
 }
 
 time_ns pool_budget_wake_at(const struct pool_budget *budget)
@@ -173,5 +174,5 @@
 
 bool pool_budget_is_empty(const struct pool_budget *budget)
 {
-    return budget->placed && budget->position < 0 && budget_held(budget->core) == 0;
+    return budget->position_known && budget->position < 0 && budget_held(budget->core) == 0;
 }
--- a/src/backend/prober.c
+++ b/src/backend/prober.c
@@ -9,14 +9,15 @@
 
 #include "backend/clock.h"
 
-/* The smoothed round trip moves by this fraction of each new one, as TCP's does. */
+/* Divisor of the moving average of round-trip times, as in TCP. */
 #define ROUND_TRIP_WEIGHT 8
 
-/* A closed connection that has not ended yet doesn't keep the next from being opened: a probe must
- * find out soon whether the database is back. */
+/* One closed connection that has not ended yet does not prevent opening the next: a probe must find
+ * out soon whether the database is back. */
 #define CLOSING_MAX 1
 
-/* A command on its way. Owned by the inbox, then by its target. */
+/* A command. Owned by the inbox, then by its target's queue, then by the channel as the callback's
+ * user data. */
 struct probe_command {
     struct probe_target *target; /* once sent */
     struct adapter_call call;    /* strings owned */
@@ -25,7 +26,7 @@
     void *user;
 };
 
-/* One database. Of the prober's thread. */
+/* One database. Used by the prober's thread only. */
 struct probe_target {
     struct prober *prober;
     uint32_t group;
@@ -33,7 +34,7 @@
     struct channel *channel;
     time_ns next_probe_at;
     bool probing;
-    bool removed; /* nothing is reported any more */
+    bool removed; /* nothing more is reported */
     uint32_t round_trip_us;
     GQueue commands; /* of struct probe_command, not sent yet */
 };
@@ -45,7 +46,7 @@
     INBOX_SUBMIT,
 };
 
-/* What other threads ask of the prober's thread. */
+/* A request of another thread to the prober's thread. */
 struct inbox_item {
     enum inbox_kind kind;
     uint32_t group;
@@ -62,7 +63,7 @@
     pthread_mutex_t lock; /* guards `inbox` and `stopping` */
     GQueue inbox;         /* of struct inbox_item */
     bool stopping;
-    /* Of the prober's thread. */
+    /* Used by the prober's thread only. */
     GHashTable *targets; /* target_key to struct probe_target */
     GArray *poll_fds;    /* of struct pollfd: the wake descriptor, then one for each target */
 };
@@ -128,7 +129,7 @@
     }
     report(target, NULL, reply->sent_at);
     if (reply->result == EXECUTE_LOST) {
-        target->next_probe_at = reply->received_at; /* by a new connection */
+        target->next_probe_at = reply->received_at; /* with a new connection */
     }
 }
 
@@ -183,7 +184,7 @@
     channel_send(target->channel, &call, now + timeout, on_probed, target, now);
 }
 
-/* Opens the connection at the interval, or for a command. */
+/* Opens the connection: for the next probe, or for a command. */
 static void open_channel(struct probe_target *target, time_ns now)
 {
     schedule_next_probe(target, now);
@@ -192,7 +193,7 @@
     }
 }
 
-/* Starts what is due. */
+/* Starts the operations that are due. */
 static void start_due(struct probe_target *target, time_ns now)
 {
     refuse_late_commands(target, now);
@@ -207,7 +208,7 @@
     }
 }
 
-/* Lets the connection go on. */
+/* Handles the poll events of the connection. */
 static void advance_target(struct probe_target *target, short ready, time_ns now)
 {
     enum channel_state before = channel_state(target->channel);
@@ -268,7 +269,7 @@
     }
 }
 
-static void serve_item(struct prober *prober, struct inbox_item *item)
+static void handle_item(struct prober *prober, struct inbox_item *item)
 {
     struct probe_target *target = find_target(prober, item);
     gint64 key = target_key(item->group, item->database);
@@ -296,7 +297,7 @@
     g_free(item);
 }
 
-/* Takes the next request of another thread; NULL if there is none. */
+/* Takes the next request from the inbox; NULL if there is none. */
 static struct inbox_item *take_item(struct prober *prober, bool *stopping)
 {
     pthread_mutex_lock(&prober->lock);
@@ -306,19 +307,19 @@
     return item;
 }
 
-/* Serves the inbox; false when the prober ends. */
-static bool serve_inbox(struct prober *prober)
+/* Handles all requests in the inbox; false when the prober stops. */
+static bool handle_inbox(struct prober *prober)
 {
     bool stopping;
     struct inbox_item *item;
     while ((item = take_item(prober, &stopping)) != NULL) {
-        serve_item(prober, item);
+        handle_item(prober, item);
         free_item(item);
     }
     return !stopping;
 }
 
-/* Starts what is due, and notes what to poll; returns when something is due next. */
+/* Starts what is due and fills the poll set; returns the time at which something is due next. */
 static time_ns prepare_poll(struct prober *prober, time_ns now)
 {
     GHashTableIter iterator;
@@ -338,8 +339,8 @@
     return wake_at;
 }
 
-/* Lets all connections go on. The targets come in the order in which they were noted, since only
- * the inbox changes the table. */
+/* Handles the poll events of all connections. The targets have the same order as in prepare_poll,
+ * since only handle_inbox changes the table. */
 static void advance_all(struct prober *prober)
 {
     GHashTableIter iterator;
@@ -354,7 +355,7 @@
     }
 }
 
-/* Waits for any connection, the inbox, or the next time something is due; then lets all go on. */
+/* Waits for a connection, the inbox, or the next due time; then handles the connections. */
 static void run_once(struct prober *prober)
 {
     time_ns now = backend_now();
@@ -372,7 +373,7 @@
     do {
         run_once(prober);
         eventfd_read(prober->wake_fd, &ignored);
-    } while (serve_inbox(prober));
+    } while (handle_inbox(prober));
     g_hash_table_remove_all(prober->targets);
     return NULL;
 }
