--- a/src/wire/address.c
+++ b/src/wire/address.c
@@ -1,4 +1,4 @@
-/* Reading and writing of IPv4 addresses as text. */
+/* Parsing and formatting of IPv4 addresses. */
 #include "wire/address.h"
 
 #include <arpa/inet.h>
--- a/src/wire/codec.c
+++ b/src/wire/codec.c
@@ -1,5 +1,6 @@
-/* Bounded reading and building of CBOR items. Input is scanned for depth and lengths before libcbor
- * builds its tree, so that a short hostile input can't ask for much memory or stack. */
+/* Bounded decoding and building of CBOR items. Input is scanned for depth and lengths before
+ * libcbor builds its tree, so that a short malicious input can't cause a large allocation or deep
+ * recursion. */
 #include "wire/codec.h"
 
 #include "core/error.h"
@@ -7,11 +8,12 @@
 
 #include <string.h>
 
-/* State of the scan over an encoded message: how many items each open container still awaits. */
+/* State of the scan of an encoded message: the number of items that each open container still
+ * expects. */
 struct scan {
     uint64_t remaining[CODEC_DEPTH_MAX];
     size_t depth;
-    size_t octets_left; /* bound for declared counts: every item takes an octet or more */
+    size_t bytes_left; /* limit for declared counts, since every item takes at least one byte */
     const char *fault;
 };
 
@@ -135,7 +137,7 @@
 
 bool codec_read_bool(const cbor_item_t *item, const char *field, bool *out, GError **error)
 {
-    /* libcbor asserts that the item of cbor_is_bool is a control value, not a float. */
+    /* cbor_is_bool asserts that its item is a control value, not a float. */
     if (!cbor_isa_float_ctrl(item) || !cbor_float_ctrl_is_ctrl(item) || !cbor_is_bool(item)) {
         codec_set_error(error, field, "not a boolean");
         return false;
@@ -148,7 +150,7 @@
                      GError **error)
 {
     if (!cbor_isa_string(item) || !cbor_string_is_definite(item)) {
-        codec_set_error(error, field, "not a text");
+        codec_set_error(error, field, "not a text string");
         return false;
     }
     size_t length = cbor_string_length(item);
@@ -176,13 +178,13 @@
         codec_set_error(error, field, "not a byte string");
         return false;
     }
-    size_t octets = cbor_bytestring_length(item);
-    if (octets > max) {
+    size_t size = cbor_bytestring_length(item);
+    if (size > max) {
         codec_set_error(error, field, "byte string is too long");
         return false;
     }
-    *out = octets == 0 ? NULL : g_memdup2(cbor_bytestring_handle(item), octets);
-    *length = octets;
+    *out = size == 0 ? NULL : g_memdup2(cbor_bytestring_handle(item), size);
+    *length = size;
     return true;
 }
 
@@ -221,7 +223,7 @@
     return cbor_array_handle(array)[index];
 }
 
-/* Reads a field id and marks it in `seen`. */
+/* Reads a field id and records it in `seen`. */
 static bool read_field_id(const cbor_item_t *key, const char *name, uint64_t *seen, unsigned *id,
                           GError **error)
 {
@@ -232,7 +234,7 @@
     *id = (unsigned)cbor_get_int(key);
     uint64_t mask = UINT64_C(1) << (*id % 64);
     if (seen[*id / 64] & mask) {
-        codec_set_error(error, name, "field id stands twice");
+        codec_set_error(error, name, "duplicate field id");
         return false;
     }
     seen[*id / 64] |= mask;
@@ -263,7 +265,7 @@
 bool codec_check_size(size_t size, const char *field, size_t max, GError **error)
 {
     if (size > max) {
-        codec_set_error(error, field, "over its bound");
+        codec_set_error(error, field, "over its limit");
         return false;
     }
     return true;
@@ -305,11 +307,11 @@
     return bytes;
 }
 
-/* Opens a container that awaits `count` items. */
+/* Opens a container that expects `count` items. */
 static void scan_open(struct scan *scan, uint64_t count)
 {
-    if (count > scan->octets_left) {
-        scan->fault = "a count is over the input's length";
+    if (count > scan->bytes_left) {
+        scan->fault = "item count exceeds the input length";
         return;
     }
     if (count == 0) {
@@ -331,8 +333,8 @@
 static void scan_map(void *context, size_t count)
 {
     struct scan *scan = context;
-    if (count > scan->octets_left / 2) {
-        scan->fault = "a count is over the input's length";
+    if (count > scan->bytes_left / 2) {
+        scan->fault = "item count exceeds the input length";
         return;
     }
     scan_open(scan, (uint64_t)count * 2);
@@ -341,21 +343,21 @@
 static void scan_indefinite(void *context)
 {
     struct scan *scan = context;
-    scan->fault = "an indefinite length";
+    scan->fault = "indefinite length not supported";
 }
 
 static void scan_text(void *context, const unsigned char *text, size_t length)
 {
     struct scan *scan = context;
     if (!g_utf8_validate_len((const char *)text, length, NULL)) {
-        scan->fault = "a text is not UTF-8";
+        scan->fault = "text is not UTF-8";
     }
 }
 
 static void scan_tag(void *context, uint64_t tag)
 {
     struct scan *scan = context;
-    scan->fault = "a tag";
+    scan->fault = "tag not supported";
 }
 
 static const struct cbor_callbacks scan_callbacks = {
@@ -397,18 +399,18 @@
     }
 }
 
-/* Returns NULL if the input is one whole item within bounds, else what is wrong with it. */
+/* Returns NULL if the input is exactly one item within the limits, else what is wrong with it. */
 static const char *scan_input(const uint8_t *data, size_t length)
 {
-    struct scan scan = {.octets_left = length};
+    struct scan scan = {.bytes_left = length};
     size_t offset = 0;
     do {
         size_t depth = scan.depth;
-        scan.octets_left = length - offset;
+        scan.bytes_left = length - offset;
         struct cbor_decoder_result result =
             cbor_stream_decode(data + offset, length - offset, &scan_callbacks, &scan);
         if (result.status != CBOR_DECODER_FINISHED) {
-            return result.status == CBOR_DECODER_NEDATA ? "cut short" : "not CBOR";
+            return result.status == CBOR_DECODER_NEDATA ? "truncated" : "not CBOR";
         }
         if (scan.fault != NULL) {
             return scan.fault;
@@ -418,7 +420,7 @@
             scan_count_item(&scan);
         }
     } while (scan.depth > 0);
-    return offset == length ? NULL : "trailing octets";
+    return offset == length ? NULL : "trailing bytes";
 }
 
 cbor_item_t *codec_load(const uint8_t *data, size_t length, GError **error)
--- a/src/wire/connection.c
+++ b/src/wire/connection.c
@@ -51,7 +51,7 @@
                 g_strerror(error_number));
 }
 
-/* Waits until the socket is ready for `events` or broken. */
+/* Waits until the socket is ready for `events` or has failed. */
 static bool wait_socket(int socket, short events, time_ns deadline, GError **error)
 {
     struct pollfd entry = {.fd = socket, .events = events};
@@ -71,15 +71,15 @@
     }
 }
 
-static bool send_octets(struct wire_connection *connection, const uint8_t *data, size_t length,
-                        time_ns deadline, GError **error)
+static bool send_bytes(struct wire_connection *connection, const uint8_t *data, size_t length,
+                       time_ns deadline, GError **error)
 {
     size_t offset = 0;
     while (offset < length) {
         ssize_t sent = send(connection->socket, data + offset, length - offset, MSG_NOSIGNAL);
         if (sent > 0) {
             offset += (size_t)sent;
-            connection->octets_sent += (uint64_t)sent;
+            connection->bytes_sent += (uint64_t)sent;
             continue;
         }
         if (sent < 0 && errno == EINTR) {
@@ -96,8 +96,8 @@
     return true;
 }
 
-static bool receive_octets(struct wire_connection *connection, uint8_t *data, size_t length,
-                           time_ns deadline, GError **error)
+static bool receive_bytes(struct wire_connection *connection, uint8_t *data, size_t length,
+                          time_ns deadline, GError **error)
 {
     size_t offset = 0;
     while (offset < length) {
@@ -107,7 +107,8 @@
             continue;
         }
         if (received == 0) {
-            g_set_error(error, SW_ERROR, ERROR_KIND_PEER_UNREACHABLE, "the peer has closed");
+            g_set_error(error, SW_ERROR, ERROR_KIND_PEER_UNREACHABLE,
+                        "the peer closed the connection");
             return false;
         }
         if (errno == EINTR) {
@@ -128,21 +129,21 @@
                          GError **error)
 {
     uint32_t header = GUINT32_TO_BE(word);
-    return send_octets(connection, (const uint8_t *)&header, sizeof(header), deadline, error);
+    return send_bytes(connection, (const uint8_t *)&header, sizeof(header), deadline, error);
 }
 
 static bool receive_word(struct wire_connection *connection, uint32_t *word, time_ns deadline,
                          GError **error)
 {
     uint32_t header = 0;
-    if (!receive_octets(connection, (uint8_t *)&header, sizeof(header), deadline, error)) {
+    if (!receive_bytes(connection, (uint8_t *)&header, sizeof(header), deadline, error)) {
         return false;
     }
     *word = GUINT32_FROM_BE(header);
     return true;
 }
 
-/* Waits for the first word of a new connection. */
+/* Receives the first word of a new connection, which must be READY. */
 static bool receive_ready(struct wire_connection *connection, time_ns deadline, GError **error)
 {
     uint32_t word = 0;
@@ -150,12 +151,12 @@
         return false;
     }
     if ((word & CONTROL_CODE_MASK) == CONTROL_CLOSING) {
-        g_set_error(error, SW_ERROR, ERROR_KIND_PEER_UNREACHABLE, "the peer takes no connection");
+        g_set_error(error, SW_ERROR, ERROR_KIND_PEER_UNREACHABLE, "the peer accepts no connection");
         return false;
     }
     if (word != (CONTROL_READY | WIRE_PROTOCOL_VERSION)) {
         g_set_error(error, SW_ERROR, ERROR_KIND_PEER_UNREACHABLE,
-                    "the peer speaks another protocol or version");
+                    "the peer uses another protocol or protocol version");
         return false;
     }
     return true;
@@ -197,7 +198,8 @@
     bool in_time = connect_deadline < deadline;
     if (in_time && g_error_matches(failure, SW_ERROR, ERROR_KIND_DEADLINE)) {
         g_clear_error(&failure);
-        g_set_error(&failure, SW_ERROR, ERROR_KIND_PEER_UNREACHABLE, "the peer does not answer");
+        g_set_error(&failure, SW_ERROR, ERROR_KIND_PEER_UNREACHABLE,
+                    "no READY from the peer within the connect time-out");
     }
     g_propagate_error(error, failure);
     return false;
@@ -207,7 +209,8 @@
 {
     struct sockaddr_in peer;
     if (!parse_address(address, &peer)) {
-        g_set_error(error, SW_ERROR, ERROR_KIND_PEER_UNREACHABLE, "%s is not an address", address);
+        g_set_error(error, SW_ERROR, ERROR_KIND_PEER_UNREACHABLE,
+                    "%s is not an address of the form IP:port", address);
         return NULL;
     }
     int descriptor = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -260,8 +263,8 @@
     }
     GByteArray *frame = message_encode(message);
     if (frame->len > WIRE_FRAME_MAX) {
-        g_set_error(error, SW_ERROR, ERROR_KIND_TOO_LARGE, "the message has %u octets, over %u",
-                    frame->len, WIRE_FRAME_MAX);
+        g_set_error(error, SW_ERROR, ERROR_KIND_TOO_LARGE,
+                    "message of %u bytes exceeds the limit of %u", frame->len, WIRE_FRAME_MAX);
         g_byte_array_unref(frame);
         return NULL;
     }
@@ -272,7 +275,7 @@
 bool wire_send_frame(struct wire_connection *connection, const GByteArray *frame, time_ns deadline,
                      GError **error)
 {
-    return send_octets(connection, frame->data, frame->len, deadline, error);
+    return send_bytes(connection, frame->data, frame->len, deadline, error);
 }
 
 bool wire_send(struct wire_connection *connection, const struct message *message, time_ns deadline,
@@ -285,8 +288,8 @@
     return wire_send_frame(connection, frame, deadline, error);
 }
 
-/* Notes what a control word says; unknown ones are skipped. */
-static void take_control(struct wire_connection *connection, uint32_t word)
+/* Handles a control word; unknown ones are skipped. */
+static void handle_control_word(struct wire_connection *connection, uint32_t word)
 {
     uint32_t value = word & CONTROL_VALUE_MASK;
     switch (word & CONTROL_CODE_MASK) {
@@ -315,11 +318,11 @@
         if ((*length & CONTROL_BIT) == 0) {
             break;
         }
-        take_control(connection, *length);
+        handle_control_word(connection, *length);
     }
     if (*length > WIRE_FRAME_MAX) {
-        g_set_error(error, SW_ERROR, ERROR_KIND_TOO_LARGE, "a frame of %u octets, over %u", *length,
-                    WIRE_FRAME_MAX);
+        g_set_error(error, SW_ERROR, ERROR_KIND_TOO_LARGE,
+                    "frame of %u bytes exceeds the limit of %u", *length, WIRE_FRAME_MAX);
         return false;
     }
     return true;
@@ -334,7 +337,7 @@
         return false;
     }
     g_autofree uint8_t *body = g_malloc(length);
-    if (!receive_octets(connection, body, length, deadline, error)) {
+    if (!receive_bytes(connection, body, length, deadline, error)) {
         return false;
     }
     return message_decode(body, length, out, error);
@@ -364,7 +367,7 @@
     }
 }
 
-bool wire_is_quiet(const struct wire_connection *connection)
+bool wire_is_idle(const struct wire_connection *connection)
 {
     struct pollfd entry = {.fd = connection->socket, .events = POLLIN | POLLRDHUP};
     return poll(&entry, 1, 0) == 0;
--- a/src/wire/datagram.c
+++ b/src/wire/datagram.c
@@ -21,7 +21,8 @@
 {
     struct sockaddr_in local;
     if (!parse_address(address, &local)) {
-        g_set_error(error, SW_ERROR, ERROR_KIND_PEER_UNREACHABLE, "%s is not an address", address);
+        g_set_error(error, SW_ERROR, ERROR_KIND_PEER_UNREACHABLE,
+                    "%s is not an address of the form IP:port", address);
         return -1;
     }
     int descriptor = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -43,15 +44,15 @@
 }
 
 bool wire_datagram_send(int socket, const struct sockaddr_in *to, const struct message *message,
-                        size_t *octets, GError **error)
+                        size_t *size, GError **error)
 {
     if (!message_check(message, error)) {
         return false;
     }
     g_autoptr(GByteArray) data = message_encode(message);
     if (data->len > WIRE_DATAGRAM_MAX) {
-        g_set_error(error, SW_ERROR, ERROR_KIND_TOO_LARGE, "the datagram has %u octets, over %d",
-                    data->len, WIRE_DATAGRAM_MAX);
+        g_set_error(error, SW_ERROR, ERROR_KIND_TOO_LARGE,
+                    "datagram of %u bytes exceeds the limit of %d", data->len, WIRE_DATAGRAM_MAX);
         return false;
     }
     ssize_t sent = 0;
@@ -63,13 +64,13 @@
         set_error(error, "sendto", errno);
         return false;
     }
-    if (octets != NULL) {
-        *octets = data->len;
+    if (size != NULL) {
+        *size = data->len;
     }
     return true;
 }
 
-/* Takes one datagram into `buffer`, waiting for it. Returns its length or -1. */
+/* Receives one datagram into `buffer`, waiting for it. Returns its length or -1. */
 static ssize_t receive_datagram(int socket, uint8_t *buffer, size_t size, struct sockaddr_in *from,
                                 time_ns deadline, GError **error)
 {
@@ -81,7 +82,8 @@
         if (received >= 0) {
             return received;
         }
-        /* A refused earlier datagram of ours is reported here; it says nothing of this receipt. */
+        /* ECONNREFUSED reports that an earlier datagram from this socket was refused; it does not
+         * concern this call. */
         if (errno == EINTR || errno == ECONNREFUSED) {
             continue;
         }
@@ -96,21 +98,21 @@
     }
 }
 
-bool wire_datagram_receive(int socket, struct message *out, struct sockaddr_in *from,
-                           size_t *octets, time_ns deadline, GError **error)
+bool wire_datagram_receive(int socket, struct message *out, struct sockaddr_in *from, size_t *size,
+                           time_ns deadline, GError **error)
 {
     message_init(out, MESSAGE_KIND_NONE);
     uint8_t buffer[WIRE_DATAGRAM_MAX];
     ssize_t length = receive_datagram(socket, buffer, sizeof(buffer), from, deadline, error);
-    if (octets != NULL) {
-        *octets = (size_t)MAX(length, 0);
+    if (size != NULL) {
+        *size = (size_t)MAX(length, 0);
     }
     if (length < 0) {
         return false;
     }
     if (length > WIRE_DATAGRAM_MAX) {
-        g_set_error(error, SW_ERROR, ERROR_KIND_BAD_REQUEST, "a datagram of %zd octets, over %d",
-                    length, WIRE_DATAGRAM_MAX);
+        g_set_error(error, SW_ERROR, ERROR_KIND_BAD_REQUEST,
+                    "datagram of %zd bytes exceeds the limit of %d", length, WIRE_DATAGRAM_MAX);
         return false;
     }
     return message_decode(buffer, (size_t)length, out, error);
--- a/src/wire/listener.c
+++ b/src/wire/listener.c
@@ -1,4 +1,4 @@
-/* A listening socket with a stoppable accept. */
+/* A listening socket whose accept can be stopped. */
 #include "wire/listener.h"
 
 #include "core/error.h"
@@ -37,7 +37,8 @@
 {
     struct sockaddr_in local;
     if (!parse_address(address, &local)) {
-        g_set_error(error, SW_ERROR, ERROR_KIND_PEER_UNREACHABLE, "%s is not an address", address);
+        g_set_error(error, SW_ERROR, ERROR_KIND_PEER_UNREACHABLE,
+                    "%s is not an address of the form IP:port", address);
         return NULL;
     }
     int descriptor = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -56,8 +57,8 @@
     return listener;
 }
 
-/* True for failures of accept that concern one connection or pass at once. */
-static bool is_passing(int error_number)
+/* True for errors of accept that concern a single connection or are transient. */
+static bool is_transient(int error_number)
 {
     return error_number == EAGAIN || error_number == EINTR || error_number == ECONNABORTED ||
            error_number == EPROTO;
@@ -85,7 +86,7 @@
         if (accepted >= 0) {
             return wire_connection_new(accepted);
         }
-        if (!is_passing(errno)) {
+        if (!is_transient(errno)) {
             set_error(error, "accept", errno);
             return NULL;
         }
--- a/src/wire/listener.h
+++ b/src/wire/listener.h
@@ -1,4 +1,4 @@
-/* Accepting of TCP connections, with a descriptor that ends the wait. */
+/* Accepts TCP connections; the wait can be ended through a descriptor. */
 #ifndef SW_WIRE_LISTENER_H
 #define SW_WIRE_LISTENER_H
 
@@ -6,7 +6,7 @@
 
 #include <glib.h>
 
-/* A listening socket. Immutable after opening, so several threads may accept from it. */
+/* A listening socket. Immutable once open, so several threads may accept from it. */
 struct wire_listener {
     int socket;
     char *address; /* "IP:port" with the port that was bound */
--- a/src/wire/peer_pool.c
+++ b/src/wire/peer_pool.c
@@ -1,5 +1,5 @@
-/* Idle connections are kept in stacks by address, newest on top, so that a pool larger than its
- * need lets the older ones lapse. */
+/* Idle connections are kept in one stack per address, the most recently used on top, so that
+ * connections beyond the current need time out at the bottom. */
 #include "wire/peer_pool.h"
 
 #include "core/deployment.h"
@@ -24,7 +24,7 @@
 
 struct peer_pool {
     unsigned idle_max;
-    uint32_t deployment; /* what new connections say; fixed before the first call */
+    uint32_t deployment; /* sent by new connections; fixed before the first call */
     struct pool_stripe stripes[STRIPE_COUNT];
 };
 
@@ -40,7 +40,7 @@
     g_queue_free_full(data, idle_connection_free);
 }
 
-static struct pool_stripe *stripe_of(struct peer_pool *pool, const char *address)
+static struct pool_stripe *find_stripe(struct peer_pool *pool, const char *address)
 {
     return &pool->stripes[g_str_hash(address) % STRIPE_COUNT];
 }
@@ -74,7 +74,7 @@
 /* Takes the newest idle connection out of the pool; NULL if there is none. */
 static struct idle_connection *take_idle(struct peer_pool *pool, const char *address)
 {
-    struct pool_stripe *stripe = stripe_of(pool, address);
+    struct pool_stripe *stripe = find_stripe(pool, address);
     struct idle_connection *idle = NULL;
     pthread_mutex_lock(&stripe->mutex);
     GQueue *queue = g_hash_table_lookup(stripe->peers, address);
@@ -85,11 +85,11 @@
     return idle;
 }
 
-/* Puts a connection back, or closes it where the peer has its share of idle ones. */
+/* Returns a connection to the pool, or closes it if the peer has its maximum of idle ones. */
 static void put_idle(struct peer_pool *pool, const char *address,
                      struct wire_connection *connection)
 {
-    struct pool_stripe *stripe = stripe_of(pool, address);
+    struct pool_stripe *stripe = find_stripe(pool, address);
     bool kept = false;
     struct idle_connection *idle = g_new0(struct idle_connection, 1);
     idle->connection = connection;
@@ -110,15 +110,15 @@
     }
 }
 
-/* True while an idle connection may carry another request: it is young, and nothing has come in,
- * neither CLOSING nor its end. */
+/* True if an idle connection may carry another request: it has not been idle too long, and there is
+ * no input, neither CLOSING nor the end of file. */
 static bool is_usable(const struct idle_connection *idle, time_ns idle_since_min)
 {
-    return idle->idle_since >= idle_since_min && wire_is_quiet(idle->connection);
+    return idle->idle_since >= idle_since_min && wire_is_idle(idle->connection);
 }
 
-/* Takes a usable connection out of the pool and closes those found unusable on the way. */
-static struct wire_connection *take_usable(struct peer_pool *pool, const char *address)
+/* Takes a usable connection out of the pool; closes the unusable ones that it finds on the way. */
+static struct wire_connection *take_usable_idle(struct peer_pool *pool, const char *address)
 {
     time_ns now = wire_clock_now();
     time_ns idle_since_min = now > PEER_POOL_IDLE_NS ? now - PEER_POOL_IDLE_NS : 0;
@@ -134,17 +134,17 @@
     return NULL;
 }
 
-/* One request and its answer; puts the connection back or closes it. */
+/* Sends one request and receives its answer; returns the connection to the pool or closes it. */
 static enum peer_call_result exchange(struct peer_pool *pool, const char *address,
                                       struct wire_connection *connection, const GByteArray *frame,
                                       struct message *reply, time_ns deadline, GError **error)
 {
-    uint64_t sent_before = connection->octets_sent;
+    uint64_t sent_before = connection->bytes_sent;
     if (!wire_send_frame(connection, frame, deadline, error)) {
-        bool untouched = connection->octets_sent == sent_before;
+        bool nothing_sent = connection->bytes_sent == sent_before;
         g_prefix_error(error, "%s: ", address);
         wire_close(connection);
-        return untouched ? PEER_CALL_NOT_SENT : PEER_CALL_SENT_NO_ANSWER;
+        return nothing_sent ? PEER_CALL_NOT_SENT : PEER_CALL_SENT_NO_ANSWER;
     }
     if (!wire_receive(connection, reply, deadline, error)) {
         g_prefix_error(error, "%s: ", address);
@@ -159,7 +159,7 @@
     return PEER_CALL_ANSWERED;
 }
 
-/* Makes a connection that has said this side's deployment; NULL with `error` on failure. */
+/* Connects to a peer and sends this side's deployment identity; NULL with `error` on failure. */
 static struct wire_connection *connect_peer(struct peer_pool *pool, const char *address,
                                             time_ns deadline, GError **error)
 {
@@ -175,8 +175,8 @@
     return connection;
 }
 
-/* Hands an error on; NULL is none. */
-static void move_error(GError **error, GError *from)
+/* Propagates an error; `from` may be NULL. */
+static void propagate_error(GError **error, GError *from)
 {
     if (from != NULL) {
         g_propagate_error(error, from);
@@ -196,13 +196,13 @@
         g_set_error(error, SW_ERROR, ERROR_KIND_DEADLINE, "the deadline has passed");
         return PEER_CALL_NOT_SENT;
     }
-    struct wire_connection *connection = take_usable(pool, address);
+    struct wire_connection *connection = take_usable_idle(pool, address);
     if (connection != NULL) {
         GError *pooled_error = NULL;
         enum peer_call_result result =
             exchange(pool, address, connection, frame, reply, deadline, &pooled_error);
         if (result != PEER_CALL_NOT_SENT) {
-            move_error(error, pooled_error);
+            propagate_error(error, pooled_error);
             return result;
         }
         g_clear_error(&pooled_error);
@@ -228,7 +228,7 @@
     }
 }
 
-/* Takes the unusable connections out of a stripe and drops peers without any. */
+/* Moves the unusable connections of a stripe to `closing` and removes peers without connections. */
 static void collect_stripe(struct pool_stripe *stripe, time_ns idle_since_min, GQueue *closing)
 {
     GHashTableIter iterator;
@@ -253,9 +253,9 @@
     g_queue_clear_full(&closing, idle_connection_free);
 }
 
-void peer_pool_forget(struct peer_pool *pool, const char *address)
+void peer_pool_close_peer(struct peer_pool *pool, const char *address)
 {
-    struct pool_stripe *stripe = stripe_of(pool, address);
+    struct pool_stripe *stripe = find_stripe(pool, address);
     pthread_mutex_lock(&stripe->mutex);
     g_hash_table_remove(stripe->peers, address);
     pthread_mutex_unlock(&stripe->mutex);
@@ -263,7 +263,7 @@
 
 unsigned peer_pool_idle_count(struct peer_pool *pool, const char *address)
 {
-    struct pool_stripe *stripe = stripe_of(pool, address);
+    struct pool_stripe *stripe = find_stripe(pool, address);
     pthread_mutex_lock(&stripe->mutex);
     GQueue *queue = g_hash_table_lookup(stripe->peers, address);
     unsigned count = queue == NULL ? 0 : queue->length;
--- a/src/wire/peer_server.c
+++ b/src/wire/peer_server.c
@@ -1,11 +1,10 @@
-/* The accept loop and the connections' threads.
+/* The accept loop and the threads of the connections.
  *
- * `stop_descriptor` is an eventfd that stays readable from the stop on; the connections' threads
- * see it in their poll. The accept thread goes on until peer_server_free, to refuse by CLOSING:
- * when a listening socket ends, the kernel may drop a connection that is just being made without
- * telling its peer. Connections are listed under `mutex`, so that peer_server_free can shut their
- * sockets.
- */
+ * `stop_descriptor` is an eventfd that stays readable once the server stops; the connections'
+ * threads poll it. The accept thread runs until peer_server_free, to refuse connections with
+ * CLOSING: when a listening socket is closed, the kernel may drop a connection that is just being
+ * established without notifying its peer. Connections are registered under `mutex`, so that
+ * peer_server_free can shut down their sockets. */
 #include "wire/peer_server.h"
 
 #include "core/deployment.h"
@@ -20,20 +19,20 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Pause after a failed accept, e.g. for want of descriptors. */
+/* Delay after a failed accept, for example if no file descriptor is free. */
 #define ACCEPT_PAUSE_NS (100 * NANOSECONDS_PER_MILLISECOND)
 
-/* Bound for sending one control word. */
+/* Time-out for sending one control word. */
 #define CONTROL_TIMEOUT_NS (1 * NANOSECONDS_PER_SECOND)
 
 struct peer_server {
     struct peer_server_options options;
     struct wire_listener *listener;
     pthread_t accept_thread;
-    int stop_descriptor; /* ends the connections */
-    int end_descriptor;  /* an eventfd that ends the accept thread */
+    int stop_descriptor; /* stops the connections' threads */
+    int end_descriptor;  /* an eventfd that stops the accept thread */
     pthread_mutex_t mutex;
-    bool stopping;           /* no connection is listed any more; under mutex */
+    bool stopping;           /* no connection is registered any more; under mutex */
     pthread_cond_t finished; /* a connection has ended */
     GHashTable *connections; /* set of struct served_connection; under mutex */
 };
@@ -54,7 +53,7 @@
     return deployment_differs(server->options.deployment, connection->peer_deployment);
 }
 
-/* Receives, handles and answers one request. False ends the connection. */
+/* Receives, handles and answers one request. False if the connection must be closed. */
 static bool serve_request(struct peer_server *server, struct wire_connection *connection)
 {
     struct message request;
@@ -83,7 +82,7 @@
     return answered && !foreign;
 }
 
-/* Serves until the connection fails or should be closed; true in the latter case. */
+/* Serves requests until the connection fails or is to be closed; true in the latter case. */
 static bool serve_until_stop(struct peer_server *server, struct wire_connection *connection)
 {
     for (;;) {
@@ -98,7 +97,7 @@
     }
 }
 
-/* Tells the peer that the connection closes and serves the requests that crossed this notice. */
+/* Sends CLOSING, then serves the requests that the peer sent before it received CLOSING. */
 static void serve_closing(struct peer_server *server, struct wire_connection *connection)
 {
     if (!wire_send_closing(connection, deadline_after(CONTROL_TIMEOUT_NS), NULL)) {
@@ -112,8 +111,8 @@
     }
 }
 
-/* Takes the connection off the list and closes it. Under the mutex, so that peer_server_free never
- * shuts a descriptor that was closed and given to another. */
+/* Unregisters and closes a connection. This happens under the mutex, so that shutdown_connections
+ * never shuts down a descriptor that was closed and reused. */
 static void finish_connection(struct served_connection *served)
 {
     struct peer_server *server = served->server;
@@ -151,9 +150,9 @@
     wire_close(connection);
 }
 
-/* Lists a connection; NULL if the server stops or has its bound of them. */
-static struct served_connection *list_connection(struct peer_server *server,
-                                                 struct wire_connection *connection)
+/* Registers a connection; NULL if the server is stopping or has its maximum of connections. */
+static struct served_connection *register_connection(struct peer_server *server,
+                                                     struct wire_connection *connection)
 {
     struct served_connection *served = NULL;
     pthread_mutex_lock(&server->mutex);
@@ -168,7 +167,7 @@
     return served;
 }
 
-/* Starts a thread that nobody joins; returns an error number. */
+/* Starts a detached thread; returns an error number. */
 static int start_detached(void *(*function)(void *), void *data)
 {
     pthread_t thread;
@@ -182,10 +181,11 @@
 
 static void start_connection(struct peer_server *server, struct wire_connection *connection)
 {
-    struct served_connection *served = list_connection(server, connection);
+    struct served_connection *served = register_connection(server, connection);
     if (served == NULL) {
-        g_info("wire: connection refused: stopping, or %u are open",
-               server->options.connections_max);
+        g_info(
+            "wire: connection refused: the server is stopping or has its limit of %u connections",
+            server->options.connections_max);
         refuse_connection(connection);
         return;
     }
@@ -196,7 +196,7 @@
     }
 }
 
-/* Waits a moment, or less if the server ends. */
+/* Waits for ACCEPT_PAUSE_NS, or until the server ends. */
 static void pause_accepting(struct peer_server *server)
 {
     struct pollfd entry = {.fd = server->end_descriptor, .events = POLLIN};
@@ -214,7 +214,7 @@
         if (connection != NULL) {
             start_connection(server, connection);
         } else if (error != NULL) {
-            g_info("wire: no connection accepted: %s", error->message);
+            g_info("wire: accept failed: %s", error->message);
             pause_accepting(server);
         } else {
             return NULL;
@@ -222,7 +222,7 @@
     }
 }
 
-/* A condition whose timed wait takes monotonic time. */
+/* Initialises a condition variable whose timed waits use CLOCK_MONOTONIC. */
 static void init_condition(pthread_cond_t *condition)
 {
     pthread_condattr_t attributes;
@@ -232,8 +232,8 @@
     pthread_condattr_destroy(&attributes);
 }
 
-/* Frees a server without threads. */
-static void release_server(struct peer_server *server)
+/* Frees a server whose threads have ended. */
+static void destroy_server(struct peer_server *server)
 {
     wire_listener_close(server->listener);
     g_hash_table_unref(server->connections);
@@ -261,9 +261,9 @@
     server->connections = g_hash_table_new(NULL, NULL);
     int failure = pthread_create(&server->accept_thread, NULL, accept_thread, server);
     if (failure != 0) {
-        g_set_error(error, SW_ERROR, ERROR_KIND_INTERNAL, "no thread to accept connections: %s",
+        g_set_error(error, SW_ERROR, ERROR_KIND_INTERNAL, "can't start the accept thread: %s",
                     g_strerror(failure));
-        release_server(server);
+        destroy_server(server);
         return NULL;
     }
     return server;
@@ -282,7 +282,7 @@
     return count;
 }
 
-/* Waits until no connection is left or the deadline has passed; returns how many are left. */
+/* Waits until no connection is left or until the deadline; returns the number that is left. */
 static unsigned wait_connections(struct peer_server *server, time_ns deadline)
 {
     struct timespec until = {
@@ -312,8 +312,8 @@
     return wait_connections(server, deadline);
 }
 
-/* Shuts the sockets of all connections; their threads then end. */
-static void cut_connections(struct peer_server *server)
+/* Shuts down the sockets of all connections; their threads then end. */
+static void shutdown_connections(struct peer_server *server)
 {
     GHashTableIter iterator;
     void *served = NULL;
@@ -328,9 +328,9 @@
 void peer_server_free(struct peer_server *server)
 {
     peer_server_stop(server, 0);
-    cut_connections(server);
+    shutdown_connections(server);
     wait_connections(server, WIRE_NO_DEADLINE);
     eventfd_write(server->end_descriptor, 1);
     pthread_join(server->accept_thread, NULL);
-    release_server(server);
+    destroy_server(server);
 }
--- a/tests/wire/test_connection.c
+++ b/tests/wire/test_connection.c
@@ -123,7 +123,7 @@
     statement->parameters[0].text = g_strnfill(1048577, 'x');
     g_assert_null(wire_frame_new(&message, &error));
     g_assert_error(error, SW_ERROR, ERROR_KIND_BAD_REQUEST);
-    g_assert_cmpstr(error->message, ==, "sql_value.text: over its bound");
+    g_assert_cmpstr(error->message, ==, "sql_value.text: over its limit");
     message_clear(&message);
 }
 
@@ -161,9 +161,9 @@
 {
     struct pair pair = pair_new();
     struct message message;
-    g_assert_true(wire_is_quiet(pair.right));
+    g_assert_true(wire_is_idle(pair.right));
     g_assert_true(wire_send_closing(pair.left, fixture_deadline(), NULL));
-    g_assert_false(wire_is_quiet(pair.right));
+    g_assert_false(wire_is_idle(pair.right));
     fixture_reply(&message, "r1");
     g_assert_true(wire_send(pair.left, &message, fixture_deadline(), NULL));
     message_clear(&message);
--- a/tests/wire/test_peer_server.c
+++ b/tests/wire/test_peer_server.c
@@ -232,7 +232,7 @@
     struct caller caller = {.pool = pool, .address = address};
     g_assert_cmpint(call_once(&caller, 0), ==, PEER_CALL_ANSWERED);
     g_assert_cmpuint(peer_pool_idle_count(pool, address), ==, 1);
-    peer_pool_forget(pool, address);
+    peer_pool_close_peer(pool, address);
     g_assert_cmpuint(peer_pool_idle_count(pool, address), ==, 0);
     peer_pool_free(pool);
     echo_free(&echo);
@@ -323,7 +323,7 @@
     g_assert_cmpuint(peer_server_stop(echo.server, fixture_deadline()), ==, 0);
     g_assert_null(wire_connect(peer_server_address(echo.server), fixture_deadline(), &error));
     g_assert_error(error, SW_ERROR, ERROR_KIND_PEER_UNREACHABLE);
-    g_assert_true(g_str_has_suffix(error->message, ": the peer takes no connection"));
+    g_assert_true(g_str_has_suffix(error->message, ": the peer accepts no connection"));
     echo_free(&echo);
 }
 
