--- a/src/backend/adapter.h
+++ b/src/backend/adapter.h
@@ -165,11 +165,10 @@
 struct adapter_call {
     enum adapter_command command;
     uint64_t term;
-    const char
-        *coordinator;    /* FENCE, PROMOTE, FOLLOW: name of the requester, for the database's log */
-    const char *address; /* FOLLOW: "host:port" */
-    bool leaving;        /* SET_LEAVING */
-    uint64_t order;      /* SET_LEAVING */
+    const char *coordinator; /* FENCE, PROMOTE, FOLLOW: requester's name, for the database's log */
+    const char *address;     /* FOLLOW: "host:port" */
+    bool leaving;            /* SET_LEAVING */
+    uint64_t order;          /* SET_LEAVING */
     struct log_position position;
     uint32_t wait_ms;
 };
--- a/src/backend/evidence.h
+++ b/src/backend/evidence.h
@@ -16,9 +16,8 @@
 struct evidence_service;
 
 struct evidence_options {
-    uint32_t wait_ms; /* how long a member may wait for a position before it answers anyway */
-    uint32_t
-        timeout_ms; /* how long after `wait_ms` the connection is closed if there is no answer */
+    uint32_t wait_ms;    /* how long a member may wait for a position before it answers anyway */
+    uint32_t timeout_ms; /* without an answer this long after wait_ms, the channel closes */
     uint32_t open_timeout_ms; /* for opening the connection */
     uint32_t reopen_ms;       /* minimum time between two attempts to open */
 };
--- a/src/backend/pool_budget.c
+++ b/src/backend/pool_budget.c
@@ -11,8 +11,8 @@
     bool position_known; /* pool_budget_set_position was called */
     bool warm;
     int32_t to_open; /* number, or NO_NUMBER */
-    struct backend_connection
-        *holders[BUDGET_CONNECTIONS_MAX]; /* by number; not owned; NULL if not held */
+    /* By number; not owned; NULL if the number is not held. */
+    struct backend_connection *holders[BUDGET_CONNECTIONS_MAX];
 };
 
 struct pool_budget *pool_budget_new(const struct budget_options *options)
