--- a/src/backend/adapter_number.c
+++ b/src/backend/adapter_number.c
@@ -39,7 +39,7 @@
         result = parse_lock_reply(&reply, error);
     } else {
         g_set_error(error, SW_ERROR, ERROR_KIND_OVERLOADED,
-                    "connection number not locked: no answer before the deadline");
+                    "connection number not locked: no complete answer");
     }
     pipeline_replies_clear(&reply, 1);
     return result;
