--- a/tests/wire/test_connection.c
+++ b/tests/wire/test_connection.c
@@ -1,4 +1,4 @@
-/* Addresses and framing. */
+/* Tests of addresses as text and of framed messages over a connection. */
 #include "core/error.h"
 #include "generated/errors.h"
 #include "wire/address.h"
@@ -78,7 +78,7 @@
     return message;
 }
 
-/* A frame that is larger than the socket's buffer goes in parts. */
+/* A frame that is larger than the socket's buffer is sent in parts. */
 static void test_large_frame(void)
 {
     struct pair pair = pair_new();
@@ -156,7 +156,7 @@
     expect_receive_error("", 0, false, ERROR_KIND_DEADLINE);
 }
 
-/* Control words before a message are noted and skipped. */
+/* Control words before a message are handled and skipped. */
 static void test_closing(void)
 {
     struct pair pair = pair_new();
@@ -174,7 +174,7 @@
     pair_close(&pair);
 }
 
-/* What the words before a message say of the other side's deployment. */
+/* The peer's deployment after receiving control words and a message. */
 static uint32_t deployment_after(const void *words, size_t length)
 {
     struct pair pair = pair_new();
@@ -192,26 +192,26 @@
     return deployment;
 }
 
-/* Words that this version does not know are skipped, as older ones skip the deployment's. */
+/* Unknown control words are skipped, as older versions skip those of the deployment. */
 static void test_deployment_words(void)
 {
-    uint32_t unsaid = deployment_after("", 0);
+    uint32_t none = deployment_after("", 0);
     uint32_t unknown = deployment_after("\x80\x7f\xab\xcd", 4);
-    uint32_t said = deployment_after("\x80\x03\xab\xcd\x80\x04\x12\x34", 8);
+    uint32_t both = deployment_after("\x80\x03\xab\xcd\x80\x04\x12\x34", 8);
     uint32_t low = deployment_after("\x80\x04\x12\x34", 4);
-    g_assert_cmphex(unsaid, ==, 0);
+    g_assert_cmphex(none, ==, 0);
     g_assert_cmphex(unknown, ==, 0);
-    g_assert_cmphex(said, ==, 0xabcd1234);
+    g_assert_cmphex(both, ==, 0xabcd1234);
     g_assert_cmphex(low, ==, 0x1234);
 }
 
 static void test_deployment_sent(void)
 {
     struct pair pair = pair_new();
-    uint8_t octets[8];
+    uint8_t bytes[8];
     g_assert_true(wire_send_deployment(pair.left, 0xabcd1234, fixture_deadline(), NULL));
-    ssize_t received = recv(pair.right->socket, octets, sizeof(octets), MSG_PEEK);
-    g_assert_cmpmem(octets, (gsize)MAX(received, 0), "\x80\x03\xab\xcd\x80\x04\x12\x34", 8);
+    ssize_t received = recv(pair.right->socket, bytes, sizeof(bytes), MSG_PEEK);
+    g_assert_cmpmem(bytes, (gsize)MAX(received, 0), "\x80\x03\xab\xcd\x80\x04\x12\x34", 8);
     pair_close(&pair);
 }
 
--- a/tests/wire/test_datagram.c
+++ b/tests/wire/test_datagram.c
@@ -1,4 +1,4 @@
-/* Messages over UDP. */
+/* Tests of messages over UDP. */
 #include "core/error.h"
 #include "generated/errors.h"
 #include "wire/datagram.h"
@@ -92,7 +92,7 @@
     g_assert_cmpint(message.kind, ==, MESSAGE_KIND_NONE);
 }
 
-/* A bad datagram is refused by itself; the next one is read. */
+/* A datagram that can't be decoded is rejected; the next one is received. */
 static void test_bad_datagrams(void)
 {
     struct sockets sockets;
--- a/tests/wire/test_peer_call.c
+++ b/tests/wire/test_peer_call.c
@@ -1,4 +1,5 @@
-/* What peer_call says of a request, against peers that fail at each point of a call. */
+/* Tests of peer_call's result, with peers that fail at each point of a call: a request that was not
+ * sent, and one that was sent without an answer, must never be confused. */
 #include "core/error.h"
 #include "generated/errors.h"
 #include "wire/peer_pool.h"
@@ -6,7 +7,7 @@
 
 #include <pthread.h>
 
-/* One call and the result it must have; `code` is checked unless the result is ANSWERED. */
+/* Makes one call and checks its result; `code` is checked unless the result is ANSWERED. */
 static void expect_call(struct peer_pool *pool, const char *address, time_ns deadline,
                         enum peer_call_result expected, int code)
 {
@@ -27,7 +28,7 @@
     message_clear(&request);
 }
 
-/* One call to a peer that follows one step. */
+/* Makes one call to a peer that follows one step. */
 static void expect_step(enum scripted_step step, enum peer_call_result expected, int code,
                         unsigned requests_read)
 {
@@ -59,7 +60,7 @@
                 1);
     expect_step(SCRIPTED_CLOSE_MID_ANSWER, PEER_CALL_SENT_NO_ANSWER, ERROR_KIND_PEER_UNREACHABLE,
                 1);
-    expect_step(SCRIPTED_GARBAGE_ANSWER, PEER_CALL_SENT_NO_ANSWER, ERROR_KIND_BAD_REQUEST, 1);
+    expect_step(SCRIPTED_INVALID_ANSWER, PEER_CALL_SENT_NO_ANSWER, ERROR_KIND_BAD_REQUEST, 1);
 }
 
 static void test_answered(void)
@@ -68,8 +69,8 @@
     expect_step(SCRIPTED_ANSWER_CLOSING, PEER_CALL_ANSWERED, 0, 1);
 }
 
-/* A peer that answers one request, takes the next, and falls silent. */
-static void *fall_silent(void *data)
+/* A peer that answers one request and then reads a second one without answering. */
+static void *answer_once(void *data)
 {
     struct wire_connection *connection = wire_listener_accept(data, -1, NULL);
     struct message message;
@@ -86,12 +87,12 @@
     return NULL;
 }
 
-static void test_silent(void)
+static void test_no_answer_after_read(void)
 {
     struct wire_listener *listener = wire_listener_open("127.0.0.1:0", NULL);
     struct peer_pool *pool = peer_pool_new(PEER_POOL_IDLE_MAX_DEFAULT);
     pthread_t thread;
-    g_assert_cmpint(pthread_create(&thread, NULL, fall_silent, listener), ==, 0);
+    g_assert_cmpint(pthread_create(&thread, NULL, answer_once, listener), ==, 0);
     expect_call(pool, listener->address, fixture_deadline(), PEER_CALL_ANSWERED, 0);
     time_ns deadline = wire_clock_now() + NANOSECONDS_PER_SECOND / 2;
     expect_call(pool, listener->address, deadline, PEER_CALL_SENT_NO_ANSWER, ERROR_KIND_DEADLINE);
@@ -101,7 +102,7 @@
     wire_listener_close(listener);
 }
 
-/* The kernel accepts for a paused process, but READY never comes. */
+/* The kernel accepts connections for a paused process, but READY is never sent. */
 static void test_paused_peer(void)
 {
     struct wire_listener *listener = wire_listener_open("127.0.0.1:0", NULL);
@@ -112,8 +113,8 @@
     wire_listener_close(listener);
 }
 
-/* A peer that says nothing is given up long before a late deadline. */
-static void test_mute_peer(void)
+/* A peer that never sends READY is given up after WIRE_CONNECT_NS, also with a later deadline. */
+static void test_no_ready(void)
 {
     struct wire_listener *listener = wire_listener_open("127.0.0.1:0", NULL);
     struct peer_pool *pool = peer_pool_new(PEER_POOL_IDLE_MAX_DEFAULT);
@@ -153,7 +154,8 @@
     struct message request;
     struct message reply;
     g_autoptr(GError) error = NULL;
-    fixture_request(&request, "an id of more than sixty-four octets is over the schema's bound !!");
+    fixture_request(&request,
+                    "an id of more than sixty-four bytes exceeds the schema's limit !!!!");
     enum peer_call_result result =
         peer_call(pool, "127.0.0.1:1", &request, &reply, fixture_deadline(), &error);
     g_assert_cmpint(result, ==, PEER_CALL_NOT_SENT);
@@ -162,8 +164,8 @@
     peer_pool_free(pool);
 }
 
-/* A pooled connection that the peer has closed, or asked to close, is replaced; the request runs
- * once. */
+/* A pooled connection that the peer has closed, or announced to close, is replaced, and each
+ * request runs once. */
 static void expect_replaced(enum scripted_step first)
 {
     const enum scripted_step steps[] = {first, SCRIPTED_ANSWER_CLOSE, SCRIPTED_END};
@@ -188,8 +190,8 @@
     expect_replaced(SCRIPTED_ANSWER_CLOSING);
 }
 
-/* A request with an unknown outcome is never sent again, also when its connection came from the
- * pool: the second step would answer it. */
+/* A request with an unknown outcome is never sent again, also if its connection came from the pool.
+ * The listener here accepts one connection only. */
 static void *close_after_second_read(void *data)
 {
     struct wire_listener *listener = data;
@@ -223,11 +225,11 @@
     wire_listener_close(listener);
 }
 
-/* Octets that no request asked for make a connection unusable, so that no caller gets another's
- * answer. */
-static void test_unasked_octets(void)
+/* Bytes that no request asked for make a connection unusable, so that no caller receives the answer
+ * to another request. */
+static void test_unsolicited_bytes(void)
 {
-    const enum scripted_step steps[] = {SCRIPTED_ANSWER_GARBAGE, SCRIPTED_ANSWER_CLOSE,
+    const enum scripted_step steps[] = {SCRIPTED_ANSWER_EXTRA_BYTES, SCRIPTED_ANSWER_CLOSE,
                                         SCRIPTED_END};
     struct scripted_peer *peer = scripted_peer_start(steps);
     struct peer_pool *pool = peer_pool_new(PEER_POOL_IDLE_MAX_DEFAULT);
@@ -248,14 +250,14 @@
     g_test_add_func("/wire/peer-call/not-sent", test_not_sent);
     g_test_add_func("/wire/peer-call/sent-no-answer", test_sent_no_answer);
     g_test_add_func("/wire/peer-call/answered", test_answered);
-    g_test_add_func("/wire/peer-call/silent", test_silent);
+    g_test_add_func("/wire/peer-call/no-answer-after-read", test_no_answer_after_read);
     g_test_add_func("/wire/peer-call/paused-peer", test_paused_peer);
-    g_test_add_func("/wire/peer-call/mute-peer", test_mute_peer);
+    g_test_add_func("/wire/peer-call/no-ready", test_no_ready);
     g_test_add_func("/wire/peer-call/no-listener", test_no_listener);
     g_test_add_func("/wire/peer-call/deadline-passed", test_deadline_passed);
     g_test_add_func("/wire/peer-call/bad-request", test_bad_request);
     g_test_add_func("/wire/peer-call/stale", test_stale);
     g_test_add_func("/wire/peer-call/pooled-unknown", test_pooled_unknown);
-    g_test_add_func("/wire/peer-call/unasked-octets", test_unasked_octets);
+    g_test_add_func("/wire/peer-call/unsolicited-bytes", test_unsolicited_bytes);
     return g_test_run();
 }
--- a/tests/wire/test_peer_server.c
+++ b/tests/wire/test_peer_server.c
@@ -1,4 +1,4 @@
-/* The server side: order, bounds, and a stop that cuts no request. */
+/* Tests of the peer server: order of requests, limits, and a stop that interrupts no request. */
 #include "core/error.h"
 #include "generated/errors.h"
 #include "wire/peer_pool.h"
@@ -11,18 +11,18 @@
 
 #define CALLER_COUNT 8
 
-/* Identity of the server's deployment. */
+/* Deployment identity of the server. */
 #define OWN_DEPLOYMENT UINT32_C(0xFFFF0007)
 
-/* A server that echoes request ids, and can hold its handlers at a gate. */
+/* A server that echoes request ids and can block its handlers at a gate. */
 struct echo {
     struct peer_server *server;
     pthread_mutex_t mutex;
     pthread_cond_t changed;
     bool gate_closed; /* under mutex */
-    unsigned arrived; /* requests that have reached the gate; under mutex */
+    unsigned arrived; /* requests that reached the gate; under mutex */
     unsigned handled; /* under mutex */
-    int threads;      /* started less ended; atomic */
+    int threads;      /* started minus ended; atomic */
 };
 
 static void echo_handler(const struct message *request, struct message *reply, void *user)
@@ -105,7 +105,7 @@
     pthread_cond_destroy(&echo->changed);
 }
 
-/* A thread that calls, once or until the peer takes no more. */
+/* A thread that makes one call, or repeats calls until one is not answered. */
 struct caller {
     struct peer_pool *pool;
     const char *address;
@@ -165,7 +165,7 @@
     }
 }
 
-/* The number of the callers' calls with one result. */
+/* Number of all callers' calls with the given result. */
 static unsigned callers_count(const struct callers *callers, enum peer_call_result result)
 {
     unsigned count = 0;
@@ -175,7 +175,7 @@
     return count;
 }
 
-/* Requests of one connection are answered in order, also when sent ahead. */
+/* Requests of one connection are answered in order, also when sent without waiting for answers. */
 static void test_order(void)
 {
     struct echo echo;
@@ -199,7 +199,7 @@
     echo_free(&echo);
 }
 
-/* Concurrent calls use a connection each; the pool keeps its bound of them. */
+/* Concurrent calls use one connection each; the pool keeps at most idle_max of them. */
 static void test_idle_bound(void)
 {
     struct echo echo;
@@ -223,7 +223,7 @@
     echo_free(&echo);
 }
 
-static void test_forget(void)
+static void test_close_peer(void)
 {
     struct echo echo;
     echo_start(&echo, 4);
@@ -238,7 +238,7 @@
     echo_free(&echo);
 }
 
-/* A connection over the server's bound is refused before its request has left. */
+/* A connection over the server's limit is refused before its request is sent. */
 static void test_connection_bound(void)
 {
     struct echo echo;
@@ -258,7 +258,7 @@
     echo_free(&echo);
 }
 
-/* A handler without an answer closes the connection; the others are served on. */
+/* A handler that gives no answer closes the connection; other connections are still served. */
 static void test_no_answer(void)
 {
     struct echo echo;
@@ -277,18 +277,18 @@
     echo_free(&echo);
 }
 
-/* Input that is no message closes its connection and harms no other. */
-static void test_garbage(void)
+/* Input that is not a message closes its connection and affects no other. */
+static void test_invalid_input(void)
 {
     struct echo echo;
     struct message reply;
-    static const uint8_t garbage[] = {0, 0, 0, 3, 0x82, 0x01, 0xff};
+    static const uint8_t invalid_frame[] = {0, 0, 0, 3, 0x82, 0x01, 0xff};
     echo_start(&echo, 4);
     const char *address = peer_server_address(echo.server);
     struct peer_pool *pool = peer_pool_new(4);
     struct caller caller = {.pool = pool, .address = address};
     struct wire_connection *connection = wire_connect(address, fixture_deadline(), NULL);
-    send(connection->socket, garbage, sizeof(garbage), MSG_NOSIGNAL);
+    send(connection->socket, invalid_frame, sizeof(invalid_frame), MSG_NOSIGNAL);
     g_assert_false(wire_receive(connection, &reply, fixture_deadline(), NULL));
     wire_close(connection);
     g_assert_cmpint(call_once(&caller, 0), ==, PEER_CALL_ANSWERED);
@@ -296,7 +296,8 @@
     echo_free(&echo);
 }
 
-/* A stop amid calls: each call is answered or was not sent, and what ran was answered. */
+/* Stop under load: each call is either answered or was not sent, and every handled request was
+ * answered. */
 static void test_stop_under_load(void)
 {
     struct echo echo;
@@ -314,7 +315,8 @@
     echo_free(&echo);
 }
 
-/* A stopping server refuses a connection by a word, so that its peer need not wait. */
+/* A stopping server refuses connections with CLOSING, so that the peer need not wait for a
+ * time-out. */
 static void test_refuse_stopping(void)
 {
     struct echo echo;
@@ -327,7 +329,7 @@
     echo_free(&echo);
 }
 
-/* The id that the server answers with to a caller of this deployment. */
+/* The request id in the server's answer to a caller of the given deployment. */
 static char *answer_to(struct echo *echo, uint32_t deployment, unsigned idle_after)
 {
     struct peer_pool *pool = peer_pool_new(1);
@@ -347,8 +349,8 @@
     return id;
 }
 
-/* Who says another deployment is answered apart, once; who says nothing, as older daemons, is
- * served. */
+/* A peer that sends another deployment identity gets the foreign handler's answer, and its
+ * connection is closed. A peer that sends none, as older daemons do, is served. */
 static void test_other_deployment(void)
 {
     struct echo echo;
@@ -372,7 +374,7 @@
     return NULL;
 }
 
-/* A stop past its deadline tells what is left, and can be waited for again. */
+/* A stop that reaches its deadline returns the number of open connections, and can be repeated. */
 static void test_stop_deadline(void)
 {
     struct echo echo;
@@ -398,10 +400,10 @@
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/wire/peer-server/order", test_order);
     g_test_add_func("/wire/peer-server/idle-bound", test_idle_bound);
-    g_test_add_func("/wire/peer-server/forget", test_forget);
+    g_test_add_func("/wire/peer-server/close-peer", test_close_peer);
     g_test_add_func("/wire/peer-server/connection-bound", test_connection_bound);
     g_test_add_func("/wire/peer-server/no-answer", test_no_answer);
-    g_test_add_func("/wire/peer-server/garbage", test_garbage);
+    g_test_add_func("/wire/peer-server/invalid_frame", test_invalid_input);
     g_test_add_func("/wire/peer-server/stop-under-load", test_stop_under_load);
     g_test_add_func("/wire/peer-server/refuse-stopping", test_refuse_stopping);
     g_test_add_func("/wire/peer-server/other-deployment", test_other_deployment);
--- a/tests/wire/wire_fixture.c
+++ b/tests/wire/wire_fixture.c
@@ -1,4 +1,4 @@
-/* A scripted peer and plain messages. */
+/* A scripted peer, and messages for tests. */
 #include "wire_fixture.h"
 
 #include <string.h>
@@ -10,7 +10,7 @@
 
 time_ns fixture_deadline(void)
 {
-    return wire_clock_now() + FIXTURE_PATIENCE_NS;
+    return wire_clock_now() + FIXTURE_TIMEOUT_NS;
 }
 
 time_ns fixture_short_deadline(void)
@@ -57,13 +57,13 @@
 static void answer(struct wire_connection *connection, const struct message *reply,
                    enum scripted_step step)
 {
-    static const uint8_t garbage[] = {0, 0, 0, 2, 0xff, 0xff};
+    static const uint8_t invalid_frame[] = {0, 0, 0, 2, 0xff, 0xff};
     switch (step) {
     case SCRIPTED_CLOSE_MID_ANSWER:
         send_half_answer(connection, reply);
         break;
-    case SCRIPTED_GARBAGE_ANSWER:
-        send_raw(connection, garbage, sizeof(garbage));
+    case SCRIPTED_INVALID_ANSWER:
+        send_raw(connection, invalid_frame, sizeof(invalid_frame));
         break;
     case SCRIPTED_ANSWER_CLOSE:
         g_assert_true(wire_send(connection, reply, fixture_deadline(), NULL));
@@ -73,9 +73,9 @@
         g_assert_true(wire_send(connection, reply, fixture_deadline(), NULL));
         wait_end(connection);
         break;
-    case SCRIPTED_ANSWER_GARBAGE:
+    case SCRIPTED_ANSWER_EXTRA_BYTES:
         g_assert_true(wire_send(connection, reply, fixture_deadline(), NULL));
-        send_raw(connection, garbage, sizeof(garbage));
+        send_raw(connection, invalid_frame, sizeof(invalid_frame));
         wait_end(connection);
         break;
     default:
