--- a/tests/backend/adapter_read_test.c
+++ b/tests/backend/adapter_read_test.c
@@ -1,7 +1,8 @@
-/* Reads: guard, whole answers only, limits, and a read-only transaction. */
+/* Tests of adapter_read: the guard, rejection of incomplete answers, limits, and the read-only
+ * transaction. */
 #include "backend_fixture.h"
 
-/* One database, its table of numbers, and a connection. */
+/* One database with a table of numbers, and a connection. */
 struct fixture {
     struct server *server;
     struct backend_connection *connection;
@@ -32,8 +33,8 @@
 {
     struct sql_statement statement = backend_statement(sql);
     execute_answer_clear(&fixture->answer);
-    return adapter_read(fixture->connection, guard, 0, &statement, 1, backend_far(), limits,
-                        &fixture->answer);
+    return adapter_read(fixture->connection, guard, 0, &statement, 1, backend_test_deadline(),
+                        limits, &fixture->answer);
 }
 
 static enum execute_result read_one(struct fixture *fixture, const char *sql)
@@ -66,7 +67,7 @@
         {.sql = (char *)"SELECT $1", .parameters = &null, .parameters_count = 1},
     };
     enum execute_result result = adapter_read(fixture->connection, NO_GUARD, 0, statements, 2,
-                                              backend_far(), NULL, &fixture->answer);
+                                              backend_test_deadline(), NULL, &fixture->answer);
     assert_result(result, EXECUTE_DONE);
     g_assert_cmpuint(fixture->answer.results_count, ==, 2);
     g_assert_cmpuint(fixture->answer.results[0].rows_count, ==, 1);
@@ -83,8 +84,9 @@
     g_assert_true(backend_connection_is_clean(fixture->connection));
 }
 
-/* A table that is not replicated yet is no error of the caller's. */
-static void test_guard_short_explains_error(struct fixture *fixture, const void *unused)
+/* If the guard is not applied, an error of the statement (such as a table that is not replicated
+ * yet) is not reported. */
+static void test_guard_short_takes_precedence(struct fixture *fixture, const void *unused)
 {
     struct log_position guard = {.term = 1, .offset = 100};
     assert_result(read_with(fixture, "SELECT * FROM missing", guard, NULL), EXECUTE_GUARD_SHORT);
@@ -122,8 +124,8 @@
     assert_result(read_with(fixture, long_text, NO_GUARD, NULL), EXECUTE_DONE);
 }
 
-/* An answer far over the limit is not read to its end. */
-static void test_far_too_large(struct fixture *fixture, const void *unused)
+/* An answer far over the limit is not read to its end; the connection is closed instead. */
+static void test_abandoned_when_far_too_large(struct fixture *fixture, const void *unused)
 {
     struct result_limits rows = {.rows_max = 10};
     const char *sql = "SELECT a.value FROM numbers a, numbers b, numbers c, numbers d, numbers e";
@@ -131,19 +133,19 @@
     g_assert_false(backend_connection_is_clean(fixture->connection));
 }
 
-/* An answer that ends half-way is lost as a whole, however many rows came. */
+/* An answer that is cut off is lost as a whole, no matter how many rows were received. */
 static void test_truncated(struct fixture *fixture, const void *unused)
 {
-    backend_fault(fixture->server, ANSWER_FAULT_TRUNCATE, "numbers");
+    backend_plan_fault(fixture->server, ANSWER_FAULT_TRUNCATE, "numbers");
     assert_result(read_one(fixture, "SELECT value FROM numbers"), EXECUTE_LOST);
     g_assert_cmpuint(fixture->answer.results_count, ==, 0);
     g_assert_false(backend_connection_is_clean(fixture->connection));
 }
 
-/* The rows came, but not the sync after COMMIT. */
+/* The rows were received, but not the sync after COMMIT. */
 static void test_closed_before_sync(struct fixture *fixture, const void *unused)
 {
-    backend_fault(fixture->server, ANSWER_FAULT_CLOSE, "COMMIT");
+    backend_plan_fault(fixture->server, ANSWER_FAULT_CLOSE, "COMMIT");
     assert_result(read_one(fixture, "SELECT value FROM numbers"), EXECUTE_LOST);
     g_assert_cmpuint(fixture->answer.results_count, ==, 0);
 }
@@ -151,9 +153,9 @@
 static void test_deadline(struct fixture *fixture, const void *unused)
 {
     struct sql_statement statement = backend_statement("SELECT 1");
-    backend_fault(fixture->server, ANSWER_FAULT_DROP, "SELECT 1");
+    backend_plan_fault(fixture->server, ANSWER_FAULT_DROP, "SELECT 1");
     enum execute_result result = adapter_read(fixture->connection, NO_GUARD, 0, &statement, 1,
-                                              backend_in(20), NULL, &fixture->answer);
+                                              backend_deadline_in(20), NULL, &fixture->answer);
     assert_result(result, EXECUTE_LOST);
     g_assert_cmpstr(fixture->answer.error_text, !=, NULL);
     g_assert_false(backend_connection_is_clean(fixture->connection));
@@ -167,11 +169,11 @@
     ADD("rows", test_rows);
     ADD("several", test_several_statements_and_parameters);
     ADD("guard-short", test_guard_short);
-    ADD("guard-short-explains-error", test_guard_short_explains_error);
+    ADD("guard-short-takes-precedence", test_guard_short_takes_precedence);
     ADD("error", test_error);
     ADD("write-is-refused", test_write_is_refused);
     ADD("too-large", test_too_large);
-    ADD("far-too-large", test_far_too_large);
+    ADD("abandoned-when-far-too-large", test_abandoned_when_far_too_large);
     ADD("truncated", test_truncated);
     ADD("closed-before-sync", test_closed_before_sync);
     ADD("deadline", test_deadline);
--- a/tests/backend/adapter_status_test.c
+++ b/tests/backend/adapter_status_test.c
@@ -1,7 +1,7 @@
-/* The text form of a status row, as probes ask for it. */
+/* Tests of parsing the text form of a status row, which probes query. */
 #include "backend/adapter.h"
 
-/* Reads a status out of a result of one row and one column; false if it is none. */
+/* Parses a status in a result of one row and one column; false if it is not valid. */
 static bool parse(const char *text, struct database_status *status)
 {
     struct sql_column column = {.name = (char *)"swiftworks_status"};
@@ -32,7 +32,7 @@
     g_assert_false(status.leaving);
 }
 
-/* A database may tell more, after what is known here, in whatever form. */
+/* A database may add further fields after the known ones, in any format. */
 static void test_further_fields(void)
 {
     struct database_status status;
--- a/tests/backend/adapter_transaction_test.c
+++ b/tests/backend/adapter_transaction_test.c
@@ -1,4 +1,4 @@
-/* Transactions of several requests, and the commands of a failover. */
+/* Tests of transactions that span several requests, and of the commands of a failover. */
 #include "backend_fixture.h"
 
 #define WRITE_SQL "INSERT INTO bookings VALUES ('toubkal')"
@@ -22,8 +22,9 @@
     backend_write(fixture->server, "CREATE TABLE bookings (place text)");
     fixture->connection = backend_open(fixture->server);
     execute_answer_init(&fixture->answer);
-    assert_result(adapter_create_ledger(fixture->connection, backend_far(), &fixture->answer),
-                  EXECUTE_DONE);
+    assert_result(
+        adapter_create_ledger(fixture->connection, backend_test_deadline(), &fixture->answer),
+        EXECUTE_DONE);
 }
 
 static void tear_down(struct fixture *fixture, const void *unused)
@@ -37,14 +38,14 @@
                                  const struct adapter_transaction_options *options)
 {
     execute_answer_clear(&fixture->answer);
-    return adapter_begin(fixture->connection, options, backend_far(), &fixture->answer);
+    return adapter_begin(fixture->connection, options, backend_test_deadline(), &fixture->answer);
 }
 
 static enum execute_result run(struct fixture *fixture, const char *sql)
 {
     struct sql_statement statement = backend_statement(sql);
     execute_answer_clear(&fixture->answer);
-    return adapter_statement(fixture->connection, &statement, 1, backend_far(), NULL,
+    return adapter_statement(fixture->connection, &statement, 1, backend_test_deadline(), NULL,
                              &fixture->answer);
 }
 
@@ -52,7 +53,7 @@
                                   const struct adapter_transaction_options *options)
 {
     execute_answer_clear(&fixture->answer);
-    return adapter_commit(fixture->connection, options, backend_far(), &fixture->answer);
+    return adapter_commit(fixture->connection, options, backend_test_deadline(), &fixture->answer);
 }
 
 static void test_commit(struct fixture *fixture, const void *unused)
@@ -75,7 +76,7 @@
 {
     assert_result(begin(fixture, &WRITE), EXECUTE_DONE);
     assert_result(run(fixture, WRITE_SQL), EXECUTE_DONE);
-    assert_result(adapter_rollback(fixture->connection, backend_far()), EXECUTE_DONE);
+    assert_result(adapter_rollback(fixture->connection, backend_test_deadline()), EXECUTE_DONE);
     g_assert_true(backend_connection_is_clean(fixture->connection));
     backend_expect(fixture->server, COUNT_SQL, "0");
     assert_result(begin(fixture, &WRITE), EXECUTE_DONE);
@@ -94,10 +95,10 @@
 static void test_lost_statement(struct fixture *fixture, const void *unused)
 {
     assert_result(begin(fixture, &WRITE), EXECUTE_DONE);
-    backend_fault(fixture->server, ANSWER_FAULT_CLOSE, "bookings");
+    backend_plan_fault(fixture->server, ANSWER_FAULT_CLOSE, "bookings");
     assert_result(run(fixture, WRITE_SQL), EXECUTE_NOT_SENT);
     assert_result(commit(fixture, &WRITE), EXECUTE_NOT_SENT);
-    assert_result(adapter_rollback(fixture->connection, backend_far()), EXECUTE_NOT_SENT);
+    assert_result(adapter_rollback(fixture->connection, backend_test_deadline()), EXECUTE_NOT_SENT);
     backend_expect(fixture->server, COUNT_SQL, "0");
 }
 
@@ -105,14 +106,14 @@
 {
     assert_result(begin(fixture, &WRITE), EXECUTE_DONE);
     assert_result(run(fixture, WRITE_SQL), EXECUTE_DONE);
-    backend_fault(fixture->server, ANSWER_FAULT_CLOSE, "COMMIT");
+    backend_plan_fault(fixture->server, ANSWER_FAULT_CLOSE, "COMMIT");
     assert_result(commit(fixture, &WRITE), EXECUTE_LOST);
     backend_connection_close(fixture->connection);
     fixture->connection = backend_open(fixture->server);
     execute_answer_clear(&fixture->answer);
-    assert_result(
-        adapter_close_key(fixture->connection, &WRITE.key, backend_far(), &fixture->answer),
-        EXECUTE_ALREADY_DONE);
+    assert_result(adapter_close_key(fixture->connection, &WRITE.key, backend_test_deadline(),
+                                    &fixture->answer),
+                  EXECUTE_ALREADY_DONE);
     backend_expect(fixture->server, COUNT_SQL, "1");
 }
 
@@ -123,11 +124,11 @@
     backend_write(fixture->server, WRITE_SQL);
     assert_result(run(fixture, COUNT_SQL), EXECUTE_DONE);
     assert_result(commit(fixture, &READ), EXECUTE_DONE);
-    /* It may have seen the write above, so its session has. */
+    /* The transaction may have seen the write above, so the session's position must cover it. */
     g_assert_cmpuint(fixture->answer.position.offset, ==, fixture->answer.status.held.offset);
     assert_result(begin(fixture, &READ), EXECUTE_DONE);
     assert_result(run(fixture, WRITE_SQL), EXECUTE_NOT_PRIMARY);
-    assert_result(adapter_rollback(fixture->connection, backend_far()), EXECUTE_DONE);
+    assert_result(adapter_rollback(fixture->connection, backend_test_deadline()), EXECUTE_DONE);
 }
 
 static void test_read_guard_short(struct fixture *fixture, const void *unused)
@@ -150,7 +151,7 @@
         .order = 12,
     };
     execute_answer_clear(&fixture->answer);
-    return adapter_run(fixture->connection, &call, backend_far(), &fixture->answer);
+    return adapter_run(fixture->connection, &call, backend_test_deadline(), &fixture->answer);
 }
 
 static void test_commands(struct fixture *fixture, const void *unused)
@@ -174,31 +175,31 @@
     g_assert_true(backend_connection_is_clean(fixture->connection));
 }
 
-/* Ends before another transaction gives up waiting for its locks, and late enough not to end
+/* Idle time-out that ends a transaction before another one gives up waiting for its locks, but not
  * between two calls of a test. */
 #define SHORT_IDLE_MS 2000
 
-/* Another connection's write of a booking; waits for the locks of the one that is open. */
-static enum execute_result write_beside(struct fixture *fixture)
+/* Writes a booking over another connection; waits for the locks of the open transaction. */
+static enum execute_result write_on_other_connection(struct fixture *fixture)
 {
     struct execute_answer answer;
     struct backend_connection *other = backend_open(fixture->server);
     struct sql_statement statement = backend_statement("INSERT INTO bookings VALUES ('tazaghart')");
     execute_answer_init(&answer);
     enum execute_result result =
-        adapter_write(other, NULL, &statement, 1, backend_far(), NULL, &answer);
+        adapter_write(other, NULL, &statement, 1, backend_test_deadline(), NULL, &answer);
     execute_answer_clear(&answer);
     backend_connection_close(other);
     return result;
 }
 
-/* The daemon is paused in a transaction, as it sends nothing: the database ends it, so that others
- * get its locks. What it does after the pause is not run, and known not to be. */
+/* A daemon that is paused in a transaction sends nothing: the database ends the session, so that
+ * others get its locks. The commit after the pause must be reported as certainly not run. */
 static void check_paused(struct fixture *fixture, const struct adapter_transaction_options *options)
 {
     assert_result(begin(fixture, options), EXECUTE_DONE);
     assert_result(run(fixture, WRITE_SQL), EXECUTE_DONE);
-    assert_result(write_beside(fixture), EXECUTE_DONE);
+    assert_result(write_on_other_connection(fixture), EXECUTE_DONE);
     assert_result(commit(fixture, options), EXECUTE_NOT_SENT);
     g_assert_false(backend_connection_is_clean(fixture->connection));
     backend_expect(fixture->server, COUNT_SQL, "1");
@@ -217,26 +218,26 @@
     check_paused(fixture, &keyed);
 }
 
-/* Between the two round trips of a single write, the connection's own bound holds. */
+/* Between the two round trips of a single write, the connection's own idle time-out applies. */
 static void test_paused_single_write(struct fixture *fixture, const void *unused)
 {
     g_autoptr(GError) error = NULL;
     struct connection_settings settings = backend_settings(fixture->server);
     settings.idle_transaction_ms = SHORT_IDLE_MS;
     backend_connection_close(fixture->connection);
-    fixture->connection = backend_connection_open(&settings, backend_far(), &error);
+    fixture->connection = backend_connection_open(&settings, backend_test_deadline(), &error);
     g_assert_no_error(error);
     const struct adapter_transaction_options unkeyed = {.idle_ms = 0};
     check_paused(fixture, &unkeyed);
 }
 
-/* The end of the session is known also if it comes to light by a statement. */
+/* The end of the session is also detected by a statement. */
 static void test_paused_before_a_statement(struct fixture *fixture, const void *unused)
 {
     const struct adapter_transaction_options unkeyed = {.idle_ms = SHORT_IDLE_MS};
     assert_result(begin(fixture, &unkeyed), EXECUTE_DONE);
     assert_result(run(fixture, WRITE_SQL), EXECUTE_DONE);
-    assert_result(write_beside(fixture), EXECUTE_DONE);
+    assert_result(write_on_other_connection(fixture), EXECUTE_DONE);
     assert_result(run(fixture, WRITE_SQL), EXECUTE_NOT_SENT);
     backend_expect(fixture->server, COUNT_SQL, "1");
 }
--- a/tests/backend/adapter_write_test.c
+++ b/tests/backend/adapter_write_test.c
@@ -1,4 +1,5 @@
-/* Writes: committed with the key's ledger row or not at all, and what a lost answer proves. */
+/* Tests of adapter_write: a write is committed together with its key's ledger row or not at all,
+ * and each lost answer gives the right result. */
 #include "backend_fixture.h"
 
 #define WRITE_SQL  "INSERT INTO bookings VALUES ('toubkal') RETURNING place"
@@ -22,8 +23,9 @@
     backend_write(fixture->server, "CREATE TABLE bookings (place text)");
     fixture->connection = backend_open(fixture->server);
     execute_answer_init(&fixture->answer);
-    assert_result(adapter_create_ledger(fixture->connection, backend_far(), &fixture->answer),
-                  EXECUTE_DONE);
+    assert_result(
+        adapter_create_ledger(fixture->connection, backend_test_deadline(), &fixture->answer),
+        EXECUTE_DONE);
 }
 
 static void tear_down(struct fixture *fixture, const void *unused)
@@ -33,7 +35,7 @@
     server_stop(fixture->server);
 }
 
-/* Takes a new connection, as a request that follows would. */
+/* Opens a new connection, as a later request would. */
 static void reconnect(struct fixture *fixture)
 {
     backend_connection_close(fixture->connection);
@@ -45,14 +47,14 @@
 {
     struct sql_statement statement = backend_statement(sql);
     execute_answer_clear(&fixture->answer);
-    return adapter_write(fixture->connection, key, &statement, 1, backend_far(), NULL,
+    return adapter_write(fixture->connection, key, &statement, 1, backend_test_deadline(), NULL,
                          &fixture->answer);
 }
 
 static enum execute_result close_key(struct fixture *fixture, const struct adapter_key *key)
 {
     execute_answer_clear(&fixture->answer);
-    return adapter_close_key(fixture->connection, key, backend_far(), &fixture->answer);
+    return adapter_close_key(fixture->connection, key, backend_test_deadline(), &fixture->answer);
 }
 
 static struct log_position held(const struct fixture *fixture)
@@ -97,8 +99,9 @@
     g_assert_true(backend_connection_is_clean(fixture->connection));
 }
 
-/* The second run would fail by itself; the ledger still says what came of the first. */
-static void test_replay_of_what_would_fail(struct fixture *fixture, const void *unused)
+/* A second run would fail by itself (unique index); the ledger still gives the result of the first.
+ */
+static void test_replay_of_failing_write(struct fixture *fixture, const void *unused)
 {
     backend_write(fixture->server, "CREATE UNIQUE INDEX one ON bookings (place)");
     assert_result(write_sql(fixture, &KEY, WRITE_SQL), EXECUTE_DONE);
@@ -146,7 +149,7 @@
         backend_statement("INSERT INTO missing VALUES (1)"),
     };
     enum execute_result result = adapter_write(fixture->connection, &KEY, statements, 2,
-                                               backend_far(), NULL, &fixture->answer);
+                                               backend_test_deadline(), NULL, &fixture->answer);
     assert_result(result, EXECUTE_FAILED);
     g_assert_cmpstr(fixture->answer.sqlstate, ==, "42P01");
     g_assert_true(backend_connection_is_clean(fixture->connection));
@@ -161,7 +164,7 @@
         backend_statement("INSERT INTO bookings VALUES ('a'), ('b'), ('c') RETURNING place");
     struct result_limits limits = {.rows_max = 2};
     enum execute_result result = adapter_write(fixture->connection, &KEY, &statement, 1,
-                                               backend_far(), &limits, &fixture->answer);
+                                               backend_test_deadline(), &limits, &fixture->answer);
     assert_result(result, EXECUTE_ANSWER_TOO_LARGE);
     backend_expect(fixture->server, COUNT_SQL, "0");
     backend_expect(fixture->server, LEDGER_SQL, "0");
@@ -174,7 +177,7 @@
         backend_statement("COMMIT"),
     };
     enum execute_result result = adapter_write(fixture->connection, NULL, statements, 2,
-                                               backend_far(), NULL, &fixture->answer);
+                                               backend_test_deadline(), NULL, &fixture->answer);
     assert_result(result, EXECUTE_LOST);
     g_assert_false(backend_connection_is_clean(fixture->connection));
 }
@@ -184,29 +187,30 @@
     struct server *replica = fixture_start_replica("b", fixture->server);
     struct backend_connection *connection = backend_open(replica);
     struct sql_statement statement = backend_statement(WRITE_SQL);
-    /* Wait until the table is there, lest its absence be the error. */
+    /* Wait until the table is replicated, so that its absence is not the error. */
     struct adapter_call wait = {
         .command = ADAPTER_COMMAND_WAIT_APPLIED,
         .position = held(fixture),
         .wait_ms = 60000,
     };
-    assert_result(adapter_run(connection, &wait, backend_far(), &fixture->answer), EXECUTE_DONE);
-    enum execute_result result =
-        adapter_write(connection, &KEY, &statement, 1, backend_far(), NULL, &fixture->answer);
+    assert_result(adapter_run(connection, &wait, backend_test_deadline(), &fixture->answer),
+                  EXECUTE_DONE);
+    enum execute_result result = adapter_write(connection, &KEY, &statement, 1,
+                                               backend_test_deadline(), NULL, &fixture->answer);
     assert_result(result, EXECUTE_NOT_PRIMARY);
     g_assert_true(backend_connection_is_clean(connection));
     backend_connection_close(connection);
     server_stop(replica);
 }
 
-/* Promises a newer term, as a coordinator that replaces the primary does. */
+/* Fences the primary with a newer term, as a coordinator that replaces it does. */
 static void fence(struct fixture *fixture)
 {
     struct backend_connection *coordinator = backend_open(fixture->server);
     struct adapter_call call = {.command = ADAPTER_COMMAND_FENCE, .term = 2, .coordinator = "d2"};
     struct execute_answer answer;
     execute_answer_init(&answer);
-    assert_result(adapter_run(coordinator, &call, backend_far(), &answer), EXECUTE_DONE);
+    assert_result(adapter_run(coordinator, &call, backend_test_deadline(), &answer), EXECUTE_DONE);
     g_assert_cmpuint(answer.status.promised_term, ==, 2);
     execute_answer_clear(&answer);
     backend_connection_close(coordinator);
@@ -223,30 +227,32 @@
 {
     struct adapter_transaction_options options = {.key = KEY};
     struct sql_statement statement = backend_statement(WRITE_SQL);
-    assert_result(adapter_begin(fixture->connection, &options, backend_far(), &fixture->answer),
-                  EXECUTE_DONE);
-    assert_result(adapter_statement(fixture->connection, &statement, 1, backend_far(), NULL,
-                                    &fixture->answer),
+    assert_result(
+        adapter_begin(fixture->connection, &options, backend_test_deadline(), &fixture->answer),
+        EXECUTE_DONE);
+    assert_result(adapter_statement(fixture->connection, &statement, 1, backend_test_deadline(),
+                                    NULL, &fixture->answer),
                   EXECUTE_DONE);
     fence(fixture);
-    assert_result(adapter_commit(fixture->connection, &options, backend_far(), &fixture->answer),
-                  EXECUTE_NOT_PRIMARY);
+    assert_result(
+        adapter_commit(fixture->connection, &options, backend_test_deadline(), &fixture->answer),
+        EXECUTE_NOT_PRIMARY);
     g_assert_true(backend_connection_is_clean(fixture->connection));
     backend_expect(fixture->server, COUNT_SQL, "0");
 }
 
-/* Where an answer gets lost, and what that must mean. */
-struct loss {
+/* The point at which an answer is lost, and the required result. */
+struct lost_answer {
     const char *name;
     enum answer_fault fault;
     const char *match;
     bool keyed;
     enum execute_result expected;
-    const char *bookings;         /* committed after the loss */
-    enum execute_result resolved; /* by closing the key */
+    const char *bookings;         /* number of committed bookings afterwards */
+    enum execute_result resolved; /* result of closing the key afterwards */
 };
 
-static const struct loss LOSSES[] = {
+static const struct lost_answer LOSSES[] = {
     {"begin", ANSWER_FAULT_CLOSE, "BEGIN", true, EXECUTE_NOT_SENT, "0", EXECUTE_KEY_CLOSED},
     {"claim", ANSWER_FAULT_CLOSE, "INSERT INTO swiftworks_ledger", true, EXECUTE_NOT_SENT, "0",
      EXECUTE_KEY_CLOSED},
@@ -267,8 +273,8 @@
 
 static void test_lost_answer(struct fixture *fixture, const void *data)
 {
-    const struct loss *loss = data;
-    backend_fault(fixture->server, loss->fault, loss->match);
+    const struct lost_answer *loss = data;
+    backend_plan_fault(fixture->server, loss->fault, loss->match);
     assert_result(write_sql(fixture, loss->keyed ? &KEY : NULL, WRITE_SQL), loss->expected);
     g_assert_cmpuint(fixture->answer.results_count, ==, 0);
     g_assert_false(backend_connection_is_clean(fixture->connection));
@@ -277,25 +283,26 @@
     backend_expect(fixture->server, COUNT_SQL, loss->bookings);
 }
 
-/* A replay whose answer is lost left nothing open, and runs nothing. */
+/* A replay whose answer is lost leaves no transaction open and runs nothing. */
 static void test_lost_resolution(struct fixture *fixture, const void *unused)
 {
     assert_result(write_sql(fixture, &KEY, WRITE_SQL), EXECUTE_DONE);
-    backend_fault(fixture->server, ANSWER_FAULT_CLOSE, "FROM swiftworks_ledger");
+    backend_plan_fault(fixture->server, ANSWER_FAULT_CLOSE, "FROM swiftworks_ledger");
     assert_result(write_sql(fixture, &KEY, WRITE_SQL), EXECUTE_NOT_SENT);
     reconnect(fixture);
     assert_result(write_sql(fixture, &KEY, WRITE_SQL), EXECUTE_ALREADY_DONE);
     backend_expect(fixture->server, COUNT_SQL, "1");
 }
 
-/* Two transactions under one key: the later commit finds the key taken, and has no effect. */
+/* Two transactions with the same key: the later commit finds the key claimed and has no effect. */
 static void test_concurrent_same_key(struct fixture *fixture, const void *unused)
 {
     struct adapter_transaction_options options = {.key = KEY};
     struct backend_connection *other = backend_open(fixture->server);
-    assert_result(adapter_begin(other, &options, backend_far(), &fixture->answer), EXECUTE_DONE);
+    assert_result(adapter_begin(other, &options, backend_test_deadline(), &fixture->answer),
+                  EXECUTE_DONE);
     assert_result(write_sql(fixture, &KEY, WRITE_SQL), EXECUTE_DONE);
-    assert_result(adapter_commit(other, &options, backend_far(), &fixture->answer),
+    assert_result(adapter_commit(other, &options, backend_test_deadline(), &fixture->answer),
                   EXECUTE_ALREADY_DONE);
     g_assert_true(backend_connection_is_clean(other));
     backend_connection_close(other);
@@ -307,26 +314,30 @@
 {
     struct adapter_transaction_options options = {.key = KEY};
     struct backend_connection *other = backend_open(fixture->server);
-    assert_result(adapter_begin(other, &options, backend_far(), &fixture->answer), EXECUTE_DONE);
+    assert_result(adapter_begin(other, &options, backend_test_deadline(), &fixture->answer),
+                  EXECUTE_DONE);
     assert_result(close_key(fixture, &KEY), EXECUTE_KEY_CLOSED);
     struct sql_statement statement = backend_statement(WRITE_SQL);
-    assert_result(adapter_statement(other, &statement, 1, backend_far(), NULL, &fixture->answer),
-                  EXECUTE_DONE);
-    assert_result(adapter_commit(other, &options, backend_far(), &fixture->answer),
+    assert_result(
+        adapter_statement(other, &statement, 1, backend_test_deadline(), NULL, &fixture->answer),
+        EXECUTE_DONE);
+    assert_result(adapter_commit(other, &options, backend_test_deadline(), &fixture->answer),
                   EXECUTE_KEY_CLOSED);
     backend_connection_close(other);
     backend_expect(fixture->server, COUNT_SQL, "0");
 }
 
-/* Holds the stand-in's only writer. */
-static struct backend_connection *hold_writer(struct fixture *fixture)
+/* Opens a transaction that holds the stand-in's single write lock. */
+static struct backend_connection *open_write_transaction(struct fixture *fixture)
 {
     struct adapter_transaction_options options = {0};
     struct sql_statement statement = backend_statement(WRITE_SQL);
     struct backend_connection *other = backend_open(fixture->server);
-    assert_result(adapter_begin(other, &options, backend_far(), &fixture->answer), EXECUTE_DONE);
-    assert_result(adapter_statement(other, &statement, 1, backend_far(), NULL, &fixture->answer),
+    assert_result(adapter_begin(other, &options, backend_test_deadline(), &fixture->answer),
                   EXECUTE_DONE);
+    assert_result(
+        adapter_statement(other, &statement, 1, backend_test_deadline(), NULL, &fixture->answer),
+        EXECUTE_DONE);
     return other;
 }
 
@@ -334,18 +345,18 @@
 static void test_deadline(struct fixture *fixture, const void *unused)
 {
     struct sql_statement statement = backend_statement(WRITE_SQL);
-    struct backend_connection *other = hold_writer(fixture);
+    struct backend_connection *other = open_write_transaction(fixture);
     enum execute_result result = adapter_write(fixture->connection, &KEY, &statement, 1,
-                                               backend_in(20), NULL, &fixture->answer);
+                                               backend_deadline_in(20), NULL, &fixture->answer);
     assert_result(result, EXECUTE_NOT_SENT);
-    assert_result(adapter_rollback(other, backend_far()), EXECUTE_DONE);
+    assert_result(adapter_rollback(other, backend_test_deadline()), EXECUTE_DONE);
     backend_connection_close(other);
     reconnect(fixture);
     assert_result(close_key(fixture, &KEY), EXECUTE_KEY_CLOSED);
     backend_expect(fixture->server, COUNT_SQL, "0");
 }
 
-/* A transaction that read a snapshot can't write after another's commit. */
+/* A transaction that reads from a snapshot can't write after another transaction's commit. */
 static void test_conflict(struct fixture *fixture, const void *unused)
 {
     struct sql_statement statements[] = {
@@ -356,14 +367,17 @@
     struct sql_statement write = backend_statement(WRITE_SQL);
     struct adapter_transaction_options options = {0};
     struct backend_connection *other = backend_open(fixture->server);
-    assert_result(adapter_begin(other, &options, backend_far(), &fixture->answer), EXECUTE_DONE);
-    assert_result(adapter_statement(other, statements, 3, backend_far(), NULL, &fixture->answer),
+    assert_result(adapter_begin(other, &options, backend_test_deadline(), &fixture->answer),
                   EXECUTE_DONE);
+    assert_result(
+        adapter_statement(other, statements, 3, backend_test_deadline(), NULL, &fixture->answer),
+        EXECUTE_DONE);
     assert_result(write_sql(fixture, NULL, WRITE_SQL), EXECUTE_DONE);
-    assert_result(adapter_statement(other, &write, 1, backend_far(), NULL, &fixture->answer),
-                  EXECUTE_CONFLICT);
+    assert_result(
+        adapter_statement(other, &write, 1, backend_test_deadline(), NULL, &fixture->answer),
+        EXECUTE_CONFLICT);
     g_assert_cmpstr(fixture->answer.sqlstate, ==, "40001");
-    assert_result(adapter_rollback(other, backend_far()), EXECUTE_DONE);
+    assert_result(adapter_rollback(other, backend_test_deadline()), EXECUTE_DONE);
     g_assert_true(backend_connection_is_clean(other));
     backend_connection_close(other);
 }
@@ -376,9 +390,9 @@
                   "('old1', '1', 'done', 1), ('old2', '1', 'done', 2), ('old3', '1', 'done', 3)");
     assert_result(write_sql(fixture, &KEY, WRITE_SQL), EXECUTE_DONE);
     execute_answer_clear(&fixture->answer);
-    assert_result(
-        adapter_expire_ledger(fixture->connection, 7, 2, backend_far(), &removed, &fixture->answer),
-        EXECUTE_DONE);
+    assert_result(adapter_expire_ledger(fixture->connection, 7, 2, backend_test_deadline(),
+                                        &removed, &fixture->answer),
+                  EXECUTE_DONE);
     g_assert_cmpuint(removed, ==, 2);
     backend_expect(fixture->server, LEDGER_SQL, "2");
     assert_result(write_sql(fixture, &KEY, WRITE_SQL), EXECUTE_ALREADY_DONE);
@@ -391,7 +405,7 @@
     g_test_add("/backend/adapter/write/" name, struct fixture, NULL, set_up, function, tear_down)
     ADD("without-key", test_without_key);
     ADD("replay", test_replay);
-    ADD("replay-of-what-would-fail", test_replay_of_what_would_fail);
+    ADD("replay-of-failing-write", test_replay_of_failing_write);
     ADD("large-results-are-not-kept", test_large_results_are_not_kept);
     ADD("key-reused", test_key_reused);
     ADD("key-closed", test_key_closed);
--- a/tests/backend/backend_fixture.c
+++ b/tests/backend/backend_fixture.c
@@ -1,4 +1,4 @@
-/* What the tests of the back end share. See backend_fixture.h. */
+/* See backend_fixture.h. */
 #include "backend_fixture.h"
 
 struct backend_group backend_group_start(uint32_t count)
@@ -32,12 +32,12 @@
     return settings;
 }
 
-time_ns backend_far(void)
+time_ns backend_test_deadline(void)
 {
     return backend_now() + 60 * NANOSECONDS_PER_SECOND;
 }
 
-time_ns backend_in(uint32_t milliseconds)
+time_ns backend_deadline_in(uint32_t milliseconds)
 {
     return backend_now() + milliseconds * NANOSECONDS_PER_MILLISECOND;
 }
@@ -47,7 +47,7 @@
     g_autoptr(GError) error = NULL;
     struct connection_settings settings = backend_settings(server);
     struct backend_connection *connection =
-        backend_connection_open(&settings, backend_far(), &error);
+        backend_connection_open(&settings, backend_test_deadline(), &error);
     g_assert_no_error(error);
     return connection;
 }
@@ -79,7 +79,7 @@
     g_assert_cmpstr(value, ==, expected);
 }
 
-void backend_fault(struct server *server, enum answer_fault fault, const char *match)
+void backend_plan_fault(struct server *server, enum answer_fault fault, const char *match)
 {
     faults_plan_answers(&server->faults, fault, 1, match);
 }
--- a/tests/backend/backend_fixture.h
+++ b/tests/backend/backend_fixture.h
@@ -1,5 +1,5 @@
-/* What the tests of the back end share: stand-in databases in the test's process, connections to
- * them, and statements. */
+/* Common parts of the back-end tests: in-process stand-in databases, connections to them, and
+ * statements. */
 #ifndef BACKEND_FIXTURE_H
 #define BACKEND_FIXTURE_H
 
@@ -10,7 +10,7 @@
 
 #define FIXTURE_MEMBERS_MAX 5
 
-/* A group of in-process databases; the first is the primary, the others follow it. */
+/* A group of in-process databases. The first is the primary, the others replicate from it. */
 struct backend_group {
     struct server *servers[FIXTURE_MEMBERS_MAX];
     uint32_t count;
@@ -19,32 +19,33 @@
 struct backend_group backend_group_start(uint32_t count);
 void backend_group_stop(struct backend_group *group);
 
-/* Settings to connect to a server as a daemon of zone z1. */
+/* Connection settings for a server, as a daemon of zone z1 uses them. */
 struct connection_settings backend_settings(const struct server *server);
 
-/* Far enough away that a working call never meets it, and near enough to end a hung test. */
-time_ns backend_far(void);
+/* Deadline that no working call reaches, but which ends a hung test (60 s). */
+time_ns backend_test_deadline(void);
 
-/* `milliseconds` from now. */
-time_ns backend_in(uint32_t milliseconds);
+/* Deadline `milliseconds` from now. */
+time_ns backend_deadline_in(uint32_t milliseconds);
 
-/* Opens; fails the test if it can't. */
+/* Opens a connection; fails the test if that fails. */
 struct backend_connection *backend_open(const struct server *server);
 
-/* A statement without parameters. Its strings are not owned. */
+/* Makes a statement without parameters. Its strings are not owned. */
 struct sql_statement backend_statement(const char *sql);
 
-/* Runs one unkeyed write that must succeed. */
+/* Runs one write without a key, which must succeed. */
 void backend_write(const struct server *server, const char *sql);
 
-/* The single value a query gives at this server, by a plain client. Free with g_free. */
+/* The single value that a query returns at this server, read by a plain client. Free with g_free.
+ */
 char *backend_value(const struct server *server, const char *sql);
 
-/* Checks it. */
+/* Checks the value that backend_value returns. */
 void backend_expect(const struct server *server, const char *sql, const char *expected);
 
-/* Plans what becomes of the next answer to a statement that contains `match`. */
-void backend_fault(struct server *server, enum answer_fault fault, const char *match);
+/* Injects a fault into the next answer to a statement that contains `match`. */
+void backend_plan_fault(struct server *server, enum answer_fault fault, const char *match);
 
 #define assert_result(actual, expected)                                                            \
     g_assert_cmpstr(execute_result_name(actual), ==, execute_result_name(expected))
--- a/tests/backend/pool_test.c
+++ b/tests/backend/pool_test.c
@@ -1,4 +1,4 @@
-/* The pool: its limit, its queue, and that nothing in doubt is used again. */
+/* Tests of the pool: its limit, its queue, and that no connection in an unknown state is reused. */
 #include "backend/pool.h"
 #include "backend_fixture.h"
 
@@ -20,7 +20,7 @@
 static struct backend_connection *acquire(struct pool *pool)
 {
     g_autoptr(GError) error = NULL;
-    struct backend_connection *connection = pool_acquire(pool, backend_far(), &error);
+    struct backend_connection *connection = pool_acquire(pool, backend_test_deadline(), &error);
     g_assert_no_error(error);
     g_assert_cmpint(connection->state, ==, CONNECTION_STATE_IN_USE);
     return connection;
@@ -33,7 +33,7 @@
     g_assert_nonnull(error);
 }
 
-/* Waits for a counter to reach a value; the test's own time limit ends a wait in vain. */
+/* Waits for a counter to reach a value; the test's own time limit ends the wait. */
 #define await(pool, field, value)                                                                  \
     while (pool_counters(pool).field != (value)) {                                                 \
         g_usleep(1000);                                                                            \
@@ -75,7 +75,7 @@
     struct pool *pool = new_pool(server, 2, 0);
     struct backend_connection *first = acquire(pool);
     struct backend_connection *second = acquire(pool);
-    assert_refused(pool, backend_in(20));
+    assert_refused(pool, backend_deadline_in(20));
     g_assert_cmpuint(pool_counters(pool).open, ==, 2);
     g_assert_cmpuint(pool_counters(pool).refused_total, ==, 1);
     g_assert_cmpuint(peak_connections(server), ==, 2);
@@ -95,7 +95,7 @@
     server_stop(server);
 }
 
-/* A thread that waits for a connection and notes when its turn came. */
+/* A thread that waits for a connection and records its turn. */
 struct waiter {
     struct pool *pool;
     uint32_t number;
@@ -135,15 +135,16 @@
     server_stop(server);
 }
 
-/* Leaves a connection in some state that must not reach the next user. */
-typedef void (*dirtier)(struct backend_connection *connection);
+/* Leaves a connection in a state that must not reach the next user. */
+typedef void (*dirty_function)(struct backend_connection *connection);
 
 static void leave_transaction_open(struct backend_connection *connection)
 {
     struct adapter_transaction_options options = {0};
     struct execute_answer answer;
     execute_answer_init(&answer);
-    assert_result(adapter_begin(connection, &options, backend_far(), &answer), EXECUTE_DONE);
+    assert_result(adapter_begin(connection, &options, backend_test_deadline(), &answer),
+                  EXECUTE_DONE);
     execute_answer_clear(&answer);
 }
 
@@ -153,7 +154,7 @@
     g_assert_true(pipeline_end(connection));
 }
 
-/* The answer waits for a position that never comes, so that it can't be there at the deadline. */
+/* The answer waits for a position that is never reached, so it can't arrive before the deadline. */
 static void pass_deadline(struct backend_connection *connection)
 {
     struct sql_statement statement = backend_statement("SELECT 1");
@@ -168,7 +169,7 @@
 
 static void test_dirty_is_closed(const void *data)
 {
-    dirtier dirty = *(const dirtier *)data;
+    dirty_function dirty = *(const dirty_function *)data;
     struct server_options options = fixture_options();
     options.connections = 1;
     struct server *server = fixture_start(&options);
@@ -182,7 +183,7 @@
     pool_release(pool, connection, false);
     connection = acquire(pool);
     g_assert_cmpuint(pool_counters(pool).opened_total, ==, 3);
-    /* The database had seen the end of each before the next was opened. */
+    /* The database had seen the end of each connection before the next was opened. */
     g_assert_cmpuint(pool_counters(pool).open_failed_total, ==, 0);
     g_assert_cmpuint(server->counters.over_connection_limit, ==, 0);
     pool_release(pool, connection, true);
@@ -190,7 +191,7 @@
     server_stop(server);
 }
 
-/* The database ended the connection while it was idle: found before use. */
+/* The database ended the connection while it was idle: this is detected before use. */
 static void test_ended_while_idle(void)
 {
     struct server_options options = fixture_options();
@@ -219,7 +220,7 @@
     await(pool, open, 1);
     g_assert_cmpuint(pool_counters(pool).idle, ==, 0);
     pool_set_limit(pool, 0);
-    assert_refused(pool, backend_far());
+    assert_refused(pool, backend_test_deadline());
     pool_release(pool, connection, true);
     await(pool, open, 0);
     pool_set_limit(pool, 2);
@@ -242,7 +243,7 @@
     server_stop(server);
 }
 
-/* Where nothing listens the error comes at once, not at the deadline. */
+/* If nothing listens at the address, the error is returned at once, not at the deadline. */
 static void test_down(void)
 {
     struct server *server = start();
@@ -254,9 +255,9 @@
     };
     server_stop(server);
     struct pool *pool = pool_new(&options);
-    assert_refused(pool, backend_far());
+    assert_refused(pool, backend_test_deadline());
     g_assert_cmpuint(pool_counters(pool).open_failed_total, ==, 1);
-    assert_refused(pool, backend_far());
+    assert_refused(pool, backend_test_deadline());
     g_assert_cmpuint(pool_counters(pool).open_failed_total, ==, 1);
     pool_free(pool);
 }
@@ -268,7 +269,7 @@
     struct backend_connection *connection = acquire(pool);
     pool_release(pool, connection, true);
     pool_set_reachable(pool, false);
-    assert_refused(pool, backend_far());
+    assert_refused(pool, backend_test_deadline());
     pool_set_reachable(pool, true);
     connection = acquire(pool);
     pool_release(pool, connection, true);
@@ -276,7 +277,7 @@
     server_stop(server);
 }
 
-/* The database is full of others' connections: refused, and no violation is counted for long. */
+/* The database has no free connection: acquisition is refused, until another client disconnects. */
 static void test_database_full(void)
 {
     struct server_options options = fixture_options();
@@ -284,7 +285,7 @@
     struct server *server = fixture_start(&options);
     struct backend_connection *other = backend_open(server);
     struct pool *pool = new_pool(server, 2, 0);
-    assert_refused(pool, backend_far());
+    assert_refused(pool, backend_test_deadline());
     backend_connection_close(other);
     struct backend_connection *connection = acquire(pool);
     pool_release(pool, connection, true);
@@ -292,7 +293,7 @@
     server_stop(server);
 }
 
-/* Many threads, few connections, some of which are left dirty. */
+/* Many threads share few connections, some of which are returned as not reusable. */
 static void *work(void *data)
 {
     struct pool *pool = data;
@@ -302,9 +303,9 @@
         struct execute_answer answer;
         execute_answer_init(&answer);
         struct backend_connection *connection = acquire(pool);
-        assert_result(
-            adapter_read(connection, none, 0, &statement, 1, backend_far(), NULL, &answer),
-            EXECUTE_DONE);
+        assert_result(adapter_read(connection, none, 0, &statement, 1, backend_test_deadline(),
+                                   NULL, &answer),
+                      EXECUTE_DONE);
         g_assert_cmpuint(answer.results[0].rows_count, ==, 1);
         pool_release(pool, connection, i % 10 != 0);
         execute_answer_clear(&answer);
@@ -332,9 +333,9 @@
 
 int main(int argc, char **argv)
 {
-    static const dirtier open_transaction = leave_transaction_open;
-    static const dirtier unread_answer = leave_answer_unread;
-    static const dirtier passed_deadline = pass_deadline;
+    static const dirty_function open_transaction = leave_transaction_open;
+    static const dirty_function unread_answer = leave_answer_unread;
+    static const dirty_function passed_deadline = pass_deadline;
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/backend/pool/reuse", test_reuse);
     g_test_add_func("/backend/pool/limit-and-deadline", test_limit_and_deadline);
--- a/tests/backend/prober_test.c
+++ b/tests/backend/prober_test.c
@@ -1,4 +1,4 @@
-/* The prober: what it reports, that a frozen database delays no other, and commands. */
+/* Tests of the prober: its reports, that a frozen database delays no other, and commands. */
 #include "backend/prober.h"
 #include "backend_fixture.h"
 
@@ -6,7 +6,7 @@
 #define FOREVER   (60 * 60 * 1000)
 #define DATABASES 3
 
-/* What the prober told of one database. */
+/* Reports of the prober for one database. */
 struct report {
     uint32_t reachable_count;
     uint32_t unreachable_count;
@@ -14,7 +14,7 @@
     uint32_t round_trip_us;
 };
 
-/* Notes all callbacks, and lets the test wait for them. */
+/* Records all callbacks, and lets the test wait for them. */
 struct recorder {
     pthread_mutex_t lock;
     pthread_cond_t changed;
@@ -23,7 +23,7 @@
     struct channel_reply last_reply;
 };
 
-/* A group, a prober that watches it, and what it told. */
+/* A group, a prober that probes it, and its reports. */
 struct fixture {
     struct backend_group group;
     struct prober *prober;
@@ -88,7 +88,7 @@
     pthread_mutex_destroy(&fixture->recorder.lock);
 }
 
-/* The number of reports so far. */
+/* Number of reports so far. */
 static uint32_t report_count(struct fixture *fixture, uint32_t database, bool reachable)
 {
     struct recorder *recorder = &fixture->recorder;
@@ -99,7 +99,7 @@
     return count;
 }
 
-/* Waits for this many more reports. */
+/* Waits for `more` further reports. */
 static void await_reports(struct fixture *fixture, uint32_t database, bool reachable, uint32_t more)
 {
     struct recorder *recorder = &fixture->recorder;
@@ -120,7 +120,7 @@
     return report;
 }
 
-/* Runs a command and waits for what came of it. */
+/* Runs a command and waits for its result. */
 static struct channel_reply run_command(struct fixture *fixture, uint32_t database,
                                         const struct adapter_call *call, time_ns deadline)
 {
@@ -160,19 +160,19 @@
     await_reports(fixture, 1, true, 1);
     faults_freeze(&frozen->faults, FOREVER);
     await_reports(fixture, 1, false, 1);
-    /* Others are probed on while the frozen one is given up again and again. */
+    /* The others are still probed while the frozen one times out repeatedly. */
     uint32_t before = report_count(fixture, 0, true);
     await_reports(fixture, 1, false, 2);
     g_assert_cmpuint(report_count(fixture, 0, true), >, before + 2);
     faults_heal(&frozen->faults);
     await_reports(fixture, 1, true, 2);
     pthread_mutex_lock(&frozen->lock);
-    /* The test's own client never ran here; a probe's closed connection may still have counted. */
+    /* The fixture opens no connection here; a probe's closed connection may still be counted. */
     g_assert_cmpuint(frozen->counters.peak_connections, <=, 2);
     pthread_mutex_unlock(&frozen->lock);
 }
 
-static void test_nothing_listens(struct fixture *fixture, const void *unused)
+static void test_connection_refused(struct fixture *fixture, const void *unused)
 {
     struct connection_settings settings = backend_settings(fixture->group.servers[1]);
     settings.port = 1;
@@ -186,8 +186,8 @@
     struct adapter_call call = {.command = ADAPTER_COMMAND_STATUS};
     await_reports(fixture, 1, true, 1);
     prober_remove(fixture->prober, GROUP, 1);
-    /* The answer comes from the prober's thread, after the removal. */
-    struct channel_reply reply = run_command(fixture, 1, &call, backend_far());
+    /* The reply is sent by the prober's thread, after the removal. */
+    struct channel_reply reply = run_command(fixture, 1, &call, backend_test_deadline());
     assert_result(reply.result, EXECUTE_NOT_SENT);
     uint32_t reachable = report_count(fixture, 1, true);
     uint32_t unreachable = report_count(fixture, 1, false);
@@ -206,16 +206,16 @@
     struct adapter_call follow = {
         .command = ADAPTER_COMMAND_FOLLOW, .term = 2, .coordinator = "d1", .address = address};
     for (uint32_t i = 0; i < DATABASES; i++) {
-        struct channel_reply reply = run_command(fixture, i, &fence, backend_far());
+        struct channel_reply reply = run_command(fixture, i, &fence, backend_test_deadline());
         assert_result(reply.result, EXECUTE_DONE);
         g_assert_cmpuint(reply.status.promised_term, ==, 2);
     }
-    struct channel_reply refused = run_command(fixture, 0, &late, backend_far());
+    struct channel_reply refused = run_command(fixture, 0, &late, backend_test_deadline());
     assert_result(refused.result, EXECUTE_FAILED);
     g_assert_cmpstr(refused.sqlstate, ==, "55000");
-    assert_result(run_command(fixture, 1, &promote, backend_far()).result, EXECUTE_DONE);
-    assert_result(run_command(fixture, 0, &follow, backend_far()).result, EXECUTE_DONE);
-    assert_result(run_command(fixture, 2, &follow, backend_far()).result, EXECUTE_DONE);
+    assert_result(run_command(fixture, 1, &promote, backend_test_deadline()).result, EXECUTE_DONE);
+    assert_result(run_command(fixture, 0, &follow, backend_test_deadline()).result, EXECUTE_DONE);
+    assert_result(run_command(fixture, 2, &follow, backend_test_deadline()).result, EXECUTE_DONE);
     while (last_report(fixture, 2).status.held.term != 2) {
         await_reports(fixture, 2, true, 1);
     }
@@ -227,16 +227,16 @@
     struct adapter_call fence = {.command = ADAPTER_COMMAND_FENCE, .term = 2, .coordinator = "d1"};
     await_reports(fixture, 1, true, 1);
     faults_freeze(&fixture->group.servers[1]->faults, FOREVER);
-    struct channel_reply reply = run_command(fixture, 1, &fence, backend_in(50));
-    /* NOT_SENT if a probe found out first and the connection is being opened anew. */
+    struct channel_reply reply = run_command(fixture, 1, &fence, backend_deadline_in(50));
+    /* NOT_SENT if a probe timed out first and the connection is being reopened. */
     g_assert_true(reply.result == EXECUTE_LOST || reply.result == EXECUTE_NOT_SENT);
-    assert_result(run_command(fixture, 0, &fence, backend_far()).result, EXECUTE_DONE);
+    assert_result(run_command(fixture, 0, &fence, backend_test_deadline()).result, EXECUTE_DONE);
     faults_heal(&fixture->group.servers[1]->faults);
-    assert_result(run_command(fixture, 1, &fence, backend_far()).result, EXECUTE_DONE);
+    assert_result(run_command(fixture, 1, &fence, backend_test_deadline()).result, EXECUTE_DONE);
 }
 
-/* Ending the prober completes a command that is under way. */
-static void test_ends_with_command_under_way(struct fixture *fixture, const void *unused)
+/* Freeing the prober completes a pending command. */
+static void test_ends_with_pending_command(struct fixture *fixture, const void *unused)
 {
     struct adapter_call fence = {.command = ADAPTER_COMMAND_FENCE, .term = 2, .coordinator = "d1"};
     struct prober_options options = {
@@ -250,7 +250,7 @@
     struct prober *other = prober_new(&options);
     faults_freeze(&fixture->group.servers[2]->faults, FOREVER);
     prober_add(other, GROUP, 2, &settings);
-    prober_submit(other, GROUP, 2, &fence, backend_far(), on_command, &fixture->recorder);
+    prober_submit(other, GROUP, 2, &fence, backend_test_deadline(), on_command, &fixture->recorder);
     prober_free(other);
     g_assert_cmpuint(fixture->recorder.commands_done, ==, 1);
     assert_result(fixture->recorder.last_reply.result, EXECUTE_NOT_SENT);
@@ -264,10 +264,10 @@
     g_test_add("/backend/prober/" name, struct fixture, NULL, set_up, function, tear_down)
     ADD("status", test_status);
     ADD("frozen-database-delays-no-other", test_frozen_database_delays_no_other);
-    ADD("nothing-listens", test_nothing_listens);
+    ADD("connection-refused", test_connection_refused);
     ADD("removed", test_removed);
     ADD("failover-by-commands", test_failover_by_commands);
     ADD("command-to-frozen-database", test_command_to_frozen_database);
-    ADD("ends-with-command-under-way", test_ends_with_command_under_way);
+    ADD("ends-with-pending-command", test_ends_with_pending_command);
     return g_test_run();
 }
