--- a/src/backend/pool.c
+++ b/src/backend/pool.c
@@ -230,7 +230,7 @@
 static void start_close(struct pool *pool, struct backend_connection *connection,
                         enum pool_close_cause cause)
 {
-    uint64_t most = cause == POOL_CLOSE_CLOSED ? CLOSE_TIMEOUT_MS : CLOSE_FAILED_TIMEOUT_MS;
+    uint64_t most = cause == POOL_CLOSE_AFTER_USE ? CLOSE_TIMEOUT_MS : CLOSE_FAILED_TIMEOUT_MS;
     time_ns until = backend_now() + most * NANOSECONDS_PER_MILLISECOND;
     closing_list_add(&pool->closing, connection, (int)cause, until);
 }
@@ -379,7 +379,7 @@
             check_idle(pool);
         }
         if (!g_queue_is_empty(&pool->to_close)) {
-            start_close(pool, g_queue_pop_head(&pool->to_close), POOL_CLOSE_CLOSED);
+            start_close(pool, g_queue_pop_head(&pool->to_close), POOL_CLOSE_AFTER_USE);
         } else if (needs_open(pool) && backend_now() >= pool->next_open_at) {
             open_one(pool);
         } else {
--- a/src/backend/pool_budget.c
+++ b/src/backend/pool_budget.c
@@ -133,7 +133,7 @@
                        time_ns now)
 {
     switch (cause) {
-    case POOL_CLOSE_CLOSED:
+    case POOL_CLOSE_AFTER_USE:
         budget_closed(budget->core, number, now, budget->actions);
         break;
     case POOL_CLOSE_NUMBER_TAKEN:
--- a/src/backend/pool_budget.h
+++ b/src/backend/pool_budget.h
@@ -11,7 +11,7 @@
 
 /* Why a connection was closed: after use, or after a failed attempt to open it. */
 enum pool_close_cause {
-    POOL_CLOSE_CLOSED,       /* it held its number */
+    POOL_CLOSE_AFTER_USE,    /* it was usable and held its number */
     POOL_CLOSE_NUMBER_TAKEN, /* another connection holds its number */
     POOL_CLOSE_FAILED,       /* it could not be opened */
 };
@@ -19,7 +19,7 @@
 struct pool_budget *pool_budget_new(const struct budget_options *options);
 void pool_budget_free(struct pool_budget *budget);
 
-/* See budget_set_position and the next two. */
+/* See budget_set_position, budget_peer_warm and budget_peer_released. */
 void pool_budget_set_position(struct pool_budget *budget, int32_t position, bool handing_over,
                               time_ns now);
 void pool_budget_peer_warm(struct pool_budget *budget, time_ns now);
