--- a/src/configuration/bundle_reader.c
+++ b/src/configuration/bundle_reader.c
@@ -1,4 +1,4 @@
-/* Typed reading of JSON with a place for every value. */
+/* Typed reading of JSON with a path for every value. */
 #include "configuration/bundle_reader.h"
 
 #include <stdio.h>
@@ -21,14 +21,14 @@
     GHashTable *member_counts; /* JsonObject (one reference held) -> count */
 };
 
-static void append_pointer(GString *text, const struct bundle_place *place)
+static void append_pointer(GString *text, const struct bundle_path *path)
 {
-    if (place == NULL || place->name == NULL) {
+    if (path == NULL || path->name == NULL) {
         return;
     }
-    append_pointer(text, place->parent);
+    append_pointer(text, path->parent);
     g_string_append_c(text, '/');
-    for (const char *character = place->name; *character != '\0'; character++) {
+    for (const char *character = path->name; *character != '\0'; character++) {
         if (*character == '~') {
             g_string_append(text, "~0");
         } else if (*character == '/') {
@@ -39,12 +39,12 @@
     }
 }
 
-/* The JSON Pointer of a place; "/" stands for the whole document. */
-static char *place_text(const struct bundle_place *place)
+/* The JSON Pointer of a path; "/" stands for the whole document. */
+static char *pointer_text(const struct bundle_path *path)
 {
     GString *text = g_string_new(NULL);
 
-    append_pointer(text, place);
+    append_pointer(text, path);
     if (text->len == 0) {
         g_string_append_c(text, '/');
     }
@@ -63,13 +63,13 @@
     return g_strconcat(start, "...", NULL);
 }
 
-void bundle_reader_fault(struct bundle_reader *reader, const struct bundle_place *place,
+void bundle_reader_fault(struct bundle_reader *reader, const struct bundle_path *path,
                          JsonNode *node, const char *fault, const char *allowed)
 {
-    g_autofree char *path = place_text(place);
+    g_autofree char *pointer = pointer_text(path);
     g_autofree char *value = node != NULL ? value_text(node) : NULL;
 
-    configuration_problems_add(reader->problems, reader->source, path, value, fault, allowed);
+    configuration_problems_add(reader->problems, reader->source, pointer, value, fault, allowed);
 }
 
 /* True if brackets outside strings nest no deeper than the bound. */
@@ -120,21 +120,21 @@
     unsigned column = 0;
     int prefix_length = 0;
     const char *reason = error->message;
-    g_autofree char *place = NULL;
+    g_autofree char *path = NULL;
 
     if (sscanf(error->message, "<data>:%u:%u: %n", &line, &column, &prefix_length) == 2 &&
         prefix_length > 0) {
         reason += prefix_length;
-        place = g_strdup_printf("line %u, column %u", line, column);
+        path = g_strdup_printf("line %u, column %u", line, column);
     }
     g_autofree char *fault = g_strdup_printf("is not JSON (%s)", reason);
-    configuration_problems_add(reader->problems, reader->source, place != NULL ? place : "/",
+    configuration_problems_add(reader->problems, reader->source, path != NULL ? path : "/",
                                "the text", fault, "JSON in UTF-8");
 }
 
 JsonNode *bundle_reader_load(struct bundle_reader *reader, const char *json, gsize length)
 {
-    struct bundle_place root = {NULL, NULL};
+    struct bundle_path root = {NULL, NULL};
 
     if (!depth_is_bounded(json, length)) {
         g_autofree char *allowed = g_strdup_printf("at most %d levels", BUNDLE_DEPTH_MAX);
@@ -164,17 +164,17 @@
     return node;
 }
 
-JsonObject *bundle_reader_object(struct bundle_reader *reader, const struct bundle_place *place,
+JsonObject *bundle_reader_object(struct bundle_reader *reader, const struct bundle_path *path,
                                  JsonNode *node)
 {
     if (!JSON_NODE_HOLDS_OBJECT(node)) {
-        bundle_reader_fault(reader, place, node, "is not an object", "an object");
+        bundle_reader_fault(reader, path, node, "is not an object", "an object");
         return NULL;
     }
     return json_node_get_object(node);
 }
 
-JsonArray *bundle_reader_array(struct bundle_reader *reader, const struct bundle_place *place,
+JsonArray *bundle_reader_array(struct bundle_reader *reader, const struct bundle_path *path,
                                JsonNode *node, guint minimum, guint maximum)
 {
     JsonArray *array = JSON_NODE_HOLDS_ARRAY(node) ? json_node_get_array(node) : NULL;
@@ -186,11 +186,11 @@
     g_autofree char *allowed = g_strdup_printf("an array of %u to %u", minimum, maximum);
     g_autofree char *fault =
         array != NULL ? g_strdup_printf("has %u elements", length) : g_strdup("is not an array");
-    bundle_reader_fault(reader, place, array != NULL ? NULL : node, fault, allowed);
+    bundle_reader_fault(reader, path, array != NULL ? NULL : node, fault, allowed);
     return NULL;
 }
 
-bool bundle_reader_integer(struct bundle_reader *reader, const struct bundle_place *place,
+bool bundle_reader_integer(struct bundle_reader *reader, const struct bundle_path *path,
                            JsonNode *node, int64_t minimum, int64_t maximum, int64_t *value)
 {
     bool is_integer = JSON_NODE_HOLDS_VALUE(node) && json_node_get_value_type(node) == G_TYPE_INT64;
@@ -201,67 +201,67 @@
         return true;
     }
     g_autofree char *allowed = bundle_integer_allowed(minimum, maximum);
-    bundle_reader_fault(reader, place, node, is_integer ? "is out of range" : "is not an integer",
+    bundle_reader_fault(reader, path, node, is_integer ? "is out of range" : "is not an integer",
                         allowed);
     return false;
 }
 
-bool bundle_reader_boolean(struct bundle_reader *reader, const struct bundle_place *place,
+bool bundle_reader_boolean(struct bundle_reader *reader, const struct bundle_path *path,
                            JsonNode *node, bool *value)
 {
     if (!JSON_NODE_HOLDS_VALUE(node) || json_node_get_value_type(node) != G_TYPE_BOOLEAN) {
-        bundle_reader_fault(reader, place, node, "is not a boolean", "true or false");
+        bundle_reader_fault(reader, path, node, "is not a boolean", "true or false");
         return false;
     }
     *value = json_node_get_boolean(node);
     return true;
 }
 
-const char *bundle_reader_string(struct bundle_reader *reader, const struct bundle_place *place,
+const char *bundle_reader_string(struct bundle_reader *reader, const struct bundle_path *path,
                                  JsonNode *node, const char *allowed)
 {
     if (!JSON_NODE_HOLDS_VALUE(node) || json_node_get_value_type(node) != G_TYPE_STRING) {
-        bundle_reader_fault(reader, place, node, "is not a string", allowed);
+        bundle_reader_fault(reader, path, node, "is not a string", allowed);
         return NULL;
     }
     return json_node_get_string(node);
 }
 
-JsonNode *bundle_reader_member(struct bundle_reader *reader, const struct bundle_place *place,
+JsonNode *bundle_reader_member(struct bundle_reader *reader, const struct bundle_path *path,
                                JsonObject *object, const char *name, const char *allowed)
 {
     JsonNode *node = json_object_get_member(object, name);
 
     if (node == NULL) {
-        struct bundle_place member_place = {place, name};
-        bundle_reader_fault(reader, &member_place, NULL, "missing", allowed);
+        struct bundle_path member_path = {path, name};
+        bundle_reader_fault(reader, &member_path, NULL, "missing", allowed);
     }
     return node;
 }
 
-bool bundle_reader_member_integer(struct bundle_reader *reader, const struct bundle_place *place,
+bool bundle_reader_member_integer(struct bundle_reader *reader, const struct bundle_path *path,
                                   JsonObject *object, const char *name, int64_t minimum,
                                   int64_t maximum, int64_t *value)
 {
-    struct bundle_place member_place = {place, name};
+    struct bundle_path member_path = {path, name};
     JsonNode *node = json_object_get_member(object, name);
 
     if (node != NULL) {
-        return bundle_reader_integer(reader, &member_place, node, minimum, maximum, value);
+        return bundle_reader_integer(reader, &member_path, node, minimum, maximum, value);
     }
     g_autofree char *allowed = bundle_integer_allowed(minimum, maximum);
-    bundle_reader_fault(reader, &member_place, NULL, "missing", allowed);
+    bundle_reader_fault(reader, &member_path, NULL, "missing", allowed);
     return false;
 }
 
 const char *bundle_reader_member_string(struct bundle_reader *reader,
-                                        const struct bundle_place *place, JsonObject *object,
+                                        const struct bundle_path *path, JsonObject *object,
                                         const char *name, const char *allowed)
 {
-    struct bundle_place member_place = {place, name};
-    JsonNode *node = bundle_reader_member(reader, place, object, name, allowed);
+    struct bundle_path member_path = {path, name};
+    JsonNode *node = bundle_reader_member(reader, path, object, name, allowed);
 
-    return node != NULL ? bundle_reader_string(reader, &member_place, node, allowed) : NULL;
+    return node != NULL ? bundle_reader_string(reader, &member_path, node, allowed) : NULL;
 }
 
 const char *bundle_reader_peek_string(JsonObject *object, const char *name)
@@ -276,16 +276,16 @@
 }
 
 JsonObject *bundle_reader_member_object(struct bundle_reader *reader,
-                                        const struct bundle_place *place, JsonObject *object,
+                                        const struct bundle_path *path, JsonObject *object,
                                         const char *name)
 {
-    struct bundle_place member_place = {place, name};
-    JsonNode *node = bundle_reader_member(reader, place, object, name, "an object");
+    struct bundle_path member_path = {path, name};
+    JsonNode *node = bundle_reader_member(reader, path, object, name, "an object");
 
-    return node != NULL ? bundle_reader_object(reader, &member_place, node) : NULL;
+    return node != NULL ? bundle_reader_object(reader, &member_path, node) : NULL;
 }
 
-void bundle_reader_refuse_unknown(struct bundle_reader *reader, const struct bundle_place *place,
+void bundle_reader_refuse_unknown(struct bundle_reader *reader, const struct bundle_path *path,
                                   JsonObject *object, const char *const *known)
 {
     JsonObjectIter iterator;
@@ -295,15 +295,15 @@
     json_object_iter_init_ordered(&iterator, object);
     while (json_object_iter_next_ordered(&iterator, &name, &node)) {
         if (!g_strv_contains(known, name)) {
-            struct bundle_place member_place = {place, name};
+            struct bundle_path member_path = {path, name};
             g_autofree char *allowed = g_strjoinv(", ", (char **)known);
-            bundle_reader_fault(reader, &member_place, NULL, "unknown member",
+            bundle_reader_fault(reader, &member_path, NULL, "unknown member",
                                 known[0] != NULL ? allowed : "none");
         }
     }
 }
 
-/* True if `name` is made of a-z, 0-9 and, but for the first place, the separator. */
+/* True if `name` is made of a-z, 0-9 and, but for the first path, the separator. */
 static bool name_is_valid(const char *name, char separator)
 {
     size_t length = strlen(name);
@@ -320,27 +320,27 @@
     return true;
 }
 
-static bool check_name(struct bundle_reader *reader, const struct bundle_place *place,
+static bool check_name(struct bundle_reader *reader, const struct bundle_path *path,
                        const char *name, char separator, const char *allowed)
 {
     if (name_is_valid(name, separator)) {
         return true;
     }
     g_autoptr(JsonNode) node = json_node_init_string(json_node_alloc(), name);
-    bundle_reader_fault(reader, place, node, "is not a name", allowed);
+    bundle_reader_fault(reader, path, node, "is not a name", allowed);
     return false;
 }
 
-bool bundle_reader_check_name(struct bundle_reader *reader, const struct bundle_place *place,
+bool bundle_reader_check_name(struct bundle_reader *reader, const struct bundle_path *path,
                               const char *name)
 {
-    return check_name(reader, place, name, '-', BUNDLE_NAME_ALLOWED);
+    return check_name(reader, path, name, '-', BUNDLE_NAME_ALLOWED);
 }
 
-bool bundle_reader_check_identifier(struct bundle_reader *reader, const struct bundle_place *place,
+bool bundle_reader_check_identifier(struct bundle_reader *reader, const struct bundle_path *path,
                                     const char *name)
 {
-    return check_name(reader, place, name, '_', BUNDLE_IDENTIFIER_ALLOWED);
+    return check_name(reader, path, name, '_', BUNDLE_IDENTIFIER_ALLOWED);
 }
 
 char *bundle_integer_allowed(int64_t minimum, int64_t maximum)
--- a/src/configuration/bundle_reader.h
+++ b/src/configuration/bundle_reader.h
@@ -24,8 +24,8 @@
 };
 
 /* A value's place: a chain of member names up to the root, whose parent is NULL. */
-struct bundle_place {
-    const struct bundle_place *parent;
+struct bundle_path {
+    const struct bundle_path *parent;
     const char *name; /* member name, or the index as text; NULL at the root */
 };
 
@@ -34,58 +34,58 @@
 JsonNode *bundle_reader_load(struct bundle_reader *reader, const char *json, gsize length);
 
 /* Adds a problem at a place; `node` may be NULL where the value is missing. */
-void bundle_reader_fault(struct bundle_reader *reader, const struct bundle_place *place,
+void bundle_reader_fault(struct bundle_reader *reader, const struct bundle_path *path,
                          JsonNode *node, const char *fault, const char *allowed);
 
 /* The node's object, or NULL after a fault. */
-JsonObject *bundle_reader_object(struct bundle_reader *reader, const struct bundle_place *place,
+JsonObject *bundle_reader_object(struct bundle_reader *reader, const struct bundle_path *path,
                                  JsonNode *node);
 
 /* The node's array if its length is within bounds, or NULL after a fault. */
-JsonArray *bundle_reader_array(struct bundle_reader *reader, const struct bundle_place *place,
+JsonArray *bundle_reader_array(struct bundle_reader *reader, const struct bundle_path *path,
                                JsonNode *node, guint minimum, guint maximum);
 
 /* The integer if it is one within bounds; false after a fault. */
-bool bundle_reader_integer(struct bundle_reader *reader, const struct bundle_place *place,
+bool bundle_reader_integer(struct bundle_reader *reader, const struct bundle_path *path,
                            JsonNode *node, int64_t minimum, int64_t maximum, int64_t *value);
 
 /* The boolean; false after a fault. */
-bool bundle_reader_boolean(struct bundle_reader *reader, const struct bundle_place *place,
+bool bundle_reader_boolean(struct bundle_reader *reader, const struct bundle_path *path,
                            JsonNode *node, bool *value);
 
 /* The string, owned by the node, or NULL after a fault. */
-const char *bundle_reader_string(struct bundle_reader *reader, const struct bundle_place *place,
+const char *bundle_reader_string(struct bundle_reader *reader, const struct bundle_path *path,
                                  JsonNode *node, const char *allowed);
 
 /* An object's member. If it is absent: NULL, after a fault that says what is allowed there. */
-JsonNode *bundle_reader_member(struct bundle_reader *reader, const struct bundle_place *place,
+JsonNode *bundle_reader_member(struct bundle_reader *reader, const struct bundle_path *path,
                                JsonObject *object, const char *name, const char *allowed);
 
 /* Member as above, read as an integer. */
-bool bundle_reader_member_integer(struct bundle_reader *reader, const struct bundle_place *place,
+bool bundle_reader_member_integer(struct bundle_reader *reader, const struct bundle_path *path,
                                   JsonObject *object, const char *name, int64_t minimum,
                                   int64_t maximum, int64_t *value);
 
 /* Member as above, read as a string; owned by the object. */
 const char *bundle_reader_member_string(struct bundle_reader *reader,
-                                        const struct bundle_place *place, JsonObject *object,
+                                        const struct bundle_path *path, JsonObject *object,
                                         const char *name, const char *allowed);
 
 /* Member read as an object: an absent one is a fault. */
 JsonObject *bundle_reader_member_object(struct bundle_reader *reader,
-                                        const struct bundle_place *place, JsonObject *object,
+                                        const struct bundle_path *path, JsonObject *object,
                                         const char *name);
 
 /* Faults each member that is not in the NULL-ended list. */
-void bundle_reader_refuse_unknown(struct bundle_reader *reader, const struct bundle_place *place,
+void bundle_reader_refuse_unknown(struct bundle_reader *reader, const struct bundle_path *path,
                                   JsonObject *object, const char *const *known);
 
 /* True if `name` may name a thing of the bundle; false after a fault. */
-bool bundle_reader_check_name(struct bundle_reader *reader, const struct bundle_place *place,
+bool bundle_reader_check_name(struct bundle_reader *reader, const struct bundle_path *path,
                               const char *name);
 
 /* As above, for the name of a parameter. */
-bool bundle_reader_check_identifier(struct bundle_reader *reader, const struct bundle_place *place,
+bool bundle_reader_check_identifier(struct bundle_reader *reader, const struct bundle_path *path,
                                     const char *name);
 
 /* "integer 1 to 10". The caller frees it. */
--- a/src/configuration/parse.c
+++ b/src/configuration/parse.c
@@ -53,7 +53,7 @@
     return configuration;
 }
 
-JsonObject *bundle_parse_section(struct bundle_parser *parser, const struct bundle_place *root,
+JsonObject *bundle_parse_section(struct bundle_parser *parser, const struct bundle_path *root,
                                  JsonObject *bundle, const char *name, guint maximum)
 {
     JsonObject *section = bundle_reader_member_object(&parser->reader, root, bundle, name);
@@ -63,32 +63,32 @@
     }
     guint size = json_object_get_size(section);
     if (size > maximum) {
-        struct bundle_place place = {root, name};
+        struct bundle_path path = {root, name};
         g_autofree char *fault = g_strdup_printf("has %u members", size);
         g_autofree char *allowed = g_strdup_printf("at most %u", maximum);
-        bundle_reader_fault(&parser->reader, &place, NULL, fault, allowed);
+        bundle_reader_fault(&parser->reader, &path, NULL, fault, allowed);
         return NULL;
     }
     return section;
 }
 
-char *bundle_parse_description(struct bundle_parser *parser, const struct bundle_place *place,
+char *bundle_parse_description(struct bundle_parser *parser, const struct bundle_path *path,
                                JsonObject *object)
 {
-    struct bundle_place member_place = {place, "description"};
+    struct bundle_path member_path = {path, "description"};
     JsonNode *node = json_object_get_member(object, "description");
 
     if (node == NULL) {
         return NULL;
     }
-    return g_strdup(bundle_reader_string(&parser->reader, &member_place, node, "a string"));
+    return g_strdup(bundle_reader_string(&parser->reader, &member_path, node, "a string"));
 }
 
 static void parse_sections(struct bundle_parser *parser, JsonNode *node)
 {
     static const char *const members[] = {"description", "zones",   "groups",
                                           "templates",   "tenants", NULL};
-    struct bundle_place root = {NULL, NULL};
+    struct bundle_path root = {NULL, NULL};
     JsonObject *bundle = bundle_reader_object(&parser->reader, &root, node);
 
     if (bundle == NULL) {
@@ -189,7 +189,7 @@
 /* Reads one slice of tenants. */
 static void read_slice(struct bundle_parser *parser, const char *slice)
 {
-    struct bundle_place root = {NULL, NULL};
+    struct bundle_path root = {NULL, NULL};
     g_autoptr(JsonNode) node = bundle_reader_load(&parser->reader, slice, strlen(slice));
 
     if (node != NULL && JSON_NODE_HOLDS_OBJECT(node)) {
--- a/src/configuration/parse_groups.c
+++ b/src/configuration/parse_groups.c
@@ -13,13 +13,13 @@
 #define TCP_PORT_MAX             65535
 
 /* "SECTION NAME" of the entry that has the id already, as a fault's allowed text. */
-static void fault_id_taken(struct bundle_parser *parser, const struct bundle_place *place,
+static void fault_id_taken(struct bundle_parser *parser, const struct bundle_path *path,
                            JsonObject *object, const char *owner)
 {
-    struct bundle_place id_place = {place, "id"};
+    struct bundle_path id_path = {path, "id"};
     g_autofree char *fault = g_strdup_printf("is taken by \"%s\"", owner);
 
-    bundle_reader_fault(&parser->reader, &id_place, json_object_get_member(object, "id"), fault,
+    bundle_reader_fault(&parser->reader, &id_path, json_object_get_member(object, "id"), fault,
                         "an id used once");
 }
 
@@ -36,7 +36,7 @@
     return NULL;
 }
 
-static void parse_zone(struct bundle_parser *parser, const struct bundle_place *place,
+static void parse_zone(struct bundle_parser *parser, const struct bundle_path *path,
                        const char *name, JsonNode *node)
 {
     static const char *const members[] = {"description", "id", NULL};
@@ -46,27 +46,27 @@
     zone->name = g_strdup(name);
     g_hash_table_insert(parser->configuration->zones_by_name, zone->name, zone);
     g_ptr_array_add(parser->configuration->zones, zone);
-    JsonObject *object = bundle_reader_object(&parser->reader, place, node);
+    JsonObject *object = bundle_reader_object(&parser->reader, path, node);
     if (object == NULL) {
         return;
     }
-    bundle_reader_refuse_unknown(&parser->reader, place, object, members);
-    g_free(bundle_parse_description(parser, place, object));
+    bundle_reader_refuse_unknown(&parser->reader, path, object, members);
+    g_free(bundle_parse_description(parser, path, object));
     bool has_id =
-        bundle_reader_member_integer(&parser->reader, place, object, "id", 1, ZONE_ID_MAX, &id);
+        bundle_reader_member_integer(&parser->reader, path, object, "id", 1, ZONE_ID_MAX, &id);
     const struct zone_configuration *taken =
         has_id ? find_zone_by_id(parser->configuration, (uint32_t)id) : NULL;
     if (taken != NULL) {
-        fault_id_taken(parser, place, object, taken->name);
+        fault_id_taken(parser, path, object, taken->name);
         return;
     }
     zone->id = (uint32_t)id;
 }
 
-void bundle_parse_zones(struct bundle_parser *parser, const struct bundle_place *root,
+void bundle_parse_zones(struct bundle_parser *parser, const struct bundle_path *root,
                         JsonObject *bundle)
 {
-    struct bundle_place section_place = {root, "zones"};
+    struct bundle_path section_path = {root, "zones"};
     JsonObject *section =
         bundle_parse_section(parser, root, bundle, "zones", CONFIGURATION_ZONES_MAX);
     JsonObjectIter iterator;
@@ -79,9 +79,9 @@
     parser->zones_known = true;
     json_object_iter_init_ordered(&iterator, section);
     while (json_object_iter_next_ordered(&iterator, &name, &node)) {
-        struct bundle_place place = {&section_place, name};
-        bundle_reader_check_name(&parser->reader, &place, name);
-        parse_zone(parser, &place, name, node);
+        struct bundle_path path = {&section_path, name};
+        bundle_reader_check_name(&parser->reader, &path, name);
+        parse_zone(parser, &path, name, node);
     }
 }
 
@@ -96,10 +96,10 @@
     return bundle_names_allowed(names);
 }
 
-static uint32_t parse_database_zone(struct bundle_parser *parser, const struct bundle_place *place,
+static uint32_t parse_database_zone(struct bundle_parser *parser, const struct bundle_path *path,
                                     JsonObject *object)
 {
-    struct bundle_place zone_place = {place, "zone"};
+    struct bundle_path zone_path = {path, "zone"};
     const char *name = bundle_reader_peek_string(object, "zone");
     const struct zone_configuration *zone =
         name != NULL ? configuration_find_zone_by_name(parser->configuration, name) : NULL;
@@ -108,43 +108,43 @@
         return zone->id;
     }
     g_autofree char *allowed = zone_names_allowed(parser->configuration);
-    name = bundle_reader_member_string(&parser->reader, place, object, "zone", allowed);
+    name = bundle_reader_member_string(&parser->reader, path, object, "zone", allowed);
     if (name != NULL && parser->zones_known) {
-        bundle_reader_fault(&parser->reader, &zone_place, json_object_get_member(object, "zone"),
+        bundle_reader_fault(&parser->reader, &zone_path, json_object_get_member(object, "zone"),
                             "is not a zone", allowed);
     }
     return 0;
 }
 
-static char *parse_database_name(struct bundle_parser *parser, const struct bundle_place *place,
+static char *parse_database_name(struct bundle_parser *parser, const struct bundle_path *path,
                                  JsonObject *object)
 {
-    struct bundle_place name_place = {place, "name"};
+    struct bundle_path name_path = {path, "name"};
     const char *name =
-        bundle_reader_member_string(&parser->reader, place, object, "name", BUNDLE_NAME_ALLOWED);
+        bundle_reader_member_string(&parser->reader, path, object, "name", BUNDLE_NAME_ALLOWED);
 
-    if (name == NULL || !bundle_reader_check_name(&parser->reader, &name_place, name)) {
+    if (name == NULL || !bundle_reader_check_name(&parser->reader, &name_path, name)) {
         return NULL;
     }
     if (!g_hash_table_add(parser->database_names, g_strdup(name))) {
-        bundle_reader_fault(&parser->reader, &name_place, json_object_get_member(object, "name"),
+        bundle_reader_fault(&parser->reader, &name_path, json_object_get_member(object, "name"),
                             "is taken by another database", "a name used once in the bundle");
     }
     return g_strdup(name);
 }
 
-static char *parse_database_host(struct bundle_parser *parser, const struct bundle_place *place,
+static char *parse_database_host(struct bundle_parser *parser, const struct bundle_path *path,
                                  JsonObject *object)
 {
-    struct bundle_place host_place = {place, "host"};
-    const char *host = bundle_reader_member_string(&parser->reader, place, object, "host",
+    struct bundle_path host_path = {path, "host"};
+    const char *host = bundle_reader_member_string(&parser->reader, path, object, "host",
                                                    "an IPv4 or IPv6 address");
 
     if (host == NULL) {
         return NULL;
     }
     if (!g_hostname_is_ip_address(host)) {
-        bundle_reader_fault(&parser->reader, &host_place, json_object_get_member(object, "host"),
+        bundle_reader_fault(&parser->reader, &host_path, json_object_get_member(object, "host"),
                             "is not an IP number", "an IPv4 or IPv6 address");
         return NULL;
     }
@@ -152,76 +152,76 @@
 }
 
 /* Two entries for one server would share its connections unknowingly. */
-static void check_address(struct bundle_parser *parser, const struct bundle_place *place,
+static void check_address(struct bundle_parser *parser, const struct bundle_path *path,
                           JsonObject *object, const struct database_configuration *database)
 {
-    struct bundle_place port_place = {place, "port"};
+    struct bundle_path port_path = {path, "port"};
 
     if (database->host == NULL || database->port == 0) {
         return;
     }
     char *address = g_strdup_printf("%s:%u", database->host, database->port);
     if (!g_hash_table_add(parser->database_addresses, address)) {
-        bundle_reader_fault(&parser->reader, &port_place, json_object_get_member(object, "port"),
+        bundle_reader_fault(&parser->reader, &port_path, json_object_get_member(object, "port"),
                             "is taken by another database on this host",
                             "an address used once in the bundle");
     }
 }
 
-static void check_connections(struct bundle_parser *parser, const struct bundle_place *place,
+static void check_connections(struct bundle_parser *parser, const struct bundle_path *path,
                               JsonObject *object, const struct database_configuration *database)
 {
-    struct bundle_place connections_place = {place, "connections"};
+    struct bundle_path connections_path = {path, "connections"};
 
     if (database->slots == 0 || database->connections == 0 ||
         database->connections > database->slots) {
         return;
     }
     g_autofree char *allowed = g_strdup_printf("more than its slots (%u)", database->slots);
-    bundle_reader_fault(&parser->reader, &connections_place,
+    bundle_reader_fault(&parser->reader, &connections_path,
                         json_object_get_member(object, "connections"), "leaves none for control",
                         allowed);
 }
 
-static uint32_t parse_count(struct bundle_parser *parser, const struct bundle_place *place,
+static uint32_t parse_count(struct bundle_parser *parser, const struct bundle_path *path,
                             JsonObject *object, const char *name, int64_t maximum)
 {
     int64_t value = 0;
 
-    bundle_reader_member_integer(&parser->reader, place, object, name, 1, maximum, &value);
+    bundle_reader_member_integer(&parser->reader, path, object, name, 1, maximum, &value);
     return (uint32_t)value;
 }
 
-static void parse_database(struct bundle_parser *parser, const struct bundle_place *place,
+static void parse_database(struct bundle_parser *parser, const struct bundle_path *path,
                            JsonNode *node, struct database_configuration *database)
 {
     static const char *const members[] = {"name",  "zone",        "host", "port",
                                           "slots", "connections", NULL};
-    JsonObject *object = bundle_reader_object(&parser->reader, place, node);
+    JsonObject *object = bundle_reader_object(&parser->reader, path, node);
 
     if (object == NULL) {
         return;
     }
-    bundle_reader_refuse_unknown(&parser->reader, place, object, members);
-    database->name = parse_database_name(parser, place, object);
-    database->zone = parse_database_zone(parser, place, object);
-    database->host = parse_database_host(parser, place, object);
-    database->port = (uint16_t)parse_count(parser, place, object, "port", TCP_PORT_MAX);
-    database->slots = parse_count(parser, place, object, "slots", DATABASE_SLOTS_MAX);
+    bundle_reader_refuse_unknown(&parser->reader, path, object, members);
+    database->name = parse_database_name(parser, path, object);
+    database->zone = parse_database_zone(parser, path, object);
+    database->host = parse_database_host(parser, path, object);
+    database->port = (uint16_t)parse_count(parser, path, object, "port", TCP_PORT_MAX);
+    database->slots = parse_count(parser, path, object, "slots", DATABASE_SLOTS_MAX);
     database->connections =
-        parse_count(parser, place, object, "connections", DATABASE_CONNECTIONS_MAX);
-    check_address(parser, place, object, database);
-    check_connections(parser, place, object, database);
+        parse_count(parser, path, object, "connections", DATABASE_CONNECTIONS_MAX);
+    check_address(parser, path, object, database);
+    check_connections(parser, path, object, database);
 }
 
-static void parse_databases(struct bundle_parser *parser, const struct bundle_place *place,
+static void parse_databases(struct bundle_parser *parser, const struct bundle_path *path,
                             JsonObject *object, struct group_configuration *group)
 {
-    struct bundle_place databases_place = {place, "databases"};
+    struct bundle_path databases_path = {path, "databases"};
     g_autofree char *allowed = g_strdup_printf("an array of 1 to %d", GROUP_DATABASES_MAX);
-    JsonNode *node = bundle_reader_member(&parser->reader, place, object, "databases", allowed);
-    JsonArray *array = node != NULL ? bundle_reader_array(&parser->reader, &databases_place, node,
-                                                          1, GROUP_DATABASES_MAX)
+    JsonNode *node = bundle_reader_member(&parser->reader, path, object, "databases", allowed);
+    JsonArray *array = node != NULL ? bundle_reader_array(&parser->reader, &databases_path, node, 1,
+                                                          GROUP_DATABASES_MAX)
                                     : NULL;
 
     if (array == NULL) {
@@ -230,8 +230,8 @@
     group->database_count = json_array_get_length(array);
     for (uint32_t i = 0; i < group->database_count; i++) {
         g_autofree char *index = g_strdup_printf("%u", i);
-        struct bundle_place database_place = {&databases_place, index};
-        parse_database(parser, &database_place, json_array_get_element(array, i),
+        struct bundle_path database_path = {&databases_path, index};
+        parse_database(parser, &database_path, json_array_get_element(array, i),
                        &group->databases[i]);
     }
 }
@@ -241,40 +241,40 @@
 {
     for (uint32_t i = 0; i < group->database_count; i++) {
         uint32_t zone = group->databases[i].zone;
-        uint32_t place = 0;
-        while (place < group->zone_count && group->zones[place] < zone) {
-            place++;
+        uint32_t index = 0;
+        while (index < group->zone_count && group->zones[index] < zone) {
+            index++;
         }
-        if (place < group->zone_count && group->zones[place] == zone) {
+        if (index < group->zone_count && group->zones[index] == zone) {
             continue;
         }
-        for (uint32_t j = group->zone_count; j > place; j--) {
+        for (uint32_t j = group->zone_count; j > index; j--) {
             group->zones[j] = group->zones[j - 1];
         }
-        group->zones[place] = zone;
+        group->zones[index] = zone;
         group->zone_count++;
     }
 }
 
-static void parse_group_id(struct bundle_parser *parser, const struct bundle_place *place,
+static void parse_group_id(struct bundle_parser *parser, const struct bundle_path *path,
                            JsonObject *object, struct group_configuration *group)
 {
     int64_t id = 0;
 
-    if (!bundle_reader_member_integer(&parser->reader, place, object, "id", 1, GROUP_ID_MAX, &id)) {
+    if (!bundle_reader_member_integer(&parser->reader, path, object, "id", 1, GROUP_ID_MAX, &id)) {
         return;
     }
     group->id = (uint32_t)id;
     const struct group_configuration *taken =
         configuration_find_group(parser->configuration, group->id);
     if (taken != NULL) {
-        fault_id_taken(parser, place, object, taken->name);
+        fault_id_taken(parser, path, object, taken->name);
         return;
     }
     g_hash_table_insert(parser->configuration->groups_by_id, GUINT_TO_POINTER(group->id), group);
 }
 
-static void parse_group(struct bundle_parser *parser, const struct bundle_place *place,
+static void parse_group(struct bundle_parser *parser, const struct bundle_path *path,
                         const char *name, JsonNode *node)
 {
     static const char *const members[] = {"description", "id", "databases", NULL};
@@ -283,21 +283,21 @@
     group->name = g_strdup(name);
     g_ptr_array_add(parser->configuration->groups, group);
     g_hash_table_insert(parser->configuration->groups_by_name, group->name, group);
-    JsonObject *object = bundle_reader_object(&parser->reader, place, node);
+    JsonObject *object = bundle_reader_object(&parser->reader, path, node);
     if (object == NULL) {
         return;
     }
-    bundle_reader_refuse_unknown(&parser->reader, place, object, members);
-    g_free(bundle_parse_description(parser, place, object));
-    parse_group_id(parser, place, object, group);
-    parse_databases(parser, place, object, group);
+    bundle_reader_refuse_unknown(&parser->reader, path, object, members);
+    g_free(bundle_parse_description(parser, path, object));
+    parse_group_id(parser, path, object, group);
+    parse_databases(parser, path, object, group);
     collect_zones(group);
 }
 
-void bundle_parse_groups(struct bundle_parser *parser, const struct bundle_place *root,
+void bundle_parse_groups(struct bundle_parser *parser, const struct bundle_path *root,
                          JsonObject *bundle)
 {
-    struct bundle_place section_place = {root, "groups"};
+    struct bundle_path section_path = {root, "groups"};
     JsonObject *section =
         bundle_parse_section(parser, root, bundle, "groups", CONFIGURATION_GROUPS_MAX);
     JsonObjectIter iterator;
@@ -310,8 +310,8 @@
     parser->groups_known = true;
     json_object_iter_init_ordered(&iterator, section);
     while (json_object_iter_next_ordered(&iterator, &name, &node)) {
-        struct bundle_place place = {&section_place, name};
-        bundle_reader_check_name(&parser->reader, &place, name);
-        parse_group(parser, &place, name, node);
+        struct bundle_path path = {&section_path, name};
+        bundle_reader_check_name(&parser->reader, &path, name);
+        parse_group(parser, &path, name, node);
     }
 }
--- a/src/configuration/parse_templates.c
+++ b/src/configuration/parse_templates.c
@@ -70,22 +70,22 @@
 }
 
 /* Adds the fault of a group's name that is unknown, not allowed or no string. */
-static void fault_group_value(struct bundle_parser *parser, const struct bundle_place *place,
+static void fault_group_value(struct bundle_parser *parser, const struct bundle_path *path,
                               JsonNode *node, const struct value_bounds *bounds, bool is_known)
 {
     g_autofree char *allowed = group_names_allowed(parser, bounds);
 
-    if (bundle_reader_string(&parser->reader, place, node, allowed) == NULL) {
+    if (bundle_reader_string(&parser->reader, path, node, allowed) == NULL) {
         return;
     }
     if (is_known) {
-        bundle_reader_fault(&parser->reader, place, node, "is not an allowed group", allowed);
+        bundle_reader_fault(&parser->reader, path, node, "is not an allowed group", allowed);
     } else if (parser->groups_known) {
-        bundle_reader_fault(&parser->reader, place, node, "is not a group", allowed);
+        bundle_reader_fault(&parser->reader, path, node, "is not a group", allowed);
     }
 }
 
-static bool parse_group_value(struct bundle_parser *parser, const struct bundle_place *place,
+static bool parse_group_value(struct bundle_parser *parser, const struct bundle_path *path,
                               JsonNode *node, const struct value_bounds *bounds, int64_t *value)
 {
     bool is_text = JSON_NODE_HOLDS_VALUE(node) && json_node_get_value_type(node) == G_TYPE_STRING;
@@ -94,148 +94,148 @@
         name != NULL ? configuration_find_group_by_name(parser->configuration, name) : NULL;
 
     if (group == NULL || !group_is_allowed(bounds, name)) {
-        fault_group_value(parser, place, node, bounds, group != NULL);
+        fault_group_value(parser, path, node, bounds, group != NULL);
         return false;
     }
     *value = group->id;
     return true;
 }
 
-bool bundle_parse_value(struct bundle_parser *parser, const struct bundle_place *place,
+bool bundle_parse_value(struct bundle_parser *parser, const struct bundle_path *path,
                         JsonNode *node, const struct value_bounds *bounds, int64_t *value)
 {
     bool boolean = false;
 
     switch (bounds->type) {
     case VALUE_TYPE_INTEGER:
-        return bundle_reader_integer(&parser->reader, place, node, bounds->minimum, bounds->maximum,
+        return bundle_reader_integer(&parser->reader, path, node, bounds->minimum, bounds->maximum,
                                      value);
     case VALUE_TYPE_BOOLEAN:
-        if (!bundle_reader_boolean(&parser->reader, place, node, &boolean)) {
+        if (!bundle_reader_boolean(&parser->reader, path, node, &boolean)) {
             return false;
         }
         *value = boolean ? 1 : 0;
         return true;
     case VALUE_TYPE_GROUP:
-        return parse_group_value(parser, place, node, bounds, value);
+        return parse_group_value(parser, path, node, bounds, value);
     }
     g_assert_not_reached();
 }
 
-static bool parse_type(struct bundle_parser *parser, const struct bundle_place *place,
+static bool parse_type(struct bundle_parser *parser, const struct bundle_path *path,
                        JsonObject *object, enum value_type *type)
 {
     static const char allowed[] = "integer, boolean, group";
-    struct bundle_place type_place = {place, "type"};
-    const char *name = bundle_reader_member_string(&parser->reader, place, object, "type", allowed);
+    struct bundle_path type_path = {path, "type"};
+    const char *name = bundle_reader_member_string(&parser->reader, path, object, "type", allowed);
 
     if (name == NULL) {
         return false;
     }
     if (!value_type_find(name, type)) {
-        bundle_reader_fault(&parser->reader, &type_place, json_object_get_member(object, "type"),
+        bundle_reader_fault(&parser->reader, &type_path, json_object_get_member(object, "type"),
                             "is not a type", allowed);
         return false;
     }
     return true;
 }
 
-static void parse_integer_bounds(struct bundle_parser *parser, const struct bundle_place *place,
+static void parse_integer_bounds(struct bundle_parser *parser, const struct bundle_path *path,
                                  JsonObject *object, struct value_bounds *bounds)
 {
     static const char *const members[] = {"type",    "description", "default",
                                           "minimum", "maximum",     NULL};
 
-    bundle_reader_refuse_unknown(&parser->reader, place, object, members);
-    if (!bundle_reader_member_integer(&parser->reader, place, object, "minimum", 0, UINT32_MAX,
+    bundle_reader_refuse_unknown(&parser->reader, path, object, members);
+    if (!bundle_reader_member_integer(&parser->reader, path, object, "minimum", 0, UINT32_MAX,
                                       &bounds->minimum)) {
         bounds->minimum = 0;
     }
-    if (!bundle_reader_member_integer(&parser->reader, place, object, "maximum", bounds->minimum,
+    if (!bundle_reader_member_integer(&parser->reader, path, object, "maximum", bounds->minimum,
                                       UINT32_MAX, &bounds->maximum)) {
         bounds->maximum = UINT32_MAX;
     }
 }
 
-static void parse_allowed_group(struct bundle_parser *parser, const struct bundle_place *place,
+static void parse_allowed_group(struct bundle_parser *parser, const struct bundle_path *path,
                                 JsonNode *node, GPtrArray *groups)
 {
     const struct value_bounds any = {VALUE_TYPE_GROUP, 0, 0, NULL};
     int64_t group = 0;
 
-    if (parse_group_value(parser, place, node, &any, &group)) {
+    if (parse_group_value(parser, path, node, &any, &group)) {
         g_ptr_array_add(groups, g_strdup(json_node_get_string(node)));
     }
 }
 
-static void parse_group_bounds(struct bundle_parser *parser, const struct bundle_place *place,
+static void parse_group_bounds(struct bundle_parser *parser, const struct bundle_path *path,
                                JsonObject *object, struct value_bounds *bounds)
 {
     static const char *const members[] = {"type", "description", "default", "allowed", NULL};
-    struct bundle_place allowed_place = {place, "allowed"};
+    struct bundle_path allowed_path = {path, "allowed"};
     JsonNode *node = json_object_get_member(object, "allowed");
 
-    bundle_reader_refuse_unknown(&parser->reader, place, object, members);
+    bundle_reader_refuse_unknown(&parser->reader, path, object, members);
     if (node == NULL) {
         return;
     }
     JsonArray *array =
-        bundle_reader_array(&parser->reader, &allowed_place, node, 1, CONFIGURATION_GROUPS_MAX);
+        bundle_reader_array(&parser->reader, &allowed_path, node, 1, CONFIGURATION_GROUPS_MAX);
     if (array == NULL) {
         return;
     }
     bounds->groups = g_ptr_array_new_with_free_func(g_free);
     for (guint i = 0; i < json_array_get_length(array); i++) {
         g_autofree char *index = g_strdup_printf("%u", i);
-        struct bundle_place place_in_array = {&allowed_place, index};
-        parse_allowed_group(parser, &place_in_array, json_array_get_element(array, i),
+        struct bundle_path element_path = {&allowed_path, index};
+        parse_allowed_group(parser, &element_path, json_array_get_element(array, i),
                             bounds->groups);
     }
 }
 
-static void parse_bounds(struct bundle_parser *parser, const struct bundle_place *place,
+static void parse_bounds(struct bundle_parser *parser, const struct bundle_path *path,
                          JsonObject *object, struct value_bounds *bounds)
 {
     static const char *const boolean_members[] = {"type", "description", "default", NULL};
 
     switch (bounds->type) {
     case VALUE_TYPE_INTEGER:
-        parse_integer_bounds(parser, place, object, bounds);
+        parse_integer_bounds(parser, path, object, bounds);
         return;
     case VALUE_TYPE_BOOLEAN:
-        bundle_reader_refuse_unknown(&parser->reader, place, object, boolean_members);
+        bundle_reader_refuse_unknown(&parser->reader, path, object, boolean_members);
         return;
     case VALUE_TYPE_GROUP:
-        parse_group_bounds(parser, place, object, bounds);
+        parse_group_bounds(parser, path, object, bounds);
         return;
     }
 }
 
-static void parse_parameter(struct bundle_parser *parser, const struct bundle_place *place,
+static void parse_parameter(struct bundle_parser *parser, const struct bundle_path *path,
                             JsonNode *node, struct template_parameter *parameter)
 {
-    JsonObject *object = bundle_reader_object(&parser->reader, place, node);
+    JsonObject *object = bundle_reader_object(&parser->reader, path, node);
 
-    if (object == NULL || !parse_type(parser, place, object, &parameter->bounds.type)) {
+    if (object == NULL || !parse_type(parser, path, object, &parameter->bounds.type)) {
         return;
     }
-    parse_bounds(parser, place, object, &parameter->bounds);
-    parameter->description = bundle_parse_description(parser, place, object);
+    parse_bounds(parser, path, object, &parameter->bounds);
+    parameter->description = bundle_parse_description(parser, path, object);
     JsonNode *default_node = json_object_get_member(object, "default");
     if (default_node == NULL) {
         return;
     }
-    struct bundle_place default_place = {place, "default"};
-    parameter->has_default = bundle_parse_value(parser, &default_place, default_node,
+    struct bundle_path default_path = {path, "default"};
+    parameter->has_default = bundle_parse_value(parser, &default_path, default_node,
                                                 &parameter->bounds, &parameter->default_value);
 }
 
-static void parse_parameters(struct bundle_parser *parser, const struct bundle_place *place,
+static void parse_parameters(struct bundle_parser *parser, const struct bundle_path *path,
                              JsonObject *object, struct configuration_template *template_entry)
 {
-    struct bundle_place section_place = {place, "parameters"};
+    struct bundle_path section_path = {path, "parameters"};
     JsonObject *section =
-        bundle_parse_section(parser, place, object, "parameters", CONFIGURATION_PARAMETERS_MAX);
+        bundle_parse_section(parser, path, object, "parameters", CONFIGURATION_PARAMETERS_MAX);
     JsonObjectIter iterator;
     const char *name = NULL;
     JsonNode *node = NULL;
@@ -245,19 +245,19 @@
     }
     json_object_iter_init_ordered(&iterator, section);
     while (json_object_iter_next_ordered(&iterator, &name, &node)) {
-        struct bundle_place parameter_place = {&section_place, name};
+        struct bundle_path parameter_path = {&section_path, name};
         struct template_parameter *parameter = g_new0(struct template_parameter, 1);
         parameter->name = g_strdup(name);
         g_ptr_array_add(template_entry->parameters, parameter);
         guint problems_before = parser->reader.problems->len;
-        bundle_reader_check_identifier(&parser->reader, &parameter_place, name);
-        parse_parameter(parser, &parameter_place, node, parameter);
+        bundle_reader_check_identifier(&parser->reader, &parameter_path, name);
+        parse_parameter(parser, &parameter_path, node, parameter);
         parameter->valid = parser->reader.problems->len == problems_before;
     }
 }
 
 /* A parameter may set a field if all it allows is valid there. */
-static void check_parameter_fits(struct bundle_parser *parser, const struct bundle_place *place,
+static void check_parameter_fits(struct bundle_parser *parser, const struct bundle_path *path,
                                  const struct template_parameter *parameter,
                                  const struct route_field_info *info)
 {
@@ -270,8 +270,7 @@
     if (bounds->type != info->bounds.type) {
         g_autofree char *fault = g_strdup_printf("parameter \"%s\" is of type %s", parameter->name,
                                                  value_type_name(bounds->type));
-        bundle_reader_fault(&parser->reader, place, NULL, fault,
-                            value_type_name(info->bounds.type));
+        bundle_reader_fault(&parser->reader, path, NULL, fault, value_type_name(info->bounds.type));
         return;
     }
     if (bounds->type == VALUE_TYPE_INTEGER &&
@@ -279,7 +278,7 @@
         g_autofree char *range = bundle_integer_allowed(bounds->minimum, bounds->maximum);
         g_autofree char *fault =
             g_strdup_printf("parameter \"%s\" allows %s", parameter->name, range);
-        bundle_reader_fault(&parser->reader, place, NULL, fault, allowed);
+        bundle_reader_fault(&parser->reader, path, NULL, fault, allowed);
     }
 }
 
@@ -295,45 +294,45 @@
 }
 
 /* Reads {"parameter": NAME} as a field's setting. */
-static void parse_reference(struct bundle_parser *parser, const struct bundle_place *place,
+static void parse_reference(struct bundle_parser *parser, const struct bundle_path *path,
                             JsonObject *object, const struct route_field_info *info,
                             struct configuration_template *template_entry,
                             struct route_setting *setting)
 {
     static const char *const members[] = {"parameter", NULL};
-    struct bundle_place name_place = {place, "parameter"};
+    struct bundle_path name_path = {path, "parameter"};
     g_autofree char *allowed = parameter_names_allowed(template_entry);
 
-    bundle_reader_refuse_unknown(&parser->reader, place, object, members);
+    bundle_reader_refuse_unknown(&parser->reader, path, object, members);
     const char *name =
-        bundle_reader_member_string(&parser->reader, place, object, "parameter", allowed);
+        bundle_reader_member_string(&parser->reader, path, object, "parameter", allowed);
     if (name == NULL) {
         return;
     }
     setting->parameter = template_find_parameter(template_entry, name);
     if (setting->parameter < 0) {
-        bundle_reader_fault(&parser->reader, &name_place,
+        bundle_reader_fault(&parser->reader, &name_path,
                             json_object_get_member(object, "parameter"), "is not a parameter",
                             allowed);
         return;
     }
-    check_parameter_fits(parser, place,
+    check_parameter_fits(parser, path,
                          g_ptr_array_index(template_entry->parameters, setting->parameter), info);
 }
 
-static void parse_setting(struct bundle_parser *parser, const struct bundle_place *place,
+static void parse_setting(struct bundle_parser *parser, const struct bundle_path *path,
                           JsonNode *node, const struct route_field_info *info,
                           struct configuration_template *template_entry,
                           struct route_setting *setting)
 {
     if (JSON_NODE_HOLDS_OBJECT(node)) {
-        parse_reference(parser, place, json_node_get_object(node), info, template_entry, setting);
+        parse_reference(parser, path, json_node_get_object(node), info, template_entry, setting);
         return;
     }
-    bundle_parse_value(parser, place, node, &info->bounds, &setting->constant);
+    bundle_parse_value(parser, path, node, &info->bounds, &setting->constant);
 }
 
-static void refuse_unknown_fields(struct bundle_parser *parser, const struct bundle_place *place,
+static void refuse_unknown_fields(struct bundle_parser *parser, const struct bundle_path *path,
                                   JsonObject *route)
 {
     const char *members[ROUTE_FIELD_COUNT + 1] = {NULL};
@@ -341,32 +340,32 @@
     for (guint field = 0; field < ROUTE_FIELD_COUNT; field++) {
         members[field] = route_field_info(field)->name;
     }
-    bundle_reader_refuse_unknown(&parser->reader, place, route, members);
+    bundle_reader_refuse_unknown(&parser->reader, path, route, members);
 }
 
-static void parse_route(struct bundle_parser *parser, const struct bundle_place *place,
+static void parse_route(struct bundle_parser *parser, const struct bundle_path *path,
                         JsonObject *object, struct configuration_template *template_entry)
 {
-    struct bundle_place route_place = {place, "route"};
-    JsonObject *route = bundle_reader_member_object(&parser->reader, place, object, "route");
+    struct bundle_path route_path = {path, "route"};
+    JsonObject *route = bundle_reader_member_object(&parser->reader, path, object, "route");
 
     if (route == NULL) {
         return;
     }
-    refuse_unknown_fields(parser, &route_place, route);
+    refuse_unknown_fields(parser, &route_path, route);
     for (guint field = 0; field < ROUTE_FIELD_COUNT; field++) {
         const struct route_field_info *info = route_field_info(field);
         struct route_setting *setting = &template_entry->settings[field];
-        struct bundle_place field_place = {&route_place, info->name};
+        struct bundle_path field_path = {&route_path, info->name};
         JsonNode *node = json_object_get_member(route, info->name);
 
         setting->parameter = ROUTE_SETTING_CONSTANT;
         setting->constant = info->default_value;
         if (node != NULL) {
-            parse_setting(parser, &field_place, node, info, template_entry, setting);
+            parse_setting(parser, &field_path, node, info, template_entry, setting);
         } else if (info->required) {
             g_autofree char *allowed = bundle_value_allowed(parser, &info->bounds);
-            bundle_reader_fault(&parser->reader, &field_place, NULL, "missing", allowed);
+            bundle_reader_fault(&parser->reader, &field_path, NULL, "missing", allowed);
         }
     }
 }
@@ -382,23 +381,23 @@
 }
 
 /* A parameter that sets nothing would mislead those who fill it in. */
-static void refuse_unused_parameters(struct bundle_parser *parser, const struct bundle_place *place,
+static void refuse_unused_parameters(struct bundle_parser *parser, const struct bundle_path *path,
                                      const struct configuration_template *template_entry)
 {
-    struct bundle_place section_place = {place, "parameters"};
+    struct bundle_path section_path = {path, "parameters"};
 
     for (guint i = 0; i < template_entry->parameters->len; i++) {
         const struct template_parameter *parameter =
             g_ptr_array_index(template_entry->parameters, i);
-        struct bundle_place parameter_place = {&section_place, parameter->name};
+        struct bundle_path parameter_path = {&section_path, parameter->name};
         if (!parameter_is_used(template_entry, i)) {
-            bundle_reader_fault(&parser->reader, &parameter_place, NULL,
+            bundle_reader_fault(&parser->reader, &parameter_path, NULL,
                                 "sets no field of the route", "a parameter that the route uses");
         }
     }
 }
 
-static void parse_template(struct bundle_parser *parser, const struct bundle_place *place,
+static void parse_template(struct bundle_parser *parser, const struct bundle_path *path,
                            const char *name, JsonNode *node)
 {
     static const char *const members[] = {"description", "parameters", "route", NULL};
@@ -410,24 +409,24 @@
     g_ptr_array_add(parser->configuration->templates, template_entry);
     g_hash_table_insert(parser->configuration->templates_by_name, template_entry->name,
                         template_entry);
-    JsonObject *object = bundle_reader_object(&parser->reader, place, node);
+    JsonObject *object = bundle_reader_object(&parser->reader, path, node);
     if (object == NULL) {
         return;
     }
-    bundle_reader_refuse_unknown(&parser->reader, place, object, members);
-    template_entry->description = bundle_parse_description(parser, place, object);
-    parse_parameters(parser, place, object, template_entry);
-    parse_route(parser, place, object, template_entry);
+    bundle_reader_refuse_unknown(&parser->reader, path, object, members);
+    template_entry->description = bundle_parse_description(parser, path, object);
+    parse_parameters(parser, path, object, template_entry);
+    parse_route(parser, path, object, template_entry);
     if (parser->reader.problems->len == problems_before) {
-        refuse_unused_parameters(parser, place, template_entry);
+        refuse_unused_parameters(parser, path, template_entry);
     }
     template_entry->valid = parser->reader.problems->len == problems_before;
 }
 
-void bundle_parse_templates(struct bundle_parser *parser, const struct bundle_place *root,
+void bundle_parse_templates(struct bundle_parser *parser, const struct bundle_path *root,
                             JsonObject *bundle)
 {
-    struct bundle_place section_place = {root, "templates"};
+    struct bundle_path section_path = {root, "templates"};
     JsonObject *section =
         bundle_parse_section(parser, root, bundle, "templates", CONFIGURATION_TEMPLATES_MAX);
     JsonObjectIter iterator;
@@ -440,8 +439,8 @@
     parser->templates_known = true;
     json_object_iter_init_ordered(&iterator, section);
     while (json_object_iter_next_ordered(&iterator, &name, &node)) {
-        struct bundle_place place = {&section_place, name};
-        bundle_reader_check_name(&parser->reader, &place, name);
-        parse_template(parser, &place, name, node);
+        struct bundle_path path = {&section_path, name};
+        bundle_reader_check_name(&parser->reader, &path, name);
+        parse_template(parser, &path, name, node);
     }
 }
