--- a/src/configuration/publish.c
+++ b/src/configuration/publish.c
@@ -1,4 +1,4 @@
-/* Publishing a configuration. */
+/* Publishing a configuration: performs the actions of publish_flow. */
 #include "configuration/publish.h"
 
 #include <inttypes.h>
@@ -7,13 +7,13 @@
 #include "configuration/problem.h"
 #include "core/error.h"
 
-/* One run of the flow. */
+/* One publication in progress. */
 struct publish_run {
     struct version_store *store;
     const struct publish_order *order;
     struct publish_flow flow;
-    struct version_row *last_row; /* what was read last; the winner on a conflict */
-    GError *last_error;           /* of the last call that failed */
+    struct version_row *last_row; /* the row read last; the winner on a conflict */
+    GError *last_error;           /* of the last call, if it failed */
 };
 
 static uint64_t now_ms(void)
@@ -21,9 +21,9 @@
     return (uint64_t)g_get_monotonic_time() / 1000;
 }
 
-static struct publish_moment this_moment(void)
+static struct publish_context make_context(void)
 {
-    return (struct publish_moment){now_ms(), g_random_int()};
+    return (struct publish_context){now_ms(), g_random_int()};
 }
 
 static void keep_row(struct publish_run *run, struct version_row *row)
@@ -37,7 +37,7 @@
     struct version_row *row = NULL;
     enum platform_result result = version_store_read_head(run->store, &row, &run->last_error);
 
-    publish_flow_on_head(&run->flow, result, row, this_moment());
+    publish_flow_on_head(&run->flow, result, row, make_context());
     keep_row(run, row);
 }
 
@@ -47,11 +47,12 @@
     enum platform_result result =
         version_store_read_version(run->store, run->flow.request.base + 1, &row, &run->last_error);
 
-    publish_flow_on_version(&run->flow, result, row, this_moment());
+    publish_flow_on_version(&run->flow, result, row, make_context());
     keep_row(run, row);
 }
 
-/* Reads a version's bundle. OK with `configuration` NULL: no daemon can use it. */
+/* Reads and parses the bundle of a hash. OK with `configuration` NULL: the bundle does not parse,
+ * so that no daemon can use it. */
 static enum platform_result read_bundle(struct publish_run *run, const char *hash,
                                         struct configuration **configuration)
 {
@@ -66,8 +67,8 @@
     return result;
 }
 
-/* Reads what daemons may have in force: the base or, if they can't use it, the one before. OK with
- * `before` NULL: nothing. */
+/* Reads the configuration that daemons have in force: the base or, if its bundle does not parse,
+ * the newest earlier version whose bundle does. OK with `before` NULL: there is none. */
 static enum platform_result read_base(struct publish_run *run, struct configuration **before)
 {
     struct version_row *row = version_row_copy(run->last_row);
@@ -85,7 +86,7 @@
     return result;
 }
 
-static bool allows(struct publish_run *run, const struct configuration *before)
+static bool change_is_allowed(struct publish_run *run, const struct configuration *before)
 {
     const struct publish_order *order = run->order;
     g_autoptr(GPtrArray) changes = database_changes_find(before, order->configuration);
@@ -103,11 +104,11 @@
     struct configuration *before = NULL;
     enum platform_result result = read_base(run, &before);
 
-    if (result == PLATFORM_RESULT_OK && before != NULL && !allows(run, before)) {
+    if (result == PLATFORM_RESULT_OK && before != NULL && !change_is_allowed(run, before)) {
         result = PLATFORM_RESULT_CONDITION_FAILED;
     }
     configuration_unref(before);
-    publish_flow_on_check(&run->flow, result, this_moment());
+    publish_flow_on_check(&run->flow, result, make_context());
 }
 
 static void put_bundle(struct publish_run *run)
@@ -117,7 +118,7 @@
         version_store_put_bundle(run->store, configuration_hash(configuration),
                                  configuration_canonical(configuration), &run->last_error);
 
-    publish_flow_on_bundle(&run->flow, result, this_moment());
+    publish_flow_on_bundle(&run->flow, result, make_context());
 }
 
 static void move_head(struct publish_run *run)
@@ -133,10 +134,10 @@
     };
     enum platform_result result = version_store_move_head(run->store, &row, &run->last_error);
 
-    publish_flow_on_move(&run->flow, result, this_moment());
+    publish_flow_on_move(&run->flow, result, make_context());
 }
 
-static void take_step(struct publish_run *run)
+static void perform_action(struct publish_run *run)
 {
     g_clear_error(&run->last_error);
     switch (run->flow.action) {
@@ -161,7 +162,8 @@
     }
 }
 
-/* Waits keep the last error, which explains an outcome by the deadline. */
+/* Runs the flow to its end. A wait leaves last_error set: if the deadline ends the flow, the
+ * message names the last failure as its cause. */
 static void run_flow(struct publish_run *run)
 {
     while (run->flow.action != PUBLISH_ACTION_FINISH) {
@@ -169,7 +171,7 @@
             g_usleep((gulong)run->flow.wait_ms * 1000);
             publish_flow_on_waited(&run->flow);
         } else {
-            take_step(run);
+            perform_action(run);
         }
     }
 }
@@ -200,7 +202,7 @@
         return;
     case PUBLISH_STATUS_UNKNOWN:
         g_set_error(error, SW_ERROR, ERROR_KIND_OUTCOME_UNKNOWN,
-                    "the move to version %" PRIu64 " got no answer (%s); ask again with request "
+                    "no response to the write of version %" PRIu64 " (%s); retry with request "
                     "id %s and base %" PRIu64,
                     flow->request.base + 1, cause, flow->request.request_id, flow->request.base);
         return;
@@ -210,8 +212,8 @@
     }
 }
 
-/* The hash of the version before the one in force; the head was at it unless the move was found in
- * the store later. */
+/* The hash of the version before the published one; NULL if there is none or it can't be read.
+ * Reads it from the history unless the row read last is of that version. */
 static char *find_base_hash(struct publish_run *run)
 {
     uint64_t base = run->flow.version - 1;
--- a/src/configuration/publish_flow.c
+++ b/src/configuration/publish_flow.c
@@ -1,4 +1,4 @@
-/* The decisions of publishing. */
+/* State machine of publishing. */
 #include "configuration/publish_flow.h"
 
 #include <string.h>
@@ -18,20 +18,22 @@
     flow->version = version;
 }
 
-/* Ends without the store's word: certain only if no move was left without an answer. */
+/* Finishes without an answer from the store. If a move got no answer, it may still take effect, so
+ * the status is UNKNOWN. */
 static void give_up(struct publish_flow *flow)
 {
     finish(flow, flow->move_unanswered ? PUBLISH_STATUS_UNKNOWN : PUBLISH_STATUS_UNAVAILABLE, 0);
 }
 
-/* Does `action` after a wait, unless the deadline comes first. */
+/* Schedules `action` after a backoff wait. Gives up if the wait would end past the deadline or no
+ * retries are left. */
 static void retry(struct publish_flow *flow, enum publish_action action,
-                  struct publish_moment moment)
+                  struct publish_context context)
 {
     uint32_t retries_max = flow->request.retries_max;
-    uint32_t wait_ms = backoff_wait_ms(&flow->request.backoff, flow->attempt, moment.random);
+    uint32_t wait_ms = backoff_wait_ms(&flow->request.backoff, flow->attempt, context.random);
 
-    if (moment.now_ms + wait_ms >= flow->request.deadline_ms ||
+    if (context.now_ms + wait_ms >= flow->request.deadline_ms ||
         (retries_max > 0 && flow->attempt >= retries_max)) {
         give_up(flow);
         return;
@@ -42,15 +44,15 @@
     flow->action_after_wait = action;
 }
 
-/* Retries after a failure that may pass; gives up after one that won't. */
+/* Retries after a transient failure; gives up if the platform rejected the request as such. */
 static void retry_after(struct publish_flow *flow, enum platform_result result,
-                        enum publish_action action, struct publish_moment moment)
+                        enum publish_action action, struct publish_context context)
 {
     if (result == PLATFORM_RESULT_REFUSED) {
         give_up(flow);
         return;
     }
-    retry(flow, action, moment);
+    retry(flow, action, context);
 }
 
 static bool is_this_request(const struct publish_flow *flow, const struct version_row *row)
@@ -59,15 +61,15 @@
            strcmp(row->hash, flow->request.hash) == 0;
 }
 
-/* The head is where the author left it: store the bundle, then move. */
+/* The head is at the base: check the change, store the bundle, then move the head. */
 static void on_head_at_base(struct publish_flow *flow, const struct version_row *row,
-                            struct publish_moment moment)
+                            struct publish_context context)
 {
     if (row != NULL && strcmp(row->hash, flow->request.hash) == 0) {
         finish(flow, PUBLISH_STATUS_UNCHANGED, row->version);
         return;
     }
-    /* The move's condition is that the head still is at base: what is allowed now stays allowed. */
+    /* The move requires that the head is still at the base, so the check's result stays valid. */
     if (row != NULL && !flow->change_allowed) {
         flow->action = PUBLISH_ACTION_CHECK_CHANGE;
         return;
@@ -78,13 +80,14 @@
     }
     if (flow->move_failed) {
         flow->move_failed = false;
-        retry(flow, PUBLISH_ACTION_MOVE_HEAD, moment);
+        retry(flow, PUBLISH_ACTION_MOVE_HEAD, context);
         return;
     }
     flow->action = PUBLISH_ACTION_MOVE_HEAD;
 }
 
-/* Version base + 1 is taken: by this request after a lost answer, or by another. */
+/* Version base + 1 exists: published by this request if its answer was lost, else by another one.
+ */
 static void on_next_version(struct publish_flow *flow, const struct version_row *row)
 {
     if (is_this_request(flow, row)) {
@@ -95,10 +98,10 @@
 }
 
 void publish_flow_on_head(struct publish_flow *flow, enum platform_result result,
-                          const struct version_row *row, struct publish_moment moment)
+                          const struct version_row *row, struct publish_context context)
 {
     if (result != PLATFORM_RESULT_OK && result != PLATFORM_RESULT_NOT_FOUND) {
-        retry_after(flow, result, PUBLISH_ACTION_READ_HEAD, moment);
+        retry_after(flow, result, PUBLISH_ACTION_READ_HEAD, context);
         return;
     }
     uint64_t head = row != NULL ? row->version : 0;
@@ -113,7 +116,7 @@
     if (head < flow->request.base) {
         finish(flow, PUBLISH_STATUS_NO_BASE, head);
     } else if (head == flow->request.base) {
-        on_head_at_base(flow, row, moment);
+        on_head_at_base(flow, row, context);
     } else if (head == flow->request.base + 1) {
         on_next_version(flow, row);
     } else {
@@ -122,24 +125,24 @@
 }
 
 void publish_flow_on_version(struct publish_flow *flow, enum platform_result result,
-                             const struct version_row *row, struct publish_moment moment)
+                             const struct version_row *row, struct publish_context context)
 {
     if (result != PLATFORM_RESULT_OK) {
-        retry_after(flow, result, PUBLISH_ACTION_READ_VERSION, moment);
+        retry_after(flow, result, PUBLISH_ACTION_READ_VERSION, context);
         return;
     }
     on_next_version(flow, row);
 }
 
 void publish_flow_on_check(struct publish_flow *flow, enum platform_result result,
-                           struct publish_moment moment)
+                           struct publish_context context)
 {
     if (result == PLATFORM_RESULT_CONDITION_FAILED) {
         finish(flow, PUBLISH_STATUS_FORBIDDEN, 0);
         return;
     }
     if (result != PLATFORM_RESULT_OK) {
-        retry_after(flow, result, PUBLISH_ACTION_CHECK_CHANGE, moment);
+        retry_after(flow, result, PUBLISH_ACTION_CHECK_CHANGE, context);
         return;
     }
     flow->change_allowed = true;
@@ -147,19 +150,19 @@
 }
 
 void publish_flow_on_bundle(struct publish_flow *flow, enum platform_result result,
-                            struct publish_moment moment)
+                            struct publish_context context)
 {
-    /* The key is the content's hash, so an object that is there already is the same. */
+    /* The key is the hash of the content, so an existing object has the same content. */
     if (result == PLATFORM_RESULT_OK || result == PLATFORM_RESULT_CONDITION_FAILED) {
         flow->bundle_stored = true;
         flow->action = PUBLISH_ACTION_MOVE_HEAD;
         return;
     }
-    retry_after(flow, result, PUBLISH_ACTION_PUT_BUNDLE, moment);
+    retry_after(flow, result, PUBLISH_ACTION_PUT_BUNDLE, context);
 }
 
 void publish_flow_on_move(struct publish_flow *flow, enum platform_result result,
-                          struct publish_moment moment)
+                          struct publish_context context)
 {
     switch (result) {
     case PLATFORM_RESULT_OK:
@@ -171,10 +174,10 @@
         return;
     case PLATFORM_RESULT_UNKNOWN:
         flow->move_unanswered = true;
-        retry(flow, PUBLISH_ACTION_READ_HEAD, moment);
+        retry(flow, PUBLISH_ACTION_READ_HEAD, context);
         return;
     default:
-        retry_after(flow, result, PUBLISH_ACTION_MOVE_HEAD, moment);
+        retry_after(flow, result, PUBLISH_ACTION_MOVE_HEAD, context);
         return;
     }
 }
--- a/src/configuration/version_row.c
+++ b/src/configuration/version_row.c
@@ -1,4 +1,4 @@
-/* One published version as a row of the table service. */
+/* One published version of the configuration, as a row of the table service. */
 #include "configuration/version_row.h"
 
 #define ATTRIBUTE_HASH         "hash"
--- a/src/configuration/version_store.c
+++ b/src/configuration/version_store.c
@@ -1,4 +1,4 @@
-/* Published versions in the platform. */
+/* Published versions in the object store and the table service. */
 #include "configuration/version_store.h"
 
 #include <string.h>
@@ -38,14 +38,15 @@
     g_free(store);
 }
 
-/* A row that can't be read is a fault of the store's content, not of the network. */
+/* Decodes an item. A row that does not decode means that the stored data is invalid, which no retry
+ * can cure; so the result is REFUSED. */
 static enum platform_result read_row(const struct table_item *item, struct version_row **row,
                                      GError **error)
 {
     *row = version_row_from_item(item);
     if (*row == NULL) {
         g_set_error(error, SW_ERROR, ERROR_KIND_INTERNAL,
-                    "table service: a version's row lacks an attribute");
+                    "table service: row of a configuration version is missing an attribute");
         return PLATFORM_RESULT_REFUSED;
     }
     return PLATFORM_RESULT_OK;
@@ -127,7 +128,7 @@
     if (strcmp(found, hash) != 0) {
         g_clear_pointer(canonical, g_bytes_unref);
         g_set_error(error, SW_ERROR, ERROR_KIND_INTERNAL,
-                    "object store: bundle %s has the content of %s", hash, found);
+                    "object store: content of bundle %s has hash %s", hash, found);
         return PLATFORM_RESULT_REFUSED;
     }
     return PLATFORM_RESULT_OK;
--- a/src/configuration/version_store.h
+++ b/src/configuration/version_store.h
@@ -1,5 +1,6 @@
-/* Published versions in the platform: bundles under their content hash in the object store, the
- * head and the history in the table service. The head is what is accepted. */
+/* Published versions: bundles under their content hash in the object store, the head (the row of
+ * the newest version) and the history (a row for each version) in the table service. The head
+ * decides which version is in force. */
 #ifndef SW_CONFIGURATION_VERSION_STORE_H
 #define SW_CONFIGURATION_VERSION_STORE_H
 
@@ -9,17 +10,18 @@
 
 struct version_store;
 
-/* A store reached by these settings. Calls block for at most the settings' time-out; any thread. */
+/* A client for the store with these settings. Each request blocks for at most the settings'
+ * time-out. Any thread. */
 struct version_store *version_store_new(const struct platform_settings *settings);
 
 void version_store_free(struct version_store *store);
 
-/* Reads the head, strongly consistent. OK: `row` is the caller's; NOT_FOUND: nothing is published
+/* Reads the head, strongly consistent. OK: the caller frees `row`; NOT_FOUND: nothing was published
  * yet. */
 enum platform_result version_store_read_head(struct version_store *store, struct version_row **row,
                                              GError **error);
 
-/* Reads a version from the history. OK: `row` is the caller's. */
+/* Reads a version from the history. OK: the caller frees `row`. */
 enum platform_result version_store_read_version(struct version_store *store, uint64_t version,
                                                 struct version_row **row, GError **error);
 
@@ -28,16 +30,17 @@
 enum platform_result version_store_list(struct version_store *store, uint64_t before,
                                         uint32_t limit, GPtrArray *rows, GError **error);
 
-/* Writes a bundle under its hash. CONDITION_FAILED: it is there already. */
+/* Writes a bundle under its hash. CONDITION_FAILED: an object of this key exists already. */
 enum platform_result version_store_put_bundle(struct version_store *store, const char *hash,
                                               GBytes *canonical, GError **error);
 
-/* Reads the bundle of a hash; OK only if its content has that hash. `canonical` is the caller's. */
+/* Reads the bundle of a hash and checks the hash of its content. OK: the caller owns `canonical`;
+ * REFUSED if the hash differs. */
 enum platform_result version_store_get_bundle(struct version_store *store, const char *hash,
                                               GBytes **canonical, GError **error);
 
-/* Moves the head from version row->version - 1 (0: nothing published) to `row` and adds it to the
- * history, both or neither. CONDITION_FAILED: the head is elsewhere. */
+/* In one transaction, moves the head from version row->version - 1 (0: nothing published) to `row`
+ * and adds `row` to the history. CONDITION_FAILED: the head is at another version. */
 enum platform_result version_store_move_head(struct version_store *store,
                                              const struct version_row *row, GError **error);
 
--- a/tests/configuration/test_publish.c
+++ b/tests/configuration/test_publish.c
@@ -1,4 +1,4 @@
-/* Publishing against the platform stand-in: races, lost answers, throttling, a store that is down.
+/* Publishing against the platform stand-in: races, lost answers, throttling, an unavailable store.
  */
 #include "configuration/publish.h"
 
@@ -9,7 +9,7 @@
 #include "core/error.h"
 #include "platform_fixture.h"
 
-/* A stand-in, a store, and two bundles that differ. */
+/* A stand-in, a store that uses it, and two different configurations. */
 struct publish_test {
     struct platform_fixture platform;
     struct version_store *store;
@@ -17,7 +17,7 @@
     struct configuration *second;
 };
 
-/* The example with another text in place of one that stands in it. */
+/* The example's configuration with the first occurrence of `from` replaced by `to`. */
 static struct configuration *parse_example(const char *from, const char *to)
 {
     g_autofree char *path = g_build_filename(g_getenv("CONFIGURATION_EXAMPLES"), "atlas-huts",
@@ -169,8 +169,9 @@
     g_assert_cmpuint(count_versions(test), ==, 1);
 }
 
-/* Asking again with the same request id and base, even after others went on, finds the version. */
-static void test_asking_again_finds_the_version(struct publish_test *test, gconstpointer unused)
+/* A repeated request with the same id and base finds the version that it published, also after
+ * later versions, and publishes nothing. */
+static void test_repeated_request_finds_the_version(struct publish_test *test, gconstpointer unused)
 {
     struct publish_order first = make_order(test->first, "r1", 0);
     struct publish_order second = make_order(test->second, "r2", 1);
@@ -184,9 +185,9 @@
     g_assert_cmpuint(count_versions(test), ==, 3);
 }
 
-/* The calls of an undisturbed publication: read the head, get the base's bundle (if there is one),
- * put the bundle, move the head. Each fault hits each call once; the version is made once all the
- * same. */
+/* Without faults, a publication makes these calls: read the head, get the base's bundle (if there
+ * is one), put the bundle, move the head. Each kind of fault hits each call once; the version must
+ * still be published exactly once. */
 static void test_fault_at_each_call(struct publish_test *test, gconstpointer unused)
 {
     static const enum platform_fault_kind kinds[] = {PLATFORM_FAULT_ANSWER_LOST,
@@ -206,7 +207,7 @@
     }
 }
 
-static void test_throttling_is_waited_out(struct publish_test *test, gconstpointer unused)
+static void test_passing_throttling_is_retried(struct publish_test *test, gconstpointer unused)
 {
     struct publish_order order = make_order(test->first, "r1", 0);
 
@@ -215,7 +216,7 @@
     g_assert_cmpuint(platform_standin_counts(test->platform.standin).throttled, ==, 6);
 }
 
-static void test_store_that_throttles_for_good(struct publish_test *test, gconstpointer unused)
+static void test_lasting_throttling(struct publish_test *test, gconstpointer unused)
 {
     struct publish_order order = make_order(test->first, "r1", 0);
 
@@ -248,7 +249,8 @@
     refusing_port_close(&port);
 }
 
-/* The move took effect, and no later call is answered: the outcome stays open until asked again. */
+/* The head moves, but the answer is lost and every later call fails. The outcome must be reported
+ * as unknown; a repeated request then finds the version. */
 static void test_lost_answer_with_the_store_down(struct publish_test *test, gconstpointer unused)
 {
     struct publish_order order = make_order(test->first, "r1", 0);
@@ -261,13 +263,13 @@
     order.retries_max = 3;
     g_assert_false(publish_configuration(test->store, &order, &outcome, &error));
     g_assert_error(error, SW_ERROR, ERROR_KIND_OUTCOME_UNKNOWN);
-    g_assert_nonnull(strstr(error->message, "ask again with request id r1 and base 0"));
+    g_assert_nonnull(strstr(error->message, "retry with request id r1 and base 0"));
     platform_standin_heal(test->platform.standin);
     order.retries_max = 0;
     assert_published(test, &order, 1);
 }
 
-/* One racing operator. */
+/* One of the operators that publish at the same time. */
 struct racer {
     struct publish_test *test;
     const struct configuration *configuration;
@@ -317,8 +319,8 @@
     g_assert_cmpuint(count_versions(test), ==, 1);
 }
 
-/* Whether a change of databases may follow; keeps what it was asked. */
-struct asked {
+/* The result of on_check, and the arguments of its calls. */
+struct recorded_check {
     bool allow;
     guint count;
     uint64_t base;
@@ -327,21 +329,21 @@
 
 static bool on_check(void *user, uint64_t base, const GPtrArray *changes, GError **error)
 {
-    struct asked *asked = user;
+    struct recorded_check *recorded = user;
 
-    asked->count++;
-    asked->base = base;
+    recorded->count++;
+    recorded->base = base;
     g_assert_cmpuint(changes->len, ==, 1);
     const struct database_change *change = g_ptr_array_index(changes, 0);
-    g_free(asked->group);
-    asked->group = g_strdup(change->group_name);
-    if (!asked->allow) {
+    g_free(recorded->group);
+    recorded->group = g_strdup(change->group_name);
+    if (!recorded->allow) {
         g_set_error(error, SW_ERROR, ERROR_KIND_NOT_READY, "not yet");
     }
-    return asked->allow;
+    return recorded->allow;
 }
 
-/* The example with one more database in a group. */
+/* The example with one database added to a group. */
 static struct configuration *add_database(void)
 {
     return parse_example("\"name\": \"toubkal-1\",",
@@ -350,10 +352,11 @@
                          "{\"name\": \"toubkal-1\",");
 }
 
-/* A second change of databases waits until the one before is done; nothing is published then. */
+/* The check decides whether a change of databases may be published. A change of more than one
+ * database of a group is rejected without calling it. Nothing is published if either rejects. */
 static void test_change_of_databases(struct publish_test *test, gconstpointer unused)
 {
-    struct asked asked = {0};
+    struct recorded_check recorded = {0};
     struct configuration *moved = parse_example("\"port\": 21000", "\"port\": 21091");
     struct configuration *more = add_database();
     struct publish_order order = make_order(test->first, "r1", 0);
@@ -361,32 +364,32 @@
     assert_published(test, &order, 1);
     order = make_order(test->second, "r2", 1);
     order.check = on_check;
-    order.check_user = &asked;
+    order.check_user = &recorded;
     assert_published(test, &order, 2);
-    g_assert_cmpuint(asked.count, ==, 0);
+    g_assert_cmpuint(recorded.count, ==, 0);
     order = make_order(more, "r3", 2);
     order.check = on_check;
-    order.check_user = &asked;
+    order.check_user = &recorded;
     assert_refused(test, &order, ERROR_KIND_NOT_READY, "not yet");
-    g_assert_cmpuint(asked.base, ==, 2);
-    g_assert_cmpstr(asked.group, ==, "bookings-toubkal");
+    g_assert_cmpuint(recorded.base, ==, 2);
+    g_assert_cmpstr(recorded.group, ==, "bookings-toubkal");
     g_assert_cmpuint(count_versions(test), ==, 2);
-    asked.allow = true;
+    recorded.allow = true;
     assert_published(test, &order, 3);
     order = make_order(moved, "r4", 3);
     order.check = on_check;
-    order.check_user = &asked;
-    g_assert_cmpuint(asked.count, ==, 2);
+    order.check_user = &recorded;
+    g_assert_cmpuint(recorded.count, ==, 2);
     assert_refused(test, &order, ERROR_KIND_INVALID_CONFIGURATION,
                    "one version may add or remove one database of a group, so that majorities "
                    "before and after share one\n"
                    "group \"bookings-toubkal\" adds toubkal-1 (127.0.0.1:21091) removes toubkal-4 "
                    "(127.0.0.1:21094), toubkal-1 (127.0.0.1:21000)");
-    g_assert_cmpuint(asked.count, ==, 2);
+    g_assert_cmpuint(recorded.count, ==, 2);
     g_assert_cmpuint(count_versions(test), ==, 3);
     configuration_unref(moved);
     configuration_unref(more);
-    g_free(asked.group);
+    g_free(recorded.group);
 }
 
 static void add(const char *path, void (*function)(struct publish_test *, gconstpointer))
@@ -402,11 +405,11 @@
     add("/publish/conflict", test_conflict_names_the_winner);
     add("/publish/no-base", test_base_that_does_not_exist);
     add("/publish/unchanged", test_same_bundle_makes_no_version);
-    add("/publish/ask-again", test_asking_again_finds_the_version);
+    add("/publish/repeated-request", test_repeated_request_finds_the_version);
     add("/publish/fault-at-each-call", test_fault_at_each_call);
     add("/publish/change-of-databases", test_change_of_databases);
-    add("/publish/throttled/passing", test_throttling_is_waited_out);
-    add("/publish/throttled/lasting", test_store_that_throttles_for_good);
+    add("/publish/throttled/passing", test_passing_throttling_is_retried);
+    add("/publish/throttled/lasting", test_lasting_throttling);
     add("/publish/unreachable", test_unreachable_store);
     add("/publish/lost-answer/store-down", test_lost_answer_with_the_store_down);
     add("/publish/race", test_racing_operators);
--- a/tests/configuration/test_publish_flow.c
+++ b/tests/configuration/test_publish_flow.c
@@ -1,5 +1,5 @@
-/* The decisions of publishing on a model of the platform: each step in turn, and seeded runs of
- * racing publishers under lost, late, throttled and refused calls. */
+/* The state machine of publishing: single transitions, and seeded races of three publishers on a
+ * model of the platform whose calls are lost, delayed, throttled or not sent. */
 #include "configuration/publish_flow.h"
 
 #define MODEL_VERSIONS_MAX  16
@@ -9,13 +9,13 @@
 #define MODEL_DEADLINE_MS   400
 #define MODEL_FAULT_PERCENT 35
 
-/* A move that got no answer and has not taken effect yet. */
+/* A move of the head that got no answer and may still take effect. */
 struct late_move {
     guint publisher;
     uint64_t base;
 };
 
-/* The platform, and what became of each call. */
+/* State of the platform, and the flows that use it. */
 struct model {
     GRand *random;
     uint64_t head;                          /* newest version; 0: none */
@@ -40,9 +40,9 @@
                                 .message = (char *)"message"};
 }
 
-static struct publish_moment model_moment(struct model *model)
+static struct publish_context model_context(struct model *model)
 {
-    return (struct publish_moment){model->now_ms, g_rand_int(model->random)};
+    return (struct publish_context){model->now_ms, g_rand_int(model->random)};
 }
 
 static bool model_chance(struct model *model, gint percent)
@@ -50,7 +50,8 @@
     return g_rand_int_range(model->random, 0, 100) < percent;
 }
 
-/* The conditional transaction; the bundle must be there before any head names it. */
+/* The conditional transaction that moves the head. A bundle must be stored before a head names it.
+ */
 static bool model_move(struct model *model, guint publisher, uint64_t base)
 {
     if (model->head != base) {
@@ -63,7 +64,7 @@
     return true;
 }
 
-static void model_land_one(struct model *model)
+static void model_apply_late_move(struct model *model)
 {
     if (model->late->len == 0) {
         return;
@@ -74,7 +75,7 @@
     model_move(model, move.publisher, move.base);
 }
 
-/* A failure that has no effect. */
+/* A random failure; the caller decides whether UNKNOWN took effect. */
 static enum platform_result model_failure(struct model *model)
 {
     static const enum platform_result failures[] = {
@@ -86,36 +87,36 @@
 static void step_read_head(struct model *model, struct publish_flow *flow)
 {
     if (model_chance(model, MODEL_FAULT_PERCENT)) {
-        publish_flow_on_head(flow, model_failure(model), NULL, model_moment(model));
+        publish_flow_on_head(flow, model_failure(model), NULL, model_context(model));
         return;
     }
     if (model->head == 0) {
-        publish_flow_on_head(flow, PLATFORM_RESULT_NOT_FOUND, NULL, model_moment(model));
+        publish_flow_on_head(flow, PLATFORM_RESULT_NOT_FOUND, NULL, model_context(model));
         return;
     }
     struct version_row row = model_row(model, model->head);
-    publish_flow_on_head(flow, PLATFORM_RESULT_OK, &row, model_moment(model));
+    publish_flow_on_head(flow, PLATFORM_RESULT_OK, &row, model_context(model));
 }
 
 static void step_read_version(struct model *model, struct publish_flow *flow)
 {
     if (model_chance(model, MODEL_FAULT_PERCENT)) {
-        publish_flow_on_version(flow, model_failure(model), NULL, model_moment(model));
+        publish_flow_on_version(flow, model_failure(model), NULL, model_context(model));
         return;
     }
     g_assert_cmpuint(flow->request.base + 1, <=, model->head);
     struct version_row row = model_row(model, flow->request.base + 1);
-    publish_flow_on_version(flow, PLATFORM_RESULT_OK, &row, model_moment(model));
+    publish_flow_on_version(flow, PLATFORM_RESULT_OK, &row, model_context(model));
 }
 
-/* The head is at the publisher's base then, or was a moment ago. */
+/* The base is not 0 then, as a flow checks only a change of an existing version. */
 static void step_check_change(struct model *model, struct publish_flow *flow)
 {
     bool fails = model_chance(model, MODEL_FAULT_PERCENT);
 
     g_assert_cmpuint(flow->request.base, >, 0);
     publish_flow_on_check(flow, fails ? model_failure(model) : PLATFORM_RESULT_OK,
-                          model_moment(model));
+                          model_context(model));
 }
 
 static void step_put_bundle(struct model *model, guint publisher)
@@ -129,7 +130,7 @@
     bool takes_effect = result == PLATFORM_RESULT_OK ||
                         (result == PLATFORM_RESULT_UNKNOWN && model_chance(model, 50));
     model->bundle_stored[publisher] = existed || takes_effect;
-    publish_flow_on_bundle(&model->flows[publisher], result, model_moment(model));
+    publish_flow_on_bundle(&model->flows[publisher], result, model_context(model));
 }
 
 static void step_move_head(struct model *model, guint publisher)
@@ -140,17 +141,17 @@
     if (!model_chance(model, MODEL_FAULT_PERCENT)) {
         bool moved = model_move(model, publisher, flow->request.base);
         publish_flow_on_move(flow, moved ? PLATFORM_RESULT_OK : PLATFORM_RESULT_CONDITION_FAILED,
-                             model_moment(model));
+                             model_context(model));
         return;
     }
     enum platform_result result = model_failure(model);
     if (result == PLATFORM_RESULT_UNKNOWN) {
         g_array_append_val(model->late, late);
         if (model_chance(model, 50)) {
-            model_land_one(model);
+            model_apply_late_move(model);
         }
     }
-    publish_flow_on_move(flow, result, model_moment(model));
+    publish_flow_on_move(flow, result, model_context(model));
 }
 
 static void model_step(struct model *model, guint publisher)
@@ -215,17 +216,18 @@
     for (guint step = 0; step < MODEL_STEPS_MAX; step++) {
         model_step(model, (guint)g_rand_int_range(model->random, 0, MODEL_PUBLISHERS));
         if (model_chance(model, 10)) {
-            model_land_one(model);
+            model_apply_late_move(model);
         }
     }
-    /* Whoever has not ended goes on alone; lost moves may land until the very end. */
+    /* The remaining flows run to their end one after the other; late moves may take effect
+     * afterwards. */
     for (guint i = 0; i < MODEL_PUBLISHERS; i++) {
         while (model->flows[i].action != PUBLISH_ACTION_FINISH) {
             model_step(model, i);
         }
     }
     while (model->late->len > 0) {
-        model_land_one(model);
+        model_apply_late_move(model);
     }
 }
 
@@ -239,8 +241,9 @@
     return count;
 }
 
-/* What each publisher was told is what the history says in the end. */
-static void assert_truthful(const struct model *model, guint publisher)
+/* Compares a publisher's status with the final history: an accepted publication is in it exactly
+ * once, a conflicting or failed one is not. Guards against a wrong outcome after a lost answer. */
+static void assert_status_matches_history(const struct model *model, guint publisher)
 {
     const struct publish_flow *flow = &model->flows[publisher];
     guint published = count_published(model, publisher);
@@ -271,19 +274,19 @@
         model_init(&model, seed);
         model_run(&model);
         for (guint i = 0; i < MODEL_PUBLISHERS; i++) {
-            assert_truthful(&model, i);
+            assert_status_matches_history(&model, i);
             counts[model.flows[i].status]++;
         }
         model_clear(&model);
     }
-    /* The seeds reach every ending that this model allows. */
+    /* The seeds cover every status that the model can produce. */
     g_assert_cmpuint(counts[PUBLISH_STATUS_ACCEPTED], >, 0);
     g_assert_cmpuint(counts[PUBLISH_STATUS_CONFLICT], >, 0);
     g_assert_cmpuint(counts[PUBLISH_STATUS_UNAVAILABLE], >, 0);
     g_assert_cmpuint(counts[PUBLISH_STATUS_UNKNOWN], >, 0);
 }
 
-static const struct publish_moment moment = {.now_ms = 0, .random = 5};
+static const struct publish_context context = {.now_ms = 0, .random = 5};
 
 /* A flow at MOVE_HEAD with base 4. */
 static struct publish_flow flow_at_move(void)
@@ -300,11 +303,11 @@
     request.base = 4;
     publish_flow_start(&flow, &request);
     g_assert_cmpint(flow.action, ==, PUBLISH_ACTION_READ_HEAD);
-    publish_flow_on_head(&flow, PLATFORM_RESULT_OK, &head, moment);
+    publish_flow_on_head(&flow, PLATFORM_RESULT_OK, &head, context);
     g_assert_cmpint(flow.action, ==, PUBLISH_ACTION_CHECK_CHANGE);
-    publish_flow_on_check(&flow, PLATFORM_RESULT_OK, moment);
+    publish_flow_on_check(&flow, PLATFORM_RESULT_OK, context);
     g_assert_cmpint(flow.action, ==, PUBLISH_ACTION_PUT_BUNDLE);
-    publish_flow_on_bundle(&flow, PLATFORM_RESULT_CONDITION_FAILED, moment);
+    publish_flow_on_bundle(&flow, PLATFORM_RESULT_CONDITION_FAILED, context);
     g_assert_cmpint(flow.action, ==, PUBLISH_ACTION_MOVE_HEAD);
     return flow;
 }
@@ -316,7 +319,7 @@
                                 .request_id = (char *)request_ids[publisher]};
 }
 
-static void wait_for(struct publish_flow *flow, enum publish_action action)
+static void expect_wait_then(struct publish_flow *flow, enum publish_action action)
 {
     g_assert_cmpint(flow->action, ==, PUBLISH_ACTION_WAIT);
     publish_flow_on_waited(flow);
@@ -328,9 +331,9 @@
     struct publish_flow flow = flow_at_move();
     struct version_row ours = row_of(5, 0);
 
-    publish_flow_on_move(&flow, PLATFORM_RESULT_UNKNOWN, moment);
-    wait_for(&flow, PUBLISH_ACTION_READ_HEAD);
-    publish_flow_on_head(&flow, PLATFORM_RESULT_OK, &ours, moment);
+    publish_flow_on_move(&flow, PLATFORM_RESULT_UNKNOWN, context);
+    expect_wait_then(&flow, PUBLISH_ACTION_READ_HEAD);
+    publish_flow_on_head(&flow, PLATFORM_RESULT_OK, &ours, context);
     g_assert_cmpint(flow.status, ==, PUBLISH_STATUS_ACCEPTED);
     g_assert_cmpuint(flow.version, ==, 5);
 }
@@ -341,11 +344,11 @@
     struct version_row newer = row_of(7, 1);
     struct version_row ours = row_of(5, 0);
 
-    publish_flow_on_move(&flow, PLATFORM_RESULT_UNKNOWN, moment);
-    wait_for(&flow, PUBLISH_ACTION_READ_HEAD);
-    publish_flow_on_head(&flow, PLATFORM_RESULT_OK, &newer, moment);
+    publish_flow_on_move(&flow, PLATFORM_RESULT_UNKNOWN, context);
+    expect_wait_then(&flow, PUBLISH_ACTION_READ_HEAD);
+    publish_flow_on_head(&flow, PLATFORM_RESULT_OK, &newer, context);
     g_assert_cmpint(flow.action, ==, PUBLISH_ACTION_READ_VERSION);
-    publish_flow_on_version(&flow, PLATFORM_RESULT_OK, &ours, moment);
+    publish_flow_on_version(&flow, PLATFORM_RESULT_OK, &ours, context);
     g_assert_cmpint(flow.status, ==, PUBLISH_STATUS_ACCEPTED);
     g_assert_cmpuint(flow.version, ==, 5);
 }
@@ -355,11 +358,11 @@
     struct publish_flow flow = flow_at_move();
     struct version_row unchanged = row_of(4, 1);
 
-    publish_flow_on_move(&flow, PLATFORM_RESULT_UNKNOWN, moment);
-    wait_for(&flow, PUBLISH_ACTION_READ_HEAD);
-    publish_flow_on_head(&flow, PLATFORM_RESULT_OK, &unchanged, moment);
+    publish_flow_on_move(&flow, PLATFORM_RESULT_UNKNOWN, context);
+    expect_wait_then(&flow, PUBLISH_ACTION_READ_HEAD);
+    publish_flow_on_head(&flow, PLATFORM_RESULT_OK, &unchanged, context);
     g_assert_cmpint(flow.action, ==, PUBLISH_ACTION_MOVE_HEAD);
-    publish_flow_on_move(&flow, PLATFORM_RESULT_OK, moment);
+    publish_flow_on_move(&flow, PLATFORM_RESULT_OK, context);
     g_assert_cmpint(flow.status, ==, PUBLISH_STATUS_ACCEPTED);
 }
 
@@ -368,28 +371,28 @@
     struct publish_flow flow = flow_at_move();
     struct version_row winner = row_of(5, 1);
 
-    publish_flow_on_move(&flow, PLATFORM_RESULT_CONDITION_FAILED, moment);
+    publish_flow_on_move(&flow, PLATFORM_RESULT_CONDITION_FAILED, context);
     g_assert_cmpint(flow.action, ==, PUBLISH_ACTION_READ_HEAD);
-    publish_flow_on_head(&flow, PLATFORM_RESULT_OK, &winner, moment);
+    publish_flow_on_head(&flow, PLATFORM_RESULT_OK, &winner, context);
     g_assert_cmpint(flow.status, ==, PUBLISH_STATUS_CONFLICT);
 }
 
-/* A request id used again with another bundle is not taken for the first. */
+/* A request id that is reused for another bundle does not match the version of the first. */
 static void test_reused_request_id_is_a_conflict(void)
 {
     struct publish_flow flow = flow_at_move();
     struct version_row other = row_of(5, 0);
 
     other.hash = (char *)"other";
-    publish_flow_on_move(&flow, PLATFORM_RESULT_CONDITION_FAILED, moment);
-    publish_flow_on_head(&flow, PLATFORM_RESULT_OK, &other, moment);
+    publish_flow_on_move(&flow, PLATFORM_RESULT_CONDITION_FAILED, context);
+    publish_flow_on_head(&flow, PLATFORM_RESULT_OK, &other, context);
     g_assert_cmpint(flow.status, ==, PUBLISH_STATUS_CONFLICT);
 }
 
 static void test_deadline_after_a_lost_answer_is_unknown(void)
 {
     struct publish_flow flow = flow_at_move();
-    const struct publish_moment late = {.now_ms = MODEL_DEADLINE_MS, .random = 5};
+    const struct publish_context late = {.now_ms = MODEL_DEADLINE_MS, .random = 5};
 
     publish_flow_on_move(&flow, PLATFORM_RESULT_UNKNOWN, late);
     g_assert_cmpint(flow.status, ==, PUBLISH_STATUS_UNKNOWN);
@@ -398,7 +401,7 @@
 static void test_deadline_before_the_move_is_certain(void)
 {
     struct publish_flow flow = flow_at_move();
-    const struct publish_moment late = {.now_ms = MODEL_DEADLINE_MS, .random = 5};
+    const struct publish_context late = {.now_ms = MODEL_DEADLINE_MS, .random = 5};
 
     publish_flow_on_move(&flow, PLATFORM_RESULT_THROTTLED, late);
     g_assert_cmpint(flow.status, ==, PUBLISH_STATUS_UNAVAILABLE);
@@ -412,11 +415,11 @@
     request.has_base = true;
     request.base = 3;
     publish_flow_start(&flow, &request);
-    publish_flow_on_head(&flow, PLATFORM_RESULT_NOT_FOUND, NULL, moment);
+    publish_flow_on_head(&flow, PLATFORM_RESULT_NOT_FOUND, NULL, context);
     g_assert_cmpint(flow.status, ==, PUBLISH_STATUS_NO_BASE);
 }
 
-/* Nothing is stored or moved for a bundle that may not follow the base. */
+/* If the change may not follow the base, the flow ends without writing the bundle or the head. */
 static void test_forbidden_change(void)
 {
     struct publish_flow flow;
@@ -424,11 +427,11 @@
     struct version_row head = row_of(4, 1);
 
     publish_flow_start(&flow, &request);
-    publish_flow_on_head(&flow, PLATFORM_RESULT_OK, &head, moment);
+    publish_flow_on_head(&flow, PLATFORM_RESULT_OK, &head, context);
     g_assert_cmpint(flow.action, ==, PUBLISH_ACTION_CHECK_CHANGE);
-    publish_flow_on_check(&flow, PLATFORM_RESULT_UNAVAILABLE, moment);
-    wait_for(&flow, PUBLISH_ACTION_CHECK_CHANGE);
-    publish_flow_on_check(&flow, PLATFORM_RESULT_CONDITION_FAILED, moment);
+    publish_flow_on_check(&flow, PLATFORM_RESULT_UNAVAILABLE, context);
+    expect_wait_then(&flow, PUBLISH_ACTION_CHECK_CHANGE);
+    publish_flow_on_check(&flow, PLATFORM_RESULT_CONDITION_FAILED, context);
     g_assert_cmpint(flow.action, ==, PUBLISH_ACTION_FINISH);
     g_assert_cmpint(flow.status, ==, PUBLISH_STATUS_FORBIDDEN);
 }
@@ -441,7 +444,7 @@
 
     head.request_id = (char *)"earlier";
     publish_flow_start(&flow, &request);
-    publish_flow_on_head(&flow, PLATFORM_RESULT_OK, &head, moment);
+    publish_flow_on_head(&flow, PLATFORM_RESULT_OK, &head, context);
     g_assert_cmpint(flow.status, ==, PUBLISH_STATUS_UNCHANGED);
     g_assert_cmpuint(flow.version, ==, 9);
 }
