--- a/src/configuration/bundle_reader.c
+++ b/src/configuration/bundle_reader.c
@@ -9,16 +9,16 @@
 /* json-glib parses by recursion, so depth is bounded before it starts. */
 #define BUNDLE_DEPTH_MAX 16
 
-/* Characters of a value that a problem shows. */
+/* Longest quotation of a value in a problem, in characters. */
 #define BUNDLE_VALUE_SHOWN_MAX 60
 
-/* Names that a problem lists as allowed. */
+/* Most allowed names that a problem lists. */
 #define BUNDLE_NAMES_SHOWN_MAX 8
 
-/* Members counted for each object while parsing, to find one given twice. */
+/* Counts of the members read so far of each object, to detect duplicates. */
 struct duplicate_check {
     struct bundle_reader *reader;
-    GHashTable *member_counts; /* JsonObject (one reference held) -> count */
+    GHashTable *member_counts; /* JsonObject (referenced) -> count */
 };
 
 static void append_pointer(GString *text, const struct bundle_path *path)
@@ -51,7 +51,7 @@
     return g_string_free(text, FALSE);
 }
 
-/* The value as JSON, cut at a character's border. */
+/* The value as JSON, truncated to whole characters. */
 static char *value_text(JsonNode *node)
 {
     g_autofree char *json = json_to_string(node, FALSE);
@@ -72,7 +72,7 @@
     configuration_problems_add(reader->problems, reader->source, pointer, value, fault, allowed);
 }
 
-/* True if brackets outside strings nest no deeper than the bound. */
+/* True if brackets outside strings nest at most BUNDLE_DEPTH_MAX deep. */
 static bool depth_is_bounded(const char *json, gsize length)
 {
     guint depth = 0;
@@ -96,7 +96,8 @@
     return true;
 }
 
-/* json-glib keeps the last of two members of one name; here that is a fault. */
+/* json-glib silently keeps the last of two members with one name; a bundle must not have both. The
+ * object's size does not grow with a duplicate, so the count of members exceeds it then. */
 static void on_object_member(JsonParser *parser, JsonObject *object, const char *name,
                              gpointer user_data)
 {
@@ -303,7 +304,7 @@
     }
 }
 
-/* True if `name` is made of a-z, 0-9 and, but for the first path, the separator. */
+/* True if `name` consists of a-z, 0-9 and the separator, and does not start with the separator. */
 static bool name_is_valid(const char *name, char separator)
 {
     size_t length = strlen(name);
--- a/src/configuration/bundle_slices.c
+++ b/src/configuration/bundle_slices.c
@@ -1,60 +1,62 @@
-/* Cutting a canonical bundle between tenants. */
+/* Splitting the text of a canonical bundle into slices of tenants. */
 #include "configuration/bundle_slices.h"
 
 #include <string.h>
 
 #define SECTION "\"tenants\":{"
 
-/* Depth of a bundle's sections' names, and of a section's members. */
+/* Depth of nesting at the names of sections, and at the members of a section. */
 #define DEPTH_SECTION 1
 #define DEPTH_MEMBER  2
 
-/* A walk over JSON text that knows strings and brackets. */
-struct walk {
+/* A position in JSON text. Tracks strings and the depth of brackets. */
+struct scanner {
     const char *json;
     gsize length;
-    gsize at;
+    gsize position;
     guint depth;
 };
 
-/* Steps over a string whose first quote is at `at`. */
-static void skip_string(struct walk *walk)
+/* Skips a string whose opening quote is at the position. */
+static void skip_string(struct scanner *scanner)
 {
-    for (walk->at++; walk->at < walk->length && walk->json[walk->at] != '"'; walk->at++) {
-        if (walk->json[walk->at] == '\\') {
-            walk->at++;
+    for (scanner->position++;
+         scanner->position < scanner->length && scanner->json[scanner->position] != '"';
+         scanner->position++) {
+        if (scanner->json[scanner->position] == '\\') {
+            scanner->position++;
         }
     }
-    walk->at++;
+    scanner->position++;
 }
 
-/* Steps over one character, or one string. */
-static void step(struct walk *walk)
+/* Advances by one character or one string. */
+static void advance(struct scanner *scanner)
 {
-    char character = walk->json[walk->at];
+    char character = scanner->json[scanner->position];
 
     if (character == '"') {
-        skip_string(walk);
+        skip_string(scanner);
         return;
     }
     if (character == '{' || character == '[') {
-        walk->depth++;
+        scanner->depth++;
     } else if (character == '}' || character == ']') {
-        walk->depth--;
+        scanner->depth--;
     }
-    walk->at++;
+    scanner->position++;
 }
 
-/* Goes on to just after the section's opening bracket; false if it has none. */
-static bool find_section(struct walk *walk)
+/* Advances to just after the opening bracket of "tenants"; false if there is no such section. */
+static bool find_section(struct scanner *scanner)
 {
     gsize size = strlen(SECTION);
 
-    for (; walk->at < walk->length; step(walk)) {
-        if (walk->depth == DEPTH_SECTION && walk->length - walk->at > size &&
-            memcmp(walk->json + walk->at, SECTION, size) == 0) {
-            walk->at += size;
-            walk->depth++;
+    for (; scanner->position < scanner->length; advance(scanner)) {
+        if (scanner->depth == DEPTH_SECTION && scanner->length - scanner->position > size &&
+            memcmp(scanner->json + scanner->position, SECTION, size) == 0) {
+            scanner->position += size;
+            scanner->depth++;
             return true;
         }
     }
@@ -71,43 +73,44 @@
     g_ptr_array_add(slices, g_string_free(slice, FALSE));
 }
 
-/* Cuts the section's members, whose first begins where the walk is, up to its closing bracket. */
-static bool cut_section(struct walk *walk, GPtrArray *slices)
+/* Splits the members of the section, from the position to just after its closing bracket. False if
+ * the bracket is missing. */
+static bool split_section(struct scanner *scanner, GPtrArray *slices)
 {
-    gsize start = walk->at;
+    gsize start = scanner->position;
     guint members = 0;
 
-    while (walk->at < walk->length && walk->depth >= DEPTH_MEMBER) {
-        bool between = walk->depth == DEPTH_MEMBER && walk->json[walk->at] == ',';
-        members += between ? 1 : 0;
-        if (between && members == BUNDLE_SLICE_TENANTS) {
-            add_slice(slices, walk->json + start, walk->json + walk->at);
-            start = walk->at + 1;
+    while (scanner->position < scanner->length && scanner->depth >= DEPTH_MEMBER) {
+        bool at_comma = scanner->depth == DEPTH_MEMBER && scanner->json[scanner->position] == ',';
+        members += at_comma ? 1 : 0;
+        if (at_comma && members == BUNDLE_SLICE_TENANTS) {
+            add_slice(slices, scanner->json + start, scanner->json + scanner->position);
+            start = scanner->position + 1;
             members = 0;
         }
-        step(walk);
+        advance(scanner);
     }
-    if (walk->depth >= DEPTH_MEMBER || walk->at > walk->length) {
+    if (scanner->depth >= DEPTH_MEMBER || scanner->position > scanner->length) {
         return false;
     }
-    add_slice(slices, walk->json + start, walk->json + walk->at - 1);
+    add_slice(slices, scanner->json + start, scanner->json + scanner->position - 1);
     return true;
 }
 
-bool bundle_slices_cut(const char *json, gsize length, struct bundle_slices *slices)
+bool bundle_slices_split(const char *json, gsize length, struct bundle_slices *slices)
 {
-    struct walk walk = {.json = json, .length = length};
+    struct scanner scanner = {.json = json, .length = length};
 
     *slices = (struct bundle_slices){.slices = g_ptr_array_new_with_free_func(g_free)};
-    if (!find_section(&walk)) {
+    if (!find_section(&scanner)) {
         return false;
     }
-    gsize start = walk.at;
-    if (!cut_section(&walk, slices->slices)) {
+    gsize start = scanner.position;
+    if (!split_section(&scanner, slices->slices)) {
         return false;
     }
     GString *rest = g_string_new_len(json, (gssize)start);
-    g_string_append_len(rest, json + walk.at - 1, (gssize)(length - walk.at + 1));
+    g_string_append_len(rest, json + scanner.position - 1, (gssize)(length - scanner.position + 1));
     slices->rest = g_string_free(rest, FALSE);
     return true;
 }
--- a/src/configuration/canonical.c
+++ b/src/configuration/canonical.c
@@ -10,8 +10,8 @@
 
 static void sort_node(JsonNode *node);
 
-/* An object keeps its members in the order in which they were set, and removing one is linear: so
- * the node gets a new object with the same member nodes. */
+/* An object keeps its members in order of insertion, and removing one is linear. So the node gets a
+ * new object with the same member nodes, inserted in sorted order. */
 static void sort_object(JsonNode *node)
 {
     JsonObject *object = json_node_get_object(node);
--- a/src/configuration/configuration.c
+++ b/src/configuration/configuration.c
@@ -1,4 +1,4 @@
-/* The configuration: references, look-ups and queries. */
+/* The configuration: reference counting and look-ups. */
 #include "configuration/configuration.h"
 
 #include <string.h>
--- a/src/configuration/configuration.h
+++ b/src/configuration/configuration.h
@@ -1,8 +1,8 @@
-/* The configuration: shared templates, database groups, and tenants that fill templates in with
- * parameters. Every tenant's route is derived from these; none is written by hand.
+/* The configuration: zones, database groups, shared templates, and tenants, each with a template
+ * and values for its parameters. The route of a tenant is derived from these.
  *
- * A struct configuration is immutable once parsed, so threads share it without locks; it is
- * reference counted, and readers under RCU need no reference of their own. */
+ * A struct configuration is immutable once parsed, so that threads share it without locks. It is
+ * reference counted; readers under RCU need no reference of their own. */
 #ifndef SW_CONFIGURATION_CONFIGURATION_H
 #define SW_CONFIGURATION_CONFIGURATION_H
 
@@ -13,7 +13,7 @@
 
 #include "core/types.h"
 
-/* Size limits of one bundle. */
+/* Limits of one bundle, the JSON document that holds one version of the configuration. */
 #define CONFIGURATION_BYTES_MAX      (16 * 1024 * 1024)
 #define CONFIGURATION_ZONES_MAX      32
 #define CONFIGURATION_GROUPS_MAX     4096
@@ -24,23 +24,23 @@
 /* Characters of a content hash: SHA-256 in lower-case hexadecimal. */
 #define CONFIGURATION_HASH_LENGTH 64
 
-/* A part of the network that fails as one. */
+/* A failure domain: a part of the network that fails as a unit. */
 struct zone_configuration {
     char *name;
     uint32_t id;
 };
 
-/* One database server of a group. */
+/* One database of a group. */
 struct database_configuration {
     char *name;           /* unique in the bundle */
     uint32_t zone;        /* id of its zone */
-    char *host;           /* IP number */
+    char *host;           /* IP address */
     uint16_t port;        /* TCP port */
     uint32_t slots;       /* statements it can run at the same time */
-    uint32_t connections; /* connections it accepts in all; above slots */
+    uint32_t connections; /* connections it accepts in total; more than slots */
 };
 
-/* One replicated group of databases. */
+/* One group: databases that replicate one log. */
 struct group_configuration {
     uint32_t id; /* unique in the bundle; messages carry it */
     char *name;
@@ -57,20 +57,20 @@
     uint32_t group;                      /* id of the tenant's database group */
     uint32_t max_staleness_ms;           /* oldest data a read without a session may see */
     uint32_t read_wait_ms;               /* longest wait for a replica to catch up */
-    uint32_t read_primary_share_percent; /* most of its reads that may fall back to the primary */
+    uint32_t read_primary_share_percent; /* largest share of reads sent to the primary instead */
     bool reads_from_replicas;            /* false: every read goes to the primary */
     uint32_t weight;                     /* share of a group's slots, relative to other tenants */
-    uint32_t in_flight_limit;            /* requests at the same time, for each owner daemon */
-    uint32_t request_timeout_ms;         /* longest time to answer one request */
-    uint32_t transaction_idle_ms;        /* longest pause between a transaction's statements */
-    uint32_t transaction_total_ms;       /* longest life of a transaction */
-    bool writes_require_key;             /* a write without an idempotency key is refused */
-    uint32_t idempotency_days;           /* how long an idempotency key is remembered */
+    uint32_t in_flight_limit;      /* concurrent requests, at each daemon that owns the group */
+    uint32_t request_timeout_ms;   /* time-out of one request */
+    uint32_t transaction_idle_ms;  /* idle time-out between statements of a transaction */
+    uint32_t transaction_total_ms; /* total time-out of a transaction */
+    bool writes_require_key;       /* a write without an idempotency key is rejected */
+    uint32_t idempotency_days;     /* retention of idempotency keys */
 };
 
 struct configuration_template;
 
-/* One bundle. Immutable; arrays are sorted, so that equal bundles read equal. */
+/* One parsed bundle. Immutable. Arrays are sorted, so that equal bundles give equal arrays. */
 struct configuration {
     GBytes *canonical;             /* the bundle's canonical JSON */
     char *hash;                    /* content hash of the canonical JSON */
@@ -91,15 +91,16 @@
 bool configuration_parse(const char *json, gsize length, const char *source,
                          struct configuration **out, GPtrArray *problems);
 
-/* The same for a bundle that is in its canonical form, as published ones are: it is kept as it is,
- * which saves making it again, and a large one takes a small part of the memory meanwhile. */
+/* As above for a bundle in canonical form, as published bundles are. The text is kept instead of
+ * being generated anew, and tenants are parsed in slices, which limits the memory that a large
+ * bundle needs during parsing. */
 bool configuration_parse_canonical(GBytes *canonical, const char *source,
                                    struct configuration **out, GPtrArray *problems);
 
-/* Takes one more reference; from any thread. */
+/* Takes a reference. Any thread. */
 struct configuration *configuration_ref(struct configuration *configuration);
 
-/* Gives one reference back; from any thread. NULL is allowed. */
+/* Releases a reference. Any thread. NULL is allowed. */
 void configuration_unref(struct configuration *configuration);
 
 /* The route of a tenant, or NULL. O(1). */
@@ -118,8 +119,8 @@
 const struct zone_configuration *
 configuration_find_zone_by_name(const struct configuration *configuration, const char *name);
 
-/* The group that has a database of this name, and the database's index in it; or NULL. Linear in
- * the number of databases: for operators' calls. */
+/* The group of the database with this name, and the database's index in the group; or NULL. Linear
+ * in the number of databases: meant for operators' calls. */
 const struct group_configuration *
 configuration_find_database(const struct configuration *configuration, const char *database,
                             uint32_t *index);
@@ -135,7 +136,7 @@
 /* The content hash of the canonical JSON. Owned by the configuration. */
 const char *configuration_hash(const struct configuration *configuration);
 
-/* True if two routes serve requests in the same way; their templates' names may differ. */
+/* True if all fields of two routes are equal. The tenants and templates may differ. */
 bool tenant_route_equal(const struct tenant_route *left, const struct tenant_route *right);
 
 #endif
--- a/src/configuration/database_change.c
+++ b/src/configuration/database_change.c
@@ -1,4 +1,4 @@
-/* Which databases a new version adds and removes. */
+/* The databases that a new version adds to and removes from each group. */
 #include "configuration/database_change.h"
 
 #include <string.h>
@@ -6,7 +6,8 @@
 #include "core/error.h"
 #include "generated/errors.h"
 
-/* Databases that one version may add to or remove from a group. */
+/* Most databases that one version may add to and remove from a group, in total: any majority before
+ * and any after then share a database. */
 #define DATABASES_CHANGED_MAX 1
 
 static void free_change(gpointer data)
@@ -20,18 +21,18 @@
 }
 
 static bool has_address(const struct group_configuration *group,
-                        const struct database_configuration *wanted)
+                        const struct database_configuration *sought)
 {
     for (uint32_t i = 0; i < group->database_count; i++) {
         const struct database_configuration *database = &group->databases[i];
-        if (database->port == wanted->port && strcmp(database->host, wanted->host) == 0) {
+        if (database->port == sought->port && strcmp(database->host, sought->host) == 0) {
             return true;
         }
     }
     return false;
 }
 
-/* Those of one group that another lacks. */
+/* The databases of `group` whose address is not in `other`. */
 static GPtrArray *find_missing(const struct group_configuration *group,
                                const struct group_configuration *other)
 {
@@ -54,15 +55,15 @@
 
     for (guint i = 0; i < after->groups->len; i++) {
         const struct group_configuration *group = g_ptr_array_index(after->groups, i);
-        const struct group_configuration *earlier = configuration_find_group(before, group->id);
-        if (earlier == NULL) {
+        const struct group_configuration *previous = configuration_find_group(before, group->id);
+        if (previous == NULL) {
             continue;
         }
         struct database_change *change = g_new0(struct database_change, 1);
         change->group = group->id;
         change->group_name = g_strdup(group->name);
-        change->added = find_missing(group, earlier);
-        change->removed = find_missing(earlier, group);
+        change->added = find_missing(group, previous);
+        change->removed = find_missing(previous, group);
         if (change->added->len + change->removed->len > 0) {
             g_ptr_array_add(changes, change);
         } else {
--- a/src/configuration/database_change.h
+++ b/src/configuration/database_change.h
@@ -1,28 +1,30 @@
-/* Which databases a new version adds to and removes from each group. Daemons have the versions
- * before and after in force at the same time for a moment, each counting majorities of its own; so
- * that any two of them share a database, one version may change one database of a group at most.
- * See docs/design/configuration.md. */
+/* The databases that a new version adds to and removes from each group. While a version spreads,
+ * some daemons count majorities of a group's old databases and others of its new ones. If two such
+ * majorities had no database in common, each could accept a primary of its own. One version may
+ * therefore add or remove at most one database of a group: any old and any new majority then share
+ * a database. See docs/design/configuration.md. */
 #ifndef SW_CONFIGURATION_DATABASE_CHANGE_H
 #define SW_CONFIGURATION_DATABASE_CHANGE_H
 
 #include "configuration/configuration.h"
 
-/* The databases that one group gains and loses. A database is its address: one under the same name
- * at another address is another. Owns all it holds. */
+/* The databases added to and removed from one group. A database is identified by its address, so
+ * that a new address under the same name counts as one removed and one added. Owns its members. */
 struct database_change {
     uint32_t group;
     char *group_name;
-    GPtrArray *added; /* "NAME (HOST:PORT)" */
-    GPtrArray *removed;
+    GPtrArray *added;   /* char *: "NAME (HOST:PORT)" */
+    GPtrArray *removed; /* likewise */
 };
 
-/* The changes of groups that both versions have, by group id; the array frees its elements. A group
- * that comes or goes as a whole is none: there is no majority before, or none after. */
+/* The changed groups among those that both versions have, by group id. The array frees its
+ * elements. An added or removed group is not a change, as it has a majority in only one of the
+ * versions. */
 GPtrArray *database_changes_find(const struct configuration *before,
                                  const struct configuration *after);
 
-/* Fails with ERROR_KIND_INVALID_CONFIGURATION, naming groups and databases, if a group gains and
- * loses more than one database in all. */
+/* Fails with ERROR_KIND_INVALID_CONFIGURATION, naming groups and databases, if the databases added
+ * to and removed from any one group are more than one in total. */
 bool database_changes_check(const GPtrArray *changes, GError **error);
 
 #endif
--- a/src/configuration/diff.c
+++ b/src/configuration/diff.c
@@ -1,5 +1,5 @@
-/* What a change of configuration means. Zones, groups and templates are compared as canonical
- * JSON, tenants by their derived routes. */
+/* Difference of two configurations. Zones, groups and templates are compared as canonical JSON,
+ * tenants by their derived routes. */
 #include "configuration/diff.h"
 
 #include <string.h>
@@ -50,7 +50,7 @@
     return names[kind];
 }
 
-/* Adds a change; the caller fills in its fields. */
+/* Adds a change without fields; the array owns it. */
 static struct configuration_change *add_change(GPtrArray *changes, enum change_section section,
                                                enum change_kind kind, const char *name)
 {
@@ -64,7 +64,7 @@
     return change;
 }
 
-/* Takes the texts `before` and `after`. */
+/* Adds a field; takes ownership of `before` and `after`. */
 static void add_field(struct configuration_change *change, const char *field, char *before,
                       char *after)
 {
@@ -136,7 +136,7 @@
     }
 }
 
-/* Adds each value that differs between two nodes; either may be NULL. */
+/* Adds a field for each value that differs between two nodes. Either node may be NULL. */
 static void compare_nodes(struct configuration_change *change, const char *path, JsonNode *before,
                           JsonNode *after)
 {
@@ -153,7 +153,7 @@
     }
 }
 
-/* Compares a section of the bundles member by member. */
+/* Compares a section of two bundles member by member. `before` may be NULL. */
 static void compare_sections(GPtrArray *changes, enum change_section section, JsonObject *before,
                              JsonObject *after)
 {
@@ -194,7 +194,7 @@
     }
 }
 
-/* Order of two tenants by name; NULL stands after all. */
+/* Order of two tenants by name; NULL sorts last. */
 static int compare_tenant_names(const struct tenant_route *left, const struct tenant_route *right)
 {
     if (left == NULL) {
@@ -206,7 +206,7 @@
     return strcmp(left->tenant, right->tenant);
 }
 
-/* Both lists of tenants are sorted by name: walks them side by side. */
+/* Merges the two lists of tenants, which are sorted by name. */
 static void compare_tenants(GPtrArray *changes, const struct configuration *before,
                             const struct configuration *after)
 {
@@ -232,7 +232,7 @@
     }
 }
 
-/* The bundle as a tree again; canonical JSON always parses. */
+/* Parses the canonical JSON, which is valid by construction. */
 static JsonNode *parse_canonical(const struct configuration *configuration)
 {
     gsize length = 0;
--- a/src/configuration/diff.h
+++ b/src/configuration/diff.h
@@ -1,5 +1,5 @@
-/* What a change of configuration means: which zones, groups and templates change, and which
- * tenants' routes follow. */
+/* Difference of two configurations: changed zones, groups and templates, and the tenants whose
+ * derived routes change with them. */
 #ifndef SW_CONFIGURATION_DIFF_H
 #define SW_CONFIGURATION_DIFF_H
 
@@ -25,17 +25,16 @@
     char *after;  /* NULL if it is absent now */
 };
 
-/* One thing that differs. Owns all it holds. */
+/* One zone, group, template or tenant that differs. Owns its members. */
 struct configuration_change {
     enum change_section section;
     enum change_kind kind;
     char *name;
-    GPtrArray *fields; /* struct field_change; empty unless changed */
+    GPtrArray *fields; /* struct field_change; empty unless the kind is CHANGED */
 };
 
 /* The changes from `before` (NULL: nothing published) to `after`, by section and name. A tenant
- * counts as changed if its derived route differs, be it by its parameters or by its template. The
- * array frees its elements. */
+ * is changed if its template's name or its derived route differs. The array frees its elements. */
 GPtrArray *configuration_diff(const struct configuration *before,
                               const struct configuration *after);
 
--- a/src/configuration/parse.c
+++ b/src/configuration/parse.c
@@ -1,5 +1,5 @@
-/* Parsing a bundle: the sections in the order in which they refer to each other, then the
- * bundle's canonical form. */
+/* Parsing a bundle: first the sections, each after those that it refers to, then the canonical form
+ * and its hash. */
 #include "configuration/bundle_parser.h"
 #include "configuration/bundle_slices.h"
 
@@ -134,7 +134,6 @@
     return strcmp((*a)->tenant, (*b)->tenant);
 }
 
-/* Sorts what was read. */
 static void sort_sections(struct configuration *configuration)
 {
     g_ptr_array_sort(configuration->zones, compare_zones);
@@ -162,7 +161,7 @@
     parser->database_addresses = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 }
 
-/* The configuration if there was no fault; NULL else. */
+/* Frees the parser. Returns the configuration, or NULL and frees it if it is not valid. */
 static struct configuration *end_parser(struct bundle_parser *parser, bool valid)
 {
     g_hash_table_unref(parser->database_names);
@@ -175,7 +174,8 @@
     return parser->configuration;
 }
 
-/* Reads what a tree says; NULL after a fault. The canonical form is left to the caller. */
+/* Parses the sections of a tree; NULL after a fault. The caller sets the canonical form and hash.
+ */
 static struct configuration *read_tree(JsonNode *node, const char *source, GPtrArray *problems)
 {
     guint problems_before = problems->len;
@@ -186,18 +186,18 @@
     return end_parser(&parser, problems->len == problems_before);
 }
 
-/* Reads one slice of tenants. */
+/* Parses one slice of tenants. */
 static void read_slice(struct bundle_parser *parser, const char *slice)
 {
     struct bundle_path root = {NULL, NULL};
     g_autoptr(JsonNode) node = bundle_reader_load(&parser->reader, slice, strlen(slice));
 
     if (node != NULL && JSON_NODE_HOLDS_OBJECT(node)) {
-        bundle_parse_tenants_of(parser, &root, json_node_get_object(node));
+        bundle_parse_tenant_members(parser, &root, json_node_get_object(node));
     }
 }
 
-/* True if the tenants stand in the order of a canonical bundle, so that none is there twice. */
+/* True if the tenants are in canonical order, which also proves that none occurs twice. */
 static bool are_ascending(const GPtrArray *tenants)
 {
     for (guint i = 1; i < tenants->len; i++) {
@@ -210,8 +210,8 @@
     return true;
 }
 
-/* Reads a canonical bundle with a slice of its tenants at a time. NULL if anything is not as
- * expected: the whole text then tells the faults. */
+/* Parses a canonical bundle, its tenants slice by slice. Returns NULL if the text has any fault or
+ * is not canonical; the caller then parses the text as a whole, which reports the faults. */
 static struct configuration *read_slices(const char *json, gsize length, const char *source)
 {
     g_autoptr(GPtrArray) problems = configuration_problems_new();
@@ -219,7 +219,7 @@
     struct bundle_parser parser;
     struct configuration *configuration = NULL;
 
-    if (bundle_slices_cut(json, length, &slices)) {
+    if (bundle_slices_split(json, length, &slices)) {
         start_parser(&parser, source, problems);
         JsonNode *rest = bundle_reader_load(&parser.reader, slices.rest, strlen(slices.rest));
         if (rest != NULL) {
@@ -260,9 +260,9 @@
     return true;
 }
 
-/* Reads a whole text at once; NULL after a fault. */
-static struct configuration *read_whole(const char *json, gsize length, const char *source,
-                                        GPtrArray *problems)
+/* Parses a text as a single tree; NULL after a fault. */
+static struct configuration *read_single_tree(const char *json, gsize length, const char *source,
+                                              GPtrArray *problems)
 {
     g_autoptr(JsonNode) node = load_tree(json, length, source, problems);
 
@@ -280,7 +280,7 @@
         *out = read_slices(json, length, source);
     }
     if (*out == NULL) {
-        *out = read_whole(json != NULL ? json : "", length, source, problems);
+        *out = read_single_tree(json != NULL ? json : "", length, source, problems);
     }
     if (*out == NULL) {
         return false;
--- a/src/configuration/parse_groups.c
+++ b/src/configuration/parse_groups.c
@@ -1,18 +1,18 @@
-/* Reading zones, database groups and their databases. */
+/* Parsing of zones, groups and their databases. */
 #include "configuration/bundle_parser.h"
 
 #include <gio/gio.h>
 
 #include "core/membership.h"
 
-/* Gossip between daemons can carry zone numbers below this bound only. */
+/* Gossip messages between daemons carry only zone ids below MEMBERSHIP_ZONES_MAX. */
 #define ZONE_ID_MAX              (MEMBERSHIP_ZONES_MAX - 1)
 #define GROUP_ID_MAX             1000000
 #define DATABASE_SLOTS_MAX       1000
 #define DATABASE_CONNECTIONS_MAX 100000
 #define TCP_PORT_MAX             65535
 
-/* "SECTION NAME" of the entry that has the id already, as a fault's allowed text. */
+/* Adds the fault of an id that the entry named `owner` uses already. */
 static void fault_id_taken(struct bundle_parser *parser, const struct bundle_path *path,
                            JsonObject *object, const char *owner)
 {
@@ -23,7 +23,7 @@
                         "an id used once");
 }
 
-/* Id 0 stands for one that could not be read. */
+/* The zone with this id, or NULL. Zones whose id could not be read have id 0. */
 static const struct zone_configuration *find_zone_by_id(struct configuration *configuration,
                                                         uint32_t id)
 {
@@ -145,13 +145,14 @@
     }
     if (!g_hostname_is_ip_address(host)) {
         bundle_reader_fault(&parser->reader, &host_path, json_object_get_member(object, "host"),
-                            "is not an IP number", "an IPv4 or IPv6 address");
+                            "is not an IP address", "an IPv4 or IPv6 address");
         return NULL;
     }
     return g_strdup(host);
 }
 
-/* Two entries for one server would share its connections unknowingly. */
+/* Rejects a second entry for one address: the two would exceed the server's slots and connections,
+ * which are budgeted per entry. */
 static void check_address(struct bundle_parser *parser, const struct bundle_path *path,
                           JsonObject *object, const struct database_configuration *database)
 {
@@ -168,6 +169,8 @@
     }
 }
 
+/* Statements use at most as many connections as there are slots. The rest are the daemons' control
+ * connections, so there must be more connections than slots. */
 static void check_connections(struct bundle_parser *parser, const struct bundle_path *path,
                               JsonObject *object, const struct database_configuration *database)
 {
@@ -179,8 +182,8 @@
     }
     g_autofree char *allowed = g_strdup_printf("more than its slots (%u)", database->slots);
     bundle_reader_fault(&parser->reader, &connections_path,
-                        json_object_get_member(object, "connections"), "leaves none for control",
-                        allowed);
+                        json_object_get_member(object, "connections"),
+                        "leaves no connections for control", allowed);
 }
 
 static uint32_t parse_count(struct bundle_parser *parser, const struct bundle_path *path,
@@ -236,7 +239,7 @@
     }
 }
 
-/* Lists the zones of a group's databases, ascending and each once. */
+/* Lists the distinct zones of a group's databases in ascending order. */
 static void collect_zones(struct group_configuration *group)
 {
     for (uint32_t i = 0; i < group->database_count; i++) {
--- a/src/configuration/parse_templates.c
+++ b/src/configuration/parse_templates.c
@@ -1,5 +1,5 @@
-/* Reading templates: their parameters, and the route's fields set from them. A template is
- * checked so that every value its parameters allow makes a valid field. */
+/* Parsing of templates: their parameters, and the fields of the route that these set. A template is
+ * valid only if every value that its parameters allow is valid for the fields that they set. */
 #include "configuration/bundle_parser.h"
 
 #include <string.h>
@@ -69,7 +69,8 @@
            g_ptr_array_find_with_equal_func(bounds->groups, name, g_str_equal, NULL);
 }
 
-/* Adds the fault of a group's name that is unknown, not allowed or no string. */
+/* Adds the fault of a value that is not a string, not the name of a group, or not an allowed group.
+ */
 static void fault_group_value(struct bundle_parser *parser, const struct bundle_path *path,
                               JsonNode *node, const struct value_bounds *bounds, bool is_known)
 {
@@ -256,10 +257,11 @@
     }
 }
 
-/* A parameter may set a field if all it allows is valid there. */
-static void check_parameter_fits(struct bundle_parser *parser, const struct bundle_path *path,
-                                 const struct template_parameter *parameter,
-                                 const struct route_field_info *info)
+/* Adds a fault if the parameter is of another type than the field or allows values that the field
+ * does not. */
+static void check_parameter_bounds(struct bundle_parser *parser, const struct bundle_path *path,
+                                   const struct template_parameter *parameter,
+                                   const struct route_field_info *info)
 {
     const struct value_bounds *bounds = &parameter->bounds;
     g_autofree char *allowed = bundle_value_allowed(parser, &info->bounds);
@@ -293,7 +295,7 @@
     return bundle_names_allowed(names);
 }
 
-/* Reads {"parameter": NAME} as a field's setting. */
+/* Parses {"parameter": NAME} as the setting of a field. */
 static void parse_reference(struct bundle_parser *parser, const struct bundle_path *path,
                             JsonObject *object, const struct route_field_info *info,
                             struct configuration_template *template_entry,
@@ -316,8 +318,8 @@
                             allowed);
         return;
     }
-    check_parameter_fits(parser, path,
-                         g_ptr_array_index(template_entry->parameters, setting->parameter), info);
+    check_parameter_bounds(parser, path,
+                           g_ptr_array_index(template_entry->parameters, setting->parameter), info);
 }
 
 static void parse_setting(struct bundle_parser *parser, const struct bundle_path *path,
@@ -380,7 +382,7 @@
     return false;
 }
 
-/* A parameter that sets nothing would mislead those who fill it in. */
+/* Rejects a parameter that sets no field, as a tenant's value for it would have no effect. */
 static void refuse_unused_parameters(struct bundle_parser *parser, const struct bundle_path *path,
                                      const struct configuration_template *template_entry)
 {
--- a/src/configuration/parse_tenants.c
+++ b/src/configuration/parse_tenants.c
@@ -1,4 +1,4 @@
-/* Reading tenants and deriving their routes from templates and parameters. */
+/* Parsing of tenants, and derivation of their routes from templates and parameters. */
 #include "configuration/bundle_parser.h"
 
 /* Values of a tenant's parameters, in the order of the template's parameters. */
@@ -73,7 +73,7 @@
     bundle_reader_refuse_unknown(&parser->reader, path, section, (const char *const *)names->pdata);
 }
 
-/* Reads the tenant's parameters; false after a fault. */
+/* Parses the tenant's parameters; false after a fault. */
 static bool parse_values(struct bundle_parser *parser, const struct bundle_path *path,
                          JsonObject *object, const struct configuration_template *template_entry,
                          struct tenant_values *values)
@@ -110,7 +110,7 @@
     }
 }
 
-/* Faults a route whose field `low` is above its field `high`. */
+/* Adds a fault if the field `low` of the route exceeds its field `high`. */
 static void check_order(struct bundle_parser *parser, const struct bundle_path *path,
                         const struct tenant_route *route, enum route_field low,
                         enum route_field high)
@@ -161,8 +161,8 @@
     g_hash_table_insert(parser->configuration->tenants_by_name, route->tenant, route);
 }
 
-void bundle_parse_tenants_of(struct bundle_parser *parser, const struct bundle_path *root,
-                             JsonObject *section)
+void bundle_parse_tenant_members(struct bundle_parser *parser, const struct bundle_path *root,
+                                 JsonObject *section)
 {
     struct bundle_path section_path = {root, "tenants"};
     JsonObjectIter iterator;
@@ -184,6 +184,6 @@
         bundle_parse_section(parser, root, bundle, "tenants", CONFIGURATION_TENANTS_MAX);
 
     if (section != NULL) {
-        bundle_parse_tenants_of(parser, root, section);
+        bundle_parse_tenant_members(parser, root, section);
     }
 }
--- a/src/configuration/problem.c
+++ b/src/configuration/problem.c
@@ -1,4 +1,4 @@
-/* Faults found in a configuration bundle: storage and text. */
+/* Faults found in a configuration bundle: list and formatting. */
 #include "configuration/problem.h"
 
 static void problem_free(gpointer data)
@@ -18,8 +18,9 @@
     return g_ptr_array_new_with_free_func(problem_free);
 }
 
-/* json-glib makes no UTF-8 of half a surrogate pair ("\\ud800"), which a fault may quote. */
-static char *whole_characters(const char *text)
+/* Copies a text as valid UTF-8. json-glib decodes an unpaired surrogate ("\\ud800") to bytes that
+ * are not UTF-8, and a fault may quote them. */
+static char *copy_valid_utf8(const char *text)
 {
     return text != NULL ? g_utf8_make_valid(text, -1) : NULL;
 }
@@ -30,10 +31,10 @@
     struct configuration_problem *problem = g_new0(struct configuration_problem, 1);
 
     problem->source = g_strdup(source);
-    problem->path = whole_characters(path);
-    problem->value = whole_characters(value);
-    problem->fault = whole_characters(fault);
-    problem->allowed = whole_characters(allowed);
+    problem->path = copy_valid_utf8(path);
+    problem->value = copy_valid_utf8(value);
+    problem->fault = copy_valid_utf8(fault);
+    problem->allowed = copy_valid_utf8(allowed);
     g_ptr_array_add(problems, problem);
 }
 
--- a/src/configuration/route_field.c
+++ b/src/configuration/route_field.c
@@ -1,16 +1,16 @@
-/* The closed table of a route's fields. */
+/* Table of the fields of a route. */
 #include "configuration/route_field.h"
 
 #include <string.h>
 
-/* Row of an integer field. */
+/* Description of an integer field. */
 #define INTEGER_FIELD(field_name, low, high, fallback)                                             \
     {                                                                                              \
         .name = #field_name, .bounds = {VALUE_TYPE_INTEGER, (low), (high), NULL},                  \
         .default_value = (fallback), .offset = offsetof(struct tenant_route, field_name)           \
     }
 
-/* Row of a boolean field. */
+/* Description of a boolean field. */
 #define BOOLEAN_FIELD(field_name, fallback)                                                        \
     {                                                                                              \
         .name = #field_name, .bounds = {VALUE_TYPE_BOOLEAN, 0, 1, NULL},                           \
@@ -62,24 +62,24 @@
 void route_field_set(struct tenant_route *route, enum route_field field, int64_t value)
 {
     const struct route_field_info *info = route_field_info(field);
-    char *place = (char *)route + info->offset;
+    char *target = (char *)route + info->offset;
 
     if (info->bounds.type == VALUE_TYPE_BOOLEAN) {
-        *(bool *)place = value != 0;
+        *(bool *)target = value != 0;
         return;
     }
-    *(uint32_t *)place = (uint32_t)value;
+    *(uint32_t *)target = (uint32_t)value;
 }
 
 int64_t route_field_get(const struct tenant_route *route, enum route_field field)
 {
     const struct route_field_info *info = route_field_info(field);
-    const char *place = (const char *)route + info->offset;
+    const char *target = (const char *)route + info->offset;
 
     if (info->bounds.type == VALUE_TYPE_BOOLEAN) {
-        return *(const bool *)place ? 1 : 0;
+        return *(const bool *)target ? 1 : 0;
     }
-    return *(const uint32_t *)place;
+    return *(const uint32_t *)target;
 }
 
 char *route_field_text(const struct configuration *configuration, const struct tenant_route *route,
--- a/src/configuration/route_field.h
+++ b/src/configuration/route_field.h
@@ -1,5 +1,5 @@
-/* The closed table of a route's fields: what each is called in a bundle, its type, its bounds and
- * its default. Templates set fields to constants or to parameters within these bounds. */
+/* Table of the fields of a route: name in a bundle, type, bounds and default. Templates set fields
+ * to constants or to parameters within these bounds. */
 #ifndef SW_CONFIGURATION_ROUTE_FIELD_H
 #define SW_CONFIGURATION_ROUTE_FIELD_H
 
@@ -18,12 +18,12 @@
     VALUE_TYPE_GROUP, /* the name of a database group */
 };
 
-/* What a value may be. */
+/* Type and allowed range of a value. */
 struct value_bounds {
     enum value_type type;
     int64_t minimum;   /* of integers */
     int64_t maximum;   /* of integers */
-    GPtrArray *groups; /* of groups: allowed names; NULL allows all */
+    GPtrArray *groups; /* of groups: char *, allowed names; NULL: all */
 };
 
 enum route_field {
@@ -42,7 +42,7 @@
     ROUTE_FIELD_COUNT,
 };
 
-/* One field. */
+/* Description of one field. */
 struct route_field_info {
     const char *name;
     struct value_bounds bounds;
@@ -51,7 +51,7 @@
     size_t offset;         /* in struct tenant_route */
 };
 
-/* The field's row of the table. */
+/* The description of a field. */
 const struct route_field_info *route_field_info(enum route_field field);
 
 /* The field with this name; false if there is none. */
@@ -60,10 +60,10 @@
 /* Sets a field of a route. A group is given by id, a boolean as 0 or 1. */
 void route_field_set(struct tenant_route *route, enum route_field field, int64_t value);
 
-/* Reads a field of a route, as it is set. */
+/* Reads a field of a route, in the form that route_field_set takes. */
 int64_t route_field_get(const struct tenant_route *route, enum route_field field);
 
-/* A field of a route as people read it: a group by its name. The caller frees it. */
+/* A field of a route as text for operators; a group by its name. The caller frees it. */
 char *route_field_text(const struct configuration *configuration, const struct tenant_route *route,
                        enum route_field field);
 
--- a/src/configuration/template.h
+++ b/src/configuration/template.h
@@ -1,23 +1,24 @@
-/* A template: parameters that tenants fill in, and how a route's fields follow from them. */
+/* A template: parameters whose values tenants give, and the mapping from them to a route's fields.
+ */
 #ifndef SW_CONFIGURATION_TEMPLATE_H
 #define SW_CONFIGURATION_TEMPLATE_H
 
 #include "configuration/route_field.h"
 
-/* One parameter that a tenant may or must give. */
+/* One parameter; required of a tenant unless it has a default. */
 struct template_parameter {
     char *name;
     char *description; /* NULL if none */
     struct value_bounds bounds;
     bool has_default; /* false: each tenant must give it */
     int64_t default_value;
-    bool valid; /* false while parsing a bundle with a fault here */
+    bool valid; /* false if its definition has a fault; only seen while parsing */
 };
 
-/* Where a route's field comes from. */
+/* Source of a route's field: a parameter or a constant. */
 struct route_setting {
     int32_t parameter; /* index of the parameter, or ROUTE_SETTING_CONSTANT */
-    int64_t constant;  /* the value otherwise */
+    int64_t constant;  /* the value if there is no parameter */
 };
 
 #define ROUTE_SETTING_CONSTANT (-1)
@@ -28,7 +29,7 @@
     char *description;     /* NULL if none */
     GPtrArray *parameters; /* struct template_parameter by name */
     struct route_setting settings[ROUTE_FIELD_COUNT];
-    bool valid; /* false while parsing a bundle with a fault here */
+    bool valid; /* false if its definition has a fault; only seen while parsing */
 };
 
 /* The template with this name, or NULL. O(1). */
--- a/tests/configuration/test_parse_faults.c
+++ b/tests/configuration/test_parse_faults.c
@@ -144,7 +144,7 @@
     {"database-zone-unknown", "\"zone\": \"north\"", "\"zone\": \"west\"",
      "b.json: /groups/main/databases/0/zone: \"west\" is not a zone; allowed: north, south\n"},
     {"database-host-name", "\"host\": \"127.0.0.1\"", "\"host\": \"db.example\"",
-     "b.json: /groups/main/databases/0/host: \"db.example\" is not an IP number; allowed: an IPv4 "
+     "b.json: /groups/main/databases/0/host: \"db.example\" is not an IP address; allowed: an IPv4 "
      "or IPv6 address\n"},
     {"database-host-type", "\"host\": \"127.0.0.1\"", "\"host\": 127",
      "b.json: /groups/main/databases/0/host: 127 is not a string; allowed: an IPv4 or IPv6 "
@@ -168,7 +168,8 @@
     {"database-connections-missing", ", \"connections\": 35},\n", " },\n",
      "b.json: /groups/main/databases/0/connections: missing; allowed: integer 1 to 100000\n"},
     {"database-connections-few", "\"connections\": 35", "\"connections\": 5",
-     "b.json: /groups/main/databases/0/connections: 5 leaves none for control; allowed: more than "
+     "b.json: /groups/main/databases/0/connections: 5 leaves no connections for control; allowed: "
+     "more than "
      "its slots (5)\n"},
     {"database-member", "\"slots\": 5", "\"slots\": 5, \"user\": \"u\"",
      "b.json: /groups/main/databases/0/user: unknown member; allowed: name, zone, host, port, "
