--- a/tests/configuration/test_database_change.c
+++ b/tests/configuration/test_database_change.c
@@ -1,5 +1,5 @@
-/* Which databases a version changes, and that majorities before and after an allowed change always
- * share a database. */
+/* Changes of a group's databases between two versions: how they are counted, and that any majority
+ * before an allowed change and any majority after it share a database. */
 #include "configuration/database_change.h"
 
 #include <string.h>
@@ -9,8 +9,8 @@
 #include "core/error.h"
 #include "generated/errors.h"
 
-/* A bundle with one group; each character of `databases` is one that is reached at a port of its
- * own, in this order. */
+/* A configuration with one group, called "beds". Each character of `databases` stands for a
+ * database with its own port; its name is `prefix` and the character. */
 static struct configuration *make_group(const char *databases, uint32_t id, const char *prefix)
 {
     g_autoptr(GString) text = g_string_new(NULL);
@@ -33,7 +33,8 @@
     return configuration;
 }
 
-/* True if the change is allowed; its number of databases goes to `count`. */
+/* True if the change is allowed. Sets `count` to the number of databases added and removed. Frees
+ * both configurations. */
 static bool is_allowed(struct configuration *before, struct configuration *after, guint *count)
 {
     g_autoptr(GPtrArray) changes = database_changes_find(before, after);
@@ -78,7 +79,7 @@
     check("abc", "def", 6);
 }
 
-/* Another name for the same server changes no majority; the same name at another address does. */
+/* A database is identified by its address: a new name for the same address is not a change. */
 static void test_address_counts(void)
 {
     guint count = 0;
@@ -88,7 +89,7 @@
     g_assert_cmpuint(count, ==, 0);
 }
 
-/* Another group has no majority that could differ. */
+/* A group with a new id is an added group, which has no majority before the change. */
 static void test_another_group(void)
 {
     guint count = 0;
@@ -98,8 +99,9 @@
     g_assert_cmpuint(count, ==, 0);
 }
 
-/* Sets as bits: true if two sets have majorities that share no database. */
-static bool can_part(uint32_t before, uint32_t after)
+/* True if a majority of the set `before` and a majority of the set `after` can be disjoint. Sets
+ * are bit masks of databases. */
+static bool majorities_can_be_disjoint(uint32_t before, uint32_t after)
 {
     uint32_t all = before | after;
 
@@ -116,20 +118,21 @@
     return false;
 }
 
-/* All pairs of sets of up to five databases: what is allowed can't part, and two steps can. */
-static void test_majorities_meet(void)
+/* All pairs of sets of up to five databases: majorities are never disjoint across a change of at
+ * most one database, and can be across a change of two. */
+static void test_majorities_intersect(void)
 {
-    guint parted = 0;
+    guint disjoint_pairs = 0;
 
     for (uint32_t before = 1; before < 32; before++) {
         for (uint32_t after = 1; after < 32; after++) {
             int changed = __builtin_popcount(before ^ after);
-            bool parts = can_part(before, after);
-            g_assert_false(changed <= 1 && parts);
-            parted += changed == 2 && parts ? 1 : 0;
+            bool disjoint = majorities_can_be_disjoint(before, after);
+            g_assert_false(changed <= 1 && disjoint);
+            disjoint_pairs += changed == 2 && disjoint ? 1 : 0;
         }
     }
-    g_assert_cmpuint(parted, >, 0);
+    g_assert_cmpuint(disjoint_pairs, >, 0);
 }
 
 int main(int argc, char **argv)
@@ -138,6 +141,6 @@
     g_test_add_func("/database-change/one-at-a-time", test_one_at_a_time);
     g_test_add_func("/database-change/address", test_address_counts);
     g_test_add_func("/database-change/another-group", test_another_group);
-    g_test_add_func("/database-change/majorities-meet", test_majorities_meet);
+    g_test_add_func("/database-change/majorities-intersect", test_majorities_intersect);
     return g_test_run();
 }
--- a/tests/configuration/test_diff.c
+++ b/tests/configuration/test_diff.c
@@ -1,4 +1,5 @@
-/* Differences of configurations: added, removed and changed things, and the routes that follow. */
+/* Differences of configurations: added, removed and changed sections, and changes of derived
+ * routes. */
 #include "configuration/diff.h"
 
 #include <string.h>
@@ -25,7 +26,7 @@
     return configuration;
 }
 
-/* The changes, one a line: "SECTION NAME KIND FIELD=BEFORE>AFTER ...". */
+/* The changes, one per line: "SECTION NAME KIND FIELD=BEFORE>AFTER ...". */
 static char *describe(const char *before_text, const char *after_text)
 {
     struct configuration *before = before_text != NULL ? parse(before_text) : NULL;
@@ -69,7 +70,7 @@
                     "tenant x added\ntenant y added\n");
 }
 
-static void test_template_reaches_its_tenants(void)
+static void test_template_changes_its_tenants(void)
 {
     g_autofree char *changes =
         describe(base, BUNDLE(DATABASE("a", "1"), TEMPLATE("t", "6") "," TEMPLATE("u", "5"),
@@ -101,7 +102,7 @@
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/diff/none", test_no_change);
     g_test_add_func("/diff/first-version", test_first_version);
-    g_test_add_func("/diff/template", test_template_reaches_its_tenants);
+    g_test_add_func("/diff/template", test_template_changes_its_tenants);
     g_test_add_func("/diff/added-and-removed", test_added_and_removed);
     return g_test_run();
 }
--- a/tests/configuration/test_mutations.c
+++ b/tests/configuration/test_mutations.c
@@ -1,5 +1,5 @@
-/* Mutated bundles: whatever comes in, the parser answers with a configuration that it reads again
- * as the same one, or with faults that name the file, all in whole characters. */
+/* Fuzzing of the bundle parser with mutated bundles. Any input must give either a configuration
+ * whose canonical form parses to an equal one, or faults that are valid UTF-8 and name the file. */
 #include "configuration/configuration.h"
 
 #include "configuration/problem.h"
@@ -20,7 +20,7 @@
     return configuration;
 }
 
-/* What was read is written and read again as the same. */
+/* Checks that the canonical form parses to a configuration with the same hash. */
 static void check_configuration(const struct configuration *configuration)
 {
     g_autofree char *faults = NULL;
--- a/tests/configuration/test_parse.c
+++ b/tests/configuration/test_parse.c
@@ -1,4 +1,4 @@
-/* Parsing of good bundles: derived routes, look-ups, canonical form. */
+/* Parsing of valid bundles: derived routes, look-ups, canonical form, parsing in slices. */
 #include "configuration/configuration.h"
 
 #include <string.h>
@@ -149,7 +149,8 @@
     configuration_unref(second);
 }
 
-/* What is stored and fetched by hash is the canonical form itself. */
+/* The canonical form of the canonical form is the same text, and the hash is the checksum of its
+ * bytes. */
 static void test_canonical_is_a_fixed_point(void)
 {
     struct configuration *configuration = parse_example("kitakaze-meters");
@@ -195,7 +196,7 @@
     configuration_unref(second);
 }
 
-static void test_references_keep_it_alive(void)
+static void test_reference_counting(void)
 {
     struct configuration *configuration = parse_text(ordered);
     struct configuration *second = configuration_ref(configuration);
@@ -206,7 +207,8 @@
     configuration_unref(NULL);
 }
 
-/* "| `name` | type and bounds | default |" as the reference has it. */
+/* The field's row in the table of docs/configuration.md: "| `name` | type and bounds | default |".
+ */
 static char *documented_row(const struct route_field_info *info)
 {
     const struct value_bounds *bounds = &info->bounds;
@@ -234,12 +236,13 @@
     for (guint field = 0; field < ROUTE_FIELD_COUNT; field++) {
         g_autofree char *row = documented_row(route_field_info(field));
         if (strstr(text, row) == NULL) {
-            g_error("docs/configuration.md lacks the row: %s", row);
+            g_error("docs/configuration.md: missing row: %s", row);
         }
     }
 }
 
-/* A canonical bundle of so many tenants, enough for several slices. */
+/* A canonical bundle with this number of tenants. Descriptions contain text that looks like JSON
+ * structure, which the split into slices must skip. */
 static GString *make_canonical(guint tenants)
 {
     GString *text = g_string_new(
@@ -258,7 +261,8 @@
     return text;
 }
 
-/* Parses a text both ways. True if it is valid; the faults must be the same. */
+/* Parses a text as a whole and in slices, and checks that both give the same faults. True if valid.
+ */
 static bool parse_both(const char *text, struct configuration **whole,
                        struct configuration **canonical)
 {
@@ -292,7 +296,8 @@
     g_assert_cmpuint(left->zones->len, ==, right->zones->len);
 }
 
-/* A canonical bundle reads the same by slices as at once, at the borders of a slice too. */
+/* A canonical bundle gives the same configuration in slices as in one piece. The counts include one
+ * less and one more than the size of a slice. */
 static void test_slices_read_the_same(void)
 {
     static const guint counts[] = {0, 1, 999, 1000, 1001, 2500};
@@ -320,7 +325,8 @@
     configuration_unref(second);
 }
 
-/* A fault in any slice, a tenant given in two slices, and cut text give the faults of the whole. */
+/* Invalid text gives the same faults in slices as in one piece: a fault in any slice, the same
+ * tenant in two slices, a missing section and unbalanced brackets. */
 static void test_slices_have_the_same_faults(void)
 {
     static const char *const edits[][2] = {
@@ -364,7 +370,7 @@
     g_test_add_func("/configuration/route/defaults", test_defaults_of_the_route);
     g_test_add_func("/configuration/route/equal", test_routes_compare_by_content);
     g_test_add_func("/configuration/route/documented", test_fields_are_documented);
-    g_test_add_func("/configuration/references", test_references_keep_it_alive);
+    g_test_add_func("/configuration/references", test_reference_counting);
     g_test_add_func("/configuration/slices/same", test_slices_read_the_same);
     g_test_add_func("/configuration/slices/faults", test_slices_have_the_same_faults);
     return g_test_run();
--- a/tests/configuration/test_parse_faults.c
+++ b/tests/configuration/test_parse_faults.c
@@ -1,12 +1,13 @@
-/* Every fault of a bundle is named with file, place, value and what is allowed: exact texts. */
+/* Exact texts of the faults of invalid bundles. Each names the file, path, value and allowed
+ * values. */
 #include "configuration/configuration.h"
 
 #include <string.h>
 
 #include "configuration/problem.h"
 
-/* A good bundle; each case replaces one piece of it. */
-static const char good_bundle[] =
+/* A valid bundle; each case replaces one part of it. */
+static const char valid_bundle[] =
     "{\n"
     "\"zones\": {\"north\": {\"id\": 1}, \"south\": {\"id\": 2}},\n"
     "\"groups\": {\n"
@@ -35,7 +36,8 @@
     " \"mgoun\": {\"template\": \"desk\", \"parameters\": {\"group\": \"main\", \"age\": 50}}}\n"
     "}\n";
 
-/* One fault: `find` of the good bundle becomes `replace`; `expected` is all problems' text. */
+/* One case: `find` in the valid bundle is replaced by `replace`; `expected` is the text of all
+ * problems. */
 struct fault_case {
     const char *name;
     const char *find;
@@ -301,11 +303,11 @@
 
 static char *replace_once(const char *text, const char *find, const char *replace)
 {
-    const char *place = strstr(text, find);
+    const char *match = strstr(text, find);
 
-    g_assert_nonnull(place);
-    g_autofree char *start = g_strndup(text, (gsize)(place - text));
-    return g_strconcat(start, replace, place + strlen(find), NULL);
+    g_assert_nonnull(match);
+    g_autofree char *start = g_strndup(text, (gsize)(match - text));
+    return g_strconcat(start, replace, match + strlen(find), NULL);
 }
 
 static char *faults_of(const char *text, gsize length)
@@ -320,9 +322,9 @@
     return configuration_problems_text(problems);
 }
 
-static void test_good_bundle_has_no_fault(void)
+static void test_valid_bundle_has_no_fault(void)
 {
-    g_autofree char *faults = faults_of(good_bundle, strlen(good_bundle));
+    g_autofree char *faults = faults_of(valid_bundle, strlen(valid_bundle));
 
     g_assert_cmpstr(faults, ==, "");
 }
@@ -330,7 +332,7 @@
 static void test_fault_case(gconstpointer data)
 {
     const struct fault_case *fault_case = data;
-    g_autofree char *text = replace_once(good_bundle, fault_case->find, fault_case->replace);
+    g_autofree char *text = replace_once(valid_bundle, fault_case->find, fault_case->replace);
     g_autofree char *faults = faults_of(text, strlen(text));
 
     g_assert_cmpstr(faults, ==, fault_case->expected);
@@ -364,10 +366,10 @@
     g_assert_cmpstr(deep_faults, ==, "b.json: /: nested too deep; allowed: at most 16 levels\n");
 }
 
-/* Faults in all sections are reported together, each once. */
+/* Faults in different sections are all reported, each once. */
 static void test_all_faults_are_collected(void)
 {
-    g_autofree char *slots = replace_once(good_bundle, "\"slots\": 5", "\"slots\": 0");
+    g_autofree char *slots = replace_once(valid_bundle, "\"slots\": 5", "\"slots\": 0");
     g_autofree char *zone = replace_once(slots, "\"zone\": \"south\"", "\"zone\": \"east\"");
     g_autofree char *weight = replace_once(zone, "\"weight\": 10", "\"weight\": 0");
     g_autofree char *text =
@@ -385,7 +387,7 @@
 int main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/configuration/faults/none", test_good_bundle_has_no_fault);
+    g_test_add_func("/configuration/faults/none", test_valid_bundle_has_no_fault);
     g_test_add_func("/configuration/faults/whole-text", test_whole_text);
     g_test_add_func("/configuration/faults/size-and-depth", test_size_and_depth);
     g_test_add_func("/configuration/faults/collected", test_all_faults_are_collected);
