--- a/src/session/token.c
+++ b/src/session/token.c
@@ -1,3 +1,4 @@
+/* The session token: key files, encoding, verification and merging of positions. */
 #include "session/token.h"
 
 #include "core/error.h"
@@ -11,18 +12,18 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
-#define TOKEN_VERSION         1
-#define TOKEN_HEADER_OCTETS   5
-#define TOKEN_KEY_OCTETS      crypto_generichash_KEYBYTES
-#define TOKEN_MAC_OCTETS      crypto_generichash_BYTES
-#define TOKEN_BASE64          sodium_base64_VARIANT_URLSAFE_NO_PADDING
-#define TOKEN_ALPHABET        "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_"
-#define KEY_FILE_OCTETS_MAX   65536
-#define KEY_FILE_MODE_REFUSED 077
+#define TOKEN_VERSION           1
+#define TOKEN_HEADER_BYTES      5
+#define TOKEN_KEY_BYTES         crypto_generichash_KEYBYTES
+#define TOKEN_MAC_BYTES         crypto_generichash_BYTES
+#define TOKEN_BASE64            sodium_base64_VARIANT_URLSAFE_NO_PADDING
+#define TOKEN_ALPHABET          "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_"
+#define KEY_FILE_BYTES_MAX      65536
+#define KEY_FILE_MODE_FORBIDDEN 077
 
 struct token_key {
     uint32_t id;
-    uint8_t secret[TOKEN_KEY_OCTETS];
+    uint8_t secret[TOKEN_KEY_BYTES];
 };
 
 struct token_keys {
@@ -45,7 +46,8 @@
     return NULL;
 }
 
-/* Reads one line of a key file that is neither empty nor a comment. */
+/* Adds the key of one line, which is neither empty nor a comment. Returns NULL, or the reason why
+ * the line is invalid. */
 static const char *parse_key_line(struct token_keys *keys, const char *line)
 {
     g_auto(GStrv) words = g_strsplit(line, " ", 0);
@@ -57,7 +59,7 @@
         return "the key id is not a number from 1 to 4294967295";
     }
     if (find_key(keys, (uint32_t)id) != NULL) {
-        return "the key id stands twice";
+        return "duplicate key id";
     }
     if (keys->count == TOKEN_KEYS_MAX) {
         return "too many keys";
@@ -66,10 +68,10 @@
     size_t length = 0;
     const char *end = NULL;
     size_t digits = strlen(words[1]);
-    if (digits != 2 * TOKEN_KEY_OCTETS ||
+    if (digits != 2 * TOKEN_KEY_BYTES ||
         sodium_hex2bin(key->secret, sizeof(key->secret), words[1], digits, NULL, &length, &end) !=
             0 ||
-        length != TOKEN_KEY_OCTETS || end != words[1] + digits) {
+        length != TOKEN_KEY_BYTES || end != words[1] + digits) {
         return "the key is not 64 hexadecimal digits";
     }
     key->id = (uint32_t)id;
@@ -80,7 +82,7 @@
 struct token_keys *token_keys_parse(const char *text, const char *name, GError **error)
 {
     if (sodium_init() < 0) {
-        set_key_error(error, name, 0, "libsodium can not start");
+        set_key_error(error, name, 0, "libsodium can't be initialized");
         return NULL;
     }
     struct token_keys *keys = g_new0(struct token_keys, 1);
@@ -106,7 +108,7 @@
     return keys;
 }
 
-/* Reads at most `size` octets of an open key file; negative on failure, with errno. */
+/* Reads at most `size` bytes of an open key file. Returns their number, or -1 with errno set. */
 static ssize_t read_key_file(int file, char *buffer, size_t size)
 {
     size_t length = 0;
@@ -133,13 +135,13 @@
         set_key_error(error, path, 0, "not a regular file");
         return NULL;
     }
-    if ((status.st_mode & KEY_FILE_MODE_REFUSED) != 0) {
+    if ((status.st_mode & KEY_FILE_MODE_FORBIDDEN) != 0) {
         set_key_error(error, path, 0, "the file must not be open to group or others");
         return NULL;
     }
-    g_autofree char *text = g_malloc0(KEY_FILE_OCTETS_MAX + 1);
-    ssize_t length = read_key_file(file, text, KEY_FILE_OCTETS_MAX);
-    if (length < 0 || length == KEY_FILE_OCTETS_MAX) {
+    g_autofree char *text = g_malloc0(KEY_FILE_BYTES_MAX + 1);
+    ssize_t length = read_key_file(file, text, KEY_FILE_BYTES_MAX);
+    if (length < 0 || length == KEY_FILE_BYTES_MAX) {
         set_key_error(error, path, 0, length < 0 ? g_strerror(errno) : "the file is too large");
         return NULL;
     }
@@ -185,7 +187,7 @@
 static void compute_mac(const struct token_key *key, const uint8_t *data, size_t length,
                         uint8_t *mac)
 {
-    crypto_generichash(mac, TOKEN_MAC_OCTETS, data, length, key->secret, sizeof(key->secret));
+    crypto_generichash(mac, TOKEN_MAC_BYTES, data, length, key->secret, sizeof(key->secret));
 }
 
 static GByteArray *encode_positions(const struct group_position *positions, size_t count)
@@ -202,13 +204,13 @@
 {
     g_assert(count <= TOKEN_GROUPS_MAX);
     const struct token_key *key = &keys->keys[0];
-    uint8_t header[TOKEN_HEADER_OCTETS] = {TOKEN_VERSION};
+    uint8_t header[TOKEN_HEADER_BYTES] = {TOKEN_VERSION};
     write_key_id(header + 1, key->id);
     g_autoptr(GByteArray) token = g_byte_array_new();
     g_byte_array_append(token, header, sizeof(header));
     g_autoptr(GByteArray) body = encode_positions(positions, count);
     g_byte_array_append(token, body->data, body->len);
-    uint8_t mac[TOKEN_MAC_OCTETS];
+    uint8_t mac[TOKEN_MAC_BYTES];
     compute_mac(key, token->data, token->len, mac);
     g_byte_array_append(token, mac, sizeof(mac));
     size_t size = sodium_base64_encoded_len(token->len, TOKEN_BASE64);
@@ -265,8 +267,8 @@
     return valid;
 }
 
-/* Decodes into TOKEN_TEXT_MAX octets. The alphabet is checked apart, as libsodium 1.0.18 takes some
- * octets above 127 for characters of it. */
+/* Decodes base64url into `token`, which has TOKEN_TEXT_MAX bytes. The alphabet is checked
+ * separately, because libsodium 1.0.18 accepts some bytes above 127 as characters of it. */
 static bool decode_text(const char *text, size_t text_length, uint8_t *token, size_t *length)
 {
     const char *end = NULL;
@@ -290,7 +292,7 @@
     if (!decode_text(text, text_length, token, &length)) {
         return set_token_error(error, "is not base64url");
     }
-    if (length < TOKEN_HEADER_OCTETS + TOKEN_MAC_OCTETS) {
+    if (length < TOKEN_HEADER_BYTES + TOKEN_MAC_BYTES) {
         return set_token_error(error, "is too short");
     }
     if (token[0] != TOKEN_VERSION) {
@@ -300,14 +302,14 @@
     if (key == NULL) {
         return set_token_error(error, "is signed with an unknown key");
     }
-    size_t signed_length = length - TOKEN_MAC_OCTETS;
-    uint8_t mac[TOKEN_MAC_OCTETS];
+    size_t signed_length = length - TOKEN_MAC_BYTES;
+    uint8_t mac[TOKEN_MAC_BYTES];
     compute_mac(key, token, signed_length, mac);
-    if (sodium_memcmp(mac, token + signed_length, TOKEN_MAC_OCTETS) != 0) {
+    if (sodium_memcmp(mac, token + signed_length, TOKEN_MAC_BYTES) != 0) {
         return set_token_error(error, "is not signed by this deployment");
     }
-    if (!decode_positions(token + TOKEN_HEADER_OCTETS, signed_length - TOKEN_HEADER_OCTETS,
-                          positions, count)) {
+    if (!decode_positions(token + TOKEN_HEADER_BYTES, signed_length - TOKEN_HEADER_BYTES, positions,
+                          count)) {
         return set_token_error(error, "holds no valid positions");
     }
     return true;
--- a/tests/session/test_token.c
+++ b/tests/session/test_token.c
@@ -1,4 +1,4 @@
-/* Session tokens: a golden text, rotation of keys, tampering, bounds, key files, merging. */
+/* Session tokens: reference encoding, key rotation, tampering, limits, key files and merging. */
 #include "core/error.h"
 #include "generated/errors.h"
 #include "session/token.h"
@@ -12,7 +12,8 @@
 #define KEY_1 "1 000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f\n"
 #define KEY_2 "70000 ffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffff\n"
 
-/* Positions (0, 3, 7) and (44, 2, 65536) under KEY_1, computed apart from this code. */
+/* Token of the positions (0, 3, 7) and (44, 2, 65536) under KEY_1, computed by an independent
+ * implementation. */
 static const char golden[] = "AQAAAAGCogIDAwejARgsAgIDGgABAADAmor9cfASQr_mB2vn6iMUk_Z2oZQJ"
                              "2vZ0bbZOxyBMYg";
 
@@ -105,18 +106,19 @@
     token_keys_free(other);
 }
 
-/* Every other octet at every place, every shorter text, and text that goes on. Octets above 127
- * were once taken for characters of the alphabet. */
+/* A token with any byte replaced by any other, any prefix of a token, and a token with any byte
+ * appended must be rejected. libsodium 1.0.18 accepts some bytes above 127 as characters of the
+ * alphabet. */
 static void test_tampering(void)
 {
     struct token_keys *keys = parse_keys(KEY_1 KEY_2);
     g_autofree char *text = g_strdup(golden);
     for (size_t i = 0; text[i] != '\0'; i++) {
-        for (unsigned octet = 1; octet <= UINT8_MAX; octet++) {
-            if ((char)octet == golden[i]) {
+        for (unsigned byte = 1; byte <= UINT8_MAX; byte++) {
+            if ((char)byte == golden[i]) {
                 continue;
             }
-            text[i] = (char)octet;
+            text[i] = (char)byte;
             assert_refused(keys, text, NULL);
         }
         text[i] = golden[i];
@@ -125,8 +127,8 @@
         g_autofree char *shorter = g_strndup(golden, length);
         assert_refused(keys, shorter, NULL);
     }
-    for (unsigned octet = 1; octet <= UINT8_MAX; octet++) {
-        g_autofree char *longer = g_strdup_printf("%s%c", golden, (char)octet);
+    for (unsigned byte = 1; byte <= UINT8_MAX; byte++) {
+        g_autofree char *longer = g_strdup_printf("%s%c", golden, (char)byte);
         assert_refused(keys, longer, NULL);
     }
     token_keys_free(keys);
@@ -144,7 +146,7 @@
     token_keys_free(keys);
 }
 
-/* A token of any content under KEY_1, with a valid MAC. */
+/* A token with arbitrary version and body and a valid MAC under KEY_1. */
 static char *sign(uint8_t version, const uint8_t *body, size_t length)
 {
     uint8_t secret[crypto_generichash_KEYBYTES];
@@ -173,7 +175,8 @@
     token_keys_free(keys);
 }
 
-/* What a deployment never signs must not crash a daemon that runs another release either. */
+/* Invalid bodies with a valid MAC, as a daemon of another release with the same key might sign,
+ * must be rejected without a crash. */
 static void test_signed_content(void)
 {
     const char *invalid = "The session token holds no valid positions.";
@@ -222,7 +225,7 @@
          "keys:1: the key is not 64 hexadecimal digits"},
         {"1 000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f00\n",
          "keys:1: the key is not 64 hexadecimal digits"},
-        {KEY_1 KEY_2 KEY_1, "keys:3: the key id stands twice"},
+        {KEY_1 KEY_2 KEY_1, "keys:3: duplicate key id"},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(table); i++) {
         GError *error = NULL;
