--- a/src/storage/http_client.c
+++ b/src/storage/http_client.c
@@ -1,4 +1,4 @@
-/* One bounded, signed HTTP request at a time, over libcurl. */
+/* HTTP client over libcurl, with time-outs, a limit of the answer's size, and AWS signatures. */
 #include "storage/http_client.h"
 
 #include <pthread.h>
@@ -12,7 +12,7 @@
 #define DEFAULT_CALL_TIMEOUT_MS    3000
 
 struct http_client {
-    pthread_mutex_t lock; /* guards the handle */
+    pthread_mutex_t lock; /* protects the handle */
     CURL *handle;
     char *region;
     char *access_key;
@@ -21,8 +21,8 @@
     uint32_t call_timeout_ms;
 };
 
-/* Where an answer's body goes. */
-struct answer_sink {
+/* Buffer for an answer's body. */
+struct answer_buffer {
     GByteArray *body;
     gsize bytes_max;
 };
@@ -73,13 +73,13 @@
 
 static size_t on_answer_bytes(char *data, size_t size, size_t count, void *user_data)
 {
-    struct answer_sink *sink = user_data;
+    struct answer_buffer *buffer = user_data;
     size_t length = size * count;
 
-    if (sink->body->len + length > sink->bytes_max) {
+    if (buffer->body->len + length > buffer->bytes_max) {
         return 0;
     }
-    g_byte_array_append(sink->body, (const guint8 *)data, (guint)length);
+    g_byte_array_append(buffer->body, (const guint8 *)data, (guint)length);
     return length;
 }
 
@@ -111,7 +111,7 @@
     curl_easy_setopt(client->handle, CURLOPT_PASSWORD, client->secret_key);
 }
 
-/* The body is set as post fields also for PUT, so that libcurl signs its hash. */
+/* The body is set as POST fields for PUT too, because libcurl then signs its hash. */
 static void set_request(struct http_client *client, const struct http_request *request)
 {
     curl_easy_setopt(client->handle, CURLOPT_URL, request->url);
@@ -127,7 +127,7 @@
     }
 }
 
-/* Tells apart, after a failure, whether any byte of the request may have left. */
+/* The outcome of a failed call: whether any byte of the request may have been sent. */
 static enum http_outcome classify_failure(CURL *handle)
 {
     long request_bytes = 0;
@@ -139,7 +139,7 @@
 static enum http_outcome perform(struct http_client *client, const struct http_request *request,
                                  struct http_answer *answer, GError **error)
 {
-    struct answer_sink sink = {g_byte_array_new(), request->answer_bytes_max};
+    struct answer_buffer buffer = {g_byte_array_new(), request->answer_bytes_max};
     struct curl_slist *headers = make_headers(request);
 
     curl_easy_reset(client->handle);
@@ -150,17 +150,17 @@
     set_request(client, request);
     curl_easy_setopt(client->handle, CURLOPT_HTTPHEADER, headers);
     curl_easy_setopt(client->handle, CURLOPT_WRITEFUNCTION, on_answer_bytes);
-    curl_easy_setopt(client->handle, CURLOPT_WRITEDATA, &sink);
+    curl_easy_setopt(client->handle, CURLOPT_WRITEDATA, &buffer);
     CURLcode code = curl_easy_perform(client->handle);
     curl_slist_free_all(headers);
     if (code != CURLE_OK) {
-        g_byte_array_unref(sink.body);
+        g_byte_array_unref(buffer.body);
         g_set_error(error, SW_ERROR, ERROR_KIND_STORE_UNAVAILABLE, "%s: %s", request->url,
                     curl_easy_strerror(code));
         return classify_failure(client->handle);
     }
     curl_easy_getinfo(client->handle, CURLINFO_RESPONSE_CODE, &answer->status);
-    answer->body = sink.body;
+    answer->body = buffer.body;
     return HTTP_OUTCOME_ANSWERED;
 }
 
--- a/src/storage/machine_list.h
+++ b/src/storage/machine_list.h
@@ -1,7 +1,7 @@
-/* The platform's list of machines: a hint for first contact that lags behind reality, and never a
- * source of truth. */
-#ifndef SW_PLATFORM_MACHINE_LIST_H
-#define SW_PLATFORM_MACHINE_LIST_H
+/* The platform's list of machines. It may be out of date, so daemons use it only to find addresses
+ * for their first contact with each other. */
+#ifndef SW_STORAGE_MACHINE_LIST_H
+#define SW_STORAGE_MACHINE_LIST_H
 
 #include "storage/table_client.h"
 
@@ -16,12 +16,13 @@
 /* An array of struct machine that frees its elements. */
 GPtrArray *machine_list_new(void);
 
-/* Reads the whole list into `machines`. Rows that lack an attribute are skipped. On a failure the
- * array is left as it was. */
+/* Appends all machines to `machines`. Rows with a missing attribute are skipped. On failure the
+ * array is unchanged. */
 enum platform_result machine_list_read(struct table_client *client, const char *table,
                                        GPtrArray *machines, GError **error);
 
-/* Writes or replaces a machine's row, as the platform does when it starts or marks a machine. */
+/* Writes or replaces a machine's row, as the platform does when it starts a machine or marks it for
+ * removal. */
 enum platform_result machine_list_write(struct table_client *client, const char *table,
                                         const struct machine *machine, GError **error);
 
--- a/src/storage/object_client.c
+++ b/src/storage/object_client.c
@@ -33,7 +33,7 @@
     g_free(client);
 }
 
-/* The result by the answer's status; the XML of an error adds nothing that a caller acts on. */
+/* The result of an HTTP status. The XML body of an error is ignored, as no caller acts on it. */
 static enum platform_result classify_status(long status)
 {
     switch (status) {
--- a/src/storage/result.c
+++ b/src/storage/result.c
@@ -1,4 +1,4 @@
-/* What became of a call to the platform. */
+/* Results of calls to the platform: names and error kinds. */
 #include "storage/result.h"
 
 const char *platform_result_name(enum platform_result result)
--- a/src/storage/result.h
+++ b/src/storage/result.h
@@ -1,18 +1,18 @@
-/* What became of a call to the platform. Told apart by what the caller may do next: only UNKNOWN
- * leaves open whether a write took effect. */
-#ifndef SW_PLATFORM_RESULT_H
-#define SW_PLATFORM_RESULT_H
+/* Result of a call to the platform, classified by what the caller may do next. Only after UNKNOWN
+ * may a write have taken effect without confirmation. */
+#ifndef SW_STORAGE_RESULT_H
+#define SW_STORAGE_RESULT_H
 
 #include "generated/errors.h"
 
 enum platform_result {
     PLATFORM_RESULT_OK,
-    PLATFORM_RESULT_NOT_FOUND,        /* there is no such item or object */
-    PLATFORM_RESULT_CONDITION_FAILED, /* no effect: the condition did not hold */
-    PLATFORM_RESULT_THROTTLED,        /* no effect: over a rate limit; try later */
-    PLATFORM_RESULT_UNAVAILABLE,      /* no effect: the request was not sent */
-    PLATFORM_RESULT_UNKNOWN,          /* sent, but no answer: it may take effect, even later */
-    PLATFORM_RESULT_REFUSED,          /* no effect: the platform refuses the request as such */
+    PLATFORM_RESULT_NOT_FOUND,        /* no such item or object */
+    PLATFORM_RESULT_CONDITION_FAILED, /* no effect: the condition was false */
+    PLATFORM_RESULT_THROTTLED,   /* no effect: a rate limit or a conflicting request; retry later */
+    PLATFORM_RESULT_UNAVAILABLE, /* no effect: the request was not sent */
+    PLATFORM_RESULT_UNKNOWN,     /* sent, but no valid answer: may take effect, even later */
+    PLATFORM_RESULT_REFUSED,     /* no effect: the platform rejects the request as invalid */
 };
 
 /* Short name for logs, such as "throttled". */
--- a/src/storage/table_client.c
+++ b/src/storage/table_client.c
@@ -39,8 +39,8 @@
     return result;
 }
 
-/* A cancelled transaction took no effect; its reasons say whether a condition failed or it merely
- * met another transaction or a limit. */
+/* A cancelled transaction had no effect. It is CONDITION_FAILED if any of its reasons is a failed
+ * condition; other reasons, such as a conflicting transaction or a rate limit, allow a retry. */
 static enum platform_result classify_cancellation(JsonObject *answer)
 {
     JsonNode *node = json_object_get_member(answer, "CancellationReasons");
@@ -61,7 +61,7 @@
     return PLATFORM_RESULT_THROTTLED;
 }
 
-/* The result of an error answer of status 400, by its type's short name. */
+/* The result of an error answer below status 500, by the short name of its type. */
 static enum platform_result classify_error(const char *type, JsonObject *answer)
 {
     static const struct {
@@ -101,7 +101,8 @@
     return fail(error, classify_error(short_type, answer), text);
 }
 
-/* Reads the answer's object into `result` (the caller's), or the failure it tells of. */
+/* Parses an answer. OK: the caller owns the object in `answer`; otherwise returns the failure that
+ * the answer reports, or UNKNOWN if it is not a JSON object. */
 static enum platform_result read_answer(const struct http_answer *http, JsonObject **answer,
                                         GError **error)
 {
@@ -121,7 +122,7 @@
     return PLATFORM_RESULT_OK;
 }
 
-/* Sends one call; takes the request object. */
+/* Makes one call; takes ownership of `request`. */
 static enum platform_result call(struct table_client *client, const char *operation,
                                  JsonObject *request, bool is_write, JsonObject **answer,
                                  GError **error)
@@ -156,7 +157,7 @@
     return result;
 }
 
-/* A write's call: its answer holds nothing of use. */
+/* Makes the call of a write, whose answer's content is not needed. */
 static enum platform_result call_write(struct table_client *client, const char *operation,
                                        JsonObject *request, GError **error)
 {
@@ -185,7 +186,7 @@
     return request;
 }
 
-static JsonObject *single_text(const char *name, const char *text)
+static JsonObject *single_member_object(const char *name, const char *text)
 {
     JsonObject *object = json_object_new();
 
@@ -207,10 +208,10 @@
     }
     g_autofree char *digits = g_strdup_printf("%" G_GUINT64_FORMAT, condition->number);
     JsonObject *values = json_object_new();
-    json_object_set_object_member(values, ":v", single_text("N", digits));
+    json_object_set_object_member(values, ":v", single_member_object("N", digits));
     json_object_set_string_member(request, "ConditionExpression", "#v = :v");
     json_object_set_object_member(request, "ExpressionAttributeNames",
-                                  single_text("#v", condition->attribute));
+                                  single_member_object("#v", condition->attribute));
     json_object_set_object_member(request, "ExpressionAttributeValues", values);
 }
 
@@ -278,7 +279,7 @@
     JsonObject *request = json_object_new();
     JsonObject *values = json_object_new();
 
-    json_object_set_object_member(values, ":p", single_text("S", query->partition));
+    json_object_set_object_member(values, ":p", single_member_object("S", query->partition));
     json_object_set_string_member(request, "TableName", query->table);
     json_object_set_string_member(request, "KeyConditionExpression", TABLE_ITEM_PARTITION " = :p");
     json_object_set_object_member(request, "ExpressionAttributeValues", values);
--- a/src/storage/table_client.h
+++ b/src/storage/table_client.h
@@ -1,17 +1,17 @@
-/* Client of the table service: the published DynamoDB JSON protocol, with typed results. Calls
- * block for at most the settings' time-out, so none belongs on a request's thread. */
-#ifndef SW_PLATFORM_TABLE_CLIENT_H
-#define SW_PLATFORM_TABLE_CLIENT_H
+/* Client of the table service: a subset of the DynamoDB JSON protocol, with typed results. A call
+ * blocks for up to the settings' time-out, so threads that serve requests must not make one. */
+#ifndef SW_STORAGE_TABLE_CLIENT_H
+#define SW_STORAGE_TABLE_CLIENT_H
 
 #include "storage/http_client.h"
 #include "storage/result.h"
 #include "storage/table_item.h"
 
-/* What must hold of the item now under a key for a write to take effect. */
+/* Condition on the present item of a key; a write takes effect only if it is true. */
 enum table_condition_kind {
     TABLE_CONDITION_NONE,
-    TABLE_CONDITION_ABSENT,        /* there is no item under the key */
-    TABLE_CONDITION_NUMBER_EQUALS, /* its attribute has this number */
+    TABLE_CONDITION_ABSENT,        /* the key has no item */
+    TABLE_CONDITION_NUMBER_EQUALS, /* the item's attribute has this number */
 };
 
 struct table_condition {
@@ -20,20 +20,20 @@
     uint64_t number;
 };
 
-/* One put. Borrowed for the call. */
+/* One put. Its members are borrowed for the call. */
 struct table_write {
     const char *table;
     const struct table_item *item;
     struct table_condition condition;
 };
 
-/* One page of a listing. */
+/* One page of the items of a partition. */
 struct table_query {
     const char *table;
     const char *partition;
     const char *start_after; /* sort key; NULL: from the first */
     bool descending;         /* by sort key */
-    uint32_t limit;          /* most items; 0: as many as the service gives in a page */
+    uint32_t limit;          /* most items; 0: the service's limit of a page */
 };
 
 struct table_client;
@@ -42,7 +42,7 @@
 
 void table_client_free(struct table_client *client);
 
-/* Reads one item, strongly consistent. OK: `item` is the caller's. Otherwise NOT_FOUND, or a
+/* Reads one item, strongly consistent. OK: the caller frees `item`. Otherwise NOT_FOUND, or a
  * failure with `error` set. Any thread, as for the calls below. */
 enum platform_result table_client_get(struct table_client *client, const char *table,
                                       const char *partition, const char *sort,
@@ -52,17 +52,17 @@
 enum platform_result table_client_put(struct table_client *client, const struct table_write *write,
                                       GError **error);
 
-/* Removes one item, if it is there. */
+/* Deletes one item if it exists. */
 enum platform_result table_client_delete(struct table_client *client, const char *table,
                                          const char *partition, const char *sort, GError **error);
 
-/* Puts all items if all conditions hold, otherwise none. */
+/* Puts all items in one transaction; none if any condition is false. */
 enum platform_result table_client_transact(struct table_client *client,
                                            const struct table_write *writes, guint count,
                                            GError **error);
 
-/* Lists a page. Adds struct table_item to `items`, an array that frees them with table_item_free.
- * `more` tells whether another page follows the last item; may be NULL. */
+/* Reads a page. Appends struct table_item to `items`, an array that frees them with
+ * table_item_free. `more`, which may be NULL, is set to whether another page follows. */
 enum platform_result table_client_query(struct table_client *client,
                                         const struct table_query *query, GPtrArray *items,
                                         bool *more, GError **error);
--- a/src/storage/table_item.h
+++ b/src/storage/table_item.h
@@ -1,6 +1,6 @@
 /* One item of the table service: a partition key, a sort key and typed attributes. */
-#ifndef SW_PLATFORM_TABLE_ITEM_H
-#define SW_PLATFORM_TABLE_ITEM_H
+#ifndef SW_STORAGE_TABLE_ITEM_H
+#define SW_STORAGE_TABLE_ITEM_H
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -18,7 +18,7 @@
 /* An item with its two keys. */
 struct table_item *table_item_new(const char *partition, const char *sort);
 
-/* An item of attributes as the service sends them. Takes a reference. */
+/* An item with attributes in the form of the service's JSON. Takes a reference to them. */
 struct table_item *table_item_from_json(JsonObject *attributes);
 
 void table_item_free(struct table_item *item);
@@ -30,7 +30,8 @@
 /* The text attribute, owned by the item; NULL if it is absent or of another type. */
 const char *table_item_get_text(const struct table_item *item, const char *name);
 
-/* The number attribute; false if it is absent, of another type or not in 64 bits. */
+/* The number attribute; false if it is absent, of another type or not an unsigned 64-bit integer.
+ */
 bool table_item_get_number(const struct table_item *item, const char *name, uint64_t *number);
 
 #endif
--- a/tests/storage/platform_fixture.c
+++ b/tests/storage/platform_fixture.c
@@ -1,4 +1,4 @@
-/* A platform stand-in in the test's own process. */
+/* A platform stand-in in the test's process. */
 #include "platform_fixture.h"
 
 #include <arpa/inet.h>
--- a/tests/storage/platform_fixture.h
+++ b/tests/storage/platform_fixture.h
@@ -1,11 +1,11 @@
-/* A platform stand-in in the test's own process, and settings that reach it. */
+/* A platform stand-in in the test's process, and the client settings for it. */
 #ifndef SW_TESTS_PLATFORM_FIXTURE_H
 #define SW_TESTS_PLATFORM_FIXTURE_H
 
 #include "storage/http_client.h"
 #include "standins/platform/standin.h"
 
-/* Wait of a test's client for an answer: long enough never to pass by chance. */
+/* Time-out of a test client's calls, long enough not to expire on a busy machine. */
 #define FIXTURE_CALL_TIMEOUT_MS 20000
 
 struct platform_fixture {
@@ -14,21 +14,21 @@
     char *url;
 };
 
-/* Starts a stand-in at a free port. */
+/* Starts a stand-in on a free port. */
 void platform_fixture_start(struct platform_fixture *fixture,
                             const struct platform_standin_options *options);
 
-/* Starts a stand-in without limits. */
+/* Starts a stand-in with default options on the loopback address. */
 void platform_fixture_start_plain(struct platform_fixture *fixture);
 
 void platform_fixture_stop(struct platform_fixture *fixture);
 
-/* Adds a fault for `count` requests after `after` others. */
+/* Injects a fault into `count` requests (0: all), after the next `after` ones. */
 void platform_fixture_fault(struct platform_fixture *fixture, enum platform_fault_kind kind,
                             enum platform_service service, uint32_t after, uint32_t count);
 
-/* A port of the loopback that refuses connections for as long as the socket stays open: it is bound
- * but not listened at, so no other program can get it. */
+/* A loopback port that refuses connections. The socket is bound but does not listen, so that no
+ * other program can take the port while it is open. */
 struct refusing_port {
     int socket;
     char *url; /* "http://127.0.0.1:PORT" */
--- a/tests/storage/test_backoff.c
+++ b/tests/storage/test_backoff.c
@@ -1,4 +1,4 @@
-/* Backoff: bounds and jitter. */
+/* Backoff: bounds of the wait, and its dependence on the random number. */
 #include "storage/backoff.h"
 
 #include <glib.h>
--- a/tests/storage/test_clients.c
+++ b/tests/storage/test_clients.c
@@ -1,4 +1,5 @@
-/* The platform's clients against the stand-in: typed results, and what each fault turns into. */
+/* The platform's clients against the stand-in: results of calls, and the result of each kind of
+ * fault. */
 #include "storage/machine_list.h"
 #include "storage/object_client.h"
 #include "storage/table_client.h"
@@ -112,8 +113,8 @@
     g_assert_false(more);
 }
 
-/* A lost answer is UNKNOWN, and the client sent the write once: the second put of the same
- * condition would have failed otherwise. */
+/* A write whose answer is lost gives UNKNOWN and is sent exactly once. The first put leaves a
+ * reusable connection, on which libcurl would repeat the write by itself. */
 static void test_lost_answer_is_unknown(struct client_test *test, gconstpointer unused)
 {
     g_assert_cmpint(put(test, "warm", 1, absent), ==, PLATFORM_RESULT_OK);
@@ -138,7 +139,7 @@
     g_assert_cmpint(put(test, "a", 1, absent), ==, PLATFORM_RESULT_OK);
 }
 
-/* The stand-in holds the request until it is stopped. */
+/* The stand-in delays the answer beyond the client's time-out, until the stand-in is stopped. */
 static void test_answer_after_the_time_out_is_unknown(struct client_test *test,
                                                       gconstpointer unused)
 {
@@ -149,13 +150,14 @@
     struct platform_settings settings = test->platform.settings;
 
     settings.call_timeout_ms = 1000;
-    struct table_client *hasty = table_client_new(&settings);
+    struct table_client *short_timeout_client = table_client_new(&settings);
     struct table_item *item = table_item_new("p", "a");
     struct table_write write = {.table = TABLE, .item = item};
     platform_standin_add_fault(test->platform.standin, &slow);
-    g_assert_cmpint(table_client_put(hasty, &write, NULL), ==, PLATFORM_RESULT_UNKNOWN);
+    g_assert_cmpint(table_client_put(short_timeout_client, &write, NULL), ==,
+                    PLATFORM_RESULT_UNKNOWN);
     table_item_free(item);
-    table_client_free(hasty);
+    table_client_free(short_timeout_client);
 }
 
 static void test_unreachable_store_is_unavailable(void)
