--- a/tests/configuration/test_parse.c
+++ b/tests/configuration/test_parse.c
@@ -113,14 +113,14 @@
 {
     struct configuration *configuration = parse_example("atlas-huts");
     g_autoptr(GPtrArray) guides = configuration_tenants_of_template(configuration, "guide");
-    g_autoptr(GPtrArray) nobody = configuration_tenants_of_template(configuration, "absent");
+    g_autoptr(GPtrArray) absent = configuration_tenants_of_template(configuration, "absent");
 
     g_assert_cmpuint(guides->len, ==, 2);
     const struct tenant_route *first = g_ptr_array_index(guides, 0);
     const struct tenant_route *second = g_ptr_array_index(guides, 1);
     g_assert_cmpstr(first->tenant, ==, "guides-ait-bougmez");
     g_assert_cmpstr(second->tenant, ==, "guides-imlil");
-    g_assert_cmpuint(nobody->len, ==, 0);
+    g_assert_cmpuint(absent->len, ==, 0);
     configuration_unref(configuration);
 }
 
@@ -263,19 +263,19 @@
 
 /* Parses a text as a whole and in slices, and checks that both give the same faults. True if valid.
  */
-static bool parse_both(const char *text, struct configuration **whole,
+static bool parse_both(const char *text, struct configuration **unsliced,
                        struct configuration **canonical)
 {
-    g_autoptr(GPtrArray) whole_problems = configuration_problems_new();
+    g_autoptr(GPtrArray) unsliced_problems = configuration_problems_new();
     g_autoptr(GPtrArray) canonical_problems = configuration_problems_new();
     g_autoptr(GBytes) bytes = g_bytes_new(text, strlen(text));
 
-    bool valid = configuration_parse(text, strlen(text), "test", whole, whole_problems);
+    bool valid = configuration_parse(text, strlen(text), "test", unsliced, unsliced_problems);
     bool canonical_valid =
         configuration_parse_canonical(bytes, "test", canonical, canonical_problems);
-    g_autofree char *whole_faults = configuration_problems_text(whole_problems);
+    g_autofree char *unsliced_faults = configuration_problems_text(unsliced_problems);
     g_autofree char *canonical_faults = configuration_problems_text(canonical_problems);
-    g_assert_cmpstr(canonical_faults, ==, whole_faults);
+    g_assert_cmpstr(canonical_faults, ==, unsliced_faults);
     g_assert_true(valid == canonical_valid);
     return valid;
 }
@@ -303,14 +303,14 @@
     static const guint counts[] = {0, 1, 999, 1000, 1001, 2500};
 
     for (gsize i = 0; i < G_N_ELEMENTS(counts); i++) {
-        struct configuration *whole = NULL;
+        struct configuration *unsliced = NULL;
         struct configuration *canonical = NULL;
         g_autoptr(GString) text = make_canonical(counts[i]);
-        bool valid = parse_both(text->str, &whole, &canonical);
+        bool valid = parse_both(text->str, &unsliced, &canonical);
         g_assert_true(valid);
-        g_assert_cmpuint(whole->tenants->len, ==, counts[i]);
-        check_same(whole, canonical);
-        configuration_unref(whole);
+        g_assert_cmpuint(unsliced->tenants->len, ==, counts[i]);
+        check_same(unsliced, canonical);
+        configuration_unref(unsliced);
         configuration_unref(canonical);
     }
     g_autofree char *example = example_text("atlas-huts");
@@ -326,7 +326,7 @@
 }
 
 /* Invalid text gives the same faults in slices as in one piece: a fault in any slice, the same
- * tenant in two slices, a missing section and unbalanced brackets. */
+ * tenant in two slices, a missing section, unbalanced brackets and truncated text. */
 static void test_slices_have_the_same_faults(void)
 {
     static const char *const edits[][2] = {
@@ -340,20 +340,20 @@
     };
 
     for (gsize i = 0; i < G_N_ELEMENTS(edits); i++) {
-        struct configuration *whole = NULL;
+        struct configuration *unsliced = NULL;
         struct configuration *canonical = NULL;
         g_autoptr(GString) text = make_canonical(2500);
         guint replaced = g_string_replace(text, edits[i][0], edits[i][1], 1);
         g_assert_cmpuint(replaced, ==, 1);
-        bool valid = parse_both(text->str, &whole, &canonical);
+        bool valid = parse_both(text->str, &unsliced, &canonical);
         g_assert_false(valid);
     }
-    for (gsize cut = 1; cut < 400; cut++) {
-        struct configuration *whole = NULL;
+    for (gsize removed_bytes = 1; removed_bytes < 400; removed_bytes++) {
+        struct configuration *unsliced = NULL;
         struct configuration *canonical = NULL;
         g_autoptr(GString) text = make_canonical(3);
-        g_string_truncate(text, text->len - MIN(cut, text->len));
-        bool valid = parse_both(text->str, &whole, &canonical);
+        g_string_truncate(text, text->len - MIN(removed_bytes, text->len));
+        bool valid = parse_both(text->str, &unsliced, &canonical);
         g_assert_false(valid);
     }
 }
--- a/tests/configuration/test_parse_faults.c
+++ b/tests/configuration/test_parse_faults.c
@@ -338,7 +338,7 @@
     g_assert_cmpstr(faults, ==, fault_case->expected);
 }
 
-static void test_whole_text(void)
+static void test_invalid_documents(void)
 {
     g_autofree char *empty = faults_of("", 0);
     g_autofree char *array = faults_of("[1]", 3);
@@ -388,7 +388,7 @@
 {
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/configuration/faults/none", test_valid_bundle_has_no_fault);
-    g_test_add_func("/configuration/faults/whole-text", test_whole_text);
+    g_test_add_func("/configuration/faults/document", test_invalid_documents);
     g_test_add_func("/configuration/faults/size-and-depth", test_size_and_depth);
     g_test_add_func("/configuration/faults/collected", test_all_faults_are_collected);
     for (gsize i = 0; i < G_N_ELEMENTS(cases); i++) {
