--- a/src/configuration/parse_groups.c
+++ b/src/configuration/parse_groups.c
@@ -169,8 +169,8 @@
     }
 }
 
-/* Statements use at most as many connections as there are slots. The rest are the daemons' control
- * connections, so there must be more connections than slots. */
+/* At most `slots` statements run at the same time, each on a connection of its own. There must be
+ * more connections than that, so that some are left for the daemons' control connections. */
 static void check_connections(struct bundle_parser *parser, const struct bundle_path *path,
                               JsonObject *object, const struct database_configuration *database)
 {
