--- a/src/configuration/publish.h
+++ b/src/configuration/publish.h
@@ -19,8 +19,7 @@
     const char *message;
     bool has_base; /* false: based on the head at the start, whichever version it is */
     uint64_t base;
-    publish_check
-        check; /* called if databases of a group change; NULL: any valid change may follow */
+    publish_check check; /* called if a group's databases change; NULL: allow all changes */
     void *check_user;
     uint32_t timeout_ms;
     uint32_t retries_max; /* 0: limited only by the time-out */
@@ -43,7 +42,7 @@
 /* Publishes; blocks for about the time-out at most. Returns true if the bundle is in force as
  * `outcome->version`. Otherwise `error` is set: publish_conflict (naming the winner), bad_request
  * (no such base), invalid_configuration (more than one database of a group changes), the error of
- * the order's check, store_unavailable (not published, and no pending request can still publish
+ * `check`, store_unavailable (not published, and no pending request can still publish
  * it), or outcome_unknown. */
 bool publish_configuration(struct version_store *store, const struct publish_order *order,
                            struct publish_outcome *outcome, GError **error);
--- a/src/configuration/template.h
+++ b/src/configuration/template.h
@@ -1,5 +1,4 @@
-/* A template: parameters whose values tenants give, and the mapping from them to a route's fields.
- */
+/* A template: parameters whose values tenants give, and their mapping to the fields of a route. */
 #ifndef SW_CONFIGURATION_TEMPLATE_H
 #define SW_CONFIGURATION_TEMPLATE_H
 
