--- a/tests/configuration/test_parse.c
+++ b/tests/configuration/test_parse.c
@@ -1,4 +1,4 @@
-/* Parsing of good bundles: derived routes, look-ups, canonical form. */
+/* Parsing of valid bundles: derived routes, look-ups, canonical form, parsing in slices. */
 #include "configuration/configuration.h"
 
 #include <string.h>
@@ -113,14 +113,14 @@
 {
     struct configuration *configuration = parse_example("atlas-huts");
     g_autoptr(GPtrArray) guides = configuration_tenants_of_template(configuration, "guide");
-    g_autoptr(GPtrArray) nobody = configuration_tenants_of_template(configuration, "absent");
+    g_autoptr(GPtrArray) absent = configuration_tenants_of_template(configuration, "absent");
 
     g_assert_cmpuint(guides->len, ==, 2);
     const struct tenant_route *first = g_ptr_array_index(guides, 0);
     const struct tenant_route *second = g_ptr_array_index(guides, 1);
     g_assert_cmpstr(first->tenant, ==, "guides-ait-bougmez");
     g_assert_cmpstr(second->tenant, ==, "guides-imlil");
-    g_assert_cmpuint(nobody->len, ==, 0);
+    g_assert_cmpuint(absent->len, ==, 0);
     configuration_unref(configuration);
 }
 
@@ -149,7 +149,8 @@
     configuration_unref(second);
 }
 
-/* What is stored and fetched by hash is the canonical form itself. */
+/* The canonical form of the canonical form is the same text, and the hash is the checksum of its
+ * bytes. */
 static void test_canonical_is_a_fixed_point(void)
 {
     struct configuration *configuration = parse_example("kitakaze-meters");
@@ -195,7 +196,7 @@
     configuration_unref(second);
 }
 
-static void test_references_keep_it_alive(void)
+static void test_reference_counting(void)
 {
     struct configuration *configuration = parse_text(ordered);
     struct configuration *second = configuration_ref(configuration);
@@ -206,7 +207,8 @@
     configuration_unref(NULL);
 }
 
-/* "| `name` | type and bounds | default |" as the reference has it. */
+/* The field's row in the table of docs/configuration.md: "| `name` | type and bounds | default |".
+ */
 static char *documented_row(const struct route_field_info *info)
 {
     const struct value_bounds *bounds = &info->bounds;
@@ -234,12 +236,13 @@
     for (guint field = 0; field < ROUTE_FIELD_COUNT; field++) {
         g_autofree char *row = documented_row(route_field_info(field));
         if (strstr(text, row) == NULL) {
-            g_error("docs/configuration.md lacks the row: %s", row);
+            g_error("docs/configuration.md: missing row: %s", row);
         }
     }
 }
 
-/* A canonical bundle of so many tenants, enough for several slices. */
+/* A canonical bundle with this number of tenants. Descriptions contain text that looks like JSON
+ * structure, which the split into slices must skip. */
 static GString *make_canonical(guint tenants)
 {
     GString *text = g_string_new(
@@ -258,20 +261,21 @@
     return text;
 }
 
-/* Parses a text both ways. True if it is valid; the faults must be the same. */
-static bool parse_both(const char *text, struct configuration **whole,
+/* Parses a text as a whole and in slices, and checks that both give the same faults. True if valid.
+ */
+static bool parse_both(const char *text, struct configuration **unsliced,
                        struct configuration **canonical)
 {
-    g_autoptr(GPtrArray) whole_problems = configuration_problems_new();
+    g_autoptr(GPtrArray) unsliced_problems = configuration_problems_new();
     g_autoptr(GPtrArray) canonical_problems = configuration_problems_new();
     g_autoptr(GBytes) bytes = g_bytes_new(text, strlen(text));
 
-    bool valid = configuration_parse(text, strlen(text), "test", whole, whole_problems);
+    bool valid = configuration_parse(text, strlen(text), "test", unsliced, unsliced_problems);
     bool canonical_valid =
         configuration_parse_canonical(bytes, "test", canonical, canonical_problems);
-    g_autofree char *whole_faults = configuration_problems_text(whole_problems);
+    g_autofree char *unsliced_faults = configuration_problems_text(unsliced_problems);
     g_autofree char *canonical_faults = configuration_problems_text(canonical_problems);
-    g_assert_cmpstr(canonical_faults, ==, whole_faults);
+    g_assert_cmpstr(canonical_faults, ==, unsliced_faults);
     g_assert_true(valid == canonical_valid);
     return valid;
 }
@@ -292,20 +296,21 @@
     g_assert_cmpuint(left->zones->len, ==, right->zones->len);
 }
 
-/* A canonical bundle reads the same by slices as at once, at the borders of a slice too. */
+/* A canonical bundle gives the same configuration in slices as in one piece. The counts include one
+ * less and one more than the size of a slice. */
 static void test_slices_read_the_same(void)
 {
     static const guint counts[] = {0, 1, 999, 1000, 1001, 2500};
 
     for (gsize i = 0; i < G_N_ELEMENTS(counts); i++) {
-        struct configuration *whole = NULL;
+        struct configuration *unsliced = NULL;
         struct configuration *canonical = NULL;
         g_autoptr(GString) text = make_canonical(counts[i]);
-        bool valid = parse_both(text->str, &whole, &canonical);
+        bool valid = parse_both(text->str, &unsliced, &canonical);
         g_assert_true(valid);
-        g_assert_cmpuint(whole->tenants->len, ==, counts[i]);
-        check_same(whole, canonical);
-        configuration_unref(whole);
+        g_assert_cmpuint(unsliced->tenants->len, ==, counts[i]);
+        check_same(unsliced, canonical);
+        configuration_unref(unsliced);
         configuration_unref(canonical);
     }
     g_autofree char *example = example_text("atlas-huts");
@@ -320,7 +325,8 @@
     configuration_unref(second);
 }
 
-/* A fault in any slice, a tenant given in two slices, and cut text give the faults of the whole. */
+/* Invalid text gives the same faults in slices as in one piece: a fault in any slice, the same
+ * tenant in two slices, a missing section, unbalanced brackets and truncated text. */
 static void test_slices_have_the_same_faults(void)
 {
     static const char *const edits[][2] = {
@@ -334,20 +340,20 @@
     };
 
     for (gsize i = 0; i < G_N_ELEMENTS(edits); i++) {
-        struct configuration *whole = NULL;
+        struct configuration *unsliced = NULL;
         struct configuration *canonical = NULL;
         g_autoptr(GString) text = make_canonical(2500);
         guint replaced = g_string_replace(text, edits[i][0], edits[i][1], 1);
         g_assert_cmpuint(replaced, ==, 1);
-        bool valid = parse_both(text->str, &whole, &canonical);
+        bool valid = parse_both(text->str, &unsliced, &canonical);
         g_assert_false(valid);
     }
-    for (gsize cut = 1; cut < 400; cut++) {
-        struct configuration *whole = NULL;
+    for (gsize removed_bytes = 1; removed_bytes < 400; removed_bytes++) {
+        struct configuration *unsliced = NULL;
         struct configuration *canonical = NULL;
         g_autoptr(GString) text = make_canonical(3);
-        g_string_truncate(text, text->len - MIN(cut, text->len));
-        bool valid = parse_both(text->str, &whole, &canonical);
+        g_string_truncate(text, text->len - MIN(removed_bytes, text->len));
+        bool valid = parse_both(text->str, &unsliced, &canonical);
         g_assert_false(valid);
     }
 }
@@ -364,7 +370,7 @@
     g_test_add_func("/configuration/route/defaults", test_defaults_of_the_route);
     g_test_add_func("/configuration/route/equal", test_routes_compare_by_content);
     g_test_add_func("/configuration/route/documented", test_fields_are_documented);
-    g_test_add_func("/configuration/references", test_references_keep_it_alive);
+    g_test_add_func("/configuration/references", test_reference_counting);
     g_test_add_func("/configuration/slices/same", test_slices_read_the_same);
     g_test_add_func("/configuration/slices/faults", test_slices_have_the_same_faults);
     return g_test_run();
