--- a/tools/generate.py
+++ b/tools/generate.py
@@ -13,16 +13,16 @@
            {"id": 2, "name": "zones", "type": "u32[]", "max": 8},
            {"id": 3, "name": "load", "type": "u32", "optional": true, "comment": "..."}]}
        Types: u32 u64 i64 bool text bytes, the name of an enum or of an earlier struct, and T[].
-       "max" bounds text and bytes in octets and T[] in items; text[] and bytes[] also need
-       "item_max", in octets. Field ids run from 1 to 255 and are never given to another field.
-    2. "messages": add {"id": 3, "name": "probe", "struct": "probe"} if it travels on its own.
+       "max" bounds text and bytes in bytes and T[] in items; text[] also needs "item_max", in
+       bytes. Field ids run from 1 to 255 and are never reused for another field.
+    2. "messages": add {"id": 3, "name": "probe", "struct": "probe"} if it is a message of its own.
     3. Run tools/generate.py and commit the schema together with src/generated/.
 
-To add a setting: add it to schema/settings.json, whose comment tells the types, and run this; the
-reference page docs/settings.md is generated too.
+To add a setting: add it to schema/settings.json, whose comment describes the types, and run
+tools/generate.py; the reference page docs/settings.md is generated too.
 
-Errors name the file and the place in the schema. clang-format lays
-out the code if it is installed; without it the code is the same but for line breaks.
+Errors name the file and the place in the schema. The code is formatted by clang-format if it is
+installed; without it the code differs only in line breaks.
 """
 
 import argparse
@@ -38,12 +38,12 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 
-# A schema with every type that the generator knows, for its tests.
+# A schema with every type that the generator supports, for its tests.
 SAMPLE_SCHEMA = "tests/generated/sample.json"
 
 
 def generate():
-    """Returns the generated files: a dict from path below the root to text."""
+    """Returns the generated files: a dict from the path relative to the root to the text."""
     files = {}
     error_schema = read_json(ROOT, "schema/errors.json")
     files.update(errors.generate(error_schema, "schema/errors.json"))
@@ -62,7 +62,7 @@
 
 
 def clang_format(text, path):
-    """Formats C by the project's style; returns it as it is where clang-format is missing."""
+    """Formats C in the project's style; returns the text unchanged if clang-format is missing."""
     program = shutil.which("clang-format")
     if program is None or not path.endswith((".c", ".h")):
         return text
@@ -71,7 +71,7 @@
 
 
 def is_current(target, text):
-    """Whether a file holds the text; without clang-format, line breaks and spaces don't count."""
+    """Whether a file has this text; without clang-format, line breaks and spaces are ignored."""
     if not target.exists():
         return False
     present = target.read_text()
--- a/tools/generator/cases.py
+++ b/tools/generator/cases.py
@@ -1,11 +1,11 @@
-"""Test cases for a schema of messages: for each struct, a function that fills it at random within
-its bounds, and a row in a table for the tests that run over all structs."""
+"""Test cases for a schema of messages: for each struct, a function that fills it with random values
+within its bounds, and a row in the table used by tests that cover all structs."""
 
 from generator import messages, writer
 
 
 def random_value(field):
-    """An expression of a random value of the field's type; None for a struct."""
+    """An expression for a random value of the field's type; None for a struct."""
     if field.is_struct:
         return None
     if field.is_enum:
--- a/tools/generator/errors.py
+++ b/tools/generator/errors.py
@@ -1,4 +1,4 @@
-"""errors.h and errors.c: the closed list of error kinds and its table."""
+"""errors.h and errors.c: the enum of error kinds and the table of their properties."""
 
 from generator import writer
 from generator.schema import check_keys, check_name, check_unique, require
@@ -10,7 +10,7 @@
 
 
 def check(schema, path):
-    """Refuses a schema that is not sound."""
+    """Rejects an invalid schema."""
     check_keys(schema, ["kinds"], ["comment"], path)
     kinds = schema["kinds"]
     require(kinds, path, "'kinds' is empty")
@@ -28,20 +28,21 @@
 
 
 HEADER_BODY = """
-/* One row of the table from error kind to answer. */
+/* Properties of one error kind: one row of the table. */
 struct error_entry {
     enum error_kind kind;
-    const char *name;     /* as callers see it */
+    const char *name;     /* as sent to callers */
     unsigned http_status; /* 400 to 599 */
     enum error_ran ran;
     enum error_retry retry;
     const char *text; /* a short sentence */
 };
 
-/* The table's row of a kind; static, any thread. A value out of range gives the row of internal. */
+/* Returns the table's row of a kind, which is static; for a value out of range the row of
+ * ERROR_KIND_INTERNAL. Any thread. */
 const struct error_entry *error_entry_of(enum error_kind kind);
 
-/* Finds a kind by its name; false, with `kind` untouched, where there is none. */
+/* Finds a kind by its name. Returns false and leaves `kind` unchanged if there is none. */
 bool error_kind_from_name(const char *name, enum error_kind *kind);
 """
 
@@ -68,19 +69,19 @@
 
 
 def generate(schema, path):
-    """Returns the files made from the schema of errors."""
+    """Returns the files generated from the schema of errors."""
     check(schema, path)
     kinds = schema["kinds"]
     require(any(kind["name"] == "internal" for kind in kinds), path, "kind 'internal' is missing")
     constants = [f"ERROR_KIND_{kind['name'].upper()}" for kind in kinds] + ["ERROR_KIND_COUNT"]
-    body = writer.enum_block("error_kind", "The closed list of error kinds.", constants)
-    body += "\n" + writer.enum_block("error_ran", "What became of the request.",
+    body = writer.enum_block("error_kind", "The complete list of error kinds.", constants)
+    body += "\n" + writer.enum_block("error_ran", "State of the request after the error.",
                                      [f"ERROR_RAN_{name.upper()}" for name in RAN])
     body += "\n" + writer.enum_block(
         "error_retry", "Whether the same request may be sent again, and with which idempotency key.",
         [f"ERROR_RETRY_{name.upper()}" for name in RETRY])
     header = writer.header("SW_GENERATED_ERRORS_H", path,
-                           "The closed list of error kinds, with a table from kind to answer.",
+                           "The complete list of error kinds, with a table of their properties.",
                            ["<stdbool.h>"], body + HEADER_BODY)
     source = writer.banner(path, "The table of error kinds.")
     source += '#include "generated/errors.h"\n\n#include <stddef.h>\n#include <string.h>\n\n'
--- a/tools/generator/messages.py
+++ b/tools/generator/messages.py
@@ -9,7 +9,7 @@
 
 
 class Field:
-    """One field of a struct, with its type taken apart."""
+    """One field of a struct, with its type parsed."""
 
     def __init__(self, entry, struct_name, enums, structs, place):
         check_keys(entry, ["id", "name", "type"], ["max", "item_max", "optional", "comment"], place)
@@ -32,19 +32,19 @@
         require(id_valid, place, f"id {self.id!r} is not from 1 to {FIELD_ID_MAX}")
         known = [*SCALARS, "text", "bytes", *enums, *structs]
         require(self.type in known, place,
-                f"type '{self.type}' is not known here; known are {', '.join(known)} "
-                "(a struct must stand before its use)")
+                f"unknown type '{self.type}'; known here are {', '.join(known)} "
+                "(a struct must be defined before its use)")
         bounded = self.is_array or self.type in ("text", "bytes")
         require((self.max is not None) == bounded, place,
-                "'max' belongs to text, bytes and arrays, and they need it")
+                "'max' is required for text, bytes and arrays, and allowed only there")
         needs_item_max = self.is_array and self.type in ("text", "bytes")
         require(has_item_max == needs_item_max, place,
-                "'item_max' belongs to text[] and bytes[], and they need it")
+                "'item_max' is required for text[] and bytes[], and allowed only there")
         require(not (self.is_array and self.type == "bytes"), place,
-                "bytes[] is not supported; put the bytes into a struct")
+                "bytes[] is not supported; use an array of a struct with a bytes field")
         for bound in (self.max, self.item_max):
             valid = bound is None or (isinstance(bound, int) and bound > 0)
-            require(valid, place, "a bound must be a positive whole number")
+            require(valid, place, "a bound must be a positive integer")
         require(isinstance(self.optional, bool), place, "'optional' must be true or false")
 
     @property
@@ -71,10 +71,11 @@
         return "".join(lines)
 
     def owns_memory(self):
-        """Whether request_clear has something to free for this field."""
+        """Whether the struct's _clear function has to free memory of this field."""
         return self.is_array or self.is_struct or self.type in ("text", "bytes")
 
-    # Expressions and statements. `value` is a C expression for one value of the field's type.
+    # The functions below return C expressions and statements. `value` is a C expression for one
+    # value of the field's type.
 
     def build(self, value):
         """An expression that builds the CBOR item of one value."""
@@ -91,7 +92,7 @@
         return f"codec_build_u64({value})"
 
     def check(self, value, quoted):
-        """An expression that is false if one value breaks a bound; None where it can't."""
+        """An expression that is false if one value exceeds a bound; None if the type has none."""
         if self.is_struct:
             return f"{self.type}_check(&{value}, error)"
         if self.is_enum:
@@ -142,7 +143,7 @@
         text = writer.comment(self.comment) if self.comment else ""
         text += f"struct {self.name} {{\n"
         text += "".join(field.declaration() for field in self.fields)
-        # Together at the end, the flags cost the least padding.
+        # The flags are placed together at the end, which needs the least padding.
         text += "".join(f"    bool has_{f.name};\n" for f in self.fields if f.optional)
         text += "};\n\n"
         name = self.name
@@ -351,10 +352,10 @@
         place = f"{path}: enum {entry.get('name', index)!r}"
         check_keys(entry, ["name", "values"], ["comment"], place)
         check_name(entry["name"], place)
-        require(entry["name"] not in enums, place, "stands twice")
+        require(entry["name"] not in enums, place, "duplicate name")
         require(entry["values"], place, "no values")
         for value in entry["values"]:
-            # A value is a part of a constant's name, so a C keyword is no clash.
+            # A value is only a part of a constant's name, so it may be a C keyword.
             check_name(value + "_", place)
         check_unique([*entry["values"], "count"], place)
         enums[entry["name"]] = entry
@@ -368,8 +369,8 @@
         check_keys(entry, ["id", "name", "struct"], ["comment"], place)
         check_name(entry["name"], place)
         valid = isinstance(entry["id"], int) and entry["id"] > 0
-        require(valid, place, f"id {entry['id']!r} is not a positive whole number")
-        require(entry["struct"] in structs, place, f"struct '{entry['struct']}' is not known")
+        require(valid, place, f"id {entry['id']!r} is not a positive integer")
+        require(entry["struct"] in structs, place, f"unknown struct '{entry['struct']}'")
     check_unique([entry["id"] for entry in schema["messages"]], f"{path}: messages: id")
     check_unique([entry["name"] for entry in schema["messages"]], f"{path}: messages")
 
@@ -386,30 +387,31 @@
 
 
 MESSAGE_DECLARATIONS = """
-/* The message's name; "invalid" for a value out of the list. */
+/* Returns the name of a message kind; "invalid" for an unknown value. */
 const char *message_kind_name(enum message_kind kind);
 
-/* The empty message of one kind; an old content is not freed. */
+/* Makes an empty message of one kind. Does not free the previous content. */
 void message_init(struct message *message, enum message_kind kind);
 
-/* Frees the content and leaves a message of no kind. */
+/* Frees the content and sets the kind to MESSAGE_KIND_NONE. */
 void message_clear(struct message *message);
 
-/* Checks the content's bounds as the decoder will; false with `error` if one is broken. */
+/* Checks the content against the bounds that the decoder enforces. Returns false and sets `error`
+ * if one is exceeded. */
 bool message_check(const struct message *message, GError **error);
 
 /* Encodes as the CBOR array [kind, body]. The caller owns the result. */
 GByteArray *message_encode(const struct message *message);
 
-/* Decodes exactly one message that fills `data`. `out` is overwritten; on failure it is empty. */
+/* Decodes one message that fills `data` exactly. `out` is overwritten; on failure it is empty. */
 bool message_decode(const uint8_t *data, size_t length, struct message *out, GError **error);
 """
 
 
 def message_declaration(entries):
-    """The union of all messages."""
+    """The declaration of the union of all messages."""
     constants = [f"MESSAGE_KIND_{e['name'].upper()} = {e['id']}" for e in entries]
-    text = writer.enum_block("message_kind", "What a frame or datagram carries.",
+    text = writer.enum_block("message_kind", "Kind of message in a frame or datagram.",
                              ["MESSAGE_KIND_NONE = 0"] + constants)
     text += "\n/* One message of any kind. It owns its content. */\nstruct message {\n"
     text += "    enum message_kind kind;\n    union {\n"
@@ -418,7 +420,7 @@
 
 
 def message_switch(entries, statement, default):
-    """A switch over the kinds; `statement` makes the case's statements."""
+    """A switch over the kinds; `statement` returns the statements of one case."""
     text = ""
     for entry in entries:
         text += f"    case MESSAGE_KIND_{entry['name'].upper()}:\n"
@@ -501,14 +503,14 @@
 
 
 PURPOSE = """Messages between the system's own processes and their CBOR codecs. For each struct T: \
-T_init makes it empty; T_clear frees its content and leaves it empty; T_copy overwrites `to` with a \
-deep copy and frees nothing first; T_check tells whether the decoder would accept the content; \
-T_to_cbor and T_encode build what the caller then owns; \
-T_from_cbor and T_decode overwrite `out`, and on failure leave it empty and raise SW_ERROR, code \
-ERROR_KIND_BAD_REQUEST, naming the field. A struct owns all it points to, by g_malloc; NULL text is \
-the empty text. On the wire a struct is a map from field id to value without fields of zero value; \
-bounds are checked by the decoder and by T_check. No function shares state: any thread may use any struct \
-that no other thread changes."""
+T_init makes it empty. T_clear frees its content and leaves it empty. T_copy overwrites `to` with a \
+deep copy and frees nothing first. T_check returns whether the decoder would accept the content. \
+T_to_cbor and T_encode return an item or array that the caller owns. \
+T_from_cbor and T_decode overwrite `out`; on failure they leave it empty and set SW_ERROR, code \
+ERROR_KIND_BAD_REQUEST, with a text that names the field. A struct owns all memory that it points \
+to, allocated by g_malloc; a NULL text is the empty text. On the wire a struct is a map from field \
+id to value, without fields of zero value. The decoder and T_check enforce the bounds. There is no \
+shared state: any thread may use a struct that no other thread changes."""
 
 
 def parse(schema, path):
@@ -519,14 +521,14 @@
     for entry in schema["structs"]:
         struct = Struct(entry, enums, structs, path)
         require(struct.name not in structs and struct.name not in enums and struct.name != "message",
-                f"{path}: struct '{struct.name}'", "stands twice")
+                f"{path}: struct '{struct.name}'", "duplicate name")
         structs[struct.name] = struct
     check_messages(schema, structs, path)
     return enums, structs
 
 
 def generate(schema, path, base="src/generated/messages"):
-    """Returns the files made from a schema of messages: `base`.h and .c."""
+    """Returns the files generated from a schema of messages: `base`.h and .c."""
     enums, structs = parse(schema, path)
     include = base.removeprefix("src/").removeprefix("tests/generated/")
     body = ""
--- a/tools/generator/schema.py
+++ b/tools/generator/schema.py
@@ -1,4 +1,4 @@
-"""Reading of the schema files, and the checks that all of them share."""
+"""Reading of the schema files, and the checks common to all of them."""
 
 import json
 import re
@@ -11,7 +11,7 @@
 
 
 class SchemaError(Exception):
-    """A fault in a schema file; the text names the file and the place."""
+    """An error in a schema file; the text names the file and the place."""
 
 
 def read_json(root, path):
@@ -29,25 +29,25 @@
 
 
 def check_keys(entry, required, optional, place):
-    """Refuses an entry with keys that are missing or not known."""
+    """Rejects an entry with missing or unknown keys."""
     require(isinstance(entry, dict), place, "must be an object")
     for key in required:
         require(key in entry, place, f"'{key}' is missing")
     for key in entry:
         allowed = list(required) + list(optional)
-        require(key in allowed, place, f"'{key}' is not known; known are {', '.join(allowed)}")
+        require(key in allowed, place, f"unknown key '{key}'; allowed are {', '.join(allowed)}")
 
 
 def check_name(name, place):
-    """Refuses what is not a lower-case C identifier."""
+    """Rejects a name that is not a lower-case C identifier."""
     valid = isinstance(name, str) and re.fullmatch(r"[a-z][a-z0-9_]*", name)
     require(valid, place, f"{name!r} is not a lower-case name")
     require(name not in C_KEYWORDS, place, f"'{name}' is a C keyword")
 
 
 def check_unique(values, place):
-    """Refuses a value that stands twice."""
+    """Rejects a list with a duplicate value."""
     seen = set()
     for value in values:
-        require(value not in seen, place, f"'{value}' stands twice")
+        require(value not in seen, place, f"duplicate '{value}'")
         seen.add(value)
--- a/tools/generator/settings.py
+++ b/tools/generator/settings.py
@@ -1,4 +1,5 @@
-"""settings.h, settings.c and docs/settings.md: the daemon's settings and their reference page."""
+"""settings.h, settings.c and docs/settings.md, or the same for another struct of settings: the code
+that reads the settings and their reference page."""
 
 import re
 
@@ -39,7 +40,7 @@
         self.name = entry["name"]
         self.type = entry["type"]
         require(self.type in TYPES, self.place,
-                f"type '{self.type}' is not known; known are {', '.join(TYPES)}")
+                f"unknown type '{self.type}'; known are {', '.join(TYPES)}")
         self.comment = entry["comment"]
         self.unit = {"duration_ms": "ms", "size": "octets"}.get(self.type, entry.get("unit"))
         self.required = entry.get("required", False)
@@ -62,18 +63,18 @@
 
     def _check(self, entry):
         require(("max" in entry) == (self.type in BOUNDED), self.place,
-                f"'max' belongs to {', '.join(BOUNDED)}, and they need it")
+                f"'max' is required for {', '.join(BOUNDED)}, and allowed only there")
         require((self.type in NUMBERS) == ("min" in entry) or self.type in BOUNDED, self.place,
-                f"'min' belongs to {', '.join(NUMBERS)}, and they need it")
-        require(self.min <= self.max, self.place, "'min' is over 'max'")
+                f"'min' is required for {', '.join(NUMBERS)}, and allowed only there")
+        require(self.min <= self.max, self.place, "'min' is greater than 'max'")
         require(self.type not in ("u32", "duration_ms") or self.max <= U32_MAX, self.place,
-                "'max' is over 32 bits")
+                "'max' does not fit into 32 bits")
         require((self.type == "choice") == bool(self.values), self.place,
-                "'values' belongs to choice, which needs it")
+                "'values' is required for choice, and allowed only there")
         require(not self.required or self.type == "text", self.place,
-                "'required' belongs to text")
+                "'required' is allowed only for text")
         require(self.type != "duration_ms" or self.key.endswith("_ms"), self.place,
-                "the name of a duration ends in _ms")
+                "the name of a duration must end in _ms")
         if self.type in NUMBERS:
             number = self._number(self.default)
             require(number is not None and self.min <= number <= self.max, self.place,
@@ -85,10 +86,10 @@
 
     def _number(self, text):
         unit = 1
-        for suffix, octets in UNITS.items():
+        for suffix, factor in UNITS.items():
             if self.type == "size" and text.endswith(suffix):
                 text = text.removesuffix(suffix)
-                unit = octets
+                unit = factor
         return int(text) * unit if text.isdecimal() else None
 
     @property
@@ -127,14 +128,14 @@
         return "    {\n" + "".join(f"        {line}\n" for line in lines) + "    },\n"
 
     def allowed(self):
-        """The allowed values, for the reference page."""
+        """The allowed values, as shown on the reference page."""
         if self.type in NUMBERS:
             text = f"{self.min} to {self.max}"
             return text + (f", at most `{self.at_most}`" if self.at_most else "")
         if self.type == "choice":
             return ", ".join(f"`{value}`" for value in self.values)
         if self.type == "text":
-            return f"up to {self.max} octets" + (", required" if self.required else "")
+            return f"up to {self.max} bytes" + (", required" if self.required else "")
         if self.type == "address_list":
             return f"up to {self.max} of `IP:port`, separated by commas"
         return {"address": "`IP:port`", "bool": "`true`, `false`",
@@ -142,12 +143,12 @@
 
 
 def check_at_most(settings, path):
-    """Refuses an 'at_most' that names no number."""
+    """Rejects an 'at_most' that does not name a number setting."""
     numbers = [s.name for s in settings if s.type in ("u32", "duration_ms")]
     for setting in settings:
         if setting.at_most:
             valid = setting.at_most in numbers and setting.name in numbers
-            require(valid, setting.place, "'at_most' must stand at a number and name another")
+            require(valid, setting.place, "'at_most' is allowed only for a number and must name another")
     check_unique([s.name for s in settings], f"{path}: settings")
 
 
@@ -157,23 +158,25 @@
 
 
 DECLARATIONS = """
-/* Sets the defaults; an old content is not freed. */
+/* Sets the defaults. Does not free the previous content. */
 void settings_defaults(struct settings *settings);
 
 /* Frees the content. */
 void settings_clear(struct settings *settings);
 
-/* Reads defaults, then a key file (NULL for none), then overrides "group.key=value" (NULL or
- * NULL-terminated). The caller clears `out`, also on failure. On failure `error` is SW_ERROR,
- * ERROR_KIND_INVALID_CONFIGURATION, with one line for every fault. */
+/* Sets the defaults, then reads a key file (NULL for none), then overrides "group.key=value" (NULL
+ * or a NULL-terminated list). The caller clears `out`, also on failure. On failure sets SW_ERROR,
+ * ERROR_KIND_INVALID_CONFIGURATION, with one line for each fault. */
 bool settings_read(struct settings *out, const char *file, const char *const *overrides,
                    GError **error);
 
-/* As settings_read, with the key file's text at hand; `file` names it in errors. */
+/* As settings_read, but reads the key file's content from `text`. `file` is the file name used in
+ * errors. */
 bool settings_read_text(struct settings *out, const char *file, const char *text,
                         const char *const *overrides, GError **error);
 
-/* One line a setting: name, value, unit and source. The caller frees it by g_free. */
+/* Returns one line per setting with its name, value, unit and source. The caller frees the text by
+ * g_free. */
 char *settings_print(const struct settings *settings);
 """
 
@@ -214,7 +217,7 @@
     """The text of settings.h."""
     body = "\n".join(s.choices() for s in settings if s.values)
     body += f"\n#define SETTINGS_COUNT {len(settings)}\n\n"
-    body += "/* All settings of the daemon. Read once, then shared unchanged by all threads. */\n"
+    body += "/* All settings of the daemon. Read once at start, then shared read-only by all threads. */\n"
     body += "struct settings {\n"
     for group in group_names(settings):
         body += "    struct {\n"
@@ -244,8 +247,8 @@
     """The text of docs/settings.md."""
     text = f"<!-- Generated from {path} by tools/generate.py; do not edit. -->\n\n# Settings\n\n"
     text += ("The daemon reads its settings from a key file (`--settings FILE`), with a group in "
-             "brackets and `key = value` lines, and from `--set group.key=value`, which goes before "
-             "the file. An unknown key is refused; all faults are told at once. In the file `\\` "
+             "brackets and `key = value` lines, and from `--set group.key=value`, which overrides "
+             "the file. An unknown key is refused; all faults are reported at once. In the file `\\` "
              "starts an escape (`\\\\` for itself), and a line that starts with `#` is a comment. "
              "Sizes take `KiB`, `MiB` or `GiB`.\n")
     for group in group_names(settings):
@@ -260,7 +263,7 @@
 
 
 def rename(text, struct):
-    """The text with the names of another struct of settings; its own file and guard."""
+    """Replaces the names of struct settings, its file and its guard by those of another struct."""
     text = re.sub(r"\bsettings_(defaults|clear|read_text|read|print)\b", struct + r"_\1", text)
     text = re.sub(r"\bstruct settings\b", f"struct {struct}", text)
     text = text.replace("SETTINGS_COUNT", f"{struct.upper()}_COUNT")
@@ -269,7 +272,7 @@
 
 
 def generate(schema, path):
-    """Returns the files made from the schema of settings."""
+    """Returns the files generated from a schema of settings."""
     check_keys(schema, ["settings"], ["comment", "struct"], path)
     struct = schema.get("struct", "settings")
     settings = [Setting(entry, i, path) for i, entry in enumerate(schema["settings"])]
--- a/tools/generator/writer.py
+++ b/tools/generator/writer.py
@@ -1,4 +1,4 @@
-"""Pieces of C text, already in the project's format."""
+"""Building blocks of C source text, formatted as clang-format formats them."""
 
 import textwrap
 
@@ -36,7 +36,7 @@
 
 
 def header(guard, schema_path, purpose, includes, body):
-    """A whole header file."""
+    """A complete header file."""
     text = banner(schema_path, purpose)
     text += f"#ifndef {guard}\n#define {guard}\n\n"
     text += "".join(f"#include {name}\n" if name else "\n" for name in includes)
@@ -44,7 +44,7 @@
 
 
 def enum_block(name, comment_text, constants):
-    """An enum with one constant a line."""
+    """An enum with one constant per line."""
     text = comment(comment_text) if comment_text else ""
     text += f"enum {name} {{\n"
     for constant in constants:
