--- a/bench/trace_cost.c
+++ b/bench/trace_cost.c
@@ -64,9 +64,9 @@
     uint64_t began = thread_time_ns();
     for (uint64_t step = 0; step < steps; step++) {
         make_event(step, &event);
-        trace_group_before(trace, control, event.now);
+        trace_group_reserve(trace, control, event.now);
         group_control_step(control, &event, &actions);
-        trace_group_after(trace, &event, control, &actions);
+        trace_group_record(trace, &event, control, &actions);
     }
     uint64_t spent = thread_time_ns() - began;
     trace_group_end(trace);
--- a/src/daemon/admin_api.c
+++ b/src/daemon/admin_api.c
@@ -295,7 +295,7 @@
     inet_ntop(AF_INET, &address.sin_addr, host, sizeof(host));
     options.address = host;
     options.port = ntohs(address.sin_port);
-    options.body_octets_max = CONFIGURATION_BYTES_MAX;
+    options.body_bytes_max = CONFIGURATION_BYTES_MAX;
     options.metrics = daemon_metrics_registry(daemon->metrics);
     options.ready = is_ready;
     options.user = daemon;
--- a/src/daemon/control_groups.c
+++ b/src/daemon/control_groups.c
@@ -284,9 +284,9 @@
 static void step(struct controlled_group *group, const struct group_event *event)
 {
     struct group_actions actions;
-    trace_group_before(group->trace, group->machine, event->now);
+    trace_group_reserve(group->trace, group->machine, event->now);
     group_control_step(group->machine, event, &actions);
-    trace_group_after(group->trace, event, group->machine, &actions);
+    trace_group_record(group->trace, event, group->machine, &actions);
     group->wake_at = actions.wake_at;
     for (uint32_t i = 0; i < actions.count; i++) {
         perform(group, &actions.items[i]);
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -354,7 +354,7 @@
     options.address = host;
     options.port = ntohs(address.sin_port);
     options.threads = daemon->settings.daemon.http_threads;
-    options.limits.body_octets_max = (uint32_t)daemon->settings.request.body_limit;
+    options.limits.body_bytes_max = (uint32_t)daemon->settings.request.body_limit;
     options.limits.timeout_ms = daemon->settings.request.default_timeout_ms;
     options.limits.timeout_ms_max = daemon->settings.request.max_timeout_ms;
     options.metrics = daemon_metrics_registry(daemon->metrics);
--- a/src/frontend/admin.c
+++ b/src/frontend/admin.c
@@ -56,7 +56,7 @@
 {
     memset(options, 0, sizeof(*options));
     options->address = "127.0.0.1";
-    options->body_octets_max = DEFAULT_BODY_OCTETS_MAX;
+    options->body_bytes_max = DEFAULT_BODY_OCTETS_MAX;
 }
 
 static void answer_metrics(const struct admin_request *request, struct admin_answer *answer,
@@ -226,7 +226,7 @@
 static void receive_body(const struct admin *admin, struct admin_request *request, const char *data,
                          size_t length)
 {
-    if (request->body->len + length > admin->options.body_octets_max) {
+    if (request->body->len + length > admin->options.body_bytes_max) {
         request->body_too_large = true;
         g_byte_array_set_size(request->body, 0);
     }
--- a/src/frontend/admin.h
+++ b/src/frontend/admin.h
@@ -34,7 +34,7 @@
     const char *address; /* IP number; default 127.0.0.1 */
     uint16_t port;       /* 0: any free one, see admin_port */
     bool remote_control; /* callers from other machines may use methods beside GET */
-    uint32_t body_octets_max;
+    uint32_t body_bytes_max;
     struct metrics *metrics; /* for /metrics; outlives the listener */
 
     /* For /readyz: whether the daemon takes requests; if not, appends the reason. NULL: always. */
--- a/src/frontend/call.c
+++ b/src/frontend/call.c
@@ -182,14 +182,14 @@
 {
     const char *text = MHD_lookup_connection_value(call->connection, MHD_HEADER_KIND,
                                                    MHD_HTTP_HEADER_CONTENT_LENGTH);
-    return text != NULL && g_ascii_strtoull(text, NULL, 10) > call->tenant.limits.body_octets_max;
+    return text != NULL && g_ascii_strtoull(text, NULL, 10) > call->tenant.limits.body_bytes_max;
 }
 
 static void refuse_too_large(struct frontend_call *call)
 {
     if (call->refusal == NULL) {
         call->refusal = g_error_new(SW_ERROR, ERROR_KIND_TOO_LARGE, "the body is over %u octets",
-                                    call->tenant.limits.body_octets_max);
+                                    call->tenant.limits.body_bytes_max);
     }
 }
 
@@ -227,7 +227,7 @@
 static enum MHD_Result receive_body(struct frontend_call *call, const char *data, size_t length)
 {
     call->body_octets += length;
-    if (call->refusal == NULL && call->body_octets > call->tenant.limits.body_octets_max) {
+    if (call->refusal == NULL && call->body_octets > call->tenant.limits.body_bytes_max) {
         refuse_too_large(call);
         g_byte_array_set_size(call->body, 0);
     }
--- a/src/frontend/frontend.c
+++ b/src/frontend/frontend.c
@@ -48,7 +48,7 @@
     options->sql_cache_entries = DEFAULT_SQL_ENTRIES;
     options->sql_cache_octets = DEFAULT_SQL_OCTETS;
     options->limits = (struct frontend_limits){
-        .body_octets_max = DEFAULT_BODY_OCTETS_MAX,
+        .body_bytes_max = DEFAULT_BODY_OCTETS_MAX,
         .statements_max = DEFAULT_STATEMENTS_MAX,
         .parameters_max = DEFAULT_PARAMETERS_MAX,
         .timeout_ms_max = DEFAULT_TIMEOUT_MS_MAX,
--- a/src/frontend/frontend.h
+++ b/src/frontend/frontend.h
@@ -23,7 +23,7 @@
 
 /* Bounds of one request. */
 struct frontend_limits {
-    uint32_t body_octets_max;
+    uint32_t body_bytes_max;
     uint32_t statements_max; /* of one transaction sent as a whole */
     uint32_t parameters_max; /* of one statement */
     uint32_t timeout_ms_max; /* a longer one is cut to this */
--- a/src/trace/trace_recorder.c
+++ b/src/trace/trace_recorder.c
@@ -179,7 +179,8 @@
     append(group, &record);
 }
 
-void trace_group_before(struct trace_group *group, const struct group_control *control, time_ns now)
+void trace_group_reserve(struct trace_group *group, const struct group_control *control,
+                         time_ns now)
 {
     if (group != NULL && group->segment->used > CONTENT_SIZE - RECORD_SIZE_MAX) {
         begin_segment(group, control, now);
@@ -208,8 +209,8 @@
     return command.id == id ? command : (struct trace_command){.id = id};
 }
 
-void trace_group_after(struct trace_group *group, const struct group_event *event,
-                       const struct group_control *control, const struct group_actions *actions)
+void trace_group_record(struct trace_group *group, const struct group_event *event,
+                        const struct group_control *control, const struct group_actions *actions)
 {
     if (group == NULL) {
         return;
@@ -229,7 +230,7 @@
         return;
     }
     struct trace_record record;
-    trace_group_before(group, control, now);
+    trace_group_reserve(group, control, now);
     trace_record_init(&record);
     record.at = now;
     record.has_detection = true;
--- a/src/trace/trace_recorder.h
+++ b/src/trace/trace_recorder.h
@@ -38,12 +38,12 @@
 void trace_group_end(struct trace_group *group);
 
 /* Before a step of the control: makes room for its record. */
-void trace_group_before(struct trace_group *group, const struct group_control *control,
-                        time_ns now);
+void trace_group_reserve(struct trace_group *group, const struct group_control *control,
+                         time_ns now);
 
 /* After the step: records the event and the digest of the decision. */
-void trace_group_after(struct trace_group *group, const struct group_event *event,
-                       const struct group_control *control, const struct group_actions *actions);
+void trace_group_record(struct trace_group *group, const struct group_event *event,
+                        const struct group_control *control, const struct group_actions *actions);
 
 /* Records a call of group_control_set_detection(). */
 void trace_group_detection(struct trace_group *group, const struct group_control *control,
--- a/tests/frontend/test_admin.c
+++ b/tests/frontend/test_admin.c
@@ -58,7 +58,7 @@
     options.metrics = listener->metrics;
     options.ready = is_ready;
     options.user = &listener->ready;
-    options.body_octets_max = 50;
+    options.body_bytes_max = 50;
     listener->admin = admin_new(&options);
     admin_route(listener->admin, "GET", "/v1/status", answer_status, NULL);
     admin_route(listener->admin, "GET", "/v1/databases/*", answer_echo, (void *)"get");
--- a/tests/frontend/test_frontend.c
+++ b/tests/frontend/test_frontend.c
@@ -520,7 +520,7 @@
 
 static void set_small_limits(struct frontend_options *options)
 {
-    options->limits.body_octets_max = 100;
+    options->limits.body_bytes_max = 100;
     options->threads = 1;
 }
 
--- a/tests/trace/trace_recorder_test.c
+++ b/tests/trace/trace_recorder_test.c
@@ -82,9 +82,9 @@
     struct group_actions actions;
 
     event->now = watcher->now;
-    trace_group_before(watcher->trace, watcher->control, event->now);
+    trace_group_reserve(watcher->trace, watcher->control, event->now);
     group_control_step(watcher->control, event, &actions);
-    trace_group_after(watcher->trace, event, watcher->control, &actions);
+    trace_group_record(watcher->trace, event, watcher->control, &actions);
     for (uint32_t i = 0; i < actions.count; i++) {
         if (actions.items[i].command != 0) {
             answer(watcher, &actions.items[i]);
