--- a/src/settings/setting_table.c
+++ b/src/settings/setting_table.c
@@ -1,4 +1,4 @@
-/* Reading of settings. Each fault becomes one line; reading goes on after it. */
+/* Reading of settings. Each fault is stored as one line of text, and reading continues. */
 #include "settings/setting_table.h"
 
 #include "core/error.h"
@@ -10,25 +10,25 @@
 
 #define OVERRIDE_PLACE "--set"
 
-/* Largest decimal that is taken. */
+/* Largest decimal that is accepted. */
 #define DECIMAL_MAX 1e12
 
-/* Keys such as name[de] are kept, so that they are refused and not dropped in silence. */
+/* Keeps keys such as name[de], so that they are rejected as unknown and not silently ignored. */
 #define FILE_FLAGS G_KEY_FILE_KEEP_TRANSLATIONS
 
-/* One reading: what is read into, and the faults so far. */
+/* State of one reading: the struct to fill, and the faults found so far. */
 struct reading {
     const struct setting_table *table;
     void *settings;
     enum setting_source *sources;
     GPtrArray *faults; /* texts */
-    bool *faulty;      /* by entry: its text was refused */
-    bool file_failed;  /* the file can't be read or parsed: what it sets is not known */
+    bool *rejected;    /* by entry: its last text was not valid */
+    bool file_failed;  /* the file could not be read or parsed, so its settings are not known */
 };
 
 struct size_suffix {
     const char *text;
-    uint64_t octets;
+    uint64_t bytes;
 };
 
 static const struct size_suffix size_suffixes[] = {
@@ -73,7 +73,7 @@
     uint64_t unit = 1;
     for (size_t i = 0; i < G_N_ELEMENTS(size_suffixes); i++) {
         if (g_str_has_suffix(text, size_suffixes[i].text)) {
-            unit = size_suffixes[i].octets;
+            unit = size_suffixes[i].bytes;
             digits[strlen(text) - strlen(size_suffixes[i].text)] = '\0';
         }
     }
@@ -162,7 +162,8 @@
     return true;
 }
 
-/* Reads a text into the entry's value; false, with the old value kept, if it is not allowed. */
+/* Parses a text into the entry's value. Returns false and keeps the old value if it is not
+ * allowed. */
 static bool read_value(const struct setting_entry *entry, const char *text, void *settings)
 {
     void *value = value_at(entry, settings);
@@ -187,7 +188,7 @@
     return false;
 }
 
-/* What an entry allows, as the end of "must be ...". */
+/* Describes the values that an entry allows, to follow "must be". */
 static char *allowed_text(const struct setting_entry *entry)
 {
     switch (entry->type) {
@@ -197,14 +198,14 @@
                                entry->unit == NULL ? "" : entry->unit);
     case SETTING_TYPE_SIZE:
         return g_strdup_printf("from %" PRIu64 " to %" PRIu64
-                               " octets, or a number of KiB, MiB or GiB",
+                               " bytes, or a number of KiB, MiB or GiB",
                                entry->min, entry->max);
     case SETTING_TYPE_DECIMAL:
         return g_strdup("a number of 0 or more");
     case SETTING_TYPE_BOOL:
         return g_strdup("true or false");
     case SETTING_TYPE_TEXT:
-        return g_strdup_printf("UTF-8 text of %" PRIu64 " to %" PRIu64 " octets", entry->min,
+        return g_strdup_printf("UTF-8 text of %" PRIu64 " to %" PRIu64 " bytes", entry->min,
                                entry->max);
     case SETTING_TYPE_CHOICE: {
         g_autofree char *choices = g_strjoinv(", ", (char **)entry->choices);
@@ -237,7 +238,7 @@
     va_end(arguments);
 }
 
-/* Sets one value from text that stands at `place`. */
+/* Sets one value from a text; `place` is the file name or "--set", for errors. */
 static void set_value(struct reading *reading, const char *place, enum setting_source source,
                       const char *name, const char *text)
 {
@@ -247,8 +248,8 @@
         return;
     }
     size_t index = (size_t)(entry - reading->table->entries);
-    reading->faulty[index] = !read_value(entry, text, reading->settings);
-    if (reading->faulty[index]) {
+    reading->rejected[index] = !read_value(entry, text, reading->settings);
+    if (reading->rejected[index]) {
         g_autofree char *allowed = allowed_text(entry);
         add_fault(reading, "%s: %s = %s: must be %s", place, name, text, allowed);
         return;
@@ -277,7 +278,8 @@
     g_autoptr(GError) error = NULL;
     g_autoptr(GKeyFile) key_file = g_key_file_new();
     if (!g_key_file_load_from_data(key_file, text, strlen(text), FILE_FLAGS, &error)) {
-        /* An empty file has no group, which GLib calls not found; it is a file of defaults. */
+        /* For an empty file without any group GLib reports NOT_FOUND. Such a file is valid: all
+         * settings have their defaults. */
         if (!g_error_matches(error, G_KEY_FILE_ERROR, G_KEY_FILE_ERROR_NOT_FOUND)) {
             add_fault(reading, "%s: %s", file, error->message);
             reading->file_failed = true;
@@ -314,11 +316,11 @@
     set_value(reading, OVERRIDE_PLACE, SETTING_SOURCE_OVERRIDE, g_strstrip(name), g_strstrip(text));
 }
 
-/* Checks a number against the setting that bounds it. */
+/* Checks a number against the setting named by at_most. */
 static void check_at_most(struct reading *reading, const struct setting_entry *entry)
 {
     const struct setting_entry *bound = find_entry(reading->table, entry->at_most);
-    if (reading->faulty[bound - reading->table->entries]) {
+    if (reading->rejected[bound - reading->table->entries]) {
         return;
     }
     uint32_t value = *(const uint32_t *)value_of(entry, reading->settings);
@@ -329,10 +331,10 @@
     }
 }
 
-/* Checks what one value alone doesn't show. */
+/* Checks a value after all sources are read: whether it is set, and its relation to others. */
 static void check_entry(struct reading *reading, const struct setting_entry *entry)
 {
-    if (reading->faulty[entry - reading->table->entries]) {
+    if (reading->rejected[entry - reading->table->entries]) {
         return;
     }
     if (entry->required) {
@@ -346,7 +348,7 @@
     }
 }
 
-/* Turns the faults into one error; true if there are none. */
+/* Sets an error with all faults; true if there are none. */
 static bool report(struct reading *reading, GError **error)
 {
     if (reading->faults->len == 0) {
@@ -400,7 +402,7 @@
     struct reading reading = {.table = table, .settings = settings};
     reading.sources = sources;
     reading.faults = g_ptr_array_new_with_free_func(g_free);
-    reading.faulty = g_new0(bool, table->count);
+    reading.rejected = g_new0(bool, table->count);
     if (text != NULL) {
         read_key_file(&reading, file, text);
     } else if (file != NULL) {
@@ -414,7 +416,7 @@
     }
     bool valid = report(&reading, error);
     g_ptr_array_unref(reading.faults);
-    g_free(reading.faulty);
+    g_free(reading.rejected);
     return valid;
 }
 
