--- a/src/frontend/acceptor.c
+++ b/src/frontend/acceptor.c
@@ -10,15 +10,15 @@
 #include <sys/eventfd.h>
 #include <unistd.h>
 
-/* How often a full acceptor looks again, and a wait after accept failed, e.g. for want of file
- * descriptors. */
+/* Interval at which a full acceptor checks for capacity, and the wait after a failed accept, e.g.
+ * when file descriptors are exhausted. */
 #define PAUSE_MS 10
 
-/* How long a stop waits for connections in the making: a round trip to their callers, and the time
- * that these may stand still. */
-#define LAST_CONNECTIONS_MS 100
+/* Time that a stop waits for handshakes to complete: a round trip to the caller and a delay in the
+ * caller's processing. */
+#define PENDING_CONNECTIONS_MS 100
 
-/* Of a TCP header. */
+/* Fields of the TCP header. */
 #define TCP_FLAGS_OFFSET 13
 #define TCP_FLAG_SYN     0x02
 #define TCP_FLAG_ACK     0x10
@@ -28,13 +28,14 @@
 struct acceptor {
     struct acceptor_callbacks callbacks;
     int listener;
-    int wake; /* an eventfd: readable once the acceptor must stop */
+    int wake; /* an eventfd, readable once the acceptor must stop */
     uint16_t port;
     atomic_bool stopping;
     pthread_t thread;
 };
 
-/* Accepts what the system has ready; false where accept failed for another reason. */
+/* Accepts all connections that are ready. False if accept failed for another reason than that there
+ * are no more. */
 static bool accept_ready(struct acceptor *acceptor)
 {
     const struct acceptor_callbacks *callbacks = &acceptor->callbacks;
@@ -54,7 +55,8 @@
     return true;
 }
 
-/* Waits for connections, or, where none may be taken, for a pause; and for the stop. */
+/* Waits for the stop and for a connection or, with `pause`, for PAUSE_MS in place of a
+ * connection. */
 static void wait_for_events(struct acceptor *acceptor, bool pause)
 {
     struct pollfd events[] = {
@@ -64,30 +66,31 @@
     poll(events, G_N_ELEMENTS(events), pause ? PAUSE_MS : -1);
 }
 
-/* From now on the system drops what would begin another connection: a caller that tries is told,
- * when it tries again, that nobody listens. Closing at once would reset connections made in
- * between. What completes a connection gets through: its caller may take it for made already, and
- * send its request. */
+/* Makes the kernel drop the SYN packets of new connections. A caller repeats the SYN and is then
+ * refused, as the listener is closed by that time. Closing the listener at once would reset
+ * connections established in the meantime. Packets that complete a handshake pass, because the
+ * caller may already consider the connection established and have sent its request. */
 static void stop_listening(int listener)
 {
-    struct sock_filter drop_begins[] = {
+    struct sock_filter drop_syn[] = {
         BPF_STMT(BPF_LD | BPF_B | BPF_ABS, TCP_FLAGS_OFFSET),
         BPF_STMT(BPF_ALU | BPF_AND | BPF_K, TCP_FLAG_SYN | TCP_FLAG_ACK),
         BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, TCP_FLAG_SYN, 0, 1),
         BPF_STMT(BPF_RET | BPF_K, 0),
         BPF_STMT(BPF_RET | BPF_K, BPF_WHOLE_PACKET),
     };
-    struct sock_fprog program = {.len = G_N_ELEMENTS(drop_begins), .filter = drop_begins};
+    struct sock_fprog program = {.len = G_N_ELEMENTS(drop_syn), .filter = drop_syn};
     setsockopt(listener, SOL_SOCKET, SO_ATTACH_FILTER, &program, sizeof(program));
 }
 
-/* Accepts the connections that began before, as they are completed. */
-static void accept_last(struct acceptor *acceptor)
+/* Accepts the connections whose handshake began before stop_listening, as they complete. */
+static void accept_pending(struct acceptor *acceptor)
 {
     struct pollfd listener = {.fd = acceptor->listener, .events = POLLIN};
     accept_ready(acceptor);
-    /* Counted from here: what it takes to hand over the first ones is not the last ones' time. */
-    gint64 until_us = g_get_monotonic_time() + LAST_CONNECTIONS_MS * 1000;
+    /* The time is counted from here, so that passing on the connections above does not shorten the
+     * wait for the last ones. */
+    gint64 until_us = g_get_monotonic_time() + PENDING_CONNECTIONS_MS * 1000;
     for (gint64 left_us = until_us - g_get_monotonic_time(); left_us > 0;
          left_us = until_us - g_get_monotonic_time()) {
         if (poll(&listener, 1, (int)(left_us / 1000) + 1) > 0 && !accept_ready(acceptor)) {
@@ -108,11 +111,11 @@
         }
     }
     stop_listening(acceptor->listener);
-    accept_last(acceptor);
+    accept_pending(acceptor);
     return NULL;
 }
 
-/* Opens a listening socket; negative with errno. */
+/* Opens a listening socket. Returns a negative number and sets errno on failure. */
 static int open_listener(union listen_address *address)
 {
     socklen_t length =
--- a/src/frontend/acceptor.h
+++ b/src/frontend/acceptor.h
@@ -1,6 +1,7 @@
-/* A listening socket with a thread that accepts connections and hands them on. libmicrohttpd 0.9.75
- * has a listener of its own, but can't be told to stop listening safely: MHD_quiesce_daemon races
- * its worker threads over the epoll sets and aborts the process when it loses. */
+/* A listening socket with a thread that accepts connections and passes them to a callback. The
+ * listener of libmicrohttpd 0.9.75 is not used because it can't be stopped safely:
+ * MHD_quiesce_daemon races with the worker threads over the epoll sets, and a lost race aborts the
+ * process. */
 #ifndef SW_FRONTEND_ACCEPTOR_H
 #define SW_FRONTEND_ACCEPTOR_H
 
@@ -11,26 +12,27 @@
 
 struct acceptor;
 
-/* What is done with connections; both on the acceptor's thread. */
+/* Called on the acceptor's thread. */
 struct acceptor_callbacks {
-    /* Takes over a connected, non-blocking socket. */
+    /* Takes ownership of a connected, non-blocking socket. */
     void (*take)(int connection, const struct sockaddr *peer, socklen_t length, void *user);
 
-    /* True while no more can be taken: connections wait in the system's queue. */
+    /* True while no more connections can be accepted; new ones wait in the listen backlog. */
     bool (*full)(void *user);
     void *user;
 };
 
-/* Listens at an IP number; port 0 is any free one. NULL with ERROR_KIND_INVALID_CONFIGURATION where
- * it can't. */
+/* Listens at a numeric IP address; port 0 selects a free port. Returns NULL and sets
+ * ERROR_KIND_INVALID_CONFIGURATION if it can't listen. */
 struct acceptor *acceptor_start(const char *address, uint16_t port,
                                 const struct acceptor_callbacks *callbacks, GError **error);
 
-/* The port bound. */
+/* Returns the bound port. */
 uint16_t acceptor_port(const struct acceptor *acceptor);
 
-/* Takes the connections that the system has made already or is making, which would be reset
- * otherwise, then closes the listener, ends the thread and frees the acceptor. Takes 100 ms. */
+/* Accepts the connections that are already established or in the handshake, which closing the
+ * listener would reset. Then closes the listener, ends the thread and frees the acceptor. Takes
+ * 100 ms. */
 void acceptor_stop(struct acceptor *acceptor);
 
 #endif
--- a/src/frontend/admin.c
+++ b/src/frontend/admin.c
@@ -9,12 +9,12 @@
 #include <microhttpd.h>
 #include <string.h>
 
-#define LOG_PREFIX              "admin"
-#define DEFAULT_BODY_OCTETS_MAX (4 * 1024 * 1024)
-#define CONNECTIONS_MAX         64
-#define IDLE_S                  60
-#define SEGMENTS_MAX            16
-#define TYPE_METRICS            "text/plain; version=0.0.4; charset=utf-8"
+#define LOG_PREFIX             "admin"
+#define DEFAULT_BODY_BYTES_MAX (4 * 1024 * 1024)
+#define CONNECTIONS_MAX        64
+#define IDLE_S                 60
+#define SEGMENTS_MAX           16
+#define TYPE_METRICS           "text/plain; version=0.0.4; charset=utf-8"
 
 struct admin_route {
     const char *method;
@@ -25,7 +25,7 @@
 
 struct admin {
     struct admin_options options;
-    GPtrArray *routes; /* of struct admin_route; fixed once started */
+    GPtrArray *routes; /* of struct admin_route; not changed after the start */
     struct MHD_Daemon *daemon;
     uint16_t port;
 };
@@ -56,7 +56,7 @@
 {
     memset(options, 0, sizeof(*options));
     options->address = "127.0.0.1";
-    options->body_bytes_max = DEFAULT_BODY_OCTETS_MAX;
+    options->body_bytes_max = DEFAULT_BODY_BYTES_MAX;
 }
 
 static void answer_metrics(const struct admin_request *request, struct admin_answer *answer,
@@ -131,7 +131,8 @@
     return pattern[i] == NULL && segments[i] == NULL;
 }
 
-/* Finds the route of a request; `path_known` tells that another method has one. */
+/* Finds the route of a request. If there is none, `path_known` is true if the path has a route with
+ * another method. */
 static const struct admin_route *find_route(const struct admin *admin, const char *method,
                                             char **segments, bool *path_known)
 {
@@ -169,8 +170,8 @@
     admin_answer_error(answer, error);
 }
 
-/* Callers from other machines only look, unless the settings say otherwise. */
-static bool may_call(const struct admin *admin, const struct admin_request *request)
+/* Callers from other machines may only use GET, unless remote_control is set. */
+static bool is_allowed(const struct admin *admin, const struct admin_request *request)
 {
     if (admin->options.remote_control || strcmp(request->route->method, MHD_HTTP_METHOD_GET) == 0) {
         return true;
@@ -185,14 +186,14 @@
 {
     bool path_known = false;
     bool head = strcmp(method, MHD_HTTP_METHOD_HEAD) == 0;
-    const char *wanted = head ? MHD_HTTP_METHOD_GET : method;
-    request->route = find_route(admin, wanted, request->segments, &path_known);
+    const char *route_method = head ? MHD_HTTP_METHOD_GET : method;
+    request->route = find_route(admin, route_method, request->segments, &path_known);
     if (request->route == NULL) {
         answer_kind(answer, ERROR_KIND_BAD_REQUEST,
-                    path_known ? "the method is not one of this path" : "the path is not known");
+                    path_known ? "the path does not support this method" : "the path is not known");
         return;
     }
-    if (!may_call(admin, request)) {
+    if (!is_allowed(admin, request)) {
         answer_kind(answer, ERROR_KIND_UNAUTHORIZED_ADMIN,
                     error_entry_of(ERROR_KIND_UNAUTHORIZED_ADMIN)->text);
         return;
--- a/src/frontend/call.c
+++ b/src/frontend/call.c
@@ -12,11 +12,11 @@
 
 #define MICROSECONDS_PER_MILLISECOND 1000
 
-/* A body that will be refused is read up to this, so that the caller gets its answer rather than a
- * reset connection. */
-#define DISCARDED_OCTETS_MAX (16 * 1024 * 1024)
+/* A body that will be refused is read and discarded up to this size, so that the caller receives
+ * the answer and not a connection reset. */
+#define DISCARDED_BYTES_MAX (16 * 1024 * 1024)
 
-/* Longest wait of a stop for callers to take their answers. */
+/* Maximum time that a stop waits for callers to receive their answers. */
 #define STOP_WRITE_WAIT_S 2
 
 static void call_unref(struct frontend_call *call)
@@ -64,17 +64,18 @@
     frontend_metrics_count(&shared->metrics, reply, seconds_since(call->began_us));
     call->status = reply->outcome == OUTCOME_DONE ? MHD_HTTP_OK
                                                   : error_entry_of(reply->error_kind)->http_status;
-    atomic_store_explicit(&call->made, true, memory_order_release);
+    atomic_store_explicit(&call->response_ready, true, memory_order_release);
 }
 
-/* Bounds the time without traffic on the connection; its own thread. libmicrohttpd 0.9.75 misses
- * the end of a connection that comes along with part of a request, so that a bound must end it. */
+/* Sets the idle time-out of the connection; on the connection's thread. libmicrohttpd 0.9.75 does
+ * not notice a connection end that arrives together with part of a request, so only a time-out
+ * closes such a connection. */
 static void bound_idle_time(struct frontend_call *call, unsigned seconds)
 {
     MHD_set_connection_option(call->connection, MHD_CONNECTION_OPTION_TIMEOUT, seconds);
 }
 
-/* Queues the response that was made; the connection's thread. */
+/* Queues call->response; on the connection's thread. */
 static enum MHD_Result queue_response(struct frontend_call *call)
 {
     bound_idle_time(call, call->shared->options.idle_s);
@@ -82,7 +83,7 @@
     return MHD_queue_response(call->connection, call->status, call->response);
 }
 
-/* Answers with the call's refusal; the connection's thread. */
+/* Answers with the call's refusal; on the connection's thread. */
 static enum MHD_Result queue_refusal(struct frontend_call *call)
 {
     struct reply reply;
@@ -109,8 +110,9 @@
     return options->find_tenant(call->path.tenant, &call->tenant, options->user, &call->refusal);
 }
 
-/* Whether the token can note what this request sees: a position must never be lost from it. */
-static bool session_has_room(const struct frontend_call *call)
+/* Whether the session token has a free entry for this request's group. The token must never lose a
+ * position, so a full token can't be extended by another group. */
+static bool session_has_capacity(const struct frontend_call *call)
 {
     if (call->session_count < TOKEN_GROUPS_MAX) {
         return true;
@@ -123,7 +125,7 @@
     return false;
 }
 
-/* Reads all that stands before the body; leaves the first fault in call->refusal. */
+/* Checks the request line and headers; stores the first error in call->refusal. */
 static void read_head(struct frontend_call *call, const struct request_head *head,
                       const char *method, const char *url)
 {
@@ -148,7 +150,7 @@
                               call->request->session_count * sizeof(struct group_position));
     call->session_count = call->request->session_count;
     call->shape.keyed = call->request->idempotency_key != NULL;
-    if (!session_has_room(call)) {
+    if (!session_has_capacity(call)) {
         refuse(call, ERROR_KIND_BAD_SESSION, "the session token holds too many groups");
     }
 }
@@ -159,7 +161,7 @@
     struct frontend_call *call = g_new0(struct frontend_call, 1);
     atomic_init(&call->references, 1);
     atomic_init(&call->answered, false);
-    atomic_init(&call->made, false);
+    atomic_init(&call->response_ready, false);
     call->shared = shared;
     call->connection = connection;
     call->began_us = g_get_monotonic_time();
@@ -172,13 +174,13 @@
     return call;
 }
 
-/* True where the caller waits for leave to send its body. */
+/* True if the caller waits for "100 Continue" before it sends the body. */
 static bool expects_continue(struct MHD_Connection *connection)
 {
     return MHD_lookup_connection_value(connection, MHD_HEADER_KIND, MHD_HTTP_HEADER_EXPECT) != NULL;
 }
 
-static bool announces_too_large(const struct frontend_call *call)
+static bool content_length_too_large(const struct frontend_call *call)
 {
     const char *text = MHD_lookup_connection_value(call->connection, MHD_HEADER_KIND,
                                                    MHD_HTTP_HEADER_CONTENT_LENGTH);
@@ -188,13 +190,13 @@
 static void refuse_too_large(struct frontend_call *call)
 {
     if (call->refusal == NULL) {
-        call->refusal = g_error_new(SW_ERROR, ERROR_KIND_TOO_LARGE, "the body is over %u octets",
+        call->refusal = g_error_new(SW_ERROR, ERROR_KIND_TOO_LARGE, "the body is over %u bytes",
                                     call->tenant.limits.body_bytes_max);
     }
 }
 
-/* Octets of the request line and all headers. */
-static size_t head_octets(struct MHD_Connection *connection)
+/* Size of the request line and all headers, in bytes. */
+static size_t head_bytes(struct MHD_Connection *connection)
 {
     const union MHD_ConnectionInfo *info =
         MHD_get_connection_info(connection, MHD_CONNECTION_INFO_REQUEST_HEADER_SIZE);
@@ -209,13 +211,13 @@
     struct frontend_call *call = call_new(shared, connection, &head);
     *request_state = call;
     bound_idle_time(call, shared->options.receive_s);
-    if (head_octets(connection) > CALL_HEAD_OCTETS_MAX) {
+    if (head_bytes(connection) > CALL_HEAD_BYTES_MAX) {
         refuse(call, ERROR_KIND_TOO_LARGE,
-               "the headers are over " G_STRINGIFY(CALL_HEAD_OCTETS_MAX) " octets");
+               "the headers are over " G_STRINGIFY(CALL_HEAD_BYTES_MAX) " bytes");
     } else {
         read_head(call, &head, method, url);
     }
-    if (call->refusal == NULL && announces_too_large(call)) {
+    if (call->refusal == NULL && content_length_too_large(call)) {
         refuse_too_large(call);
     }
     if (call->refusal != NULL && expects_continue(connection)) {
@@ -226,8 +228,8 @@
 
 static enum MHD_Result receive_body(struct frontend_call *call, const char *data, size_t length)
 {
-    call->body_octets += length;
-    if (call->refusal == NULL && call->body_octets > call->tenant.limits.body_bytes_max) {
+    call->body_bytes += length;
+    if (call->refusal == NULL && call->body_bytes > call->tenant.limits.body_bytes_max) {
         refuse_too_large(call);
         g_byte_array_set_size(call->body, 0);
     }
@@ -235,10 +237,10 @@
         g_byte_array_append(call->body, (const guint8 *)data, (guint)length);
         return MHD_YES;
     }
-    return call->body_octets > DISCARDED_OCTETS_MAX ? MHD_NO : MHD_YES;
+    return call->body_bytes > DISCARDED_BYTES_MAX ? MHD_NO : MHD_YES;
 }
 
-/* Tells a request from another under the same key: its path and body. */
+/* Hash of the path and body, to detect an idempotency key reused with another request. */
 static uint64_t fingerprint_of(const struct frontend_call *call, const char *body)
 {
     const char *transaction = call->path.transaction_id == NULL ? "" : call->path.transaction_id;
@@ -247,8 +249,8 @@
     return XXH3_64bits_withSeed(body, call->body->len, XXH3_64bits(path, strlen(path)));
 }
 
-/* Time already spent is taken off the caller's budget. */
-static bool spend_budget(struct frontend_call *call)
+/* Subtracts the time since the request's first byte from the caller's time budget. */
+static bool deduct_elapsed_time(struct frontend_call *call)
 {
     gint64 spent_us = g_get_monotonic_time() - call->began_us;
     gint64 spent_ms = spent_us / MICROSECONDS_PER_MILLISECOND;
@@ -260,7 +262,7 @@
     return true;
 }
 
-/* Finds the class of one statement and the access to serve it with. */
+/* Classifies one statement and sets its access mode from the class and the declared access. */
 static bool classify_statement(struct frontend_call *call, struct sql_statement *statement)
 {
     struct sql_class found;
@@ -290,7 +292,7 @@
     return true;
 }
 
-/* Reads the body and completes the request; leaves the first fault in call->refusal. */
+/* Parses the body and completes the request; stores the first error in call->refusal. */
 static bool complete_request(struct frontend_call *call)
 {
     const struct request_body_limits limits = {
@@ -310,11 +312,12 @@
     request->transaction_id = g_strdup(call->path.transaction_id);
     request->group = call->tenant.group;
     request->fingerprint = fingerprint_of(call, body);
-    return spend_budget(call);
+    return deduct_elapsed_time(call);
 }
 
-/* Enters the call among those that wait for the daemon; false once the frontend closes. The
- * connection is suspended under the mutex, so that whoever finds the call there may resume it. */
+/* Adds the call to the set of calls that wait for the daemon; false if the frontend is closed. The
+ * connection is suspended under the mutex, so that a thread that finds the call in the set may
+ * resume it. */
 static bool suspend_call(struct frontend_call *call)
 {
     struct call_shared *shared = call->shared;
@@ -372,16 +375,17 @@
         }
         return end_body(call);
     case CALL_STATE_SUBMITTED:
-        return atomic_load_explicit(&call->made, memory_order_acquire) ? queue_response(call)
-                                                                       : MHD_NO;
+        return atomic_load_explicit(&call->response_ready, memory_order_acquire)
+                   ? queue_response(call)
+                   : MHD_NO;
     case CALL_STATE_DONE:
     default:
         return MHD_YES;
     }
 }
 
-/* The answer of a submitted call is written, or its caller is gone. */
-static void note_written(struct call_shared *shared)
+/* Counts a submitted call whose answer is written or whose caller has disconnected. */
+static void response_written(struct call_shared *shared)
 {
     pthread_mutex_lock(&shared->mutex);
     shared->unwritten--;
@@ -399,7 +403,7 @@
     }
     *request_state = NULL;
     if (call->submitted) {
-        note_written(shared);
+        response_written(shared);
     }
     if (reason != MHD_REQUEST_TERMINATED_COMPLETED_OK) {
         metric_counter_add(shared->metrics.abandoned, 1);
@@ -409,8 +413,8 @@
     atomic_fetch_sub(&shared->in_flight, 1);
 }
 
-/* Takes the call out of the set; the connection stays suspended until resume_call. Under the
- * mutex. */
+/* Removes the call from the set of suspended calls; the connection stays suspended until
+ * resume_call. Called with the mutex held. */
 static void begin_resuming(struct frontend_call *call)
 {
     g_hash_table_remove(call->shared->suspended, call);
@@ -418,7 +422,8 @@
     call->shared->unwritten++;
 }
 
-/* Makes the answer and wakes the connection. Only for who set `answered`, after begin_resuming. */
+/* Makes the answer and resumes the connection. Called only by the thread that set `answered`, after
+ * begin_resuming. */
 static void resume_call(struct frontend_call *call, const struct reply *reply)
 {
     struct call_shared *shared = call->shared;
@@ -442,7 +447,7 @@
     call_unref(call);
 }
 
-/* Claims all calls that nobody has answered yet; each has a reference more. */
+/* Sets `answered` on all calls not answered yet and returns them, each with an added reference. */
 static GPtrArray *claim_suspended(struct call_shared *shared)
 {
     GPtrArray *claimed = g_ptr_array_new();
@@ -465,7 +470,7 @@
     return claimed;
 }
 
-unsigned call_cut_all(struct call_shared *shared)
+unsigned call_abort_all(struct call_shared *shared)
 {
     g_autoptr(GPtrArray) claimed = claim_suspended(shared);
     struct reply reply;
--- a/src/frontend/call.h
+++ b/src/frontend/call.h
@@ -1,10 +1,11 @@
-/* One request from its first octet to its answer, on a connection of libmicrohttpd. Private to the
+/* One request from its first byte to its answer, on a connection of libmicrohttpd. Private to the
  * frontend.
  *
  * A call has two references: the connection's, dropped when libmicrohttpd completes the request,
- * and, from submit to frontend_answer, the daemon's. Whoever sets `answered` first writes the
- * answer; a later one is dropped. The connection is touched only by its own thread, or by that
- * first answerer while it is suspended and so can't go away. */
+ * and, from submit to frontend_answer, the daemon's. The thread that sets `answered` first makes
+ * the answer; later answers are dropped. The connection is used only by its own thread, or by the
+ * thread that set `answered` while the connection is suspended: libmicrohttpd does not free a
+ * suspended connection. */
 #ifndef SW_FRONTEND_CALL_H
 #define SW_FRONTEND_CALL_H
 
@@ -19,11 +20,11 @@
 #include <pthread.h>
 #include <stdatomic.h>
 
-/* Request line and headers, at most; with a token of full size 4,500 octets are left for others.
- * The connection's memory must hold the answer's headers besides. */
-#define CALL_HEAD_OCTETS_MAX 7168
+/* Maximum size of the request line and headers. With a session token of maximum size, 4,500 bytes
+ * are left for other headers. The connection's memory must also hold the headers of the answer. */
+#define CALL_HEAD_BYTES_MAX 7168
 
-/* What all calls of a frontend share. */
+/* State common to all calls of a frontend. */
 struct call_shared {
     struct frontend_options options;
     struct frontend_metrics metrics;
@@ -32,39 +33,39 @@
     atomic_uint in_flight;
     atomic_uint connections;
     pthread_mutex_t mutex;
-    pthread_cond_t changed; /* on CLOCK_MONOTONIC; signalled when one of the following falls */
+    pthread_cond_t changed; /* on CLOCK_MONOTONIC; signalled when one of the following decreases */
     GHashTable *suspended;  /* under mutex: the set of calls submitted and not yet answered */
-    unsigned resuming;      /* under mutex: answers being made */
+    unsigned resuming;      /* under mutex: calls whose answer is being made */
     unsigned unwritten;     /* under mutex: answers not yet written to their callers */
-    bool closed;            /* under mutex: nothing more is submitted */
+    bool closed;            /* under mutex: no more calls are submitted */
 };
 
 enum call_state {
-    CALL_STATE_RECEIVING, /* the body arrives */
-    CALL_STATE_SUBMITTED, /* the daemon works on it; the connection is suspended */
+    CALL_STATE_RECEIVING, /* the body is being received */
+    CALL_STATE_SUBMITTED, /* the daemon processes the request; the connection is suspended */
     CALL_STATE_DONE,      /* the response is queued */
 };
 
 struct frontend_call {
     atomic_int references;
     atomic_bool answered;
-    struct call_shared *shared; /* not touched once answered by another */
+    struct call_shared *shared; /* not used after another thread has answered the call */
     struct MHD_Connection *connection;
-    enum call_state state; /* of the connection's thread */
-    bool submitted;        /* of the connection's thread: the daemon was given it */
+    enum call_state state; /* used only by the connection's thread */
+    bool submitted;        /* used only by the connection's thread: the daemon received the call */
     gint64 began_us;       /* monotonic */
     char *request_id;
     struct request_path path;
     struct frontend_tenant tenant;
     struct reply_shape shape;
-    struct group_position *session; /* what the request had seen */
+    struct group_position *session; /* positions in the request's session token */
     size_t session_count;
-    GByteArray *body;          /* until submitted */
-    size_t body_octets;        /* received, kept or not */
-    struct request *request;   /* until submitted */
-    GError *refusal;           /* the first fault found; ends the call without the daemon */
-    uint32_t refusal_position; /* 1-based place of the fault; 0: none */
-    atomic_bool made;          /* publishes the two below to the connection's thread */
+    GByteArray *body;        /* until submitted */
+    size_t body_bytes;       /* received, stored or discarded */
+    struct request *request; /* until submitted */
+    GError *refusal; /* the first error found; the call is then answered without the daemon */
+    uint32_t refusal_position; /* 1-based position of the error in the body or statement; 0: none */
+    atomic_bool response_ready; /* publishes the next two fields to the connection's thread */
     struct MHD_Response *response;
     unsigned status;
 };
@@ -76,8 +77,9 @@
 void call_on_completed(void *user, struct MHD_Connection *connection, void **request_state,
                        enum MHD_RequestTerminationCode reason);
 
-/* Submits nothing more, answers all calls that still wait, as of unknown outcome, and waits until
- * all answers are made and, for a bounded time, written. Returns how many calls it answered. */
-unsigned call_cut_all(struct call_shared *shared);
+/* Stops submission, answers all calls that still wait with ERROR_KIND_OUTCOME_UNKNOWN, then waits
+ * until all answers are made and, for at most 2 s, until they are written. Returns the number of
+ * calls answered in this way. */
+unsigned call_abort_all(struct call_shared *shared);
 
 #endif
--- a/src/frontend/frontend.c
+++ b/src/frontend/frontend.c
@@ -17,23 +17,23 @@
 #define DEFAULT_IDLE_S          120
 #define DEFAULT_RECEIVE_S       10
 #define DEFAULT_SQL_ENTRIES     16384
-#define DEFAULT_SQL_OCTETS      (4 * 1024 * 1024)
-#define DEFAULT_BODY_OCTETS_MAX (1024 * 1024)
+#define DEFAULT_SQL_BYTES       (4 * 1024 * 1024)
+#define DEFAULT_BODY_BYTES_MAX  (1024 * 1024)
 #define DEFAULT_STATEMENTS_MAX  64
 #define DEFAULT_PARAMETERS_MAX  256
 #define DEFAULT_TIMEOUT_MS      10000
 #define DEFAULT_TIMEOUT_MS_MAX  60000
 
-/* Memory of one connection for its headers, which libmicrohttpd touches whole at the first request
- * and keeps while the connection lives; holds headers of CALL_HEAD_OCTETS_MAX and an answer with a
- * token of full size. */
-#define CONNECTION_MEMORY_OCTETS (16 * 1024)
+/* Memory of one connection for headers. libmicrohttpd writes to all of it at the first request and
+ * keeps it while the connection is open. It holds request headers of CALL_HEAD_BYTES_MAX and an
+ * answer with a session token of maximum size. */
+#define CONNECTION_MEMORY_BYTES (16 * 1024)
 
 struct frontend {
     struct call_shared shared;
-    struct metrics *own_metrics; /* where the options give none */
+    struct metrics *own_metrics; /* used if the options have none */
     struct MHD_Daemon *daemon;
-    struct acceptor *acceptor; /* NULL once it accepts no more */
+    struct acceptor *acceptor; /* NULL after frontend_stop_accepting */
     uint16_t port;
 };
 
@@ -46,9 +46,9 @@
     options->idle_s = DEFAULT_IDLE_S;
     options->receive_s = DEFAULT_RECEIVE_S;
     options->sql_cache_entries = DEFAULT_SQL_ENTRIES;
-    options->sql_cache_octets = DEFAULT_SQL_OCTETS;
+    options->sql_cache_bytes = DEFAULT_SQL_BYTES;
     options->limits = (struct frontend_limits){
-        .body_bytes_max = DEFAULT_BODY_OCTETS_MAX,
+        .body_bytes_max = DEFAULT_BODY_BYTES_MAX,
         .statements_max = DEFAULT_STATEMENTS_MAX,
         .parameters_max = DEFAULT_PARAMETERS_MAX,
         .timeout_ms_max = DEFAULT_TIMEOUT_MS_MAX,
@@ -56,7 +56,7 @@
     };
 }
 
-/* Called by libmicrohttpd as a connection begins and ends. */
+/* Called by libmicrohttpd when a connection begins or ends. */
 static void on_connection(void *user, struct MHD_Connection *connection, void **connection_state,
                           enum MHD_ConnectionNotificationCode code)
 {
@@ -80,10 +80,10 @@
     unsigned connections_max = MAX(options->connections_max, threads);
     struct MHD_OptionItem items[] = {
         {MHD_OPTION_THREAD_POOL_SIZE, threads > 1 ? threads : 0, NULL},
-        {MHD_OPTION_THREAD_STACK_SIZE, SQL_CLASSIFY_STACK_OCTETS, NULL},
+        {MHD_OPTION_THREAD_STACK_SIZE, SQL_CLASSIFY_STACK_BYTES, NULL},
         {MHD_OPTION_CONNECTION_LIMIT, connections_max, NULL},
         {MHD_OPTION_CONNECTION_TIMEOUT, options->idle_s, NULL},
-        {MHD_OPTION_CONNECTION_MEMORY_LIMIT, CONNECTION_MEMORY_OCTETS, NULL},
+        {MHD_OPTION_CONNECTION_MEMORY_LIMIT, CONNECTION_MEMORY_BYTES, NULL},
         {MHD_OPTION_NOTIFY_COMPLETED, (intptr_t)call_on_completed, shared},
         {MHD_OPTION_NOTIFY_CONNECTION, (intptr_t)on_connection, shared},
         {MHD_OPTION_END, 0, NULL},
@@ -108,7 +108,7 @@
     pthread_cond_init(&shared->changed, &attributes);
     pthread_condattr_destroy(&attributes);
     shared->suspended = g_hash_table_new(NULL, NULL);
-    shared->sql_cache = sql_cache_new(options->sql_cache_entries, options->sql_cache_octets);
+    shared->sql_cache = sql_cache_new(options->sql_cache_entries, options->sql_cache_bytes);
 }
 
 static void frontend_free(struct frontend *frontend)
@@ -121,7 +121,7 @@
     g_free(frontend);
 }
 
-/* Hands a connection to libmicrohttpd, which closes it where it can't take it. */
+/* Passes a connection to libmicrohttpd, which closes it if it can't serve it. */
 static void take_connection(int connection, const struct sockaddr *peer, socklen_t length,
                             void *user)
 {
@@ -193,8 +193,8 @@
 unsigned frontend_stop(struct frontend *frontend)
 {
     frontend_stop_accepting(frontend);
-    unsigned cut = call_cut_all(&frontend->shared);
+    unsigned aborted = call_abort_all(&frontend->shared);
     MHD_stop_daemon(frontend->daemon);
     frontend_free(frontend);
-    return cut;
+    return aborted;
 }
--- a/src/frontend/frontend_metrics.c
+++ b/src/frontend/frontend_metrics.c
@@ -7,7 +7,7 @@
 #define NAME_CONNECTIONS "swiftworks_frontend_connections"
 #define NAME_ABANDONED   "swiftworks_frontend_abandoned_total"
 
-/* Seconds; from a read close by to the longest timeout. */
+/* In seconds; from a read in the same zone to the longest time-out. */
 static const double second_bounds[] = {0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1,
                                        0.2,   0.5,   1,     2,    5,    10,   30};
 
@@ -26,8 +26,8 @@
             registry, NAME_ERRORS, "Answers that are not done, by kind of error.", labels);
     }
     handles->seconds = metrics_histogram(registry, NAME_SECONDS,
-                                         "Seconds from a request's first octet to its answer.",
-                                         NULL, second_bounds, G_N_ELEMENTS(second_bounds));
+                                         "Seconds from a request's first byte to its answer.", NULL,
+                                         second_bounds, G_N_ELEMENTS(second_bounds));
     handles->in_flight = metrics_gauge(registry, NAME_IN_FLIGHT,
                                        "Requests that arrive or await their answer.", NULL);
     handles->connections =
--- a/src/frontend/frontend_metrics.h
+++ b/src/frontend/frontend_metrics.h
@@ -6,19 +6,20 @@
 #include "generated/errors.h"
 #include "generated/messages.h"
 
-/* Handles into a registry, which outlives them. Updates from any thread. */
+/* Metrics of a registry, which must outlive this struct. Any thread may update them. */
 struct frontend_metrics {
     struct metric_counter *answers[OUTCOME_COUNT];
     struct metric_counter *errors[ERROR_KIND_COUNT];
-    struct metric_histogram *seconds; /* from the first octet to the answer */
+    struct metric_histogram *seconds; /* from the first byte to the answer */
     struct metric_gauge *in_flight;
     struct metric_gauge *connections;
-    struct metric_counter *abandoned; /* callers that went away before their answer */
+    struct metric_counter
+        *abandoned; /* requests whose connection ended before the answer was written */
 };
 
 void frontend_metrics_init(struct frontend_metrics *handles, struct metrics *registry);
 
-/* Counts one answer that took `seconds`. */
+/* Counts one answer, sent `seconds` after the request's first byte. */
 void frontend_metrics_count(const struct frontend_metrics *handles, const struct reply *reply,
                             double seconds);
 
--- a/src/frontend/json_check.c
+++ b/src/frontend/json_check.c
@@ -9,31 +9,31 @@
 #define HIGH_SURROGATE      0xd800
 #define LOW_SURROGATE       0xdc00
 
-/* A place in the text; `fault` is told on failure. */
+/* A position in the text; `fault` is set on failure. */
 struct json_cursor {
     const char *text;
     size_t length;
-    size_t octet;
+    size_t offset;
     char open[JSON_DEPTH_MAX]; /* brackets that are open */
     unsigned depth;
     bool ended; /* the outermost value is complete */
     struct json_fault *fault;
 };
 
-static bool fail_at(struct json_cursor *cursor, size_t octet, const char *text)
+static bool fail_at(struct json_cursor *cursor, size_t offset, const char *text)
 {
-    cursor->fault->octet = octet;
+    cursor->fault->offset = offset;
     cursor->fault->text = text;
     return false;
 }
 
-/* The octet at the cursor, 0 at the end. */
+/* The byte at the cursor; 0 at the end of the text. */
 static char peek(const struct json_cursor *cursor)
 {
-    return cursor->octet < cursor->length ? cursor->text[cursor->octet] : '\0';
+    return cursor->offset < cursor->length ? cursor->text[cursor->offset] : '\0';
 }
 
-/* Reads the four digits of `\uXXXX`; negative where they are none. */
+/* Reads the four digits of `\uXXXX`; negative if they are not hexadecimal digits. */
 static int read_unicode(struct json_cursor *cursor)
 {
     int value = 0;
@@ -43,12 +43,13 @@
             return -1;
         }
         value = value * 16 + digit;
-        cursor->octet++;
+        cursor->offset++;
     }
     return value;
 }
 
-/* Reads what follows `\u`; a high surrogate must be followed by a low one. */
+/* Reads the digits after `\u`. The escape of a high surrogate must be followed by that of a low
+ * one. */
 static bool check_unicode(struct json_cursor *cursor, size_t begin)
 {
     int value = read_unicode(cursor);
@@ -65,9 +66,9 @@
         return true;
     }
     bool follows = peek(cursor) == '\\';
-    cursor->octet += follows ? 1 : 0;
+    cursor->offset += follows ? 1 : 0;
     follows = follows && peek(cursor) == 'u';
-    cursor->octet += follows ? 1 : 0;
+    cursor->offset += follows ? 1 : 0;
     if (!follows || (read_unicode(cursor) & HIGH_SURROGATE_MASK) != LOW_SURROGATE) {
         return fail_at(cursor, begin, "a surrogate in a string stands alone");
     }
@@ -76,48 +77,48 @@
 
 static bool check_escape(struct json_cursor *cursor)
 {
-    size_t begin = cursor->octet;
-    cursor->octet++;
+    size_t begin = cursor->offset;
+    cursor->offset++;
     char kind = peek(cursor);
     if (kind == '\0' || strchr("\"\\/bfnrtu", kind) == NULL) {
         return fail_at(cursor, begin, "an escape in a string is not valid");
     }
-    cursor->octet++;
+    cursor->offset++;
     return kind != 'u' || check_unicode(cursor, begin);
 }
 
 static bool check_string(struct json_cursor *cursor)
 {
-    size_t begin = cursor->octet;
-    cursor->octet++;
-    while (cursor->octet < cursor->length) {
+    size_t begin = cursor->offset;
+    cursor->offset++;
+    while (cursor->offset < cursor->length) {
         unsigned char next = (unsigned char)peek(cursor);
         if (next == '"') {
-            cursor->octet++;
+            cursor->offset++;
             return true;
         }
         if (next < FIRST_PRINTABLE) {
-            return fail_at(cursor, cursor->octet, "a string holds a control character");
+            return fail_at(cursor, cursor->offset, "a string holds a control character");
         }
         if (next == '\\') {
             if (!check_escape(cursor)) {
                 return false;
             }
         } else {
-            cursor->octet++;
+            cursor->offset++;
         }
     }
     return fail_at(cursor, begin, "a string does not end");
 }
 
-/* Reads digits and returns how many. */
+/* Skips digits and returns their number. */
 static size_t read_digits(struct json_cursor *cursor)
 {
-    size_t begin = cursor->octet;
+    size_t begin = cursor->offset;
     while (g_ascii_isdigit(peek(cursor))) {
-        cursor->octet++;
+        cursor->offset++;
     }
-    return cursor->octet - begin;
+    return cursor->offset - begin;
 }
 
 static bool check_exponent(struct json_cursor *cursor)
@@ -125,23 +126,23 @@
     if (peek(cursor) != 'e' && peek(cursor) != 'E') {
         return true;
     }
-    cursor->octet++;
+    cursor->offset++;
     if (peek(cursor) == '+' || peek(cursor) == '-') {
-        cursor->octet++;
+        cursor->offset++;
     }
     return read_digits(cursor) > 0;
 }
 
 static bool check_number(struct json_cursor *cursor)
 {
-    size_t begin = cursor->octet;
-    cursor->octet += peek(cursor) == '-' ? 1 : 0;
+    size_t begin = cursor->offset;
+    cursor->offset += peek(cursor) == '-' ? 1 : 0;
     char first = peek(cursor);
     size_t digits = read_digits(cursor);
     size_t digits_max = JSON_INTEGER_DIGITS_MAX;
     bool valid = digits == 1 || (digits > 1 && first != '0');
     if (valid && peek(cursor) == '.') {
-        cursor->octet++;
+        cursor->offset++;
         size_t fraction = read_digits(cursor);
         valid = fraction > 0;
         digits += fraction;
@@ -160,16 +161,17 @@
     return true;
 }
 
-static bool check_word(struct json_cursor *cursor)
+static bool check_literal(struct json_cursor *cursor)
 {
-    static const char *const words[] = {"true", "false", "null"};
-    size_t begin = cursor->octet;
+    static const char *const literals[] = {"true", "false", "null"};
+    size_t begin = cursor->offset;
     while (g_ascii_isalnum(peek(cursor)) || peek(cursor) == '_') {
-        cursor->octet++;
+        cursor->offset++;
     }
-    size_t length = cursor->octet - begin;
-    for (size_t i = 0; i < G_N_ELEMENTS(words); i++) {
-        if (length == strlen(words[i]) && memcmp(cursor->text + begin, words[i], length) == 0) {
+    size_t length = cursor->offset - begin;
+    for (size_t i = 0; i < G_N_ELEMENTS(literals); i++) {
+        if (length == strlen(literals[i]) &&
+            memcmp(cursor->text + begin, literals[i], length) == 0) {
             return true;
         }
     }
@@ -179,11 +181,11 @@
 static bool open_bracket(struct json_cursor *cursor)
 {
     if (cursor->depth == JSON_DEPTH_MAX) {
-        return fail_at(cursor, cursor->octet, "the text is nested too deeply");
+        return fail_at(cursor, cursor->offset, "the text is nested too deeply");
     }
     cursor->open[cursor->depth] = peek(cursor);
     cursor->depth++;
-    cursor->octet++;
+    cursor->offset++;
     return true;
 }
 
@@ -191,10 +193,10 @@
 {
     char expected = peek(cursor) == '}' ? '{' : '[';
     if (cursor->depth == 0 || cursor->open[cursor->depth - 1] != expected) {
-        return fail_at(cursor, cursor->octet, "a bracket does not match");
+        return fail_at(cursor, cursor->offset, "a bracket does not match");
     }
     cursor->depth--;
-    cursor->octet++;
+    cursor->offset++;
     return true;
 }
 
@@ -212,7 +214,7 @@
         return close_bracket(cursor);
     case ':':
     case ',':
-        cursor->octet++;
+        cursor->offset++;
         return true;
     default:
         break;
@@ -221,16 +223,16 @@
         return check_number(cursor);
     }
     if (g_ascii_isalpha(next)) {
-        return check_word(cursor);
+        return check_literal(cursor);
     }
-    return fail_at(cursor, cursor->octet, "a character is not part of JSON");
+    return fail_at(cursor, cursor->offset, "a character is not part of JSON");
 }
 
 static void skip_space(struct json_cursor *cursor)
 {
-    while (cursor->octet < cursor->length && strchr(" \t\r\n", peek(cursor)) != NULL &&
+    while (cursor->offset < cursor->length && strchr(" \t\r\n", peek(cursor)) != NULL &&
            peek(cursor) != '\0') {
-        cursor->octet++;
+        cursor->offset++;
     }
 }
 
@@ -242,9 +244,9 @@
         return fail_at(&cursor, (size_t)(end - text), "the text is not UTF-8");
     }
     skip_space(&cursor);
-    while (cursor.octet < length) {
+    while (cursor.offset < length) {
         if (cursor.ended) {
-            return fail_at(&cursor, cursor.octet, "something follows the value");
+            return fail_at(&cursor, cursor.offset, "something follows the value");
         }
         if (!check_token(&cursor)) {
             return false;
--- a/src/frontend/json_write.c
+++ b/src/frontend/json_write.c
@@ -4,9 +4,9 @@
 
 #define FIRST_PRINTABLE 0x20
 
-static void write_control(GString *out, unsigned char octet)
+static void write_control(GString *out, unsigned char byte)
 {
-    switch (octet) {
+    switch (byte) {
     case '\n':
         g_string_append(out, "\\n");
         break;
@@ -17,7 +17,7 @@
         g_string_append(out, "\\t");
         break;
     default:
-        g_string_append_printf(out, "\\u%04x", octet);
+        g_string_append_printf(out, "\\u%04x", byte);
         break;
     }
 }
@@ -27,17 +27,17 @@
     const char *run = text;
     const char *next = text;
     for (; *next != '\0'; next++) {
-        unsigned char octet = (unsigned char)*next;
-        if (octet >= FIRST_PRINTABLE && octet != '"' && octet != '\\') {
+        unsigned char byte = (unsigned char)*next;
+        if (byte >= FIRST_PRINTABLE && byte != '"' && byte != '\\') {
             continue;
         }
         g_string_append_len(out, run, next - run);
         run = next + 1;
-        if (octet < FIRST_PRINTABLE) {
-            write_control(out, octet);
+        if (byte < FIRST_PRINTABLE) {
+            write_control(out, byte);
         } else {
             g_string_append_c(out, '\\');
-            g_string_append_c(out, (char)octet);
+            g_string_append_c(out, (char)byte);
         }
     }
     g_string_append_len(out, run, next - run);
--- a/src/frontend/json_write.h
+++ b/src/frontend/json_write.h
@@ -4,8 +4,8 @@
 
 #include <glib.h>
 
-/* Appends `text` as a JSON string; NULL is the empty string. Octets that are not UTF-8 become
- * U+FFFD. */
+/* Appends `text` as a JSON string; NULL is the empty string. Bytes that are not valid UTF-8 are
+ * replaced by U+FFFD. */
 void json_write_string(GString *out, const char *text);
 
 /* Appends `"name":`. */
--- a/src/frontend/metrics.c
+++ b/src/frontend/metrics.c
@@ -48,7 +48,7 @@
 };
 
 struct metrics {
-    pthread_mutex_t mutex;                     /* of the lists, not of the values */
+    pthread_mutex_t mutex;                     /* guards the lists, not the values */
     GPtrArray *families;                       /* of struct metric_family */
     void (*collect)(GString *out, void *user); /* or NULL; fixed before the first rendering */
     void *collect_user;
@@ -88,7 +88,7 @@
     g_free(metrics);
 }
 
-/* True for a name of Prometheus; those of labels hold no colon. */
+/* True for a valid Prometheus name; only names of metrics may contain a colon. */
 static bool is_metric_name(const char *name, bool colon)
 {
     if (!g_ascii_isalpha(name[0]) && name[0] != '_') {
@@ -132,7 +132,7 @@
     return g_string_free(out, FALSE);
 }
 
-/* Under the mutex. */
+/* Finds or adds the family of a name. Called with the mutex held. */
 static struct metric_family *find_family(struct metrics *metrics, const char *name,
                                          const char *help, enum metric_type type)
 {
@@ -154,34 +154,34 @@
     return family;
 }
 
-/* Under the mutex; `made` tells a new member. */
+/* Finds or adds a metric; `created` is set to true if it is new. Called with the mutex held. */
 static struct metric_member *find_member(struct metrics *metrics, const char *name,
                                          const char *help, enum metric_type type,
-                                         const struct metric_label *labels, bool *made)
+                                         const struct metric_label *labels, bool *created)
 {
     struct metric_family *family = find_family(metrics, name, help, type);
     g_autofree char *text = render_labels(labels);
     for (guint i = 0; i < family->members->len; i++) {
         struct metric_member *member = g_ptr_array_index(family->members, i);
         if (strcmp(member->labels, text) == 0) {
-            *made = false;
+            *created = false;
             return member;
         }
     }
     struct metric_member *member = g_new0(struct metric_member, 1);
     member->labels = g_steal_pointer(&text);
     g_ptr_array_add(family->members, member);
-    *made = true;
+    *created = true;
     return member;
 }
 
 struct metric_counter *metrics_counter(struct metrics *metrics, const char *name, const char *help,
                                        const struct metric_label *labels)
 {
-    bool made = false;
+    bool created = false;
     pthread_mutex_lock(&metrics->mutex);
     struct metric_member *member =
-        find_member(metrics, name, help, METRIC_TYPE_COUNTER, labels, &made);
+        find_member(metrics, name, help, METRIC_TYPE_COUNTER, labels, &created);
     pthread_mutex_unlock(&metrics->mutex);
     return &member->counter;
 }
@@ -189,10 +189,10 @@
 struct metric_gauge *metrics_gauge(struct metrics *metrics, const char *name, const char *help,
                                    const struct metric_label *labels)
 {
-    bool made = false;
+    bool created = false;
     pthread_mutex_lock(&metrics->mutex);
     struct metric_member *member =
-        find_member(metrics, name, help, METRIC_TYPE_GAUGE, labels, &made);
+        find_member(metrics, name, help, METRIC_TYPE_GAUGE, labels, &created);
     pthread_mutex_unlock(&metrics->mutex);
     return &member->gauge;
 }
@@ -201,10 +201,10 @@
                             const struct metric_label *labels, double (*read)(void *user),
                             void *user)
 {
-    bool made = false;
+    bool created = false;
     pthread_mutex_lock(&metrics->mutex);
     struct metric_member *member =
-        find_member(metrics, name, help, METRIC_TYPE_GAUGE, labels, &made);
+        find_member(metrics, name, help, METRIC_TYPE_GAUGE, labels, &created);
     member->gauge.read = read;
     member->gauge.user = user;
     pthread_mutex_unlock(&metrics->mutex);
@@ -215,12 +215,12 @@
                                            const double *bounds, size_t bound_count)
 {
     g_assert(bound_count <= METRIC_BUCKETS_MAX);
-    bool made = false;
+    bool created = false;
     pthread_mutex_lock(&metrics->mutex);
     struct metric_member *member =
-        find_member(metrics, name, help, METRIC_TYPE_HISTOGRAM, labels, &made);
+        find_member(metrics, name, help, METRIC_TYPE_HISTOGRAM, labels, &created);
     struct metric_histogram *histogram = &member->histogram;
-    if (made) {
+    if (created) {
         histogram->bound_count = bound_count;
         memcpy(histogram->bounds, bounds, bound_count * sizeof(bounds[0]));
     }
@@ -296,7 +296,7 @@
     return count;
 }
 
-/* Appends the shortest of the texts that read back as the same number. */
+/* Appends 15 significant digits, or 17 where 15 do not read back as the same number. */
 static void append_double(GString *out, double value)
 {
     if (isnan(value)) {
--- a/src/frontend/reply_headers.c
+++ b/src/frontend/reply_headers.c
@@ -4,7 +4,7 @@
 
 #define MILLISECONDS_PER_SECOND 1000
 
-/* Adds a header; octets that a header can't hold become `?`. */
+/* Adds a header. Bytes other than printable ASCII are replaced by `?`. */
 static void add_header(struct MHD_Response *response, const char *name, const char *value)
 {
     g_autofree char *clean = g_strdup(value);
--- a/src/frontend/reply_headers.h
+++ b/src/frontend/reply_headers.h
@@ -10,18 +10,18 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Told with a retry where the reply gives no time. */
+/* Retry delay sent if the reply has none. */
 #define RETRY_AFTER_DEFAULT_MS 1000
 
-/* What the headers say beside the reply itself. */
+/* Input of the headers in addition to the reply. */
 struct reply_context {
     const char *request_id;
     uint32_t group;
-    const struct group_position *session; /* what the request had seen */
+    const struct group_position *session; /* positions in the request's session token */
     size_t session_count;
     const struct token_keys *token_keys;
     const char *(*reason_name)(uint32_t reason); /* may be NULL */
-    bool closes;                                 /* the connection ends with this answer */
+    bool closes;                                 /* the connection is closed after this answer */
 };
 
 /* Adds all headers of `reply` to `response`. */
--- a/src/frontend/reply_json.c
+++ b/src/frontend/reply_json.c
@@ -4,14 +4,15 @@
 
 #include <string.h>
 
-/* How a column's cells are written. */
+/* JSON type in which a column's cells are written. */
 enum cell_form {
     CELL_FORM_STRING,
     CELL_FORM_NUMBER,
     CELL_FORM_BOOLEAN,
 };
 
-/* Built-in types of PostgreSQL by their oid (catalog pg_type); all others are shown by oid. */
+/* Built-in types of PostgreSQL by oid (catalog pg_type). The names of all other types are written
+ * as "oid:N". */
 struct type_entry {
     uint32_t oid;
     const char *name;
@@ -49,7 +50,7 @@
     return type == NULL ? CELL_FORM_STRING : type->form;
 }
 
-/* True for the text of a JSON number; NaN, Infinity and the like are none. */
+/* True for the text of a JSON number; false for NaN, Infinity and the like. */
 static bool is_json_number(const char *text)
 {
     if (text == NULL) {
--- a/src/frontend/reply_json.h
+++ b/src/frontend/reply_json.h
@@ -7,20 +7,20 @@
 
 #include <glib.h>
 
-/* What of the request shapes its answer. */
+/* Properties of the request that determine the form of its answer. */
 struct reply_shape {
     enum request_kind kind;
-    bool keyed; /* the request carried an idempotency key */
+    bool keyed; /* the request has an idempotency key */
 };
 
-/* Whether and how the caller may send the request again. Without a key, a request of unknown
- * outcome must not be sent again. */
+/* Returns whether and how the caller may send the request again. Without an idempotency key, a
+ * request of unknown outcome must not be sent again, because it could run twice. */
 enum error_retry reply_retry(const struct reply *reply, const struct reply_shape *shape);
 
-/* The name of a retry answer, as callers see it. */
+/* Returns the name of a retry rule, as sent to callers. */
 const char *error_retry_name(enum error_retry retry);
 
-/* The JSON text of a reply, an object on one line. */
+/* Returns the JSON text of a reply, an object on one line. The caller frees it. */
 GString *reply_to_json(const struct reply *reply, const struct reply_shape *shape);
 
 #endif
--- a/src/frontend/request_body.c
+++ b/src/frontend/request_body.c
@@ -8,7 +8,7 @@
 #include <math.h>
 #include <string.h>
 
-/* What is being read: where errors are told and the bounds. */
+/* State of the parser: the limits, and where errors are stored. */
 struct body_reader {
     const struct request_body_limits *limits;
     uint32_t *position;
@@ -31,7 +31,7 @@
     return JSON_NODE_HOLDS_VALUE(node) && json_node_get_value_type(node) == G_TYPE_STRING;
 }
 
-/* Refuses members that are not in `known`, a NULL-terminated list. */
+/* Rejects members that are not in `known`, a NULL-terminated list. */
 static bool check_members(struct body_reader *reader, JsonObject *object, const char *where,
                           const char *const *known)
 {
@@ -45,7 +45,7 @@
     return true;
 }
 
-/* Shortest text that reads back as the same number. */
+/* The text with the fewest digits, from 15 to 17, that reads back as the same number. */
 static char *number_text(double number)
 {
     char text[G_ASCII_DTOSTR_BUF_SIZE];
@@ -89,9 +89,9 @@
         out->text = number_text(json_node_get_double(node));
         break;
     }
-    if (strlen(out->text) > PARAMETER_OCTETS_MAX) {
-        return fail(reader, ERROR_KIND_TOO_LARGE, "%sparameters[%u] is over %u octets", where,
-                    index, PARAMETER_OCTETS_MAX);
+    if (strlen(out->text) > PARAMETER_BYTES_MAX) {
+        return fail(reader, ERROR_KIND_TOO_LARGE, "%sparameters[%u] is over %u bytes", where, index,
+                    PARAMETER_BYTES_MAX);
     }
     return true;
 }
@@ -147,15 +147,15 @@
     if (sql[0] == '\0') {
         return fail(reader, ERROR_KIND_BAD_REQUEST, "%s\"sql\" is empty", where);
     }
-    if (strlen(sql) > SQL_OCTETS_MAX) {
-        return fail(reader, ERROR_KIND_TOO_LARGE, "%s\"sql\" is over %u octets", where,
-                    SQL_OCTETS_MAX);
+    if (strlen(sql) > SQL_BYTES_MAX) {
+        return fail(reader, ERROR_KIND_TOO_LARGE, "%s\"sql\" is over %u bytes", where,
+                    SQL_BYTES_MAX);
     }
     *out = g_strdup(sql);
     return true;
 }
 
-/* Reads one statement; `where` is the prefix of its errors. */
+/* Reads one statement; `where` is the prefix of its error messages. */
 static bool read_statement(struct body_reader *reader, const char *where, JsonObject *object,
                            struct sql_statement *out)
 {
@@ -279,8 +279,9 @@
     return false;
 }
 
-/* What json-glib found wrong, in words of our own: its messages carry its own places. */
-static const char *grammar_fault(const GError *cause)
+/* Describes a syntax error of json-glib. Its own messages are not used, because they contain
+ * positions in another form. */
+static const char *syntax_error_text(const GError *cause)
 {
     if (!g_error_matches(cause, JSON_PARSER_ERROR, cause->code)) {
         return "it can not be parsed";
@@ -301,22 +302,22 @@
     }
 }
 
-/* Where json-glib stopped: a line from 1 and an octet in it. */
-struct grammar_place {
+/* Position at which json-glib stopped: the line, from 1, and the byte in that line. */
+struct parse_position {
     unsigned line;
-    unsigned octet;
+    unsigned column;
 };
 
-/* Called by json-glib while it still knows the place. */
-static void note_place(JsonParser *parser, gpointer error, gpointer user)
+/* Called by json-glib on an error, while the parser's position is still available. */
+static void save_parse_position(JsonParser *parser, gpointer error, gpointer user)
 {
-    struct grammar_place *place = user;
+    struct parse_position *place = user;
     place->line = json_parser_get_current_line(parser);
-    place->octet = json_parser_get_current_pos(parser);
+    place->column = json_parser_get_current_pos(parser);
 }
 
-/* The 1-based octet in the body of a place. */
-static uint32_t position_of(const char *body, size_t length, const struct grammar_place *place)
+/* Converts a position to the 1-based byte in the body. */
+static uint32_t position_of(const char *body, size_t length, const struct parse_position *place)
 {
     size_t begin = 0;
     for (unsigned line = 1; line < place->line; line++) {
@@ -326,17 +327,18 @@
         }
         begin = (size_t)(end - body) + 1;
     }
-    return (uint32_t)MIN(MAX(begin + place->octet, 1), length);
+    return (uint32_t)MIN(MAX(begin + place->column, 1), length);
 }
 
-/* json-glib keeps the last of two members of one name and tells each by a signal. */
+/* Counts members, to detect duplicate names: json-glib emits a signal for each member, but keeps
+ * only the last of several members with the same name. */
 static void count_member(JsonParser *parser, JsonObject *object, const char *name, gpointer user)
 {
     unsigned *count = user;
     (*count)++;
 }
 
-/* Members of all objects in the tree. */
+/* Number of members of all objects in the tree. */
 static unsigned tree_members(JsonNode *node)
 {
     unsigned count = 0;
@@ -361,20 +363,20 @@
 {
     struct json_fault fault;
     if (!json_check(body, length, &fault)) {
-        *reader->position = (uint32_t)fault.octet + 1;
+        *reader->position = (uint32_t)fault.offset + 1;
         fail(reader, ERROR_KIND_BAD_REQUEST, "the body is not valid JSON: %s", fault.text);
         return NULL;
     }
     g_autoptr(JsonParser) parser = json_parser_new();
     unsigned members = 0;
     g_signal_connect(parser, "object-member", G_CALLBACK(count_member), &members);
-    struct grammar_place place = {0, 0};
-    g_signal_connect(parser, "error", G_CALLBACK(note_place), &place);
+    struct parse_position place = {0, 0};
+    g_signal_connect(parser, "error", G_CALLBACK(save_parse_position), &place);
     g_autoptr(GError) cause = NULL;
     if (!json_parser_load_from_data(parser, body, (gssize)length, &cause)) {
         *reader->position = position_of(body, length, &place);
         fail(reader, ERROR_KIND_BAD_REQUEST, "the body is not valid JSON: %s",
-             grammar_fault(cause));
+             syntax_error_text(cause));
         return NULL;
     }
     JsonNode *root = json_parser_get_root(parser);
--- a/src/frontend/request_head.c
+++ b/src/frontend/request_head.c
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <strings.h>
 
-#define GENERATED_ID_OCTETS 8
+#define GENERATED_ID_BYTES 8
 
 static bool set_head_error(GError **error, const char *header, const char *reason)
 {
@@ -56,10 +56,10 @@
 
 static char *random_request_id(void)
 {
-    uint8_t octets[GENERATED_ID_OCTETS];
-    randombytes_buf(octets, sizeof(octets));
-    char *text = g_malloc(2 * sizeof(octets) + 1);
-    sodium_bin2hex(text, 2 * sizeof(octets) + 1, octets, sizeof(octets));
+    uint8_t bytes[GENERATED_ID_BYTES];
+    randombytes_buf(bytes, sizeof(bytes));
+    char *text = g_malloc(2 * sizeof(bytes) + 1);
+    sodium_bin2hex(text, 2 * sizeof(bytes) + 1, bytes, sizeof(bytes));
     return text;
 }
 
@@ -92,7 +92,7 @@
     return true;
 }
 
-/* A caller that would wait longer than `timeout_ms_max` is answered by then. */
+/* Reduces a time-out longer than `timeout_ms_max` to that limit. */
 static bool parse_timeout(const char *text, uint32_t timeout_ms_max, struct request *request,
                           GError **error)
 {
--- a/src/frontend/request_head.h
+++ b/src/frontend/request_head.h
@@ -18,25 +18,25 @@
 #define IDEMPOTENCY_KEY_MAX 128
 #define REQUEST_ID_MAX      64
 
-/* Headers that a request may carry once; NULL where it does not. Borrowed from the connection. */
+/* Headers that a request may have once; NULL if absent. The texts belong to the connection. */
 struct request_head {
     const char *idempotency_key;
     const char *session;
     const char *timeout;
     const char *request_id;
-    const char *repeated; /* name of a header that stands twice, or NULL */
+    const char *repeated; /* name of a header that occurs more than once, or NULL */
 };
 
 /* Collects the headers of a connection's current request. */
 void request_head_collect(struct MHD_Connection *connection, struct request_head *head);
 
-/* The caller's request id, or a random one where it gave none or one that is not valid. The caller
- * frees it. */
+/* Returns the request id in the header, or a random one if the header is absent or not valid. The
+ * caller frees it. */
 char *request_head_id(const struct request_head *head);
 
-/* Checks the headers and fills idempotency_key, session and budget_ms, which is `timeout_ms` where
- * the caller does not say and cut to `timeout_ms_max`. Fails with ERROR_KIND_BAD_REQUEST or
- * ERROR_KIND_BAD_SESSION. */
+/* Checks the headers and sets idempotency_key, session and budget_ms. budget_ms is `timeout_ms` if
+ * the request has no time-out, and at most `timeout_ms_max` if it has one. Fails with
+ * ERROR_KIND_BAD_REQUEST or ERROR_KIND_BAD_SESSION. */
 bool request_head_parse(const struct request_head *head, const struct token_keys *keys,
                         uint32_t timeout_ms, uint32_t timeout_ms_max, struct request *request,
                         GError **error);
--- a/src/frontend/request_path.c
+++ b/src/frontend/request_path.c
@@ -90,7 +90,7 @@
     g_auto(GStrv) segments = g_strsplit(text, "/", PATH_SEGMENTS_MAX + 1);
     enum endpoint endpoint = ENDPOINT_STATEMENTS;
     if (!find_endpoint(segments, &endpoint)) {
-        return set_path_error(error, "The path names no endpoint.");
+        return set_path_error(error, "The path is not that of an endpoint.");
     }
     if (!is_name(segments[PATH_SEGMENT_TENANT], TENANT_NAME_MAX)) {
         return set_path_error(error, "The tenant's name in the path is not valid.");
--- a/src/frontend/request_path.h
+++ b/src/frontend/request_path.h
@@ -1,4 +1,4 @@
-/* The paths of the callers' API: which endpoint, of which tenant and transaction. */
+/* Parser of the paths of the HTTP API: the endpoint, the tenant and the transaction. */
 #ifndef SW_FRONTEND_REQUEST_PATH_H
 #define SW_FRONTEND_REQUEST_PATH_H
 
@@ -19,13 +19,13 @@
 struct request_path {
     enum endpoint endpoint;
     char *tenant;
-    char *transaction_id; /* NULL where the endpoint has none */
+    char *transaction_id; /* NULL if the endpoint has none */
 };
 
-/* Reads a path. Fails with ERROR_KIND_BAD_REQUEST; `path` is then empty. */
+/* Parses a path. Fails with ERROR_KIND_BAD_REQUEST; `path` is then empty. */
 bool request_path_parse(const char *text, struct request_path *path, GError **error);
 
-/* Frees the content and leaves it empty. */
+/* Frees the content and leaves `path` empty. */
 void request_path_clear(struct request_path *path);
 
 #endif
--- a/src/sql/cache.c
+++ b/src/sql/cache.c
@@ -8,20 +8,20 @@
 
 #define CACHE_SHARDS 16
 
-/* One statement; it stands in its shard's table and in the list of last uses. */
+/* One statement, in the hash table and the LRU list of its shard. */
 struct cache_entry {
     char *sql;
     struct sql_class found;
-    GError *refusal; /* NULL where it is served */
-    size_t octets;
-    GList link; /* of the shard's uses */
+    GError *refusal; /* NULL if the statement is served */
+    size_t bytes;
+    GList link; /* in the shard's list lru */
 };
 
 struct cache_shard {
-    pthread_mutex_t mutex; /* of all below */
+    pthread_mutex_t mutex; /* guards all fields below */
     GHashTable *entries;
-    GQueue uses; /* most recent first */
-    size_t octets;
+    GQueue lru; /* most recent first */
+    size_t bytes;
     uint64_t hits;
     uint64_t misses;
     uint64_t evictions;
@@ -29,7 +29,7 @@
 
 struct sql_cache {
     size_t shard_entries_max;
-    size_t shard_octets_max;
+    size_t shard_bytes_max;
     struct cache_shard shards[CACHE_SHARDS];
 };
 
@@ -40,7 +40,7 @@
 
 static struct cache_shard *shard_of(struct sql_cache *cache, const char *sql)
 {
-    /* The table uses the low bits of the same hash. */
+    /* The high bits, because the hash table of the shard uses the low bits of the same hash. */
     uint64_t hash = XXH3_64bits(sql, strlen(sql));
     return &cache->shards[(hash >> 60) % CACHE_SHARDS];
 }
@@ -53,15 +53,15 @@
     g_free(entry);
 }
 
-struct sql_cache *sql_cache_new(size_t entries_max, size_t octets_max)
+struct sql_cache *sql_cache_new(size_t entries_max, size_t bytes_max)
 {
     struct sql_cache *cache = g_new0(struct sql_cache, 1);
     cache->shard_entries_max = MAX(entries_max / CACHE_SHARDS, 1);
-    cache->shard_octets_max = octets_max / CACHE_SHARDS;
+    cache->shard_bytes_max = bytes_max / CACHE_SHARDS;
     for (size_t i = 0; i < CACHE_SHARDS; i++) {
         struct cache_shard *shard = &cache->shards[i];
         pthread_mutex_init(&shard->mutex, NULL);
-        g_queue_init(&shard->uses);
+        g_queue_init(&shard->lru);
         shard->entries = g_hash_table_new_full(hash_sql, g_str_equal, NULL, entry_free);
     }
     return cache;
@@ -79,7 +79,7 @@
     g_free(cache);
 }
 
-static bool answer_from(const struct cache_entry *entry, struct sql_class *out, GError **error)
+static bool copy_result(const struct cache_entry *entry, struct sql_class *out, GError **error)
 {
     *out = entry->found;
     if (entry->refusal == NULL) {
@@ -89,32 +89,32 @@
     return false;
 }
 
-/* Under the shard's mutex. */
+/* Evicts the least recently used entry. Called with the shard's mutex held. */
 static void remove_least_recent(struct cache_shard *shard)
 {
-    struct cache_entry *entry = g_queue_peek_tail(&shard->uses);
-    g_queue_unlink(&shard->uses, &entry->link);
-    shard->octets -= entry->octets;
+    struct cache_entry *entry = g_queue_peek_tail(&shard->lru);
+    g_queue_unlink(&shard->lru, &entry->link);
+    shard->bytes -= entry->bytes;
     shard->evictions++;
     g_hash_table_remove(shard->entries, entry->sql);
 }
 
-/* Under the shard's mutex. Takes the entry over. */
-static void keep_entry(const struct sql_cache *cache, struct cache_shard *shard,
-                       struct cache_entry *entry)
+/* Inserts an entry, which the shard then owns. Called with the shard's mutex held. */
+static void insert_entry(const struct sql_cache *cache, struct cache_shard *shard,
+                         struct cache_entry *entry)
 {
     bool known = g_hash_table_contains(shard->entries, entry->sql);
-    if (known || entry->octets > cache->shard_octets_max) {
+    if (known || entry->bytes > cache->shard_bytes_max) {
         entry_free(entry);
         return;
     }
     while (g_hash_table_size(shard->entries) >= cache->shard_entries_max ||
-           shard->octets + entry->octets > cache->shard_octets_max) {
+           shard->bytes + entry->bytes > cache->shard_bytes_max) {
         remove_least_recent(shard);
     }
     g_hash_table_insert(shard->entries, entry->sql, entry);
-    g_queue_push_head_link(&shard->uses, &entry->link);
-    shard->octets += entry->octets;
+    g_queue_push_head_link(&shard->lru, &entry->link);
+    shard->bytes += entry->bytes;
 }
 
 static bool find_entry(struct cache_shard *shard, const char *sql, struct sql_class *out,
@@ -124,9 +124,9 @@
     struct cache_entry *entry = g_hash_table_lookup(shard->entries, sql);
     if (entry != NULL) {
         shard->hits++;
-        g_queue_unlink(&shard->uses, &entry->link);
-        g_queue_push_head_link(&shard->uses, &entry->link);
-        *served = answer_from(entry, out, error);
+        g_queue_unlink(&shard->lru, &entry->link);
+        g_queue_push_head_link(&shard->lru, &entry->link);
+        *served = copy_result(entry, out, error);
     } else {
         shard->misses++;
     }
@@ -139,10 +139,10 @@
     struct cache_entry *entry = g_new0(struct cache_entry, 1);
     entry->sql = g_strdup(sql);
     entry->link.data = entry;
-    entry->octets = strlen(sql);
+    entry->bytes = strlen(sql);
     sql_classify(sql, &entry->found, &entry->refusal);
     if (entry->refusal != NULL) {
-        entry->octets += strlen(entry->refusal->message);
+        entry->bytes += strlen(entry->refusal->message);
     }
     return entry;
 }
@@ -156,9 +156,9 @@
         return served;
     }
     struct cache_entry *entry = entry_new(sql);
-    served = answer_from(entry, out, error);
+    served = copy_result(entry, out, error);
     pthread_mutex_lock(&shard->mutex);
-    keep_entry(cache, shard, entry);
+    insert_entry(cache, shard, entry);
     pthread_mutex_unlock(&shard->mutex);
     return served;
 }
@@ -173,7 +173,7 @@
         counts->misses += shard->misses;
         counts->evictions += shard->evictions;
         counts->entries += g_hash_table_size(shard->entries);
-        counts->octets += shard->octets;
+        counts->bytes += shard->bytes;
         pthread_mutex_unlock(&shard->mutex);
     }
 }
--- a/src/sql/cache.h
+++ b/src/sql/cache.h
@@ -1,7 +1,7 @@
-/* A bounded cache of statement classes by the statement's text: callers send the same statements
- * with other parameters, and parsing one costs far more than finding it again. Refusals are kept
- * as well. Threads: any; the entries are spread over shards with a lock each, so that two threads
- * seldom meet. */
+/* A bounded LRU cache of statement classes by the statement's text. Callers send the same
+ * statements with different parameters, and a lookup takes far less processor time than parsing.
+ * Refusals are cached too. Any thread may use the cache; the entries are spread over shards with a
+ * lock each, to keep lock contention low. */
 #ifndef SW_SQL_CACHE_H
 #define SW_SQL_CACHE_H
 
@@ -12,27 +12,28 @@
 
 struct sql_cache;
 
-/* What the cache has done and holds. */
+/* Statistics of the cache. */
 struct sql_cache_counts {
     uint64_t hits;
     uint64_t misses;
     uint64_t evictions;
     size_t entries;
-    size_t octets; /* of statements and error texts */
+    size_t bytes; /* of statements and error texts */
 };
 
-/* A cache of at most about `entries_max` statements with `octets_max` octets of text; each shard
- * has an equal part of both. The least recently used go first. */
-struct sql_cache *sql_cache_new(size_t entries_max, size_t octets_max);
+/* Makes a cache of at most about `entries_max` statements with `bytes_max` bytes of text. Each
+ * shard has an equal part of both limits and evicts its least recently used entries. */
+struct sql_cache *sql_cache_new(size_t entries_max, size_t bytes_max);
 
-/* No thread may use the cache any more. */
+/* Frees the cache, which no thread may use any more. */
 void sql_cache_free(struct sql_cache *cache);
 
-/* sql_classify, from the cache where it can be. */
+/* As sql_classify, with the result taken from the cache if it is there. */
 bool sql_cache_classify(struct sql_cache *cache, const char *sql, struct sql_class *out,
                         GError **error);
 
-/* Sums over the shards; not a single moment while other threads work. */
+/* Sums the statistics of all shards. Not a consistent snapshot while other threads use the cache.
+ */
 void sql_cache_count(struct sql_cache *cache, struct sql_cache_counts *counts);
 
 #endif
--- a/src/sql/classify.c
+++ b/src/sql/classify.c
@@ -9,10 +9,10 @@
 #include <pg_query.h>
 #include <string.h>
 
-/* Deepest nesting of the tree's JSON that is searched; a level of an expression takes about two. */
+/* Maximum depth of the parse tree's JSON; one level of an expression takes about two. */
 #define TREE_DEPTH_MAX 1000
 
-/* Names that begin so, in any case, belong to the proxy and its databases. */
+/* Names with this prefix, in upper or lower case, are reserved for the proxy and its databases. */
 #define RESERVED_PREFIX        "swiftworks_"
 #define TEMPORARY_SCHEMA       "pg_temp"
 #define CATALOG_SCHEMA         "pg_catalog"
@@ -20,44 +20,45 @@
 #define SETTINGS_VIEW          "pg_settings"
 #define PARSER_STACK_EXHAUSTED "memory exhausted"
 
-/* The search of one tree. */
+/* State of the search of one parse tree. */
 struct tree_search {
     const char *sql;
     struct sql_class *found;
-    bool in_definition; /* names in lists are those of objects defined or dropped */
+    bool in_definition; /* inside DDL: names in lists are those of objects defined or dropped */
     GError **error;
 };
 
 static bool search_node(struct tree_search *search, JsonNode *node);
 
-/* The 1-based character at an octet of the statement. */
-static uint32_t character_at(const char *sql, gint64 octet)
+/* Converts a byte offset in the statement to the 1-based position of its character; 0 if the offset
+ * is out of range. */
+static uint32_t character_at(const char *sql, gint64 offset)
 {
-    if (octet < 0 || (size_t)octet > strlen(sql)) {
+    if (offset < 0 || (size_t)offset > strlen(sql)) {
         return 0;
     }
-    return (uint32_t)g_utf8_strlen(sql, (gssize)octet) + 1;
+    return (uint32_t)g_utf8_strlen(sql, (gssize)offset) + 1;
 }
 
-__attribute__((format(printf, 3, 4))) static bool refuse(struct tree_search *search, gint64 octet,
+__attribute__((format(printf, 3, 4))) static bool refuse(struct tree_search *search, gint64 offset,
                                                          const char *format, ...)
 {
     va_list arguments;
     va_start(arguments, format);
     g_autofree char *text = g_strdup_vprintf(format, arguments);
     va_end(arguments);
-    search->found->error_position = character_at(search->sql, octet);
+    search->found->error_position = character_at(search->sql, offset);
     g_set_error_literal(search->error, SW_ERROR, ERROR_KIND_STATEMENT_REFUSED, text);
     return false;
 }
 
-static void note_write(struct tree_search *search)
+static void set_write(struct tree_search *search)
 {
     search->found->access = ACCESS_MODE_WRITE;
     search->found->assumed = false;
 }
 
-static void note_assumed_write(struct tree_search *search)
+static void assume_write(struct tree_search *search)
 {
     if (search->found->access == ACCESS_MODE_READ) {
         search->found->access = ACCESS_MODE_WRITE;
@@ -100,7 +101,7 @@
     case FUNCTION_EFFECT_READ:
         return true;
     case FUNCTION_EFFECT_WRITE:
-        note_write(search);
+        set_write(search);
         return true;
     case FUNCTION_EFFECT_SESSION:
         return refuse(search, location, "function %s is refused: it uses the state of a session",
@@ -109,7 +110,7 @@
         return refuse(search, location, "function %s is refused: it is not served", name);
     case FUNCTION_EFFECT_UNKNOWN:
     default:
-        note_assumed_write(search);
+        assume_write(search);
         return true;
     }
 }
@@ -126,12 +127,13 @@
                       RESERVED_PREFIX);
     }
     if (g_str_has_prefix(schema, TEMPORARY_SCHEMA)) {
-        return refuse(search, location, "function %s is refused: it lives in a session", name);
+        return refuse(search, location, "function %s is refused: it exists in one session only",
+                      name);
     }
     if (strcmp(schema, CATALOG_SCHEMA) == 0) {
         return check_function_effect(search, name, location);
     }
-    note_assumed_write(search);
+    assume_write(search);
     return true;
 }
 
@@ -146,13 +148,13 @@
     }
     if (strcmp(text_member(relation, "relpersistence"), TEMPORARY_PERSISTENCE) == 0 ||
         g_str_has_prefix(schema, TEMPORARY_SCHEMA)) {
-        return refuse(search, location, "table %s is refused: a temporary table lives in a session",
-                      name);
+        return refuse(search, location,
+                      "table %s is refused: a temporary table belongs to a session", name);
     }
     return true;
 }
 
-/* Writing to the view of settings sets them for the session. */
+/* Rejects updates of pg_settings, because they change settings of the session. */
 static bool check_update_target(struct tree_search *search, JsonObject *update)
 {
     JsonObject *relation = json_object_get_object_member(update, "relation");
@@ -164,7 +166,7 @@
     return true;
 }
 
-/* Whether an option of EXPLAIN is on: `ANALYZE`, `ANALYZE true`, `ANALYZE 1`, ... */
+/* Whether an option of EXPLAIN is on, as in `ANALYZE`, `ANALYZE true` or `ANALYZE 1`. */
 static bool option_is_on(JsonObject *option)
 {
     JsonNode *argument = json_object_get_member(option, "arg");
@@ -194,7 +196,7 @@
     return runs;
 }
 
-/* EXPLAIN that does not run its statement is a read, whatever the statement would do. */
+/* EXPLAIN without ANALYZE is a read, also for a statement that writes, because it is not run. */
 static bool search_explain(struct tree_search *search, JsonObject *explain)
 {
     struct sql_class before = *search->found;
@@ -221,7 +223,7 @@
     }
     bool outer = search->in_definition;
     search->in_definition = true;
-    note_write(search);
+    set_write(search);
     bool served = search_members(search, statement);
     search->in_definition = outer;
     return served;
@@ -234,7 +236,7 @@
     case STATEMENT_RULE_READ:
         return search_members(search, statement);
     case STATEMENT_RULE_WRITE:
-        note_write(search);
+        set_write(search);
         return check_update_target(search, statement) && search_members(search, statement);
     case STATEMENT_RULE_DEFINITION:
         return search_definition(search, node, statement);
@@ -246,7 +248,7 @@
     }
 }
 
-/* Names that a definition gives or drops. */
+/* Rejects reserved names of objects that a definition creates, renames or drops. */
 static bool check_defined_name(struct tree_search *search, const char *member, const char *value)
 {
     static const char *const names[] = {"sval",    "newname",    "newschema", "schemaname",
@@ -269,12 +271,12 @@
             return search_statement(search, name, object);
         }
         if (strcmp(name, "CurrentOfExpr") == 0) {
-            return refuse(search, 0, "CURRENT OF is refused: a cursor lives in a session");
+            return refuse(search, 0, "CURRENT OF is refused: a cursor belongs to a session");
         }
         return search_members(search, object);
     }
     if (strcmp(name, "lockingClause") == 0) {
-        note_write(search);
+        set_write(search);
     }
     if (JSON_NODE_HOLDS_VALUE(value) && json_node_get_value_type(value) == G_TYPE_STRING) {
         return check_defined_name(search, name, json_node_get_string(value));
@@ -291,7 +293,7 @@
         return false;
     }
     if (json_object_has_member(object, "intoClause")) {
-        note_write(search);
+        set_write(search);
     }
     JsonObjectIter iterator;
     const char *name = NULL;
@@ -325,7 +327,8 @@
     return true;
 }
 
-/* Deepest nesting of objects and arrays in the parser's JSON. */
+/* Depth of nested objects and arrays in the parser's JSON. Computed before json-glib parses the
+ * text, which recurses. */
 static unsigned tree_depth(const char *json)
 {
     unsigned depth = 0;
@@ -352,13 +355,13 @@
     return false;
 }
 
-/* Where the statement that begins at `octet` has its first word. */
-static gint64 skip_space(const char *sql, gint64 octet)
+/* Skips the white space before a statement that begins at `offset`. */
+static gint64 skip_space(const char *sql, gint64 offset)
 {
-    while (g_ascii_isspace(sql[octet])) {
-        octet++;
+    while (g_ascii_isspace(sql[offset])) {
+        offset++;
     }
-    return octet;
+    return offset;
 }
 
 static bool search_statements(struct tree_search *search, JsonArray *statements)
@@ -368,9 +371,10 @@
     }
     if (json_array_get_length(statements) > 1) {
         JsonObject *second = json_array_get_object_element(statements, 1);
-        gint64 octet = json_object_get_int_member_with_default(second, "stmt_location", 0);
-        return refuse(search, skip_space(search->sql, octet),
-                      "several statements are refused: send one, or a transaction of many");
+        gint64 offset = json_object_get_int_member_with_default(second, "stmt_location", 0);
+        return refuse(
+            search, skip_space(search->sql, offset),
+            "several statements are refused: send one, or a transaction with all of them");
     }
     JsonObject *statement = json_array_get_object_element(statements, 0);
     bool served = search_node(search, json_object_get_member(statement, "stmt"));
@@ -387,7 +391,8 @@
     }
     g_autoptr(JsonParser) parser = json_parser_new();
     if (!json_parser_load_from_data(parser, json, -1, NULL)) {
-        return fail(error, ERROR_KIND_STATEMENT_REFUSED, "the statement can not be examined");
+        return fail(error, ERROR_KIND_STATEMENT_REFUSED,
+                    "the parse tree of the statement can not be read");
     }
     JsonObject *root = json_node_get_object(json_parser_get_root(parser));
     struct tree_search search = {.sql = sql, .found = out, .error = error};
@@ -406,7 +411,7 @@
 bool sql_classify(const char *sql, struct sql_class *out, GError **error)
 {
     *out = (struct sql_class){.access = ACCESS_MODE_READ};
-    if (strlen(sql) > SQL_CLASSIFY_OCTETS_MAX) {
+    if (strlen(sql) > SQL_CLASSIFY_BYTES_MAX) {
         return fail(error, ERROR_KIND_TOO_LARGE, "the statement is too long");
     }
     PgQueryParseResult parsed = pg_query_parse(sql);
--- a/src/sql/functions.c
+++ b/src/sql/functions.c
@@ -5,8 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Built-in functions that only compute or read, in ASCII order. Functions of catalog pg_proc that
- * are missing here count as unknown, and so as writes unless the caller declares a read. */
+/* Built-in functions that only compute or read, in ASCII order. Functions of the catalog pg_proc
+ * that are missing here are unknown, and thus writes unless the caller declares a read. */
 static const char *const readers[] = {"abbrev",
                                       "abs",
                                       "acos",
@@ -415,7 +415,8 @@
                                       "xpath",
                                       "xpath_exists"};
 
-/* Built-in functions of another effect; `prefix` stands for all names that begin so. */
+/* Built-in functions with other effects. With `prefix` the entry applies to all names that begin
+ * with `name`. The first match counts. */
 struct effect_entry {
     const char *name;
     bool prefix;
--- a/src/sql/statements.c
+++ b/src/sql/statements.c
@@ -4,12 +4,12 @@
 #include <string.h>
 
 #define REASON_SESSION     "it changes the state of a session"
-#define REASON_CURSOR      "a cursor lives in a session"
-#define REASON_PREPARED    "a prepared statement lives in a session"
-#define REASON_TRANSACTION "a transaction is begun and ended by the transactions endpoint"
-#define REASON_LOCK        "locks are taken by statements only"
-#define REASON_COPY        "rows are moved by statements only"
-#define REASON_CODE        "code is not run or defined through the proxy"
+#define REASON_CURSOR      "a cursor belongs to a session"
+#define REASON_PREPARED    "a prepared statement belongs to a session"
+#define REASON_TRANSACTION "transactions are begun and ended at the transactions endpoint"
+#define REASON_LOCK        "explicit table locks are not served"
+#define REASON_COPY        "bulk copy of rows is not served"
+#define REASON_CODE        "the proxy does not run or define code in the database"
 #define REASON_KIND        "statements of this kind are not served"
 
 static const struct statement_entry entries[] = {
--- a/tests/frontend/harness.c
+++ b/tests/frontend/harness.c
@@ -229,9 +229,9 @@
 GString *harness_receive_until(int connection, const char *end)
 {
     GString *text = g_string_new(NULL);
-    char octet = 0;
-    while (!g_str_has_suffix(text->str, end) && recv(connection, &octet, 1, 0) == 1) {
-        g_string_append_c(text, octet);
+    char byte = 0;
+    while (!g_str_has_suffix(text->str, end) && recv(connection, &byte, 1, 0) == 1) {
+        g_string_append_c(text, byte);
     }
     return text;
 }
--- a/tests/frontend/harness.h
+++ b/tests/frontend/harness.h
@@ -69,7 +69,7 @@
 int harness_connect(struct harness *harness);
 void harness_send(int connection, const char *text);
 
-/* Reads up to and with the octets `end`, or to the connection's end. */
+/* Reads up to and with the bytes `end`, or to the connection's end. */
 GString *harness_receive_until(int connection, const char *end);
 
 /* Waits until the frontend has no request under way. */
--- a/tests/frontend/mutator.c
+++ b/tests/frontend/mutator.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #define MUTATIONS_MAX 3
-#define OCTETS_MAX    4096
+#define BYTES_MAX     4096
 
 /* Pieces that parsers treat specially. */
 static const char *const pieces[] = {
@@ -102,7 +102,7 @@
     text->data[below(mutator, text->len)] ^= (guint8)(1U << below(mutator, 8));
 }
 
-static void replace_octet(struct mutator *mutator, GByteArray *text)
+static void replace_byte(struct mutator *mutator, GByteArray *text)
 {
     text->data[below(mutator, text->len)] = (guint8)below(mutator, 256);
 }
@@ -130,7 +130,7 @@
     guint length = 1 + below(mutator, text->len - at);
     g_autofree guint8 *copy = g_memdup2(text->data + at, length);
     guint times = 1 + below(mutator, 8);
-    for (guint i = 0; i < times && text->len + length < OCTETS_MAX; i++) {
+    for (guint i = 0; i < times && text->len + length < BYTES_MAX; i++) {
         insert(text, at, copy, length);
     }
 }
@@ -147,8 +147,8 @@
 void mutator_change(struct mutator *mutator, GByteArray *text)
 {
     static void (*const changes[])(struct mutator * mutator, GByteArray * text) = {
-        flip_bit,     replace_octet, remove_range, cut_end,
-        insert_piece, insert_piece,  repeat_range, splice_other,
+        flip_bit,     replace_byte, remove_range, cut_end,
+        insert_piece, insert_piece, repeat_range, splice_other,
     };
     if (text->len == 0) {
         insert_piece(mutator, text);
--- a/tests/frontend/test_acceptor.c
+++ b/tests/frontend/test_acceptor.c
@@ -105,7 +105,7 @@
 static void test_connection_in_the_making(void)
 {
     struct rig rig = {.deaf = -1};
-    char octet = 'q';
+    char byte = 'q';
     start(&rig);
     int made = begin_connect(&rig, false);
     g_assert_true(is_ready(made, POLLOUT));
@@ -113,11 +113,11 @@
     int in_the_making = rig.deaf;
     stop(&rig);
     g_assert_cmpuint(rig.taken_count, ==, 2);
-    g_assert_cmpint(send(in_the_making, &octet, 1, MSG_NOSIGNAL), ==, 1);
-    octet = 0;
+    g_assert_cmpint(send(in_the_making, &byte, 1, MSG_NOSIGNAL), ==, 1);
+    byte = 0;
     g_assert_true(is_ready(rig.taken[1], POLLIN));
-    g_assert_cmpint(recv(rig.taken[1], &octet, 1, 0), ==, 1);
-    g_assert_true(octet == 'q');
+    g_assert_cmpint(recv(rig.taken[1], &byte, 1, 0), ==, 1);
+    g_assert_true(byte == 'q');
     close_all(&rig);
     close(made);
     close(in_the_making);
--- a/tests/frontend/test_admin.c
+++ b/tests/frontend/test_admin.c
@@ -123,7 +123,7 @@
     assert_answer(&listener, "GET", "/v1/databases/a/b", NULL, 400, JSON,
                   ERROR("the path is not known"));
     assert_answer(&listener, "DELETE", "/v1/status", NULL, 400, JSON,
-                  ERROR("the method is not one of this path"));
+                  ERROR("the path does not support this method"));
     listener_stop(&listener);
 }
 
--- a/tests/frontend/test_frontend.c
+++ b/tests/frontend/test_frontend.c
@@ -278,9 +278,9 @@
     harness_stop(&harness);
 }
 
-/* Asks with a token of full size and `octets` of another header. Returns the status; the request
+/* Asks with a token of full size and `bytes` of another header. Returns the status; the request
  * was run if and only if that is 200, and then the whole token comes back. */
-static long post_large_head(struct harness *harness, unsigned octets)
+static long post_large_head(struct harness *harness, unsigned bytes)
 {
     struct group_position sent[TOKEN_GROUPS_MAX];
     for (uint32_t i = 0; i < TOKEN_GROUPS_MAX; i++) {
@@ -289,7 +289,7 @@
     sent[0].group = HARNESS_GROUP;
     g_autofree char *token = token_encode(harness->keys, sent, TOKEN_GROUPS_MAX);
     g_autofree char *session = g_strconcat("Swiftworks-Session: ", token, NULL);
-    g_autofree char *value = g_strnfill(octets, 'c');
+    g_autofree char *value = g_strnfill(bytes, 'c');
     g_autofree char *other = g_strconcat("Cookie: ", value, NULL);
     const char *const headers[] = {session, other, NULL};
     struct poster *poster =
@@ -322,13 +322,13 @@
     enum { HEADS_SERVED = 4500, HEADS_ANSWERED = 12000, HEADS_MAX = 40000, STEP = 250 };
     struct harness harness;
     harness_start(&harness, NULL);
-    for (unsigned octets = 0; octets <= HEADS_SERVED; octets += STEP) {
-        long status = post_large_head(&harness, octets);
+    for (unsigned bytes = 0; bytes <= HEADS_SERVED; bytes += STEP) {
+        long status = post_large_head(&harness, bytes);
         g_assert_cmpint(status, ==, 200);
     }
-    for (unsigned octets = HEADS_SERVED + STEP; octets <= HEADS_MAX; octets += STEP) {
-        long status = post_large_head(&harness, octets);
-        bool closed = status == 0 && octets > HEADS_ANSWERED;
+    for (unsigned bytes = HEADS_SERVED + STEP; bytes <= HEADS_MAX; bytes += STEP) {
+        long status = post_large_head(&harness, bytes);
+        bool closed = status == 0 && bytes > HEADS_ANSWERED;
         g_assert_true(status == 413 || status == 431 || closed);
     }
     harness_stop(&harness);
@@ -348,14 +348,17 @@
 #define BAD(text) "{\"kind\":\"bad_request\",\"text\":\"" text "\"}"
 
 static const struct refusal_case refusals[] = {
-    {"/", NULL, VALID, 400, BAD("The path names no endpoint.")},
-    {"/v1/tenants/hut", NULL, VALID, 400, BAD("The path names no endpoint.")},
-    {"/v2/tenants/hut/statements", NULL, VALID, 400, BAD("The path names no endpoint.")},
-    {"/v1/tenants/hut/statement", NULL, VALID, 400, BAD("The path names no endpoint.")},
-    {"/v1/tenants/hut/statements/", NULL, VALID, 400, BAD("The path names no endpoint.")},
-    {"/v1/tenants/hut/statements/5/commit", NULL, "", 400, BAD("The path names no endpoint.")},
-    {"/v1/tenants/hut/transactions/5/abort", NULL, "", 400, BAD("The path names no endpoint.")},
-    {"/v1/tenants/hut/transactions/5/commit/x", NULL, "", 400, BAD("The path names no endpoint.")},
+    {"/", NULL, VALID, 400, BAD("The path is not that of an endpoint.")},
+    {"/v1/tenants/hut", NULL, VALID, 400, BAD("The path is not that of an endpoint.")},
+    {"/v2/tenants/hut/statements", NULL, VALID, 400, BAD("The path is not that of an endpoint.")},
+    {"/v1/tenants/hut/statement", NULL, VALID, 400, BAD("The path is not that of an endpoint.")},
+    {"/v1/tenants/hut/statements/", NULL, VALID, 400, BAD("The path is not that of an endpoint.")},
+    {"/v1/tenants/hut/statements/5/commit", NULL, "", 400,
+     BAD("The path is not that of an endpoint.")},
+    {"/v1/tenants/hut/transactions/5/abort", NULL, "", 400,
+     BAD("The path is not that of an endpoint.")},
+    {"/v1/tenants/hut/transactions/5/commit/x", NULL, "", 400,
+     BAD("The path is not that of an endpoint.")},
     {"/v1/tenants//statements", NULL, VALID, 400,
      BAD("The tenant's name in the path is not valid.")},
     {"/v1/tenants/a%20b/statements", NULL, VALID, 400,
@@ -396,7 +399,7 @@
      "parsed\",\"position\":8}"},
     {STATEMENTS, NULL, "{\"sql\":\"SELECT 1; SELECT 2\"}", 422,
      "{\"kind\":\"statement_refused\",\"text\":\"several statements are refused: send one, or a "
-     "transaction of many\",\"position\":11}"},
+     "transaction with all of them\",\"position\":11}"},
     {STATEMENTS, NULL, "{\"sql\":\"SET a = 1\"}", 422,
      "{\"kind\":\"statement_refused\",\"text\":\"SET is refused: it changes the state of a "
      "session\",\"position\":1}"},
@@ -407,7 +410,7 @@
      "{\"kind\":\"statement_refused\",\"text\":\"the statement writes but is declared a read\"}"},
     {TRANSACTIONS, NULL, "{\"statements\":[{\"sql\":\"SELECT 1\"},{\"sql\":\"BEGIN\"}]}", 422,
      "{\"kind\":\"statement_refused\",\"text\":\"statements[1]: a transaction statement is "
-     "refused: a transaction is begun and ended by the transactions endpoint\",\"position\":1}"},
+     "refused: transactions are begun and ended at the transactions endpoint\",\"position\":1}"},
     {TRANSACTIONS "/x/statements", NULL, "{\"sql\":\"SELECT pg_sleep(1)\"}", 422,
      "{\"kind\":\"statement_refused\",\"text\":\"function pg_sleep is refused: it is not "
      "served\",\"position\":8}"},
@@ -547,7 +550,7 @@
             harness_post(&harness, STATEMENTS, bodies[i], strlen(bodies[i]), headers[j], &exchange);
             g_assert_cmpint(exchange.status, ==, 413);
             assert_body_has(&exchange, "{\"kind\":\"too_large\",\"text\":\"the body is over 100 "
-                                       "octets\"}");
+                                       "bytes\"}");
             exchange_clear(&exchange);
         }
     }
--- a/tests/frontend/test_request_body.c
+++ b/tests/frontend/test_request_body.c
@@ -200,15 +200,15 @@
 
 static void test_large_texts(void)
 {
-    g_autofree char *sql = g_strnfill(SQL_OCTETS_MAX + 1, 'x');
+    g_autofree char *sql = g_strnfill(SQL_BYTES_MAX + 1, 'x');
     g_autofree char *with_sql = g_strdup_printf("{\"sql\":\"%s\"}", sql);
     assert_fault(ENDPOINT_STATEMENTS, with_sql, strlen(with_sql), ERROR_KIND_TOO_LARGE,
-                 "\"sql\" is over 65536 octets", 0);
-    g_autofree char *value = g_strnfill(PARAMETER_OCTETS_MAX + 1, 'x');
+                 "\"sql\" is over 65536 bytes", 0);
+    g_autofree char *value = g_strnfill(PARAMETER_BYTES_MAX + 1, 'x');
     g_autofree char *with_value =
         g_strdup_printf("{\"sql\":\"x\",\"parameters\":[\"\",\"%s\"]}", value);
     assert_fault(ENDPOINT_STATEMENTS, with_value, strlen(with_value), ERROR_KIND_TOO_LARGE,
-                 "parameters[1] is over 1048576 octets", 0);
+                 "parameters[1] is over 1048576 bytes", 0);
 }
 
 /* A million brackets must be refused, not recursed into. */
--- a/tests/sql/test_classify.c
+++ b/tests/sql/test_classify.c
@@ -23,20 +23,20 @@
 };
 
 #define SESSION  " is refused: it changes the state of a session"
-#define CURSOR   " is refused: a cursor lives in a session"
-#define PREPARED " is refused: a prepared statement lives in a session"
+#define CURSOR   " is refused: a cursor belongs to a session"
+#define PREPARED " is refused: a prepared statement belongs to a session"
 #define TRANSACTION                                                                                \
-    "a transaction statement is refused: a transaction is begun and ended by the transactions "    \
+    "a transaction statement is refused: transactions are begun and ended at the transactions "    \
     "endpoint"
-#define SEVERAL    "several statements are refused: send one, or a transaction of many"
+#define SEVERAL    "several statements are refused: send one, or a transaction with all of them"
 #define RESERVED   " is refused: names with swiftworks_ are reserved"
-#define TEMPORARY  " is refused: a temporary table lives in a session"
+#define TEMPORARY  " is refused: a temporary table belongs to a session"
 #define USES       " is refused: it uses the state of a session"
 #define NOT_SERVED " is refused: it is not served"
 #define UNLISTED   "the statement is refused: statements of this kind are not served"
-#define CODE       " is refused: code is not run or defined through the proxy"
-#define LOCKS      "LOCK is refused: locks are taken by statements only"
-#define COPIES     "COPY is refused: rows are moved by statements only"
+#define CODE       " is refused: the proxy does not run or define code in the database"
+#define LOCKS      "LOCK is refused: explicit table locks are not served"
+#define COPIES     "COPY is refused: bulk copy of rows is not served"
 #define CONCURRENT "CONCURRENTLY is refused: it can not run in a transaction"
 
 static const struct classify_case cases[] = {
@@ -142,7 +142,7 @@
     {"MOVE c", REFUSED, 1, "FETCH" CURSOR},
     {"CLOSE c", REFUSED, 1, "CLOSE" CURSOR},
     {"UPDATE t SET a = 1 WHERE CURRENT OF c", REFUSED, 1,
-     "CURRENT OF is refused: a cursor lives in a session"},
+     "CURRENT OF is refused: a cursor belongs to a session"},
     {"CREATE TEMP TABLE x (a int)", REFUSED, 19, "table x" TEMPORARY},
     {"CREATE TEMPORARY TABLE x AS SELECT 1", REFUSED, 24, "table x" TEMPORARY},
     {"CREATE TEMP VIEW v AS SELECT 1", REFUSED, 18, "table v" TEMPORARY},
@@ -150,7 +150,7 @@
     {"SELECT 1 AS a INTO TEMP x", REFUSED, 25, "table x" TEMPORARY},
     {"CREATE TABLE pg_temp.x (a int)", REFUSED, 14, "table x" TEMPORARY},
     {"SELECT * FROM pg_temp_3.x", REFUSED, 15, "table x" TEMPORARY},
-    {"SELECT pg_temp.f()", REFUSED, 8, "function f is refused: it lives in a session"},
+    {"SELECT pg_temp.f()", REFUSED, 8, "function f is refused: it exists in one session only"},
     {"SELECT pg_advisory_lock(1)", REFUSED, 8, "function pg_advisory_lock" USES},
     {"SELECT é, pg_try_advisory_xact_lock(1) FROM t", REFUSED, 11,
      "function pg_try_advisory_xact_lock" USES},
@@ -291,8 +291,8 @@
 
 static void test_cache_bounds(void)
 {
-    const size_t octets_max = 16 * 100;
-    struct sql_cache *cache = sql_cache_new(64, octets_max);
+    const size_t bytes_max = 16 * 100;
+    struct sql_cache *cache = sql_cache_new(64, bytes_max);
     for (unsigned i = 0; i < 1000; i++) {
         g_autofree char *sql = g_strdup_printf("SELECT %u", i);
         struct sql_class found;
@@ -305,7 +305,7 @@
     struct sql_cache_counts counts;
     sql_cache_count(cache, &counts);
     g_assert_cmpuint(counts.entries, <=, 64);
-    g_assert_cmpuint(counts.octets, <=, octets_max);
+    g_assert_cmpuint(counts.bytes, <=, bytes_max);
     g_assert_cmpuint(counts.evictions, ==, 1000 - counts.entries);
     sql_cache_free(cache);
 }
@@ -441,7 +441,7 @@
 {
     pthread_attr_t attributes;
     pthread_attr_init(&attributes);
-    pthread_attr_setstacksize(&attributes, SQL_CLASSIFY_STACK_OCTETS);
+    pthread_attr_setstacksize(&attributes, SQL_CLASSIFY_STACK_BYTES);
     pthread_t thread;
     g_assert_cmpint(pthread_create(&thread, &attributes, classify_large, NULL), ==, 0);
     pthread_join(thread, NULL);
