--- a/src/trace/trace_file.c
+++ b/src/trace/trace_file.c
@@ -1,4 +1,4 @@
-/* Conversion between the core's types and the records of a trace, and the file itself. */
+/* Conversion between the core's types and trace records, and reading and writing of trace files. */
 #include "trace/trace_file.h"
 
 #include <cbor.h>
@@ -7,7 +7,7 @@
 #include "core/error.h"
 #include "generated/errors.h"
 
-/* A duration in the core's options and in the record of a start. */
+/* Offsets of a duration in the core's options and in the start record. */
 struct duration_field {
     size_t option;
     size_t start;
@@ -154,12 +154,12 @@
     return bytes != NULL && fwrite(bytes->data, 1, bytes->len, file) == bytes->len;
 }
 
-/* Writes a record of a daemon, and clears it. */
+/* Writes a daemon's record and clears it. */
 static void write_and_clear(FILE *file, uint32_t daemon, struct trace_record *record)
 {
     record->daemon = daemon;
     if (!trace_write(file, record)) {
-        g_warning("Trace not written.");
+        g_warning("Trace record not written.");
     }
     trace_record_clear(record);
 }
@@ -188,7 +188,7 @@
     g_free(data);
 }
 
-/* Length of the first item of a sequence; 0 if there is no whole one. */
+/* Length of the first CBOR item of a sequence; 0 if it is not complete or not valid. */
 static size_t item_length(const uint8_t *data, size_t length)
 {
     struct cbor_load_result result;
@@ -217,7 +217,8 @@
         struct trace_record *record;
 
         if (item == 0) {
-            g_set_error(error, SW_ERROR, ERROR_KIND_BAD_REQUEST, "no record at octet %zu", offset);
+            g_set_error(error, SW_ERROR, ERROR_KIND_BAD_REQUEST,
+                        "no trace record at byte offset %zu", offset);
             return NULL;
         }
         record = g_new0(struct trace_record, 1);
--- a/src/trace/trace_recorder.c
+++ b/src/trace/trace_recorder.c
@@ -1,4 +1,4 @@
-/* The ring of segments; see the header. */
+/* Implementation of the trace recorder; see the header. */
 #define G_LOG_DOMAIN "trace"
 #include "trace/trace_recorder.h"
 
@@ -8,44 +8,45 @@
 #include "core/group_control_state.h"
 #include "trace/trace_file.h"
 
-/* Octets of one record of an event, at most: 9 watchers of two numbers, and the rest. */
+/* Maximum size of an event's record in bytes: 9 watchers of two numbers each, and the other
+ * fields. */
 #define RECORD_SIZE_MAX 1024
 
-/* One part of the memory in so many is for writes. */
-#define WRITES_SHARE 4
+/* The fraction 1 / WRITES_DIVISOR of the memory is reserved for writes. */
+#define WRITES_DIVISOR 4
 
-/* Octets that hold a kept write, beside its own: structs, links, and the allocator's. */
+/* Memory overhead of a stored write in bytes: structs, list link and allocator. */
 #define WRITE_OVERHEAD 160
 
-/* Commands whose answers may be outstanding. */
+/* Maximum number of commands with outstanding answers. */
 #define COMMANDS_MAX 64
 
-/* Octets of records in a segment; the rest is its head. */
+/* Size of the records in a segment; the remainder is its header. */
 #define CONTENT_SIZE (TRACE_SEGMENT_SIZE - 64)
 
-/* A run of records of one group that begins with a start or a snapshot. */
+/* A sequence of records of one group that begins with a start or a snapshot. */
 struct segment {
     uint32_t group;
-    bool ended; /* gets no more records: may be given up */
+    bool ended; /* receives no more records, so it may be discarded */
     size_t used;
-    uint8_t octets[CONTENT_SIZE];
+    uint8_t bytes[CONTENT_SIZE];
 };
 
 G_STATIC_ASSERT(sizeof(struct segment) <= TRACE_SEGMENT_SIZE);
 
-/* One write. */
+/* One stored write: an encoded record. */
 struct kept_write {
     uint32_t group;
-    GByteArray *octets;
+    GByteArray *bytes;
 };
 
 struct trace_recorder {
-    pthread_mutex_t lock; /* guards all below, and the segments */
+    pthread_mutex_t lock; /* guards all fields below and the segments */
     uint32_t segments_max;
-    uint32_t groups; /* being recorded: half the segments at most, so that the others are history */
+    uint32_t groups; /* being recorded; at most half the segments, the others keep history */
     GQueue segments; /* struct segment, oldest first */
     size_t writes_max;
-    size_t writes_size; /* of `writes`, what holds them included */
+    size_t writes_size; /* of `writes`, including the overhead */
     GQueue writes;      /* struct kept_write, oldest first */
 };
 
@@ -60,7 +61,7 @@
 {
     struct trace_recorder *recorder = g_new0(struct trace_recorder, 1);
     pthread_mutex_init(&recorder->lock, NULL);
-    recorder->writes_max = memory / WRITES_SHARE;
+    recorder->writes_max = memory / WRITES_DIVISOR;
     recorder->segments_max = (uint32_t)((memory - recorder->writes_max) / TRACE_SEGMENT_SIZE);
     g_queue_init(&recorder->segments);
     g_queue_init(&recorder->writes);
@@ -70,7 +71,7 @@
 static void free_write(gpointer data)
 {
     struct kept_write *write = data;
-    g_byte_array_unref(write->octets);
+    g_byte_array_unref(write->bytes);
     g_free(write);
 }
 
@@ -82,8 +83,8 @@
     g_free(recorder);
 }
 
-/* Gives up the oldest segment that has ended: half of them have, if all are in use. Called with the
- * lock held. */
+/* Discards the oldest segment that has ended. If all segments are in use, at least half of them
+ * have ended. Called with the lock held. */
 static void drop_oldest(struct trace_recorder *recorder)
 {
     GList *link = recorder->segments.head;
@@ -94,9 +95,9 @@
     g_queue_delete_link(&recorder->segments, link);
 }
 
-/* A new segment, in the place of the oldest one that has ended if all are in use. Called with the
- * lock held. */
-static struct segment *take_segment(struct trace_recorder *recorder, uint32_t group)
+/* Allocates a segment. If all segments are in use, it replaces the oldest one that has ended.
+ * Called with the lock held. */
+static struct segment *allocate_segment(struct trace_recorder *recorder, uint32_t group)
 {
     if (recorder->segments.length >= recorder->segments_max) {
         drop_oldest(recorder);
@@ -117,7 +118,7 @@
     pthread_mutex_lock(&group->recorder->lock);
     struct segment *segment = group->segment;
     g_assert(bytes != NULL && bytes->len <= CONTENT_SIZE - segment->used);
-    memcpy(segment->octets + segment->used, bytes->data, bytes->len);
+    memcpy(segment->bytes + segment->used, bytes->data, bytes->len);
     segment->used += bytes->len;
     pthread_mutex_unlock(&group->recorder->lock);
 }
@@ -128,12 +129,12 @@
     struct segment *segment = NULL;
     pthread_mutex_lock(&recorder->lock);
     if (recorder->groups < recorder->segments_max / 2) {
-        segment = take_segment(recorder, options->group);
+        segment = allocate_segment(recorder, options->group);
         recorder->groups++;
     }
     pthread_mutex_unlock(&recorder->lock);
     if (segment == NULL) {
-        g_info("No room for the trace of group=%u.", options->group);
+        g_info("Trace not recorded, no free segment: group=%u.", options->group);
         return NULL;
     }
     struct trace_group *group = g_new0(struct trace_group, 1);
@@ -159,7 +160,7 @@
     g_free(group);
 }
 
-/* Ends the segment and begins the next one with the control's state. */
+/* Ends the segment and begins the next one with a snapshot of the control's state. */
 static void begin_segment(struct trace_group *group, const struct group_control *control,
                           time_ns now)
 {
@@ -174,7 +175,7 @@
     group_control_save(control, record.snapshot.state);
     pthread_mutex_lock(&group->recorder->lock);
     group->segment->ended = true;
-    group->segment = take_segment(group->recorder, group->group);
+    group->segment = allocate_segment(group->recorder, group->group);
     pthread_mutex_unlock(&group->recorder->lock);
     append(group, &record);
 }
@@ -187,7 +188,7 @@
     }
 }
 
-static void note_commands(struct trace_group *group, const struct group_actions *actions)
+static void save_commands(struct trace_group *group, const struct group_actions *actions)
 {
     for (uint32_t i = 0; i < actions->count; i++) {
         const struct group_action *action = &actions->items[i];
@@ -202,7 +203,8 @@
     }
 }
 
-/* The command that an answer belongs to. Of one issued too long ago only the id is known. */
+/* Returns the command that an answer belongs to. Only the id is set if COMMANDS_MAX or more
+ * commands were issued since. */
 static struct trace_command command_of(const struct trace_group *group, uint64_t id)
 {
     struct trace_command command = group->commands[id % COMMANDS_MAX];
@@ -220,7 +222,7 @@
     trace_event_to_record(event, event->kind == GROUP_EVENT_COMMAND ? &command : NULL, &record);
     record.event.decision = group_control_digest(control, actions);
     append(group, &record);
-    note_commands(group, actions);
+    save_commands(group, actions);
 }
 
 void trace_group_detection(struct trace_group *group, const struct group_control *control,
@@ -239,14 +241,14 @@
     append(group, &record);
 }
 
-bool trace_recorder_is_on(const struct trace_recorder *recorder)
+bool trace_recorder_enabled(const struct trace_recorder *recorder)
 {
     return recorder->writes_max > 0;
 }
 
 static size_t size_of(const struct kept_write *write)
 {
-    return write->octets->len + WRITE_OVERHEAD;
+    return write->bytes->len + WRITE_OVERHEAD;
 }
 
 void trace_recorder_keep_write(struct trace_recorder *recorder, uint32_t group,
@@ -254,7 +256,7 @@
 {
     struct kept_write *write = g_new(struct kept_write, 1);
     write->group = group;
-    write->octets = trace_record_encode(record);
+    write->bytes = trace_record_encode(record);
     pthread_mutex_lock(&recorder->lock);
     g_queue_push_tail(&recorder->writes, write);
     recorder->writes_size += size_of(write);
@@ -272,7 +274,7 @@
     for (GList *link = recorder->writes.head; link != NULL; link = link->next) {
         const struct kept_write *write = link->data;
         if (write->group == group) {
-            g_byte_array_append(copy, write->octets->data, write->octets->len);
+            g_byte_array_append(copy, write->bytes->data, write->bytes->len);
         }
     }
 }
@@ -284,7 +286,7 @@
     for (GList *link = recorder->segments.head; link != NULL; link = link->next) {
         const struct segment *segment = link->data;
         if (segment->group == group) {
-            g_byte_array_append(copy, segment->octets, (guint)segment->used);
+            g_byte_array_append(copy, segment->bytes, (guint)segment->used);
         }
     }
     copy_writes(recorder, group, copy);
--- a/src/trace/write_trace.c
+++ b/src/trace/write_trace.c
@@ -1,14 +1,15 @@
-/* Traces of single writes; see the header. */
+/* Implementation of traces of single writes; see the header. */
 #include "trace/write_trace.h"
 
 #include <string.h>
 #include <xxhash.h>
 
-/* Events of one write that are kept: the bound of trace_write's events. */
+/* Maximum number of events kept of one write; equal to the bound of struct trace_write. */
 #define EVENTS_MAX 64
 
-/* Room for the events of a plain write of three databases: start, commit, evidence. */
-#define EVENTS_USUAL 6
+/* Initial capacity: the events of an undisturbed write in a group of three databases, which are the
+ * start, the commit and the evidence of acknowledgement. */
+#define EVENTS_RESERVED 6
 
 struct write_trace {
     struct trace_recorder *recorder;
@@ -21,14 +22,15 @@
 struct write_trace *write_trace_begin(struct trace_recorder *recorder, uint32_t group,
                                       const char *key, const struct write_options *options)
 {
-    if (!trace_recorder_is_on(recorder)) {
+    if (!trace_recorder_enabled(recorder)) {
         return NULL;
     }
     struct write_trace *trace = g_new0(struct write_trace, 1);
     trace->recorder = recorder;
     trace->group = group;
     trace->keep = options->resolve_only;
-    trace->events = g_array_sized_new(FALSE, FALSE, sizeof(struct trace_write_event), EVENTS_USUAL);
+    trace->events =
+        g_array_sized_new(FALSE, FALSE, sizeof(struct trace_write_event), EVENTS_RESERVED);
     trace->write = (struct trace_write){
         .key = key != NULL ? XXH3_64bits(key, strlen(key)) : 0,
         .deadline = options->deadline,
@@ -41,7 +43,7 @@
     return trace;
 }
 
-static bool has_to_find_out(enum write_event_kind kind)
+static bool needs_resolution(enum write_event_kind kind)
 {
     return kind == WRITE_EVENT_LOST || kind == WRITE_EVENT_EVIDENCE_END ||
            kind == WRITE_EVENT_ALREADY_DONE || kind == WRITE_EVENT_KEY_CLOSED ||
@@ -110,15 +112,16 @@
     }
     struct trace_write_event record = event_to_record(event, view, step);
     GArray *events = trace->events;
-    bool waits_on = events->len > 0 && is_wait(&record) &&
-                    is_wait(&g_array_index(events, struct trace_write_event, events->len - 1));
-    trace->keep = trace->keep || has_to_find_out(event->kind);
-    if (!waits_on && events->len < EVENTS_MAX) {
+    bool continues_wait =
+        events->len > 0 && is_wait(&record) &&
+        is_wait(&g_array_index(events, struct trace_write_event, events->len - 1));
+    trace->keep = trace->keep || needs_resolution(event->kind);
+    if (!continues_wait && events->len < EVENTS_MAX) {
         g_array_append_val(events, record);
     }
 }
 
-/* Microseconds of the wall clock at a moment of the monotonic one, not long ago. */
+/* Converts a recent time of the monotonic clock to wall-clock microseconds. */
 static uint64_t wall_time_of(time_ns at)
 {
     gint64 since = g_get_monotonic_time() - (gint64)(at / NANOSECONDS_PER_MICROSECOND);
--- a/tests/trace/trace_recorder_test.c
+++ b/tests/trace/trace_recorder_test.c
@@ -123,18 +123,18 @@
     }
 }
 
-/* Writes octets to a new file; the caller removes and frees it. */
-static char *save(const void *octets, size_t length)
+/* Writes bytes to a new file; the caller removes and frees it. */
+static char *save(const void *bytes, size_t length)
 {
     char *path = NULL;
     int file = g_file_open_tmp("recorder-XXXXXX", &path, NULL);
 
     g_assert_true(g_close(file, NULL));
-    g_assert_true(g_file_set_contents(path, octets, (gssize)length, NULL));
+    g_assert_true(g_file_set_contents(path, bytes, (gssize)length, NULL));
     return path;
 }
 
-/* Replays octets of a trace. Returns the number of failures; an error where it can't be replayed.
+/* Replays bytes of a trace. Returns the number of failures; an error where it can't be replayed.
  */
 static int replay(const GByteArray *trace, const char *mutation, GError **error)
 {
@@ -234,7 +234,7 @@
     trace_recorder_free(recorder);
 }
 
-/* Octets of the first record. */
+/* Bytes of the first record. */
 static size_t first_length(const GByteArray *trace)
 {
     struct trace_record record;
