--- a/tests/frontend/harness.c
+++ b/tests/frontend/harness.c
@@ -69,13 +69,13 @@
 
 unsigned harness_stop(struct harness *harness)
 {
-    unsigned cut = harness->frontend == NULL ? 0 : frontend_stop(harness->frontend);
+    unsigned aborted = harness->frontend == NULL ? 0 : frontend_stop(harness->frontend);
     g_assert_cmpuint(harness_waiting(harness), ==, 0);
     token_keys_free(harness->keys);
     pthread_cond_destroy(&harness->arrived);
     pthread_mutex_destroy(&harness->lock);
     pthread_mutex_destroy(&harness->gate);
-    return cut;
+    return aborted;
 }
 
 struct submitted *harness_take(struct harness *harness)
--- a/tests/frontend/harness.h
+++ b/tests/frontend/harness.h
@@ -1,4 +1,5 @@
-/* A frontend on a loopback port with a fake daemon behind it, and an HTTP client in front. */
+/* A frontend on a loopback port, with a fake daemon that receives its requests, and an HTTP
+ * client. */
 #ifndef SW_TESTS_FRONTEND_HARNESS_H
 #define SW_TESTS_FRONTEND_HARNESS_H
 
@@ -8,10 +9,11 @@
 #include <glib.h>
 #include <pthread.h>
 
-/* Group of the tenant "hut". For "early" there is no configuration; no other tenant exists. */
+/* Group of the tenant "hut". The tenant "early" fails with ERROR_KIND_NOT_READY; no other tenant
+ * exists. */
 #define HARNESS_GROUP 7
 
-/* A frontend whose requests queue up for the test to answer. */
+/* A frontend whose requests are queued until the test answers them. */
 struct harness {
     struct token_keys *keys;
     struct frontend *frontend;
@@ -31,23 +33,24 @@
 /* Starts with default limits where `adjust` is NULL. */
 void harness_start(struct harness *harness, void (*adjust)(struct frontend_options *options));
 
-/* Stops the frontend unless the test did and set it to NULL, frees all, and returns the number of
- * requests cut. */
+/* Stops the frontend, unless the test did so and set it to NULL, and frees everything. Returns the
+ * number of calls that the stop answered with ERROR_KIND_OUTCOME_UNKNOWN. */
 unsigned harness_stop(struct harness *harness);
 
-/* Waits for the next request. */
+/* Waits for the next submitted request and removes it from the queue. */
 struct submitted *harness_take(struct harness *harness);
 
-/* The same for a bounded time; NULL where none came. */
+/* As harness_take, with a time-out; NULL if no request arrived. */
 struct submitted *harness_take_within(struct harness *harness, unsigned milliseconds);
 
-/* Requests that wait to be taken. */
+/* Number of queued requests. */
 unsigned harness_waiting(struct harness *harness);
 
-/* Answers with a copy of `reply` that owns nothing, and frees `submitted`. */
+/* Answers with `reply`, which the caller keeps, and frees `submitted`. */
 void harness_answer(struct submitted *submitted, const struct reply *reply);
 
-/* Answers with one row of one text cell, `text`, seen at (term, offset), and frees `submitted`. */
+/* Answers with one row of one text cell, `text`, read at the log position (term, offset), and frees
+ * `submitted`. */
 void harness_answer_text(struct submitted *submitted, const char *text, uint64_t term,
                          uint64_t offset);
 
@@ -56,23 +59,23 @@
 void harness_post(struct harness *harness, const char *path, const char *body, size_t length,
                   const char *const *headers, struct exchange *exchange);
 
-/* The same from a thread of its own; harness_join waits for it. */
+/* As harness_post, on a separate thread; harness_join waits for it. */
 struct poster;
 struct poster *harness_post_start(struct harness *harness, const char *path, const char *body,
                                   const char *const *headers);
-/* True once the answer or the connection's end is there. */
+/* True once the answer or the end of the connection was received. */
 bool harness_has_ended(struct poster *poster);
 
 void harness_join(struct poster *poster, struct exchange *exchange);
 
-/* A connection of the test's own, for what a well-behaved client does not do. */
+/* A raw connection, for behaviour that the HTTP client does not offer. */
 int harness_connect(struct harness *harness);
 void harness_send(int connection, const char *text);
 
-/* Reads up to and with the bytes `end`, or to the connection's end. */
+/* Reads up to and including the bytes `end`, or to the end of the connection. */
 GString *harness_receive_until(int connection, const char *end);
 
-/* Waits until the frontend has no request under way. */
+/* Waits until the frontend has no request in progress. */
 void harness_wait_idle(struct harness *harness);
 
 #endif
--- a/tests/frontend/http_client.h
+++ b/tests/frontend/http_client.h
@@ -8,7 +8,7 @@
 
 /* An HTTP exchange. */
 struct exchange {
-    long status; /* 0 where no answer came */
+    long status; /* 0 if there was no answer */
     GString *body;
     GString *head; /* all header lines */
 };
--- a/tests/frontend/mutator.c
+++ b/tests/frontend/mutator.c
@@ -5,7 +5,7 @@
 #define MUTATIONS_MAX 3
 #define BYTES_MAX     4096
 
-/* Pieces that parsers treat specially. */
+/* Texts that have a special meaning to the parsers. */
 static const char *const pieces[] = {
     "{",           "}",        "[",       "]",       "\"",          "\\",
     "\\u0000",     "\\ud800",  ",",       ":",       "null",        "true",
@@ -26,7 +26,8 @@
     return strcmp(*(const char *const *)a, *(const char *const *)b);
 }
 
-/* Names of the files in a directory, in order. */
+/* Names of the files in a directory, sorted, so that a run does not depend on the order of the
+ * directory. */
 static GPtrArray *list_files(const char *path)
 {
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
@@ -83,7 +84,7 @@
     g_ptr_array_unref(mutator->corpus);
 }
 
-/* A number below `end`, which is not 0. */
+/* A random number below `end`, which must not be 0. */
 static guint below(struct mutator *mutator, guint end)
 {
     return (guint)g_rand_int_range(mutator->random, 0, (gint32)end);
--- a/tests/frontend/mutator.h
+++ b/tests/frontend/mutator.h
@@ -1,4 +1,4 @@
-/* Seeded mutations of a committed corpus, for parsers that meet the callers' input. */
+/* Seeded mutations of a committed corpus, for parsers of untrusted input. */
 #ifndef SW_TESTS_FRONTEND_MUTATOR_H
 #define SW_TESTS_FRONTEND_MUTATOR_H
 
@@ -12,7 +12,7 @@
 /* Reads all files of a directory beside the tests' sources, in order of their names. */
 void mutator_open(struct mutator *mutator, const char *directory, guint32 seed);
 
-/* The same, with each line of each file a text of its own. */
+/* As mutator_open, but each line of each file is a separate text. */
 void mutator_open_lines(struct mutator *mutator, const char *directory, guint32 seed);
 
 void mutator_close(struct mutator *mutator);
--- a/tests/frontend/test_acceptor.c
+++ b/tests/frontend/test_acceptor.c
@@ -1,4 +1,4 @@
-/* The stop of a listening socket while connections are in the making. */
+/* The stop of a listening socket while TCP handshakes are in progress. */
 #include "frontend/acceptor.h"
 
 #include <arpa/inet.h>
@@ -9,127 +9,128 @@
 #include <stdatomic.h>
 #include <unistd.h>
 
-/* Longer than the system waits before it repeats a packet of a connection in the making. */
-#define PATIENCE_MS 30000
+/* Longer than the kernel's retransmission interval of the handshake. */
+#define POLL_TIMEOUT_MS 30000
 
 #define TAKEN_MAX 4
 
-/* An acceptor that takes nothing before its stop. */
-struct rig {
+/* An acceptor that accepts no connection before its stop. */
+struct fixture {
     struct acceptor *acceptor;
     atomic_bool stopping;
-    int deaf; /* a caller's socket that hears nothing until the first connection is taken; or -1 */
+    int filtered; /* a caller's socket that drops all packets until the first accept; or -1 */
     int taken[TAKEN_MAX];
-    unsigned taken_count; /* of the acceptor's thread, until it has ended */
+    unsigned taken_count; /* used by the acceptor's thread only, until the thread has ended */
 };
 
-/* The socket drops what comes, or takes it again. */
-static void set_deaf(int connection, bool deaf)
+/* Makes the socket drop all received packets, or receive them again. */
+static void set_filtered(int connection, bool filtered)
 {
     struct sock_filter drop_all = BPF_STMT(BPF_RET | BPF_K, 0);
     struct sock_fprog program = {.len = 1, .filter = &drop_all};
     int none = 0;
     int result =
-        deaf ? setsockopt(connection, SOL_SOCKET, SO_ATTACH_FILTER, &program, sizeof(program))
-             : setsockopt(connection, SOL_SOCKET, SO_DETACH_FILTER, &none, sizeof(none));
+        filtered ? setsockopt(connection, SOL_SOCKET, SO_ATTACH_FILTER, &program, sizeof(program))
+                 : setsockopt(connection, SOL_SOCKET, SO_DETACH_FILTER, &none, sizeof(none));
     g_assert_cmpint(result, ==, 0);
 }
 
 static bool is_ready(int connection, short events)
 {
     struct pollfd entry = {.fd = connection, .events = events};
-    return poll(&entry, 1, PATIENCE_MS) == 1;
+    return poll(&entry, 1, POLL_TIMEOUT_MS) == 1;
 }
 
-/* The first is taken after the listener was told to let no more begin. */
+/* The first connection is accepted after the listener has stopped accepting new handshakes. Only
+ * then does the filtered socket receive packets and complete its handshake. */
 static void take(int connection, const struct sockaddr *peer, socklen_t length, void *user)
 {
-    struct rig *rig = user;
-    g_assert_cmpuint(rig->taken_count, <, TAKEN_MAX);
-    rig->taken[rig->taken_count++] = connection;
-    if (rig->deaf >= 0) {
-        int hearing = rig->deaf;
-        rig->deaf = -1;
-        set_deaf(hearing, false);
-        g_assert_true(is_ready(hearing, POLLOUT));
+    struct fixture *fixture = user;
+    g_assert_cmpuint(fixture->taken_count, <, TAKEN_MAX);
+    fixture->taken[fixture->taken_count++] = connection;
+    if (fixture->filtered >= 0) {
+        int unfiltered = fixture->filtered;
+        fixture->filtered = -1;
+        set_filtered(unfiltered, false);
+        g_assert_true(is_ready(unfiltered, POLLOUT));
     }
 }
 
 static bool is_full(void *user)
 {
-    const struct rig *rig = user;
-    return !atomic_load(&rig->stopping);
+    const struct fixture *fixture = user;
+    return !atomic_load(&fixture->stopping);
 }
 
-static void start(struct rig *rig)
+static void start(struct fixture *fixture)
 {
-    const struct acceptor_callbacks callbacks = {take, is_full, rig};
+    const struct acceptor_callbacks callbacks = {take, is_full, fixture};
     g_autoptr(GError) error = NULL;
-    rig->deaf = -1;
-    rig->taken_count = 0;
-    atomic_init(&rig->stopping, false);
-    rig->acceptor = acceptor_start("127.0.0.1", 0, &callbacks, &error);
+    fixture->filtered = -1;
+    fixture->taken_count = 0;
+    atomic_init(&fixture->stopping, false);
+    fixture->acceptor = acceptor_start("127.0.0.1", 0, &callbacks, &error);
     g_assert_no_error(error);
 }
 
-static void stop(struct rig *rig)
+static void stop(struct fixture *fixture)
 {
-    atomic_store(&rig->stopping, true);
-    acceptor_stop(rig->acceptor);
+    atomic_store(&fixture->stopping, true);
+    acceptor_stop(fixture->acceptor);
 }
 
-/* Begins to connect; a deaf socket does not hear the answer. */
-static int begin_connect(const struct rig *rig, bool deaf)
+/* Begins to connect. A filtered socket does not receive the listener's answer. */
+static int begin_connect(const struct fixture *fixture, bool filtered)
 {
     struct sockaddr_in address = {.sin_family = AF_INET,
-                                  .sin_port = htons(acceptor_port(rig->acceptor)),
+                                  .sin_port = htons(acceptor_port(fixture->acceptor)),
                                   .sin_addr = {.s_addr = htonl(INADDR_LOOPBACK)}};
     int connection = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    if (deaf) {
-        set_deaf(connection, true);
+    if (filtered) {
+        set_filtered(connection, true);
     }
     int result = connect(connection, (const struct sockaddr *)&address, sizeof(address));
     g_assert_true(result == 0 || errno == EINPROGRESS);
     return connection;
 }
 
-static void close_all(struct rig *rig)
+static void close_all(struct fixture *fixture)
 {
-    for (unsigned i = 0; i < rig->taken_count; i++) {
-        close(rig->taken[i]);
+    for (unsigned i = 0; i < fixture->taken_count; i++) {
+        close(fixture->taken[i]);
     }
 }
 
-/* The caller takes the connection for made when it hears the listener's answer; its request, on the
- * way with its own, must not meet a closed port. */
-static void test_connection_in_the_making(void)
+/* For the caller the connection is established when it receives the listener's SYN-ACK. The request
+ * that it then sends must not reach a closed port. */
+static void test_handshake_in_progress(void)
 {
-    struct rig rig = {.deaf = -1};
+    struct fixture fixture = {.filtered = -1};
     char byte = 'q';
-    start(&rig);
-    int made = begin_connect(&rig, false);
-    g_assert_true(is_ready(made, POLLOUT));
-    rig.deaf = begin_connect(&rig, true);
-    int in_the_making = rig.deaf;
-    stop(&rig);
-    g_assert_cmpuint(rig.taken_count, ==, 2);
-    g_assert_cmpint(send(in_the_making, &byte, 1, MSG_NOSIGNAL), ==, 1);
+    start(&fixture);
+    int established = begin_connect(&fixture, false);
+    g_assert_true(is_ready(established, POLLOUT));
+    fixture.filtered = begin_connect(&fixture, true);
+    int connecting = fixture.filtered;
+    stop(&fixture);
+    g_assert_cmpuint(fixture.taken_count, ==, 2);
+    g_assert_cmpint(send(connecting, &byte, 1, MSG_NOSIGNAL), ==, 1);
     byte = 0;
-    g_assert_true(is_ready(rig.taken[1], POLLIN));
-    g_assert_cmpint(recv(rig.taken[1], &byte, 1, 0), ==, 1);
+    g_assert_true(is_ready(fixture.taken[1], POLLIN));
+    g_assert_cmpint(recv(fixture.taken[1], &byte, 1, 0), ==, 1);
     g_assert_true(byte == 'q');
-    close_all(&rig);
-    close(made);
-    close(in_the_making);
+    close_all(&fixture);
+    close(established);
+    close(connecting);
 }
 
-/* After the stop nobody listens. */
-static void test_no_connection_after_the_stop(void)
+/* After the stop the port is closed. */
+static void test_no_connection_after_stop(void)
 {
-    struct rig rig = {.deaf = -1};
-    start(&rig);
-    uint16_t port = acceptor_port(rig.acceptor);
-    stop(&rig);
+    struct fixture fixture = {.filtered = -1};
+    start(&fixture);
+    uint16_t port = acceptor_port(fixture.acceptor);
+    stop(&fixture);
     struct sockaddr_in address = {.sin_family = AF_INET,
                                   .sin_port = htons(port),
                                   .sin_addr = {.s_addr = htonl(INADDR_LOOPBACK)}};
@@ -137,15 +138,14 @@
     g_assert_cmpint(connect(connection, (const struct sockaddr *)&address, sizeof(address)), ==,
                     -1);
     g_assert_cmpint(errno, ==, ECONNREFUSED);
-    g_assert_cmpuint(rig.taken_count, ==, 0);
+    g_assert_cmpuint(fixture.taken_count, ==, 0);
     close(connection);
 }
 
 int main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/frontend/acceptor/connection_in_the_making", test_connection_in_the_making);
-    g_test_add_func("/frontend/acceptor/no_connection_after_the_stop",
-                    test_no_connection_after_the_stop);
+    g_test_add_func("/frontend/acceptor/handshake_in_progress", test_handshake_in_progress);
+    g_test_add_func("/frontend/acceptor/no_connection_after_stop", test_no_connection_after_stop);
     return g_test_run();
 }
--- a/tests/frontend/test_admin.c
+++ b/tests/frontend/test_admin.c
@@ -1,4 +1,4 @@
-/* The admin listener: its own paths, routes, parameters and bounds. */
+/* The admin listener: built-in paths, routes, parameters and limits. */
 #include "core/error.h"
 #include "frontend/admin.h"
 #include "frontend/listen.h"
@@ -91,7 +91,7 @@
 #define JSON        "application/json"
 #define ERROR(text) "{\"error\":{\"kind\":\"bad_request\",\"text\":\"" text "\"}}\n"
 
-static void test_own_paths(void)
+static void test_builtin_paths(void)
 {
     struct listener listener;
     listener_start(&listener);
@@ -146,8 +146,8 @@
     listener_stop(&listener);
 }
 
-/* An error of another domain is an internal fault. */
-static void test_foreign_error(void)
+/* An error that is not of SW_ERROR is reported as an internal error. */
+static void test_error_of_other_domain(void)
 {
     struct admin_answer answer = {.body = g_string_new("partial")};
     g_autoptr(GError) error = g_error_new_literal(G_FILE_ERROR, G_FILE_ERROR_NOENT, "no \"x\"");
@@ -158,7 +158,7 @@
     g_string_free(answer.body, TRUE);
 }
 
-/* Which callers may do more than look. */
+/* Addresses of callers that may use methods other than GET. */
 static void test_loopback(void)
 {
     static const struct {
@@ -196,10 +196,10 @@
 {
     g_test_init(&argc, &argv, NULL);
     curl_global_init(CURL_GLOBAL_DEFAULT);
-    g_test_add_func("/admin/own-paths", test_own_paths);
+    g_test_add_func("/admin/builtin-paths", test_builtin_paths);
     g_test_add_func("/admin/routes", test_routes);
     g_test_add_func("/admin/parameters", test_parameters);
-    g_test_add_func("/admin/foreign-error", test_foreign_error);
+    g_test_add_func("/admin/error-of-other-domain", test_error_of_other_domain);
     g_test_add_func("/admin/loopback", test_loopback);
     g_test_add_func("/admin/start-errors", test_start_errors);
     int result = g_test_run();
--- a/tests/frontend/test_frontend.c
+++ b/tests/frontend/test_frontend.c
@@ -1,4 +1,4 @@
-/* Requests and answers over a loopback socket, with a fake daemon behind the frontend. */
+/* Requests and answers over a loopback socket, with a fake daemon that answers the frontend. */
 #include "generated/errors.h"
 #include "harness.h"
 
@@ -160,7 +160,8 @@
     harness_stop(&harness);
 }
 
-/* A key that comes back must be told apart from the same key with another request. */
+/* The fingerprint must distinguish a repeated request from another request with the same
+ * idempotency key. */
 static void test_fingerprint(void)
 {
     static const struct {
@@ -229,7 +230,8 @@
     harness_stop(&harness);
 }
 
-/* A refusal gives back what the session had seen, so that a client may keep the last token only. */
+/* A refusal returns the session token of the request, so that a client needs only the last token.
+ */
 static void test_session_of_refusal(void)
 {
     struct harness harness;
@@ -246,7 +248,7 @@
     harness_stop(&harness);
 }
 
-/* A full token has no room for another group: its position would be lost. */
+/* A full token can't hold the position of another group, so the request is refused. */
 static void test_session_full(void)
 {
     struct harness harness;
@@ -278,8 +280,9 @@
     harness_stop(&harness);
 }
 
-/* Asks with a token of full size and `bytes` of another header. Returns the status; the request
- * was run if and only if that is 200, and then the whole token comes back. */
+/* Sends a request with a token of maximum size and a header of `bytes` bytes. Returns the status.
+ * Checks that the request was submitted if and only if the status is 200, and that the answer then
+ * has the complete token. */
 static long post_large_head(struct harness *harness, unsigned bytes)
 {
     struct group_position sent[TOKEN_GROUPS_MAX];
@@ -314,9 +317,9 @@
     return status;
 }
 
-/* Headers are taken up to a bound, and above it refused: never run without room for the answer.
- * Where the headers just fill the connection's memory, libmicrohttpd closes it without an answer.
- */
+/* Headers over the limit are refused: a request must not run if the connection's memory is not
+ * sufficient for its answer. Where the headers just fill that memory, libmicrohttpd closes the
+ * connection without an answer. */
 static void test_large_heads(void)
 {
     enum { HEADS_SERVED = 4500, HEADS_ANSWERED = 12000, HEADS_MAX = 40000, STEP = 250 };
@@ -336,7 +339,7 @@
 
 struct refusal_case {
     const char *path;
-    const char *header; /* one more, or NULL */
+    const char *header; /* an additional header, or NULL */
     const char *body;
     long status;
     const char *error; /* members of "error" */
@@ -416,7 +419,8 @@
      "served\",\"position\":8}"},
 };
 
-/* None of these reaches the daemon: harness_stop finds an empty queue. */
+/* None of these requests is submitted to the daemon: harness_stop asserts that the queue is
+ * empty. */
 static void test_refusals(void)
 {
     struct harness harness;
@@ -441,7 +445,7 @@
     harness_stop(&harness);
 }
 
-/* A refusal before the daemon that may be sent again says when. */
+/* A refusal by the frontend that allows a retry has the headers with the retry delay. */
 static void test_not_ready(void)
 {
     struct harness harness;
@@ -458,7 +462,6 @@
     harness_stop(&harness);
 }
 
-/* The frontend's own metrics after a done and a refused request. */
 static struct metrics *shared_metrics;
 
 static void set_metrics(struct frontend_options *options)
@@ -466,6 +469,7 @@
     options->metrics = shared_metrics;
 }
 
+/* The frontend's own metrics after one done and one refused request. */
 static void test_metrics(void)
 {
     static const char *const expected[] = {
@@ -527,7 +531,7 @@
     options->threads = 1;
 }
 
-/* Bodies below, at and over the limit; with a length, chunked, and awaiting leave to send. */
+/* Bodies at and over the limit; with a Content-Length, chunked, and with Expect: 100-continue. */
 static void test_body_limit(void)
 {
     struct harness harness;
@@ -611,7 +615,7 @@
     assert_header(exchange, "Retry-After-Ms", may_retry ? "1001" : NULL);
 }
 
-/* The closed list of errors against the table, with and without a key. */
+/* Answers with all error kinds match the table, with and without an idempotency key. */
 static void test_error_table(void)
 {
     struct harness harness;
--- a/tests/frontend/test_frontend_order.c
+++ b/tests/frontend/test_frontend_order.c
@@ -1,5 +1,5 @@
-/* Late answers, answers out of order, callers that go away, and stopping, over a loopback socket.
- * Order is by events, not by time: a wait ends when the event has come. */
+/* Late answers, answers out of order, callers that disconnect, and the stop, over a loopback
+ * socket. The tests synchronise on events, not on delays. */
 #include "generated/errors.h"
 #include "harness.h"
 
@@ -13,7 +13,7 @@
 #define STATEMENTS "/v1/tenants/hut/statements"
 #define VALID      "{\"sql\":\"SELECT 1\"}"
 
-/* A whole request in HTTP, for connections of the test's own. */
+/* A complete HTTP request, for raw connections. */
 #define RAW_REQUEST(id)                                                                            \
     "POST " STATEMENTS " HTTP/1.1\r\nHost: x\r\nRequest-Id: " id                                   \
     "\r\nContent-Length: 18\r\n\r\n" VALID
@@ -23,7 +23,7 @@
 #define ANSWERERS          3
 #define SHUFFLED_AT_A_TIME 6
 
-/* Callers who each check that every answer is their own. */
+/* A caller that checks that every answer belongs to its own request. */
 struct echo_client {
     struct harness *harness;
     unsigned number;
@@ -52,7 +52,7 @@
     return NULL;
 }
 
-/* Answers what it takes in a shuffled order, each with its own parameter. */
+/* Answers requests in random order, each with its own parameter. */
 static void answer_shuffled(struct submitted **taken, size_t count, GRand *random)
 {
     for (size_t left = count; left > 0; left--) {
@@ -67,7 +67,7 @@
 struct answerer {
     struct harness *harness;
     GRand *random;
-    gint *answered; /* by all, under atomic operations */
+    gint *answered; /* by all answerers; atomic */
     pthread_t thread;
 };
 
@@ -116,7 +116,7 @@
     g_assert_cmpuint(harness_stop(&harness), ==, 0);
 }
 
-/* The first request is answered last. */
+/* The first request is answered after all later ones. */
 static void test_late_answer(void)
 {
     struct harness harness;
@@ -139,7 +139,7 @@
     harness_stop(&harness);
 }
 
-/* Two requests sent at once on one connection are taken and answered one after the other. */
+/* Two requests pipelined on one connection are processed and answered in order. */
 static void test_pipelined(void)
 {
     struct harness harness;
@@ -162,7 +162,7 @@
     harness_stop(&harness);
 }
 
-/* Ends a connection by a reset. */
+/* Closes a connection with a TCP reset. */
 static void reset(int connection)
 {
     struct linger linger = {.l_onoff = 1, .l_linger = 0};
@@ -170,7 +170,7 @@
     close(connection);
 }
 
-static void test_caller_gone_before_answer(void)
+static void test_caller_disconnects_before_answer(void)
 {
     struct harness harness;
     harness_start(&harness, NULL);
@@ -183,7 +183,7 @@
         } else {
             close(connection);
         }
-        harness_answer_text(submitted, "for nobody", 1, 1);
+        harness_answer_text(submitted, "not received", 1, 1);
     }
     harness_wait_idle(&harness);
     struct poster *poster = harness_post_start(&harness, STATEMENTS, VALID, NULL);
@@ -195,8 +195,8 @@
     g_assert_cmpuint(harness_stop(&harness), ==, 0);
 }
 
-/* Callers leave while answers are being written to them, in no fixed order. */
-static void test_caller_races_answer(void)
+/* Callers disconnect while their answers are written; the two events race. */
+static void test_caller_disconnects_during_answer(void)
 {
     struct harness harness;
     harness_start(&harness, NULL);
@@ -217,7 +217,7 @@
     options->receive_s = 1;
 }
 
-static void test_caller_gone_in_body(void)
+static void test_caller_disconnects_in_body(void)
 {
     struct harness harness;
     harness_start(&harness, set_short_receive);
@@ -232,7 +232,7 @@
         }
     }
     struct poster *poster = harness_post_start(&harness, STATEMENTS, VALID, NULL);
-    harness_answer_text(harness_take(&harness), "whole", 1, 1);
+    harness_answer_text(harness_take(&harness), "complete", 1, 1);
     struct exchange exchange;
     harness_join(poster, &exchange);
     exchange_clear(&exchange);
@@ -286,7 +286,7 @@
     options->threads = 1;
 }
 
-/* A caller whose connection stands in the listener's queue at the stop is served, not reset. */
+/* A caller whose connection is in the listen backlog at the stop is served, not reset. */
 static void test_stop_accepting_with_queue(void)
 {
     struct harness harness;
@@ -318,7 +318,7 @@
     options->connections_max = 1;
 }
 
-/* Connections over the bound wait for room; they are not refused. */
+/* Connections over the limit wait until another one is closed; they are not refused. */
 static void test_connections_full(void)
 {
     struct harness harness;
@@ -338,8 +338,8 @@
     harness_stop(&harness);
 }
 
-/* A stop that can't wait tells callers the outcome is unknown, and drops what comes later. */
-static void test_stop_cuts(void)
+/* A forced stop answers open requests with an unknown outcome and drops their later answers. */
+static void test_stop_aborts(void)
 {
     struct harness harness;
     harness_start(&harness, NULL);
@@ -364,10 +364,10 @@
 
 struct load_answerer {
     struct harness *harness;
-    atomic_bool last; /* no client asks any more: what is there is the rest */
+    atomic_bool last; /* no client sends requests any more: only queued ones remain */
 };
 
-/* Answers everything that clients ask, late or not. */
+/* Answers all requests, also those that the stop has already answered. */
 static void *answer_load(void *data)
 {
     struct load_answerer *answerer = data;
@@ -400,7 +400,7 @@
     return NULL;
 }
 
-/* Answers, cuts and the stop itself at once: each call is answered by exactly one of them. */
+/* Answers race with the stop: each call is answered exactly once. */
 static void test_stop_under_load(void)
 {
     for (unsigned round = 0; round < 10; round++) {
@@ -432,13 +432,15 @@
     g_test_add_func("/frontend/answers-never-mix", test_answers_never_mix);
     g_test_add_func("/frontend/late-answer", test_late_answer);
     g_test_add_func("/frontend/pipelined", test_pipelined);
-    g_test_add_func("/frontend/caller-gone/before-answer", test_caller_gone_before_answer);
-    g_test_add_func("/frontend/caller-gone/races-answer", test_caller_races_answer);
-    g_test_add_func("/frontend/caller-gone/in-body", test_caller_gone_in_body);
+    g_test_add_func("/frontend/caller-disconnects/before-answer",
+                    test_caller_disconnects_before_answer);
+    g_test_add_func("/frontend/caller-disconnects/during-answer",
+                    test_caller_disconnects_during_answer);
+    g_test_add_func("/frontend/caller-disconnects/in-body", test_caller_disconnects_in_body);
     g_test_add_func("/frontend/stop-accepting", test_stop_accepting);
     g_test_add_func("/frontend/stop-accepting-with-queue", test_stop_accepting_with_queue);
     g_test_add_func("/frontend/connections-full", test_connections_full);
-    g_test_add_func("/frontend/stop-cuts", test_stop_cuts);
+    g_test_add_func("/frontend/stop-aborts", test_stop_aborts);
     g_test_add_func("/frontend/stop-under-load", test_stop_under_load);
     int result = g_test_run();
     curl_global_cleanup();
--- a/tests/frontend/test_metrics.c
+++ b/tests/frontend/test_metrics.c
@@ -45,7 +45,7 @@
     metrics_free(metrics);
 }
 
-/* Two series of one family, made at the rendering. */
+/* A collector that appends two series of one family. */
 static void append_series(GString *out, void *user)
 {
     const struct metric_label labels[] = {{"database", "a\""}, {NULL, NULL}};
@@ -106,7 +106,7 @@
     metrics_free(metrics);
 }
 
-static void test_found_again(void)
+static void test_existing_metric(void)
 {
     struct metrics *metrics = metrics_new();
     const struct metric_label labels[] = {{"a", "b"}, {NULL, NULL}};
@@ -167,7 +167,7 @@
     g_test_add_func("/metrics/text", test_text);
     g_test_add_func("/metrics/collector", test_collector);
     g_test_add_func("/metrics/histogram", test_histogram);
-    g_test_add_func("/metrics/found-again", test_found_again);
+    g_test_add_func("/metrics/existing-metric", test_existing_metric);
     g_test_add_func("/metrics/threads", test_threads);
     return g_test_run();
 }
--- a/tests/frontend/test_mutations.c
+++ b/tests/frontend/test_mutations.c
@@ -1,5 +1,5 @@
-/* Mutated bodies, tokens and statements: whatever comes in, the parsers answer with a value within
- * their bounds or a fault of a fitting kind. */
+/* Mutated bodies, tokens and statements: for any input the parsers return a value within their
+ * limits or an error of an expected kind. */
 #include "core/error.h"
 #include "frontend/request_body.h"
 #include "generated/errors.h"
@@ -105,7 +105,7 @@
     return valid;
 }
 
-/* No mutation of a token's text is taken. */
+/* No mutation of a token's text is accepted. */
 static void test_tokens(void)
 {
     struct token_keys *keys = token_keys_parse(KEY, "keys", NULL);
@@ -123,7 +123,7 @@
     token_keys_free(keys);
 }
 
-/* Signs any content, as a daemon with the same key and another fault might. */
+/* Signs any content, as a faulty daemon with the same key might do. */
 static char *sign(const GByteArray *content)
 {
     uint8_t secret[crypto_generichash_KEYBYTES];
@@ -190,7 +190,7 @@
     return served;
 }
 
-/* Statements reach the classifier as UTF-8 without NUL; the body parser sees to that. */
+/* The body parser ensures that statements are UTF-8 without NUL, so the mutations keep to that. */
 static void test_statements(void)
 {
     struct mutator mutator;
--- a/tests/frontend/test_reply_json.c
+++ b/tests/frontend/test_reply_json.c
@@ -1,4 +1,4 @@
-/* The JSON of answers: cells by their type, odd text, and errors. */
+/* The JSON of answers: cells by type, text that needs escapes, and errors. */
 #include "frontend/reply_json.h"
 
 #include <json-glib/json-glib.h>
@@ -89,7 +89,7 @@
                     "\"2\"]]}\n");
 }
 
-static void test_batch_of_none(void)
+static void test_empty_batch(void)
 {
     struct reply reply;
     reply_init(&reply);
@@ -118,7 +118,7 @@
                     "\"sqlstate\":\"42P01\"},\"retry\":\"no\"}\n");
 }
 
-/* A kind that this release does not know, as from a newer daemon, is an internal fault. */
+/* An error kind unknown to this release, as from a newer daemon, is reported as internal. */
 static void test_unknown_kind(void)
 {
     struct reply reply;
@@ -134,7 +134,7 @@
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/reply-json/cells", test_cells);
     g_test_add_func("/reply-json/rows", test_rows);
-    g_test_add_func("/reply-json/batch-of-none", test_batch_of_none);
+    g_test_add_func("/reply-json/empty-batch", test_empty_batch);
     g_test_add_func("/reply-json/error", test_error);
     g_test_add_func("/reply-json/unknown-kind", test_unknown_kind);
     return g_test_run();
--- a/tests/frontend/test_request_body.c
+++ b/tests/frontend/test_request_body.c
@@ -1,4 +1,4 @@
-/* The body parser: what it takes, and for each fault the kind, the text and the place. */
+/* The body parser: valid bodies, and the kind, text and position of each error. */
 #include "core/error.h"
 #include "frontend/request_body.h"
 #include "generated/errors.h"
@@ -94,7 +94,7 @@
     {ENDPOINT_STATEMENTS, "{1:2}", ERROR_KIND_BAD_REQUEST, NOT_JSON "it can not be parsed", 1},
     {ENDPOINT_STATEMENTS, "{\"sql\":\"x\",\"sql\":\"y\"}", ERROR_KIND_BAD_REQUEST,
      "a member of an object is given twice", 0},
-    /* Shape. */
+    /* Structure. */
     {ENDPOINT_STATEMENTS, "[]", ERROR_KIND_BAD_REQUEST, "the body is not a JSON object", 0},
     {ENDPOINT_STATEMENTS, "null", ERROR_KIND_BAD_REQUEST, "the body is not a JSON object", 0},
     {ENDPOINT_STATEMENTS, "", ERROR_KIND_BAD_REQUEST, "\"sql\" is missing", 0},
@@ -211,7 +211,7 @@
                  "parameters[1] is over 1048576 bytes", 0);
 }
 
-/* A million brackets must be refused, not recursed into. */
+/* A million open brackets must be rejected without recursion, which would overflow the stack. */
 static void test_deep_nesting(void)
 {
     g_autofree char *body = g_strnfill(1000000, '[');
@@ -271,7 +271,7 @@
     request_clear(&request);
 }
 
-/* Numbers reach the database with the digits that the caller wrote, or an equal text. */
+/* Numbers are passed to the database as the caller wrote them, or as a text of equal value. */
 static void test_parameters(void)
 {
     static const struct {
