--- a/tests/sql/test_classify.c
+++ b/tests/sql/test_classify.c
@@ -10,7 +10,7 @@
 enum expectation {
     READ,
     WRITE,
-    ASSUMED, /* a write only because of a function that is not known */
+    ASSUMED, /* a write only because it calls an unknown function */
     REFUSED,
     MALFORMED,
 };
@@ -267,7 +267,8 @@
     }
 }
 
-/* The table again, twice through the cache: first filling it, then from it. */
+/* All statements of the table twice through the cache: the first round fills it, the second is
+ * served from it. */
 static void test_cache_agrees(void)
 {
     struct sql_cache *cache = sql_cache_new(65536, 1 << 20);
@@ -390,7 +391,7 @@
     }
 }
 
-/* A statement of `count` times `part` between `head` and `tail`. */
+/* Makes a statement of `head`, `count` times `part`, and `tail`. */
 static char *repeat(const char *head, const char *part, size_t count, const char *tail)
 {
     GString *text = g_string_new(head);
--- a/tests/trace/trace_recorder_test.c
+++ b/tests/trace/trace_recorder_test.c
@@ -1,5 +1,5 @@
-/* What a daemon keeps of a group's trace can be replayed to the same decisions, however much of its
- * head was given up, within the memory set. */
+/* The trace that a daemon keeps of a group stays within its memory limit and replays to the same
+ * decisions, also after its oldest segments were discarded. */
 #include "trace/trace_recorder.h"
 
 #include <glib/gstdio.h>
@@ -15,11 +15,12 @@
 #define MEMORY    (8 * TRACE_SEGMENT_SIZE)
 #define STEP_MS   20
 
-/* Steps for one failover, and for more than the memory holds. */
+/* Number of steps for one failover, and for a trace larger than the memory. */
 #define STEPS_FEW  200
 #define STEPS_MANY 12000
 
-/* A control with its trace, and databases that answer every command at once. Time is virtual. */
+/* A group's control with its trace, and databases that answer every command at once. The time is
+ * simulated. */
 struct watcher {
     struct group_control *control;
     struct trace_group *trace;
@@ -92,7 +93,8 @@
     }
 }
 
-/* Probes all databases again and again; with `fails`, the one that leads in the end fails. */
+/* Probes all databases in each step. With `fails`, the primary fails in the second half of the
+ * steps. */
 static void run(struct watcher *watcher, uint32_t steps, bool fails)
 {
     struct group_event watchers = {
@@ -134,8 +136,7 @@
     return path;
 }
 
-/* Replays bytes of a trace. Returns the number of failures; an error where it can't be replayed.
- */
+/* Replays a trace. Returns the number of failures; sets an error if it can't be replayed. */
 static int replay(const GByteArray *trace, const char *mutation, GError **error)
 {
     const struct replay_options options = {.mutation = mutation, .output = stderr};
@@ -154,7 +155,7 @@
     g_assert_cmpint(failures, ==, 0);
 }
 
-static void test_whole(void)
+static void test_complete(void)
 {
     struct trace_recorder *recorder = trace_recorder_new(MEMORY);
     struct watcher watcher;
@@ -168,7 +169,7 @@
     trace_recorder_free(recorder);
 }
 
-/* A core that decides otherwise on the same input is found out. */
+/* A core that decides differently on the same input is detected. */
 static void test_other_decision(void)
 {
     struct trace_recorder *recorder = trace_recorder_new(MEMORY);
@@ -199,8 +200,8 @@
     return failures;
 }
 
-/* Only where the outcomes say why the decisions changed are these no failure; the rules of every
- * trace still hold. */
+/* Changed decisions are a failure unless the outcomes state a reason for them. The rules that apply
+ * to every trace are checked in any case. */
 static void test_decisions_changed(void)
 {
     struct trace_recorder *recorder = trace_recorder_new(MEMORY);
@@ -217,8 +218,8 @@
     trace_recorder_free(recorder);
 }
 
-/* The head is given up in time; the rest goes on from a state in the middle. */
-static void test_head_given_up(void)
+/* The oldest segments are discarded; the rest is replayed from a snapshot. */
+static void test_oldest_discarded(void)
 {
     struct trace_recorder *recorder = trace_recorder_new(MEMORY);
     struct watcher watcher;
@@ -234,7 +235,7 @@
     trace_recorder_free(recorder);
 }
 
-/* Bytes of the first record. */
+/* Length of the first record. */
 static size_t first_length(const GByteArray *trace)
 {
     struct trace_record record;
@@ -247,7 +248,7 @@
     return length;
 }
 
-/* Without a beginning there is nothing to replay, and a state of another core is refused. */
+/* A trace that begins with a snapshot of another state layout is rejected. */
 static void test_other_layout(void)
 {
     struct trace_recorder *recorder = trace_recorder_new(MEMORY);
@@ -271,8 +272,8 @@
     trace_recorder_free(recorder);
 }
 
-/* A group that was recorded and ended is still there when it begins again. */
-static void test_begun_again(void)
+/* The trace of a group that ended is kept when the group starts again. */
+static void test_restarted(void)
 {
     struct trace_recorder *recorder = trace_recorder_new(MEMORY);
     struct watcher first;
@@ -291,7 +292,7 @@
     trace_recorder_free(recorder);
 }
 
-/* Half the segments are history: of more groups than that, the later ones are not recorded. */
+/* At most half as many groups are recorded as there are segments; further groups are not. */
 static void test_too_many_groups(void)
 {
     struct trace_recorder *recorder = trace_recorder_new(MEMORY);
@@ -325,12 +326,12 @@
 int main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, NULL);
-    g_test_add_func("/trace_recorder/whole", test_whole);
+    g_test_add_func("/trace_recorder/complete", test_complete);
     g_test_add_func("/trace_recorder/other_decision", test_other_decision);
     g_test_add_func("/trace_recorder/decisions_changed", test_decisions_changed);
-    g_test_add_func("/trace_recorder/head_given_up", test_head_given_up);
+    g_test_add_func("/trace_recorder/oldest_discarded", test_oldest_discarded);
     g_test_add_func("/trace_recorder/other_layout", test_other_layout);
-    g_test_add_func("/trace_recorder/begun_again", test_begun_again);
+    g_test_add_func("/trace_recorder/restarted", test_restarted);
     g_test_add_func("/trace_recorder/too_many_groups", test_too_many_groups);
     g_test_add_func("/trace_recorder/no_memory", test_no_memory);
     return g_test_run();
--- a/tests/trace/write_trace_test.c
+++ b/tests/trace/write_trace_test.c
@@ -1,4 +1,5 @@
-/* Which writes a daemon keeps the trace of, and that it can be replayed. */
+/* A daemon keeps traces only of writes whose outcome had to be resolved, and they can be
+ * replayed. */
 #include "trace/write_trace.h"
 
 #include <glib/gstdio.h>
@@ -10,11 +11,11 @@
 #define DATABASES 3
 #define MEMORY    (4 * TRACE_SEGMENT_SIZE)
 
-/* More lost writes than the memory for writes holds, and waits than a record has events. */
+/* More writes than the memory for writes holds, and more waits than a record has events. */
 #define WRITES_MANY 2000
 #define WAITS_MANY  500
 
-/* One write, driven by events that the test makes up. */
+/* One write, driven by events of the test. */
 struct driver {
     struct write_flow flow;
     struct write_trace *trace;
@@ -57,7 +58,7 @@
     write_trace_note(driver->trace, &event, &driver->view, &driver->step);
 }
 
-/* A commit that a majority holds. */
+/* Feeds a commit and the evidence that a majority has acknowledged it. */
 static void confirm(struct driver *driver, enum write_event_kind kind)
 {
     feed(driver, kind, 0);
@@ -66,7 +67,7 @@
     g_assert_cmpint(driver->step.outcome, ==, OUTCOME_DONE);
 }
 
-/* A write whose first answer is lost, and that the ledger knows. */
+/* A write whose first answer is lost and whose key is in the ledger. */
 static void run_lost(struct trace_recorder *recorder)
 {
     struct driver driver;
@@ -123,7 +124,7 @@
     trace_recorder_free(recorder);
 }
 
-/* An answer that was told with another outcome than the core's is found out. */
+/* A recorded answer whose outcome differs from the core's decision is detected. */
 static void test_other_decision(void)
 {
     struct trace_recorder *recorder = trace_recorder_new(MEMORY);
@@ -139,7 +140,7 @@
     trace_recorder_free(recorder);
 }
 
-/* Only the first look of a long wait is kept, so that the end is. */
+/* Only the first event of a long wait is kept, so that the record also has the end of the write. */
 static void test_long_wait(void)
 {
     struct trace_recorder *recorder = trace_recorder_new(MEMORY);
