--- a/src/frontend/call.c
+++ b/src/frontend/call.c
@@ -138,7 +138,7 @@
         return;
     }
     if (MHD_get_connection_values(call->connection, MHD_GET_ARGUMENT_KIND, NULL, NULL) > 0) {
-        refuse(call, ERROR_KIND_BAD_REQUEST, "the path takes no query");
+        refuse(call, ERROR_KIND_BAD_REQUEST, "the path does not accept a query");
         return;
     }
     const struct frontend_limits *limits = &call->tenant.limits;
--- a/src/frontend/listen.c
+++ b/src/frontend/listen.c
@@ -22,7 +22,8 @@
         address->v6.sin6_port = htons(port);
         return true;
     }
-    g_set_error(error, SW_ERROR, ERROR_KIND_INVALID_CONFIGURATION, "%s is not an IP number", text);
+    g_set_error(error, SW_ERROR, ERROR_KIND_INVALID_CONFIGURATION, "%s is not a numeric IP address",
+                text);
     return false;
 }
 
@@ -51,7 +52,7 @@
 
 void listen_set_error(const char *address, uint16_t port, GError **error)
 {
-    const char *cause = errno == 0 ? "the cause is not known" : g_strerror(errno);
+    const char *cause = errno == 0 ? "unknown cause" : g_strerror(errno);
     g_set_error(error, SW_ERROR, ERROR_KIND_INVALID_CONFIGURATION,
                 "can not listen at %s port %u: %s", address, port, cause);
 }
