--- a/tests/frontend/mutator.c
+++ b/tests/frontend/mutator.c
@@ -3,9 +3,9 @@
 #include <string.h>
 
 #define MUTATIONS_MAX 3
-#define OCTETS_MAX    4096
+#define BYTES_MAX     4096
 
-/* Pieces that parsers treat specially. */
+/* Texts that have a special meaning to the parsers. */
 static const char *const pieces[] = {
     "{",           "}",        "[",       "]",       "\"",          "\\",
     "\\u0000",     "\\ud800",  ",",       ":",       "null",        "true",
@@ -26,7 +26,8 @@
     return strcmp(*(const char *const *)a, *(const char *const *)b);
 }
 
-/* Names of the files in a directory, in order. */
+/* Names of the files in a directory, sorted, so that a run does not depend on the order of the
+ * directory. */
 static GPtrArray *list_files(const char *path)
 {
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
@@ -83,7 +84,7 @@
     g_ptr_array_unref(mutator->corpus);
 }
 
-/* A number below `end`, which is not 0. */
+/* A random number below `end`, which must not be 0. */
 static guint below(struct mutator *mutator, guint end)
 {
     return (guint)g_rand_int_range(mutator->random, 0, (gint32)end);
@@ -102,7 +103,7 @@
     text->data[below(mutator, text->len)] ^= (guint8)(1U << below(mutator, 8));
 }
 
-static void replace_octet(struct mutator *mutator, GByteArray *text)
+static void replace_byte(struct mutator *mutator, GByteArray *text)
 {
     text->data[below(mutator, text->len)] = (guint8)below(mutator, 256);
 }
@@ -130,7 +131,7 @@
     guint length = 1 + below(mutator, text->len - at);
     g_autofree guint8 *copy = g_memdup2(text->data + at, length);
     guint times = 1 + below(mutator, 8);
-    for (guint i = 0; i < times && text->len + length < OCTETS_MAX; i++) {
+    for (guint i = 0; i < times && text->len + length < BYTES_MAX; i++) {
         insert(text, at, copy, length);
     }
 }
@@ -147,8 +148,8 @@
 void mutator_change(struct mutator *mutator, GByteArray *text)
 {
     static void (*const changes[])(struct mutator * mutator, GByteArray * text) = {
-        flip_bit,     replace_octet, remove_range, cut_end,
-        insert_piece, insert_piece,  repeat_range, splice_other,
+        flip_bit,     replace_byte, remove_range, cut_end,
+        insert_piece, insert_piece, repeat_range, splice_other,
     };
     if (text->len == 0) {
         insert_piece(mutator, text);
--- a/tests/frontend/test_admin.c
+++ b/tests/frontend/test_admin.c
@@ -1,4 +1,4 @@
-/* The admin listener: its own paths, routes, parameters and bounds. */
+/* The admin listener: built-in paths, routes, parameters and limits. */
 #include "core/error.h"
 #include "frontend/admin.h"
 #include "frontend/listen.h"
@@ -58,7 +58,7 @@
     options.metrics = listener->metrics;
     options.ready = is_ready;
     options.user = &listener->ready;
-    options.body_octets_max = 50;
+    options.body_bytes_max = 50;
     listener->admin = admin_new(&options);
     admin_route(listener->admin, "GET", "/v1/status", answer_status, NULL);
     admin_route(listener->admin, "GET", "/v1/databases/*", answer_echo, (void *)"get");
@@ -91,7 +91,7 @@
 #define JSON        "application/json"
 #define ERROR(text) "{\"error\":{\"kind\":\"bad_request\",\"text\":\"" text "\"}}\n"
 
-static void test_own_paths(void)
+static void test_builtin_paths(void)
 {
     struct listener listener;
     listener_start(&listener);
@@ -123,7 +123,7 @@
     assert_answer(&listener, "GET", "/v1/databases/a/b", NULL, 400, JSON,
                   ERROR("the path is not known"));
     assert_answer(&listener, "DELETE", "/v1/status", NULL, 400, JSON,
-                  ERROR("the method is not one of this path"));
+                  ERROR("the path does not support this method"));
     listener_stop(&listener);
 }
 
@@ -146,8 +146,8 @@
     listener_stop(&listener);
 }
 
-/* An error of another domain is an internal fault. */
-static void test_foreign_error(void)
+/* An error that is not of SW_ERROR is reported as an internal error. */
+static void test_error_of_other_domain(void)
 {
     struct admin_answer answer = {.body = g_string_new("partial")};
     g_autoptr(GError) error = g_error_new_literal(G_FILE_ERROR, G_FILE_ERROR_NOENT, "no \"x\"");
@@ -158,7 +158,7 @@
     g_string_free(answer.body, TRUE);
 }
 
-/* Which callers may do more than look. */
+/* Addresses of callers that may use methods other than GET. */
 static void test_loopback(void)
 {
     static const struct {
@@ -196,10 +196,10 @@
 {
     g_test_init(&argc, &argv, NULL);
     curl_global_init(CURL_GLOBAL_DEFAULT);
-    g_test_add_func("/admin/own-paths", test_own_paths);
+    g_test_add_func("/admin/builtin-paths", test_builtin_paths);
     g_test_add_func("/admin/routes", test_routes);
     g_test_add_func("/admin/parameters", test_parameters);
-    g_test_add_func("/admin/foreign-error", test_foreign_error);
+    g_test_add_func("/admin/error-of-other-domain", test_error_of_other_domain);
     g_test_add_func("/admin/loopback", test_loopback);
     g_test_add_func("/admin/start-errors", test_start_errors);
     int result = g_test_run();
--- a/tests/frontend/test_frontend.c
+++ b/tests/frontend/test_frontend.c
@@ -1,4 +1,4 @@
-/* Requests and answers over a loopback socket, with a fake daemon behind the frontend. */
+/* Requests and answers over a loopback socket, with a fake daemon that answers the frontend. */
 #include "generated/errors.h"
 #include "harness.h"
 
@@ -160,7 +160,8 @@
     harness_stop(&harness);
 }
 
-/* A key that comes back must be told apart from the same key with another request. */
+/* The fingerprint must distinguish a repeated request from another request with the same
+ * idempotency key. */
 static void test_fingerprint(void)
 {
     static const struct {
@@ -229,7 +230,8 @@
     harness_stop(&harness);
 }
 
-/* A refusal gives back what the session had seen, so that a client may keep the last token only. */
+/* A refusal returns the session token of the request, so that a client needs only the last token.
+ */
 static void test_session_of_refusal(void)
 {
     struct harness harness;
@@ -246,7 +248,7 @@
     harness_stop(&harness);
 }
 
-/* A full token has no room for another group: its position would be lost. */
+/* A full token can't hold the position of another group, so the request is refused. */
 static void test_session_full(void)
 {
     struct harness harness;
@@ -278,9 +280,10 @@
     harness_stop(&harness);
 }
 
-/* Asks with a token of full size and `octets` of another header. Returns the status; the request
- * was run if and only if that is 200, and then the whole token comes back. */
-static long post_large_head(struct harness *harness, unsigned octets)
+/* Sends a request with a token of maximum size and a header of `bytes` bytes. Returns the status.
+ * Checks that the request was submitted if and only if the status is 200, and that the answer then
+ * has the complete token. */
+static long post_large_head(struct harness *harness, unsigned bytes)
 {
     struct group_position sent[TOKEN_GROUPS_MAX];
     for (uint32_t i = 0; i < TOKEN_GROUPS_MAX; i++) {
@@ -289,7 +292,7 @@
     sent[0].group = HARNESS_GROUP;
     g_autofree char *token = token_encode(harness->keys, sent, TOKEN_GROUPS_MAX);
     g_autofree char *session = g_strconcat("Swiftworks-Session: ", token, NULL);
-    g_autofree char *value = g_strnfill(octets, 'c');
+    g_autofree char *value = g_strnfill(bytes, 'c');
     g_autofree char *other = g_strconcat("Cookie: ", value, NULL);
     const char *const headers[] = {session, other, NULL};
     struct poster *poster =
@@ -314,21 +317,21 @@
     return status;
 }
 
-/* Headers are taken up to a bound, and above it refused: never run without room for the answer.
- * Where the headers just fill the connection's memory, libmicrohttpd closes it without an answer.
- */
+/* Headers over the limit are refused: a request must not run if the connection's memory is not
+ * sufficient for its answer. Where the headers just fill that memory, libmicrohttpd closes the
+ * connection without an answer. */
 static void test_large_heads(void)
 {
     enum { HEADS_SERVED = 4500, HEADS_ANSWERED = 12000, HEADS_MAX = 40000, STEP = 250 };
     struct harness harness;
     harness_start(&harness, NULL);
-    for (unsigned octets = 0; octets <= HEADS_SERVED; octets += STEP) {
-        long status = post_large_head(&harness, octets);
+    for (unsigned bytes = 0; bytes <= HEADS_SERVED; bytes += STEP) {
+        long status = post_large_head(&harness, bytes);
         g_assert_cmpint(status, ==, 200);
     }
-    for (unsigned octets = HEADS_SERVED + STEP; octets <= HEADS_MAX; octets += STEP) {
-        long status = post_large_head(&harness, octets);
-        bool closed = status == 0 && octets > HEADS_ANSWERED;
+    for (unsigned bytes = HEADS_SERVED + STEP; bytes <= HEADS_MAX; bytes += STEP) {
+        long status = post_large_head(&harness, bytes);
+        bool closed = status == 0 && bytes > HEADS_ANSWERED;
         g_assert_true(status == 413 || status == 431 || closed);
     }
     harness_stop(&harness);
@@ -336,7 +339,7 @@
 
 struct refusal_case {
     const char *path;
-    const char *header; /* one more, or NULL */
+    const char *header; /* an additional header, or NULL */
     const char *body;
     long status;
     const char *error; /* members of "error" */
@@ -348,14 +351,17 @@
 #define BAD(text) "{\"kind\":\"bad_request\",\"text\":\"" text "\"}"
 
 static const struct refusal_case refusals[] = {
-    {"/", NULL, VALID, 400, BAD("The path names no endpoint.")},
-    {"/v1/tenants/hut", NULL, VALID, 400, BAD("The path names no endpoint.")},
-    {"/v2/tenants/hut/statements", NULL, VALID, 400, BAD("The path names no endpoint.")},
-    {"/v1/tenants/hut/statement", NULL, VALID, 400, BAD("The path names no endpoint.")},
-    {"/v1/tenants/hut/statements/", NULL, VALID, 400, BAD("The path names no endpoint.")},
-    {"/v1/tenants/hut/statements/5/commit", NULL, "", 400, BAD("The path names no endpoint.")},
-    {"/v1/tenants/hut/transactions/5/abort", NULL, "", 400, BAD("The path names no endpoint.")},
-    {"/v1/tenants/hut/transactions/5/commit/x", NULL, "", 400, BAD("The path names no endpoint.")},
+    {"/", NULL, VALID, 400, BAD("The path is not that of an endpoint.")},
+    {"/v1/tenants/hut", NULL, VALID, 400, BAD("The path is not that of an endpoint.")},
+    {"/v2/tenants/hut/statements", NULL, VALID, 400, BAD("The path is not that of an endpoint.")},
+    {"/v1/tenants/hut/statement", NULL, VALID, 400, BAD("The path is not that of an endpoint.")},
+    {"/v1/tenants/hut/statements/", NULL, VALID, 400, BAD("The path is not that of an endpoint.")},
+    {"/v1/tenants/hut/statements/5/commit", NULL, "", 400,
+     BAD("The path is not that of an endpoint.")},
+    {"/v1/tenants/hut/transactions/5/abort", NULL, "", 400,
+     BAD("The path is not that of an endpoint.")},
+    {"/v1/tenants/hut/transactions/5/commit/x", NULL, "", 400,
+     BAD("The path is not that of an endpoint.")},
     {"/v1/tenants//statements", NULL, VALID, 400,
      BAD("The tenant's name in the path is not valid.")},
     {"/v1/tenants/a%20b/statements", NULL, VALID, 400,
@@ -366,7 +372,7 @@
      BAD("The transaction id in the path is not valid.")},
     {"/v1/tenants/hotel/statements", NULL, VALID, 404,
      "{\"kind\":\"unknown_tenant\",\"text\":\"no tenant \\\"hotel\\\"\"}"},
-    {STATEMENTS "?sql=x", NULL, VALID, 400, BAD("the path takes no query")},
+    {STATEMENTS "?sql=x", NULL, VALID, 400, BAD("the path does not accept a query")},
     {STATEMENTS, "Idempotency-Key;", VALID, 400,
      BAD("Idempotency-Key is not 1 to 128 printable ASCII characters")},
     {STATEMENTS, "Idempotency-Key: " LONG_128 "x", VALID, 400,
@@ -396,7 +402,7 @@
      "parsed\",\"position\":8}"},
     {STATEMENTS, NULL, "{\"sql\":\"SELECT 1; SELECT 2\"}", 422,
      "{\"kind\":\"statement_refused\",\"text\":\"several statements are refused: send one, or a "
-     "transaction of many\",\"position\":11}"},
+     "transaction with all of them\",\"position\":11}"},
     {STATEMENTS, NULL, "{\"sql\":\"SET a = 1\"}", 422,
      "{\"kind\":\"statement_refused\",\"text\":\"SET is refused: it changes the state of a "
      "session\",\"position\":1}"},
@@ -407,13 +413,14 @@
      "{\"kind\":\"statement_refused\",\"text\":\"the statement writes but is declared a read\"}"},
     {TRANSACTIONS, NULL, "{\"statements\":[{\"sql\":\"SELECT 1\"},{\"sql\":\"BEGIN\"}]}", 422,
      "{\"kind\":\"statement_refused\",\"text\":\"statements[1]: a transaction statement is "
-     "refused: a transaction is begun and ended by the transactions endpoint\",\"position\":1}"},
+     "refused: transactions are begun and ended at the transactions endpoint\",\"position\":1}"},
     {TRANSACTIONS "/x/statements", NULL, "{\"sql\":\"SELECT pg_sleep(1)\"}", 422,
      "{\"kind\":\"statement_refused\",\"text\":\"function pg_sleep is refused: it is not "
      "served\",\"position\":8}"},
 };
 
-/* None of these reaches the daemon: harness_stop finds an empty queue. */
+/* None of these requests is submitted to the daemon: harness_stop asserts that the queue is
+ * empty. */
 static void test_refusals(void)
 {
     struct harness harness;
@@ -438,7 +445,7 @@
     harness_stop(&harness);
 }
 
-/* A refusal before the daemon that may be sent again says when. */
+/* A refusal by the frontend that allows a retry has the headers with the retry delay. */
 static void test_not_ready(void)
 {
     struct harness harness;
@@ -455,7 +462,6 @@
     harness_stop(&harness);
 }
 
-/* The frontend's own metrics after a done and a refused request. */
 static struct metrics *shared_metrics;
 
 static void set_metrics(struct frontend_options *options)
@@ -463,6 +469,7 @@
     options->metrics = shared_metrics;
 }
 
+/* The frontend's own metrics after one done and one refused request. */
 static void test_metrics(void)
 {
     static const char *const expected[] = {
@@ -520,11 +527,11 @@
 
 static void set_small_limits(struct frontend_options *options)
 {
-    options->limits.body_octets_max = 100;
+    options->limits.body_bytes_max = 100;
     options->threads = 1;
 }
 
-/* Bodies below, at and over the limit; with a length, chunked, and awaiting leave to send. */
+/* Bodies at and over the limit; with a Content-Length, chunked, and with Expect: 100-continue. */
 static void test_body_limit(void)
 {
     struct harness harness;
@@ -547,7 +554,7 @@
             harness_post(&harness, STATEMENTS, bodies[i], strlen(bodies[i]), headers[j], &exchange);
             g_assert_cmpint(exchange.status, ==, 413);
             assert_body_has(&exchange, "{\"kind\":\"too_large\",\"text\":\"the body is over 100 "
-                                       "octets\"}");
+                                       "bytes\"}");
             exchange_clear(&exchange);
         }
     }
@@ -608,7 +615,7 @@
     assert_header(exchange, "Retry-After-Ms", may_retry ? "1001" : NULL);
 }
 
-/* The closed list of errors against the table, with and without a key. */
+/* Answers with all error kinds match the table, with and without an idempotency key. */
 static void test_error_table(void)
 {
     struct harness harness;
@@ -685,7 +692,7 @@
     GError *error = NULL;
     g_assert_null(frontend_start(&options, &error));
     g_assert_cmpint(error->code, ==, ERROR_KIND_INVALID_CONFIGURATION);
-    g_assert_cmpstr(error->message, ==, "localhost is not an IP number");
+    g_assert_cmpstr(error->message, ==, "localhost is not a numeric IP address");
     g_clear_error(&error);
     options.address = "127.0.0.1";
     options.port = frontend_port(harness.frontend);
