--- a/src/daemon/active_calls.h
+++ b/src/daemon/active_calls.h
@@ -1,7 +1,8 @@
-/* Calls under way at a group's databases. A database that is cut off doesn't answer, and its
- * connections don't end by themselves: calls there would wait for their deadlines. They are given
- * up once waiting is of no use: writes when another database leads, since nothing more can be
- * acknowledged where they are; what can be repeated also when the database is out of reach. */
+/* Calls in progress at a group's databases. A database behind a network partition does not answer
+ * and its connections do not close, so that calls there would wait for their deadlines. Such calls
+ * are aborted as soon as their answer can no longer be used: writes when another database becomes
+ * primary, since the old one can no longer acknowledge them; calls that can be repeated also when
+ * the database is unreachable. */
 #ifndef SW_DAEMON_ACTIVE_CALLS_H
 #define SW_DAEMON_ACTIVE_CALLS_H
 
@@ -13,41 +14,42 @@
 #include "core/types.h"
 
 enum active_call_kind {
-    ACTIVE_CALL_READ,        /* given up when the database is out of reach */
-    ACTIVE_CALL_KEYED_WRITE, /* the same, and when it no longer leads */
-    ACTIVE_CALL_WRITE,       /* only when it no longer leads: its answer can't be asked for again */
+    ACTIVE_CALL_READ,        /* aborted when the database is unreachable */
+    ACTIVE_CALL_KEYED_WRITE, /* the same, and when it is no longer the primary */
+    ACTIVE_CALL_WRITE, /* only when it is no longer the primary: without a key its outcome can't be
+                          queried */
 };
 
 /* One call, on the stack of its thread. */
 struct active_call {
     enum active_call_kind kind;
     uint32_t database;
-    int socket_fd; /* a duplicate, so that the number stays ours while the call runs */
+    int socket_fd; /* a duplicate: stays valid for the duration of the call */
 };
 
 /* All calls of one group on this daemon. */
 struct active_calls {
     pthread_mutex_t lock; /* guards all below */
     GQueue calls;         /* of struct active_call */
-    int32_t primary;      /* the last one known, or -1 */
+    int32_t primary;      /* the last known, or -1 */
 };
 
 void active_calls_init(struct active_calls *calls);
 
-/* No call may be under way. */
+/* Requires that no call is in progress. */
 void active_calls_clear(struct active_calls *calls);
 
-/* Enters a call that is about to use a connection. False for a write where another database leads
- * by now: nothing was entered, and nothing may be sent. */
+/* Registers a call that is about to use a connection. Returns false for a write where another
+ * database is now the primary: nothing was registered, and nothing may be sent. */
 bool active_calls_enter(struct active_calls *calls, struct active_call *call,
                         enum active_call_kind kind, uint32_t database,
                         const struct backend_connection *connection);
 
-/* Ends a call; before its connection is released. */
+/* Removes a call. Must run before its connection is released. */
 void active_calls_leave(struct active_calls *calls, struct active_call *call);
 
-/* Gives up the calls that are of no more use under a new view: their connections are shut down, and
- * their threads find them broken. */
+/* Aborts the calls whose answers can no longer be used under a new view: shuts their sockets down,
+ * so that their threads see a broken connection. */
 void active_calls_take_view(struct active_calls *calls, const struct group_view *view);
 
 #endif
--- a/src/daemon/admin_api.h
+++ b/src/daemon/admin_api.h
@@ -1,4 +1,4 @@
-/* The operators' calls of one daemon, on the admin listener; see docs/http-api.md. */
+/* The admin listener's HTTP calls for operators; see docs/http-api.md. */
 #ifndef SW_DAEMON_ADMIN_API_H
 #define SW_DAEMON_ADMIN_API_H
 
@@ -10,7 +10,7 @@
 /* Starts the admin listener. */
 bool admin_api_start(struct daemon *daemon, GError **error);
 
-/* Stops it; harmless if it was not started. */
+/* Stops the listener. May be called if it was not started. */
 void admin_api_stop(struct daemon *daemon);
 
 #endif
--- a/src/daemon/admin_drain.h
+++ b/src/daemon/admin_drain.h
@@ -1,4 +1,4 @@
-/* The JSON of how far a drain is. Any thread. */
+/* JSON of the progress of a drain. Any thread. */
 #ifndef SW_DAEMON_ADMIN_DRAIN_H
 #define SW_DAEMON_ADMIN_DRAIN_H
 
@@ -8,13 +8,14 @@
 struct daemon;
 struct group_runtime;
 
-/* Of a database, by all owners' word: {"database", "leaving", "role", "slots_in_use",
- * "connections_in_use", "owners": [{"address", "known", "unused"}], "owners_unused",
- * "owners_count", "safe"}. False if the group does not have it. */
+/* Progress for a database, from the reports of all owners: {"database", "leaving", "role",
+ * "slots_in_use", "connections_in_use", "owners": [{"address", "known", "unused"}],
+ * "owners_unused", "owners_count", "safe"}. Returns false if the group has no such database. */
 bool admin_drain_database(struct daemon *daemon, struct group_runtime *group, const char *name,
                           GString *out);
 
-/* Of this daemon: {"daemon", "leaving", "groups", "transactions_open", "tasks_open", "safe"}. */
+/* Progress for this daemon: {"daemon", "leaving", "groups", "transactions_open", "tasks_open",
+ * "safe"}. */
 void admin_drain_daemon(struct daemon *daemon, GString *out);
 
 #endif
--- a/src/daemon/admin_json.h
+++ b/src/daemon/admin_json.h
@@ -1,4 +1,4 @@
-/* Members of the JSON that answers operators. Used by one thread for each builder. */
+/* Helpers that write members of the admin API's JSON. Each builder is used by one thread. */
 #ifndef SW_DAEMON_ADMIN_JSON_H
 #define SW_DAEMON_ADMIN_JSON_H
 
@@ -15,10 +15,10 @@
 /* {"term", "offset"} */
 void admin_json_position(JsonBuilder *builder, const char *name, struct log_position position);
 
-/* A moment of the wall clock in microseconds, as ISO 8601 in UTC. */
+/* A wall-clock time in microseconds, as ISO 8601 in UTC. */
 void admin_json_time(JsonBuilder *builder, const char *name, int64_t at_us);
 
-/* Appends the finished value in lines. */
+/* Appends the finished value, pretty-printed. */
 void admin_json_finish(JsonBuilder *builder, GString *out);
 
 /* "primary", "replica" or "unknown". */
--- a/src/daemon/configuration_share.h
+++ b/src/daemon/configuration_share.h
@@ -1,5 +1,6 @@
-/* The published configuration in force, as this daemon gives it to others: whole, or as the
- * difference from the version before, which is what nearly all of them lack. */
+/* The published configuration in force, as this daemon serves it to other daemons: complete, or as
+ * the difference from the previous version, since nearly all daemons that request it have that one.
+ */
 #ifndef SW_DAEMON_CONFIGURATION_SHARE_H
 #define SW_DAEMON_CONFIGURATION_SHARE_H
 
@@ -10,17 +11,18 @@
 #include "daemon/configuration_difference.h"
 #include "generated/messages.h"
 
-/* One published version. Reference counted; immutable but for what it works out when asked. */
+/* One published version. Reference counted; immutable except for encodings that are computed on
+ * first use. */
 struct published_configuration;
 
-/* Takes a reference of the configuration, and over what `difference` holds: it leads from the
- * version `base` here; NULL if there is none. */
+/* Takes a reference to the configuration and ownership of what `difference` owns. The difference
+ * leads from version `base` to this one; NULL if there is none. */
 struct published_configuration *
 published_configuration_new(uint64_t version, struct configuration *configuration,
                             struct configuration_mark base,
                             struct configuration_difference *difference);
 
-/* References, from any thread. NULL may be given back. */
+/* References, from any thread. unref accepts NULL. */
 struct published_configuration *
 published_configuration_ref(struct published_configuration *published);
 void published_configuration_unref(struct published_configuration *published);
@@ -45,7 +47,8 @@
 /* The version in force with one reference, or NULL. */
 struct published_configuration *configuration_share_take(struct configuration_share *share);
 
-/* Fills an empty reply to another daemon's question; version 0 says that it can't be had here. */
+/* Fills an empty reply to another daemon's request. Version 0 in the reply means that this daemon
+ * can't serve the request. */
 void configuration_share_answer(struct configuration_share *share,
                                 const struct configuration_request *request,
                                 struct configuration_reply *reply);
--- a/src/daemon/control_budget.h
+++ b/src/daemon/control_budget.h
@@ -1,6 +1,6 @@
-/* Moves of groups between owners: tells the pools this daemon's place, keeps a lost group served
- * until its new owners are warm, then gives up its connections as its requests end. Control thread
- * only, unless told otherwise. See docs/design/ownership.md. */
+/* Moves of groups between owners. Sets this daemon's position in the pools, keeps serving a group
+ * that it no longer owns until the new owners' pools are warm, then gives up its connections as
+ * their requests end. Control thread only, unless said otherwise. See docs/design/ownership.md. */
 #ifndef SW_DAEMON_CONTROL_BUDGET_H
 #define SW_DAEMON_CONTROL_BUDGET_H
 
@@ -11,20 +11,22 @@
 
 struct control_budget *control_budget_new(struct control *control);
 
-/* Lets go of all groups being released, whatever their connections do. */
+/* Ends the release of all groups, whatever the state of their connections. */
 void control_budget_free(struct control_budget *budget);
 
-/* This daemon's place among the owners of a group that runs here. Takes back a release. */
+/* Sets this daemon's position among the owners of a group that runs here. Cancels a release in
+ * progress. */
 void control_budget_place(struct control_budget *budget, uint32_t group, int32_t position);
 
-/* This daemon owns the group no more. It goes on until the new owners are warm, if there are any;
- * then it is ended by control_groups_end, and its connections are closed as they come free. */
+/* Starts the release of a group that this daemon no longer owns. The group is served until the new
+ * owners, if there are any, are warm; then control_groups_end ends it, and its connections are
+ * closed as they become free. */
 void control_budget_release(struct control_budget *budget, uint32_t group);
 
-/* A new configuration gave the group, which runs here, another run time. */
+/* A new configuration has replaced the run time of a group that runs here. */
 void control_budget_succeed(struct control_budget *budget, uint32_t group);
 
-/* What another daemon tells, or asks. */
+/* Handles a notice or request from another daemon. */
 void control_budget_receive(struct control_budget *budget, const struct budget_notice *notice,
                             const struct sockaddr_in *from);
 
--- a/src/daemon/control_configuration.h
+++ b/src/daemon/control_configuration.h
@@ -1,6 +1,6 @@
-/* The control thread's configuration: drives the core's currency by what gossip, the store and
- * other daemons tell, puts newer versions in force, and says whether this daemon may serve. Without
- * a platform the configuration is static and all of this rests. */
+/* The configuration in the control thread. Feeds the core's currency state machine with what
+ * gossip, the store and other daemons report, puts newer versions in force, and decides whether
+ * this daemon may serve. Without a platform the configuration is static, and none of this runs. */
 #ifndef SW_DAEMON_CONTROL_CONFIGURATION_H
 #define SW_DAEMON_CONTROL_CONFIGURATION_H
 
@@ -11,64 +11,65 @@
 
 struct fetch_result;
 
-/* Stragglers that are named. */
+/* Maximum number of stragglers that are listed. */
 #define CONFIGURATION_STRAGGLERS_MAX 16
 
-/* Octets of the reason for not serving, its end included. */
+/* Bytes of the reason for not serving, including the terminating NUL. */
 #define CONFIGURATION_REASON_SIZE 160
 
-/* A daemon of this zone that was last heard of with an older configuration. */
+/* A daemon of this zone whose last message reported an older configuration. */
 struct configuration_straggler {
     uint64_t member;
     char address[ADDRESS_TEXT_SIZE];
     uint64_t version;
 };
 
-/* What operators see. A copy. */
+/* The state shown to operators. A copy. */
 struct configuration_status {
     bool published;       /* false: a static file */
-    bool serving;         /* requests are taken */
-    uint64_t version;     /* in force; 0: none, or static */
-    uint64_t newest;      /* newest heard of */
-    time_ns confirmed_at; /* when the one in force was last known to be the newest; 0: never */
+    bool serving;         /* requests are accepted */
+    uint64_t version;     /* version in force; 0: none, or static */
+    uint64_t newest;      /* newest version known */
+    time_ns confirmed_at; /* last time at which `version` was known to be the newest; 0: never */
     uint32_t straggler_count;
     struct configuration_straggler stragglers[CONFIGURATION_STRAGGLERS_MAX]; /* the first of them */
-    char reason[CONFIGURATION_REASON_SIZE]; /* why it does not serve; empty if it does */
+    char reason[CONFIGURATION_REASON_SIZE]; /* why requests are not accepted; empty if they are */
 };
 
 /* Any thread, while the control thread runs. */
 void control_configuration_status(struct control *control, struct configuration_status *status);
 
-/* What a publisher hands over after it has moved the head. Borrowed. */
+/* A version that a publisher hands over after it has moved the store's head. Borrowed. */
 struct configuration_handover {
     uint64_t version;
     const char *hash;      /* of the content */
-    const char *base_hash; /* of the version before, as the publisher knows it; empty if not */
-    GBytes *content;       /* canonical JSON that has the hash */
+    const char *base_hash; /* of the previous version; empty if the publisher does not know it */
+    GBytes *content;       /* canonical JSON that matches `hash` */
 };
 
-/* Takes it in; it comes into force later, or is refused, which the journal tells. False if the
- * configuration is static. Any thread, while the control thread runs. */
+/* Accepts a handover. The version is put in force or rejected later, which the journal records.
+ * Returns false if the configuration is static. Any thread, while the control thread runs. */
 bool control_configuration_hand_over(struct control *control,
                                      const struct configuration_handover *handover);
 
-/* The rest is for the control thread's files. */
+/* The rest is used by the control thread's files only. */
 
-/* Starts to look for a published configuration if the settings name a platform and no file. */
+/* Starts the search for a published configuration if the settings name a platform and no file. */
 bool control_configuration_start(struct control *control, GError **error);
 void control_configuration_stop(struct control *control);
 
 void control_configuration_tick(struct control *control, time_ns now);
 time_ns control_configuration_next_wakeup(struct control *control);
 
-/* True once the configuration was confirmed as the newest, or is static: groups may be owned. */
+/* True once the configuration was confirmed as the newest, or if it is static: groups may be owned.
+ */
 bool control_configuration_was_confirmed(struct control *control);
 
-/* Gossip told of a version; `holder` is the member that has it in force, or 0. */
+/* Gossip reported a version; `holder` is the member that has it in force, or 0. */
 void control_configuration_hear(struct control *control, struct configuration_mark mark,
                                 uint64_t holder);
 
-/* Takes a fetcher's result, which is freed. */
+/* Handles a fetcher's result and frees it. */
 void control_configuration_take(struct control *control, struct fetch_result *result);
 
 #endif
--- a/src/daemon/control_configuration_internal.h
+++ b/src/daemon/control_configuration_internal.h
@@ -1,4 +1,4 @@
-/* What the files of the control thread's configuration share. Nothing else includes it. */
+/* Shared by the files of the control thread's configuration. Not for use elsewhere. */
 #ifndef SW_DAEMON_CONTROL_CONFIGURATION_INTERNAL_H
 #define SW_DAEMON_CONTROL_CONFIGURATION_INTERNAL_H
 
@@ -10,25 +10,25 @@
 #include "daemon/control_internal.h"
 #include "daemon/daemon.h"
 
-/* Of the control thread, but for the status. */
+/* Used by the control thread only, except for the status. */
 struct control_configuration {
     struct control *control;
     struct configuration_fetcher *fetcher;
     struct currency *currency;
 
-    /* Until a version was found that names this daemon's zone: there is no membership yet. */
+    /* A version that names this daemon's zone was found. Until then there is no membership. */
     bool joined;
-    uint64_t search_from; /* versions before are known not to do */
+    uint64_t search_from; /* lower versions are known not to name this daemon's zone */
     time_ns next_search_at;
     size_t next_seed;
-    size_t seeds_left; /* of this round */
+    size_t seeds_left; /* in this round */
 
-    uint64_t heard;                    /* newest that the journal has */
-    struct configuration_mark unfit;   /* does not parse: not fetched again */
-    const struct fetch_result *origin; /* what was just fetched, while it is judged */
-    bool confirmed;                    /* has served */
-    char failure[FETCH_TEXT_SIZE]; /* why the store's content could not be had; empty if it could */
-    bool contradicted;             /* the store has another content under the version in force */
+    uint64_t heard;                    /* newest version that the journal has recorded */
+    struct configuration_mark unfit;   /* does not parse: it is not fetched again */
+    const struct fetch_result *origin; /* the result that is being processed, or NULL */
+    bool confirmed;                    /* confirmed as the newest at least once */
+    char failure[FETCH_TEXT_SIZE];     /* why the store's content could not be read; or empty */
+    bool contradicted; /* the store has different content under the version in force */
     time_ns next_survey_at;
 
     pthread_mutex_t status_lock;
@@ -38,32 +38,33 @@
 /* Adds an entry to the journal. */
 void configuration_note(struct control_configuration *self, const char *kind, const char *text);
 
-/* True for what the store was asked for. */
+/* True for orders that the platform's store answers. */
 bool configuration_is_from_store(const struct fetch_order *order);
 
-/* Logs it when the store begins to fail, in what way it does, and when it is well again. */
+/* Logs the first failure of the store, a change of its error, and its recovery. */
 void configuration_note_store(struct control_configuration *self,
                               const struct fetch_result *result);
 
-/* Gives the fetcher an order; `address` is that of the daemon to ask, or NULL. */
+/* Submits an order to the fetcher; `address` is that of the daemon to fetch from, or NULL. */
 void configuration_order(struct control_configuration *self, enum fetch_source source,
                          struct configuration_mark wanted, const char *address);
 
 /* Status: control_configuration_status.c. */
 
-/* Why the daemon does not serve, into `reason` (room for CONFIGURATION_REASON_SIZE). */
+/* Writes why the daemon does not serve into `reason` (CONFIGURATION_REASON_SIZE bytes). */
 void configuration_explain(const struct control_configuration *self, char *reason);
-/* Makes what request threads and operators see follow the currency. */
+/* Publishes the currency's state to request threads and operators. */
 void configuration_publish_status(struct control_configuration *self);
-/* Looks for members that lag. Only those of the own zone are heard of often enough. */
+/* Finds members with an older configuration. Covers only this daemon's own zone, as messages from
+ * the others are too rare. */
 void configuration_survey(struct control_configuration *self);
 
-/* The search for a first configuration, which tells the number of this daemon's zone:
+/* The search for the first configuration, which maps the name of this daemon's zone to its number:
  * control_configuration_search.c. */
 
-/* Asks the store and other daemons if it is time to. */
+/* Requests the configuration from the store and from other daemons when that is due. */
 void configuration_search(struct control_configuration *self, time_ns now);
-/* Takes a result in. True if it ends the search: this daemon joined the others. */
+/* Handles a result. True if it ends the search: this daemon has joined the membership. */
 bool configuration_join_by(struct control_configuration *self, const struct fetch_result *result);
 
 #endif
--- a/src/daemon/control_internal.h
+++ b/src/daemon/control_internal.h
@@ -1,4 +1,4 @@
-/* What the files of the control thread share. Nothing else includes it. */
+/* Shared by the files of the control thread. Not for use elsewhere. */
 #ifndef SW_DAEMON_CONTROL_INTERNAL_H
 #define SW_DAEMON_CONTROL_INTERNAL_H
 
@@ -18,9 +18,9 @@
 
 enum control_event_kind {
     CONTROL_EVENT_GROUP,         /* an event for a group's control */
-    CONTROL_EVENT_RUNTIME,       /* likewise, from a run time; void once that was replaced */
-    CONTROL_EVENT_LEAVING,       /* this daemon is to be marked as leaving, or not */
-    CONTROL_EVENT_CONFIGURATION, /* what came of an attempt to get a configuration */
+    CONTROL_EVENT_RUNTIME,       /* likewise, from a run time; ignored once that was replaced */
+    CONTROL_EVENT_LEAVING,       /* the leaving mark of this daemon is to be set or cleared */
+    CONTROL_EVENT_CONFIGURATION, /* the result of a fetch of a configuration */
 };
 
 /* One input from another thread. */
@@ -41,9 +41,9 @@
     struct group_control *machine;
     struct trace_group *trace; /* of `machine`; NULL if it is not recorded */
     time_ns started_at;
-    struct quorum_settling settling; /* of the databases that it has now */
+    struct quorum_settling settling; /* settling of the databases that the group has now */
     time_ns wake_at;
-    uint64_t ledger_term;     /* last term in which the ledger table was asked for */
+    uint64_t ledger_term;     /* last term for which the ledger table was requested */
     time_ns ledger_expire_at; /* next removal of old keys */
 };
 
@@ -100,19 +100,19 @@
     uint64_t self_id; /* this daemon's id as a member */
     time_ns peers_sweep_at;
     uint64_t watcher_self;
-    bool leaving;                                /* wished for this daemon */
+    bool leaving;                                /* requested state of this daemon */
     struct control_configuration *configuration; /* NULL if it is static */
 
     struct control_budget *budget; /* control thread only */
-    _Atomic bool slots_wanted;     /* a request was queued since the slots were looked at */
+    _Atomic bool slots_wanted;     /* a request was queued since the slots were last processed */
     _Atomic uint32_t groups_held;  /* size of `groups` */
 
     struct prober *prober;
-    uint32_t probe_interval_ms;   /* of the prober, as set last */
+    uint32_t probe_interval_ms;   /* interval last set in the prober */
     struct journal *journal;      /* the daemon's */
     struct member_table *members; /* RCU */
     struct ownership *ownership;  /* control thread only */
-    _Atomic bool owners_settled;  /* the members are known well enough to claim groups */
+    _Atomic bool owners_settled;  /* membership is complete enough to claim groups */
     bool view_reliable;           /* see control_ownership_tick */
     time_ns owners_settle_at;
     struct owner_table *owners; /* RCU */
@@ -125,7 +125,7 @@
 void control_groups_start(struct control *control);
 void control_groups_stop(struct control *control);
 void control_groups_feed(struct control *control, uint32_t id, const struct group_event *event);
-/* Keeps what another owner tells of its use of the group's databases. */
+/* Records another owner's report on which of the group's databases it uses. */
 void control_groups_note_uses(struct control *control, uint32_t id, uint64_t watcher,
                               uint32_t used);
 void control_groups_feed_runtime(struct control *control, uint32_t runtime,
@@ -133,41 +133,43 @@
 void control_groups_tick(struct control *control, time_ns now);
 time_ns control_groups_next_wakeup(struct control *control);
 bool control_groups_runs(struct control *control, uint32_t group);
-/* Databases of all groups that run here. */
+/* Number of databases of all groups that run here. */
 uint32_t control_groups_count_databases(const struct control *control);
 /* The run time of a group that runs here, or NULL. */
 struct group_runtime *control_groups_runtime(struct control *control, uint32_t group);
 void control_groups_begin(struct control *control, uint32_t group);
 void control_groups_end(struct control *control, uint32_t id);
-/* Takes on the successors of run times that a new configuration replaced. */
+/* Replaces run times by the successors that a new configuration brought. */
 void control_groups_take_successors(struct control *control);
-/* Looks whether the last change of each group's databases is done. `agreed_at` is when most daemons
- * were last known to have the configuration in force here; 0: they are not. */
+/* Checks whether the last change of each group's databases is complete. `agreed_at` is when a
+ * majority of the daemons was last known to have the configuration in force here; 0 if it does not.
+ */
 void control_groups_settle(struct control *control, time_ns agreed_at, time_ns now);
-/* Tells every group who its watchers are. */
+/* Sets the watchers of every group from the membership. */
 void control_groups_set_watchers(struct control *control, time_ns now);
 
 /* Probes: control_probes.c. */
 void control_probes_start(struct control *control);
 void control_probes_stop(struct control *control);
-/* Probes the databases of the group's run time from now on, or no longer. */
+/* Starts or stops the probes of the databases of the group's run time. */
 void control_probes_add(struct control *control, const struct controlled_group *group);
 void control_probes_remove(struct control *control, const struct controlled_group *group);
-/* Spreads the probes that this daemon may make over the databases of the groups it has now. */
+/* Divides the probes that this daemon may make among the databases of its groups. */
 void control_probes_pace(struct control *control);
 
 /* Members: control_members.c. */
-/* The entry of a member, or NULL. Any thread, in a read-side section. */
+/* The entry of a member, or NULL. Any thread, within an RCU read-side section. */
 const struct member_entry *control_find_member(const struct member_table *table, uint64_t id);
-/* Sends one datagram to another daemon, best effort, and counts it. Control thread only. */
+/* Sends one datagram to another daemon, without retransmission, and counts it. Control thread only.
+ */
 void control_send(struct control *control, const struct sockaddr_in *to,
                   const struct message *message);
 bool control_members_start(struct control *control, GError **error);
-/* Joins the other daemons, in the zone that is known by now. */
+/* Joins the other daemons. Requires that the number of this daemon's zone is known. */
 void control_members_join(struct control *control);
-/* Performs what membership wants done, after a call that gave it control->actions. */
+/* Performs the actions that a call to membership has put into control->actions. */
 void control_members_perform(struct control *control);
-/* Peer address of a member into `text` (room for ADDRESS_TEXT_SIZE). */
+/* Formats the peer address of a member into `text` (ADDRESS_TEXT_SIZE bytes). */
 void control_members_format(const struct member *member, char *text);
 void control_members_stop(struct control *control);
 void control_members_receive(struct control *control, time_ns now);
@@ -178,12 +180,12 @@
 /* Ownership: control_ownership.c. */
 void control_ownership_start(struct control *control, uint64_t self);
 void control_ownership_stop(struct control *control);
-/* The configuration in force has other groups, or the first. */
+/* The configuration in force has changed its groups, or is the first. */
 void control_ownership_set_groups(struct control *control);
 void control_ownership_members_changed(struct control *control);
 void control_ownership_forget(struct control *control, uint64_t member);
 void control_ownership_tick(struct control *control, time_ns now);
-/* Owners of a group, into `owners` (room for OWNERS_MAX). Any thread (RCU). */
+/* Copies the owners of a group into `owners` (OWNERS_MAX entries). Any thread (RCU). */
 void control_ownership_entries(struct control *control, uint32_t group, struct member_entry *owners,
                                uint32_t *count);
 
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -1,5 +1,5 @@
-/* The daemon: one struct that holds its parts, and what they share. Parts are created in
- * daemon_start, in order of dependence, and ended in daemon_stop. */
+/* The daemon: one struct that holds its parts and the state they share. daemon_start creates the
+ * parts in order of dependence, and daemon_stop ends them. */
 #ifndef SW_DAEMON_DAEMON_H
 #define SW_DAEMON_DAEMON_H
 
@@ -26,7 +26,7 @@
 struct journal;
 struct transaction_table;
 
-/* Groups and tenants in force: replaced as a whole, read under RCU. */
+/* Groups and tenants in force. Replaced as one unit and read under RCU. */
 struct routing_table {
     struct configuration *configuration; /* one reference */
     GHashTable *groups;                  /* id as pointer -> struct group_runtime, one reference */
@@ -39,7 +39,7 @@
     _Atomic uint32_t zone;              /* id of settings.daemon.zone in the configuration */
     uint64_t incarnation;               /* wall-clock microseconds at the start */
     uint32_t deployment;                /* identity, see core/deployment.h */
-    _Atomic uint64_t foreign_messages;  /* noted by daemon/foreign_traffic.h */
+    _Atomic uint64_t foreign_messages;  /* counted by daemon/foreign_traffic.h */
     _Atomic time_ns foreign_told_until; /* see daemon/foreign_traffic.h */
     struct token_keys *token_keys;
     struct routing_table *table; /* RCU */
@@ -56,53 +56,53 @@
     struct trace_recorder *traces;
     struct decision_log *decisions;
     struct refusal_watch refusals;
-    struct configuration_share *configuration_share; /* what other daemons get of it */
-    _Atomic time_ns serve_until; /* latest time up to which the configuration in force may serve */
-    _Atomic bool ready;          /* the control thread runs: other daemons are served */
-    _Atomic bool stopping;       /* takes no new work */
-    _Atomic uint32_t tasks_open; /* begun and not answered */
+    struct configuration_share *configuration_share; /* the version that other daemons may fetch */
+    _Atomic time_ns serve_until; /* time up to which the configuration in force may serve */
+    _Atomic bool ready;          /* the control thread runs: requests of other daemons are served */
+    _Atomic bool stopping;       /* no new work is accepted */
+    _Atomic uint32_t tasks_open; /* started and not answered */
 };
 
-/* Starts all parts from checked settings, which it takes over. NULL with SW_ERROR where one can't.
- */
+/* Starts all parts from checked settings and takes ownership of them. Returns NULL with SW_ERROR if
+ * a part fails to start. */
 struct daemon *daemon_start(const struct settings *settings, GError **error);
 
-/* Planned stop: refuses new work, lets what runs end until `deadline`, then frees everything.
- * Returns the number of requests and transactions that were cut. */
+/* Planned stop: refuses new work, waits for running work until `deadline`, then frees everything.
+ * Returns the number of requests and transactions that were aborted. */
 uint32_t daemon_stop(struct daemon *daemon, time_ns deadline);
 
 /* The configuration in force with one reference, or NULL. Any thread. */
 struct configuration *daemon_take_configuration(struct daemon *daemon);
 
-/* A group's run time with one reference, or NULL if this daemon does not own it. Any thread. */
+/* A group's run time with one reference, or NULL if this daemon does not run it. Any thread. */
 struct group_runtime *daemon_take_group(struct daemon *daemon, uint32_t group);
 
-/* Run times of all groups that this daemon owns, one reference of each; freed with the array. Any
- * thread. */
+/* Run times of all groups that this daemon runs, with one reference each, which the array releases.
+ * Any thread. */
 GPtrArray *daemon_list_groups(struct daemon *daemon);
 
 /* Puts a configuration in force; control thread, or before threads start. Takes a reference. */
 void daemon_set_configuration(struct daemon *daemon, struct configuration *configuration);
 
-/* Starts a group that this daemon now owns, with one reference for the caller; NULL if the
- * configuration does not have it. Control thread only. */
+/* Starts a group that this daemon has come to own. Returns its run time with one reference for the
+ * caller, or NULL if the configuration has no such group. Control thread only. */
 struct group_runtime *daemon_begin_group(struct daemon *daemon, uint32_t id);
 
-/* Ends a group that this daemon owns no more: new requests are forwarded, what runs ends. Control
- * thread only. */
+/* Ends a group that this daemon no longer owns: new requests are forwarded, running ones complete.
+ * Control thread only. */
 void daemon_end_group(struct daemon *daemon, uint32_t id);
 
-/* True while the configuration in force is known to be the newest, or was within the bound. Any
- * thread. */
+/* True while the configuration in force is known to be the newest, or was so within the configured
+ * bound. Any thread. */
 bool daemon_may_serve(struct daemon *daemon);
 
-/* Counts a task in. False if the daemon is stopping and the request starts new work; the task is
- * counted all the same until daemon_task_ended. */
+/* Counts a task as started. Returns false if the daemon is stopping and the request starts new
+ * work; the task is then counted too, until daemon_task_ended. */
 bool daemon_task_begins(struct daemon *daemon, const struct request *request);
 
 void daemon_task_ended(struct daemon *daemon);
 
-/* Bounds of one answer. */
+/* Limits of one answer's results. */
 const struct result_limits *daemon_result_limits(void);
 
 #endif
--- a/src/daemon/decision_log.h
+++ b/src/daemon/decision_log.h
@@ -1,12 +1,14 @@
-/* The bounded record of what became of this daemon's latest requests, for `swiftctl explain ID`:
- * which database was chosen, which were passed over and why, with the positions and terms that the
- * decision saw. In memory only; it survives nothing, by design.
+/* A bounded record of how this daemon handled its latest requests, for `swiftctl explain ID`: which
+ * database was chosen, which were rejected and why, with the positions and terms known at the
+ * decision. It is kept in memory only and lost at a restart, by design.
  *
- * Two rings of a fixed number of entries: one of requests that were done, one of all others, so
- * that many answers push out no refusal. Each is sizeof(struct decision_record) octets an entry.
+ * There are two rings of a fixed number of entries, one for requests that were done and one for all
+ * others, so that many successful requests do not evict the refusals. Each entry takes
+ * sizeof(struct decision_record) bytes.
  *
- * Threads: any. An addition takes a place by one atomic addition and copies; it waits for nobody. A
- * place that is being read, or still written after a whole round, is skipped. */
+ * Any thread. An addition claims an entry with one atomic addition, copies the record, and never
+ * blocks. It skips an entry that is being read, or that an addition one full round earlier is still
+ * writing. */
 #ifndef SW_DAEMON_DECISION_LOG_H
 #define SW_DAEMON_DECISION_LOG_H
 
@@ -15,58 +17,61 @@
 
 #include "core/types.h"
 
-/* Octets of texts, their ends included; bounds of schema/messages.json. */
+/* Bytes of texts, including the terminating NUL; the limits of schema/messages.json. */
 #define DECISION_REQUEST_SIZE 65
 #define DECISION_TENANT_SIZE  129
 #define DECISION_DAEMON_SIZE  65
 #define DECISION_ADDRESS_SIZE 24
 
-/* One database as the decision saw it. */
+/* One database as seen at the decision. */
 struct decision_database {
     struct log_position applied;
     uint64_t term;
     uint32_t lag_ms; /* behind the primary */
-    uint8_t reason;  /* enum route_reason: why it was passed over; NONE if it was not */
+    uint8_t reason;  /* enum route_reason: why it was rejected; NONE if it was not */
     uint8_t role;    /* enum database_role */
     bool reachable;
     bool leaving;
 };
 
-/* One request at this daemon. A plain copy: texts are inside, groups and databases by number. */
+/* One request at this daemon. Plain data without pointers: texts are embedded, groups and databases
+ * are numbers. */
 struct decision_record {
     char request_id[DECISION_REQUEST_SIZE];
     char tenant[DECISION_TENANT_SIZE];
     char served_by[DECISION_DAEMON_SIZE];     /* name of the daemon that ran it, if known */
-    char forwarded_to[DECISION_ADDRESS_SIZE]; /* peer address asked last; empty: ran here */
-    uint16_t served_by_admin_port; /* admin listener of `served_by`, of a forwarded request; or 0 */
+    char forwarded_to[DECISION_ADDRESS_SIZE]; /* peer address of the last forwarding; empty: ran
+                                                 here */
+    uint16_t served_by_admin_port; /* admin port of `served_by` for a forwarded request; or 0 */
     int64_t at_us;                 /* wall clock at the answer, microseconds */
-    uint64_t took_us;              /* from submission to answer */
-    uint32_t group;                /* 0 if none was found */
+    uint64_t took_us;              /* time from submission to answer */
+    uint32_t group;                /* 0 if unknown */
     uint32_t databases_mark;       /* of the group's database names, see decision_databases_mark */
-    uint64_t view_term;            /* term of the view that the decision saw; 0 if none */
-    struct log_position session;   /* what the session had seen */
-    struct log_position needed;    /* what a read had to see */
-    struct log_position shown;     /* what the answer may have shown, or the write's commit */
-    uint32_t attempts;             /* runs at a database, or daemons asked */
-    int16_t primary;               /* of the view: index, or -1 */
-    int16_t database;              /* that ran it last: index, or -1 */
-    uint8_t reason;                /* enum route_reason of the answer */
-    uint8_t outcome;               /* enum outcome */
-    uint8_t error;                 /* enum error_kind, unless done */
-    uint8_t kind;                  /* enum request_kind */
-    uint8_t hops;                  /* above 0: another daemon forwarded it here */
+    uint64_t view_term;            /* term of the view used for the decision; 0 if none */
+    struct log_position session;   /* position that the session had seen */
+    struct log_position needed;    /* position that a read had to see */
+    struct log_position
+        shown;         /* position that the answer may have shown, or of the write's commit */
+    uint32_t attempts; /* runs at a database, or forwardings */
+    int16_t primary;   /* index in the view, or -1 */
+    int16_t database;  /* index of the database that ran it last, or -1 */
+    uint8_t reason;    /* enum route_reason of the answer */
+    uint8_t outcome;   /* enum outcome */
+    uint8_t error;     /* enum error_kind, unless done */
+    uint8_t kind;      /* enum request_kind */
+    uint8_t hops;      /* above 0: another daemon forwarded it here */
     bool read_only;
-    bool replayed;          /* the outcome was found in the ledger */
-    uint8_t database_count; /* entries below; 0 where no view was consulted */
+    bool replayed;          /* the outcome came from the ledger */
+    uint8_t database_count; /* entries below; 0 if no view was used */
     struct decision_database databases[GROUP_DATABASES_MAX];
 };
 
 struct decision_log;
 
-/* `entries` places in each of the two rings. */
+/* Creates a log of `entries` entries in each of the two rings. */
 struct decision_log *decision_log_new(uint32_t entries);
 
-/* No thread may use it any more. */
+/* Requires that no thread uses the log. */
 void decision_log_free(struct decision_log *log);
 
 /* Keeps a copy of the record. */
@@ -76,14 +81,14 @@
  * struct decision_record, which the caller frees. */
 GArray *decision_log_find(struct decision_log *log, const char *request_id);
 
-/* Wall clock of the oldest record kept in the ring that reaches back less, microseconds; 0 while
- * nothing has been pushed out yet. */
+/* Wall-clock time in microseconds of the oldest record, in the ring that covers the shorter time; 0
+ * while no record has been overwritten. */
 int64_t decision_log_reaches_to(struct decision_log *log);
 
 struct group_configuration;
 
-/* A mark that differs where the names or order of a group's databases do: a record is not shown by
- * names that came later. */
+/* A hash of the names and order of a group's databases. A record whose mark differs from the
+ * current one is not shown with the current names. */
 uint32_t decision_databases_mark(const struct group_configuration *group);
 
 #endif
--- a/src/daemon/group_metrics.h
+++ b/src/daemon/group_metrics.h
@@ -1,6 +1,6 @@
-/* Metrics of the groups that this daemon owns and their databases, made anew at each scrape: the
- * series of a group end when it goes to other owners, so that labels are bounded by what is owned.
- */
+/* Metrics of the groups that this daemon owns and of their databases, generated at each scrape. A
+ * group's series end when it moves to other owners, so that the number of label values is bounded
+ * by the groups owned. */
 #ifndef SW_DAEMON_GROUP_METRICS_H
 #define SW_DAEMON_GROUP_METRICS_H
 
--- a/src/daemon/group_runtime.h
+++ b/src/daemon/group_runtime.h
@@ -1,6 +1,6 @@
 /* One database group at run time on this daemon: the published routing view, the connection pools,
- * the slots, and what its requests share. Created by the control thread; read by request threads.
- */
+ * the slots, and the state that its requests share. Created by the control thread; read by request
+ * threads. */
 #ifndef SW_DAEMON_GROUP_RUNTIME_H
 #define SW_DAEMON_GROUP_RUNTIME_H
 
@@ -29,8 +29,8 @@
     pthread_mutex_t admission_lock;              /* guards the next two */
     struct admission admission;
     struct slot_share share;
-    _Atomic time_ns probed_at; /* last extra probe that a read asked for */
-    /* For routing without the lock: slots taken by this daemon, and requests queued for one. */
+    _Atomic time_ns probed_at; /* last extra probe that a read requested */
+    /* For routing without the lock: slots in use by this daemon, and requests queued for one. */
     _Atomic uint32_t in_flight;
     _Atomic uint32_t queued;
     _Atomic uint32_t slot_limit; /* the admission's slots */
@@ -43,20 +43,20 @@
     struct evidence_service *evidence; /* outlives the group */
     uint32_t owner_count;              /* daemons that share the databases' connections */
     time_ns handover_time;             /* see struct budget_options */
-    uint32_t queue_limit;              /* requests queued before one database */
+    uint32_t queue_limit;              /* maximum number of requests queued for one database */
     uint32_t open_rate_per_second;
 };
 
-/* Told when no write that began before a paused view runs any more. */
+/* Called when no write that began before a paused view is running any more. */
 typedef void (*group_drained_callback)(void *user, uint32_t runtime_number, uint64_t change);
 
 /* Reference counted: the control thread holds one, the routing table one, every task one. When the
- * configuration changes a group's databases, a successor takes its place for new requests; those in
- * flight end on the one that they began with. */
+ * configuration changes a group's databases, a successor takes new requests; those in progress
+ * complete on the run time that they began with. */
 struct group_runtime {
     _Atomic uint32_t references;
-    struct group_configuration *group; /* a copy: a bundle lives no longer for it */
-    uint32_t number;                   /* unique in the process; names it to probes and events */
+    struct group_configuration *group; /* a copy: does not keep the configuration's bundle alive */
+    uint32_t number; /* unique in the process; identifies it in probes and events */
     struct group_view
         *view; /* RCU: read by group_runtime_read_view, written by the control thread */
     uint32_t database_count;
@@ -64,60 +64,61 @@
     struct retry_budget retry_budget;
     struct tenant_gate *gate;
     struct active_calls calls;
-    struct group_uses uses;            /* what its owners tell of their use of the databases */
+    struct group_uses uses;            /* which databases each owner reports to use */
     struct evidence_service *evidence; /* the daemon's */
-    uint32_t evidence_group;           /* its number there */
+    uint32_t evidence_group;           /* the group's number in `evidence` */
     struct evidence_link *link;        /* one reference */
     _Atomic uint32_t settling;      /* enum quorum_settling_state; written by the control thread */
-    _Atomic uint64_t ledger_term;   /* term in which the ledger table was made sure of */
+    _Atomic uint64_t ledger_term;   /* last term in which the ledger table was created or found */
     _Atomic uint64_t reads;         /* answered reads */
-    _Atomic uint64_t primary_reads; /* of these, by the primary although replicas were allowed */
+    _Atomic uint64_t primary_reads; /* answered by the primary although replicas were allowed */
 
     pthread_mutex_t writes_lock; /* guards the three below */
     uint32_t writes_running;     /* writes and write transactions begun under an unpaused view */
     uint64_t drain_change;       /* planned change that waits for writes_running to be 0; or 0 */
-    bool drain_armed;            /* every thread sees the paused view */
+    bool drain_armed;            /* all threads see the paused view */
     group_drained_callback on_drained;
     void *on_drained_user;
 };
 
 /* Starts pools and evidence for a group, which is copied. The view is empty until one is published,
- * and pools open nothing until they are told a position. What the predecessor (or NULL) has of the
- * same databases is shared with it, so that both together stay within the databases' limits of
- * connections. */
+ * and the pools open no connection until their position is set. State of the predecessor (or NULL)
+ * for the same databases is shared, so that both together stay within the databases' connection
+ * limits. */
 struct group_runtime *group_runtime_new(const struct group_configuration *group,
                                         const struct group_runtime_options *options,
                                         struct group_runtime *predecessor);
 
-/* True if the run time can go on under a new configuration of its group. */
+/* True if the run time can be kept under a new configuration of its group. */
 bool group_runtime_fits(const struct group_runtime *runtime,
                         const struct group_configuration *group);
 
 struct group_runtime *group_runtime_ref(struct group_runtime *runtime);
 
-/* The last reference closes the pools; no connection may be out. */
+/* The last reference closes the pools; all connections must have been returned. */
 void group_runtime_unref(struct group_runtime *runtime);
 
-/* True if anybody besides the caller holds a reference. */
+/* True if there is a reference besides the caller's. */
 bool group_runtime_is_shared(const struct group_runtime *runtime);
 
-/* Load of a database for routing: requests of this daemon that hold one of its slots or wait for
+/* Load of a database for routing: this daemon's requests that hold one of its slots or wait for
  * one. Any thread. */
 uint32_t database_runtime_load(const struct database_runtime *database);
 
-/* Slots of a database that this daemon may use now, at least 1 to divide by. Any thread. */
+/* Slots of a database that this daemon may use now; at least 1, since callers divide by it. Any
+ * thread. */
 uint32_t database_runtime_slots(const struct database_runtime *database);
 
 /* Copies the newest view. Any thread, no lock (RCU). */
 void group_runtime_read_view(struct group_runtime *runtime, struct group_view *view);
 
 /* Publishes a view; control thread only. With `change`, on_drained is called once every write that
- * began earlier has ended. */
+ * began before has ended. */
 void group_runtime_publish(struct group_runtime *runtime, const struct group_view *view,
                            uint64_t change);
 
-/* Copies the newest view and, if it takes writes, counts one write as running. False if it is
- * paused: nothing was counted. */
+/* Copies the newest view and, if it accepts writes, counts one write as running. Returns false if
+ * the view is paused: nothing was counted. */
 bool group_runtime_begin_write(struct group_runtime *runtime, struct group_view *view);
 
 /* Ends a counted write. */
--- a/src/daemon/journal.h
+++ b/src/daemon/journal.h
@@ -1,5 +1,5 @@
-/* A bounded in-memory record of what this daemon decided: failovers, ownership, drains,
- * configuration. It feeds `swiftctl events`; it survives nothing, by design. */
+/* A bounded in-memory record of this daemon's decisions: failovers, ownership, drains,
+ * configuration. It feeds `swiftctl events` and is lost at a restart, by design. */
 #ifndef SW_DAEMON_JOURNAL_H
 #define SW_DAEMON_JOURNAL_H
 
@@ -11,7 +11,7 @@
 /* Entries kept; older ones are dropped. */
 #define JOURNAL_ENTRIES_MAX 2048
 
-/* Octets of an entry's text, its end included. */
+/* Bytes of an entry's text, including the terminating NUL. */
 #define JOURNAL_TEXT_SIZE 128
 
 /* One entry. A plain copy. */
@@ -22,8 +22,8 @@
     int32_t database;  /* index in the group, or -1 */
     uint64_t term;     /* 0 if none */
     struct log_position position;
-    char kind[32]; /* closed list: names of enum group_record_kind, and of the daemon */
-    char text[JOURNAL_TEXT_SIZE]; /* reason, or what was done */
+    char kind[32]; /* closed list: names of enum group_record_kind, and the daemon's own */
+    char text[JOURNAL_TEXT_SIZE]; /* reason or action */
 };
 
 struct journal;
--- a/src/daemon/ledger_upkeep.h
+++ b/src/daemon/ledger_upkeep.h
@@ -1,5 +1,5 @@
-/* Upkeep of a group's ledger of idempotency keys: its table, and the end of rows that are past
- * their time. Each job runs once, on a worker. */
+/* Maintenance of a group's ledger of idempotency keys: creation of its table and removal of expired
+ * rows. Each job runs once, on a worker. */
 #ifndef SW_DAEMON_LEDGER_UPKEEP_H
 #define SW_DAEMON_LEDGER_UPKEEP_H
 
@@ -8,7 +8,7 @@
 #include "daemon/group_runtime.h"
 #include "daemon/worker_pool.h"
 
-/* Makes sure of the table at the primary of a view, ahead of the writes that need it. */
+/* Creates the table at the primary of a view if it is missing, before writes need it. */
 void ledger_upkeep_create(struct worker_pool *workers, struct group_runtime *group,
                           const struct group_view *view);
 
--- a/src/daemon/log.h
+++ b/src/daemon/log.h
@@ -1,6 +1,6 @@
-/* The log: GLib's structured messages, written as lines of text or JSON on standard error, or to
- * the journal. The log domain of each file is the fixed prefix of its part. Repeated lines are
- * counted, not written. */
+/* The log: GLib's structured messages, written as text or JSON lines to standard error, or to the
+ * system journal. The log domain of each file is the fixed prefix of its part. Repeated lines are
+ * counted instead of written. */
 #ifndef SW_DAEMON_LOG_H
 #define SW_DAEMON_LOG_H
 
@@ -9,11 +9,11 @@
 
 #include "generated/settings.h"
 
-/* Installs the writer. Before any thread starts. */
+/* Installs the writer. Must run before any thread starts. */
 void log_start(enum log_format format, enum log_level level);
 
-/* Changes the level of one part, or of all lines if `part` is NULL. False if there is no such part.
- * It lasts as long as the process. Any thread. */
+/* Changes the level of one part, or of all lines if `part` is NULL, until the process ends. False
+ * if there is no such part. Any thread. */
 bool log_set_level(const char *part, enum log_level level);
 
 /* True if a line of this part and level would be written. Takes no lock. Any thread. */
--- a/src/daemon/task_decision.h
+++ b/src/daemon/task_decision.h
@@ -1,5 +1,5 @@
-/* What a task notes of its decisions, for the record that `swiftctl explain ID` shows. Called by
- * whoever runs the task. */
+/* What a task records about its decisions, for `swiftctl explain ID`. Called by the thread that
+ * runs the task. */
 #ifndef SW_DAEMON_TASK_DECISION_H
 #define SW_DAEMON_TASK_DECISION_H
 
@@ -7,25 +7,25 @@
 
 struct task;
 
-/* Notes the view that a decision saw, and why each database was passed over (GROUP_DATABASES_MAX
- * entries of `refused`). A later call replaces the note. */
+/* Records the view used for a decision, and why each database was rejected (GROUP_DATABASES_MAX
+ * entries of `refused`). Replaces an earlier record. */
 void task_note_view(struct task *task, const struct group_view *view,
                     const enum route_reason *refused);
 
-/* The same for a write: its decision depends on the view alone. */
+/* The same for a write, whose decision depends on the view alone. */
 void task_note_write_view(struct task *task, const struct group_view *view);
 
-/* Notes what a read must see under a view. */
+/* Records the position that a read must see under a view. */
 void task_note_needed(struct task *task, const struct group_view *view,
                       const struct route_read_request *route);
 
-/* Moves the databases passed over, with their terms and positions, into the reply. */
+/* Copies the rejected databases, with their terms and positions, into the reply. */
 void task_note_refused(struct task *task);
 
-/* Notes the daemon that a request is sent to. */
+/* Records the daemon that a request is forwarded to. */
 void task_note_forward(struct task *task, const char *address);
 
-/* Keeps the record of an answered task, whose reply is complete. */
+/* Adds the record of an answered task, whose reply is complete, to the decision log. */
 void task_record_decision(struct task *task, time_ns now);
 
 #endif
--- a/src/daemon/transaction.h
+++ b/src/daemon/transaction.h
@@ -1,6 +1,6 @@
-/* Interactive transactions: each holds one connection, exclusively, from its begin to its end. The
- * id names the daemon and its incarnation, so that any daemon can send the next request to the
- * owner, and so that a restarted owner is known not to have it. */
+/* Interactive transactions: each holds one connection exclusively from its begin to its end. The id
+ * names the daemon and its incarnation, so that any daemon can forward the next request to the
+ * owner, and so that a restarted owner is known not to have the transaction. */
 #ifndef SW_DAEMON_TRANSACTION_H
 #define SW_DAEMON_TRANSACTION_H
 
@@ -13,7 +13,7 @@
 
 struct transaction_table;
 
-/* One open transaction. Used by the one task that took it; between requests by the table. */
+/* One open transaction. Used by the task that took it; between requests by the table. */
 struct transaction {
     char *id;
     char *tenant;
@@ -25,9 +25,9 @@
     enum database_role role;                    /* of the database when it began */
     struct log_position seen;                   /* what its statements so far may have shown */
     bool counts_as_write;                       /* in the group's writes_running */
-    bool in_use;                                /* the table's */
+    bool in_use;                                /* set by the table */
     time_ns idle;                               /* longest pause between requests */
-    time_ns idle_until;                         /* the table's */
+    time_ns idle_until;                         /* set by the table */
     time_ns total_until;
 };
 
@@ -35,7 +35,7 @@
 enum transaction_lookup {
     TRANSACTION_TAKEN,    /* the caller has it until transaction_put or transaction_end */
     TRANSACTION_BUSY,     /* another request uses it */
-    TRANSACTION_NOT_OPEN, /* this daemon does not have it (any more) */
+    TRANSACTION_NOT_OPEN, /* this daemon does not have it, or no longer */
 };
 
 /* A table for a daemon of this name and incarnation (its start in wall-clock microseconds). */
@@ -44,51 +44,56 @@
 /* Frees an empty table. */
 void transaction_table_free(struct transaction_table *table);
 
-/* Daemon name in a transaction id, NULL if it is none. The caller frees it. */
+/* Daemon name in a transaction id; NULL if the id is malformed. The caller frees it. */
 char *transaction_owner_of(const char *id);
 
 /* A new id. The caller frees it. */
 char *transaction_table_make_id(struct transaction_table *table);
 
-/* Adds a begun transaction, in use by the caller; it has its id. */
+/* Adds a begun transaction that has its id. It stays in use by the caller. */
 void transaction_table_add(struct transaction_table *table, struct transaction *transaction);
 
 /* Takes a tenant's transaction for one request. */
 enum transaction_lookup transaction_table_take(struct transaction_table *table, const char *id,
                                                const char *tenant, struct transaction **out);
 
-/* Gives a transaction back after a request; it waits for the next one. */
+/* Returns a transaction to the table after a request, to wait for the next one. */
 void transaction_table_put(struct transaction_table *table, struct transaction *transaction);
 
-/* Ends a transaction in use: its connection goes back, or is closed unless clean. */
+/* Ends a transaction in use. Its connection is returned to the pool if it is clean, otherwise
+ * closed. */
 void transaction_table_end(struct transaction_table *table, struct transaction *transaction);
 
-/* Rolls back those whose time is over; with `all`, every one not in use. Returns how many. */
+/* Rolls back the transactions whose time has expired; with `all`, every one not in use. Returns how
+ * many. */
 uint32_t transaction_table_expire(struct transaction_table *table, time_ns now, bool all);
 
-/* Open transactions. */
+/* Number of open transactions. */
 uint32_t transaction_table_count(struct transaction_table *table);
 
-/* Role of the database that it began at, as callers are told. */
+/* Role of the database that the transaction began at, as reported to callers. */
 const char *transaction_role_name(const struct transaction *transaction);
 
-/* Enters a call on the transaction's connection, see active_calls_enter. False if another database
- * leads: the connection was broken, so that the database rolls back, and nothing may be sent. */
+/* Registers a call on the transaction's connection, see active_calls_enter. Returns false if
+ * another database is now the primary: the connection was broken, so that the database rolls back,
+ * and nothing may be sent. */
 bool transaction_enter(struct transaction *transaction, struct active_call *call,
                        enum active_call_kind kind);
 
 void transaction_leave(struct transaction *transaction, struct active_call *call);
 
-/* Runs statements; see adapter_statement. NOT_PRIMARY also if another database leads by now. */
+/* Runs statements; see adapter_statement. NOT_PRIMARY also if another database is now the primary.
+ */
 enum execute_result transaction_run(struct transaction *transaction,
                                     const struct sql_statement *statements, size_t count,
                                     time_ns deadline, const struct result_limits *limits,
                                     struct execute_answer *answer);
 
-/* Rolls back, and waits for it as long as that is of use. */
+/* Rolls back. The wait for the answer is aborted like any other call's, see active_calls.h. */
 void transaction_rollback(struct transaction *transaction, time_ns deadline);
 
-/* Commits; see adapter_commit. NOT_PRIMARY, rolled back, also if another database leads by now. */
+/* Commits; see adapter_commit. NOT_PRIMARY, rolled back, also if another database is now the
+ * primary. */
 enum execute_result transaction_commit(struct transaction *transaction, time_ns deadline,
                                        struct execute_answer *answer);
 
