--- a/src/daemon/active_calls.c
+++ b/src/daemon/active_calls.c
@@ -1,4 +1,4 @@
-/* Calls under way at a group's databases; see the header. */
+/* Calls in progress at a group's databases; see the header. */
 #include "daemon/active_calls.h"
 
 #include <fcntl.h>
--- a/src/daemon/active_calls.h
+++ b/src/daemon/active_calls.h
@@ -16,8 +16,9 @@
 enum active_call_kind {
     ACTIVE_CALL_READ,        /* aborted when the database is unreachable */
     ACTIVE_CALL_KEYED_WRITE, /* the same, and when it is no longer the primary */
-    ACTIVE_CALL_WRITE, /* only when it is no longer the primary: without a key its outcome can't be
-                          queried */
+    /* aborted only when the database is no longer the primary: without a key its outcome can't be
+     * queried */
+    ACTIVE_CALL_WRITE,
 };
 
 /* One call, on the stack of its thread. */
--- a/src/daemon/admin_api.c
+++ b/src/daemon/admin_api.c
@@ -1,4 +1,4 @@
-/* The operators' calls: starting, draining, stopping, health; see the header. */
+/* The admin listener's routes and handlers; see the header. */
 #define G_LOG_DOMAIN "admin"
 #include "daemon/admin_api.h"
 
@@ -31,7 +31,7 @@
     admin_answer_error(answer, error);
 }
 
-/* Refuses a question about a group that other daemons own, and names them. */
+/* Refuses a request about a group that only other daemons own, and lists their addresses. */
 static void refuse_elsewhere(struct admin_answer *answer, struct daemon *daemon, uint32_t group)
 {
     struct owner_list owners;
@@ -72,7 +72,7 @@
     configuration_unref(configuration);
 }
 
-/* Tells how far the drain of a database is. */
+/* Writes the progress of a database's drain. */
 static void tell_progress(struct admin_answer *answer, struct daemon *daemon, const char *database)
 {
     struct configuration *configuration = daemon_take_configuration(daemon);
@@ -93,7 +93,7 @@
     configuration_unref(configuration);
 }
 
-/* Marks the named database, or this daemon, as leaving or not. */
+/* Sets or clears the leaving mark of the named database or of this daemon. */
 static void mark(const struct admin_request *request, struct admin_answer *answer,
                  struct daemon *daemon, bool leaving)
 {
@@ -115,7 +115,7 @@
     mark(request, answer, user, true);
 }
 
-/* How far a drain is, of a database of an owned group or of this daemon. */
+/* Progress of a drain, of a database of an owned group or of this daemon. */
 static void handle_drain_progress(const struct admin_request *request, struct admin_answer *answer,
                                   void *user)
 {
@@ -135,7 +135,7 @@
     mark(request, answer, user, false);
 }
 
-/* A planned stop is what SIGTERM does. */
+/* Starts a planned stop by sending this process SIGTERM. */
 static void handle_stop(const struct admin_request *request, struct admin_answer *answer,
                         void *user)
 {
@@ -161,8 +161,8 @@
     admin_events_write(user, since, answer->body);
 }
 
-/* Takes in what a publisher hands over after it has moved the head; it comes into force after the
- * answer. */
+/* Accepts a version that a publisher hands over after it has moved the store's head. The version is
+ * put in force after the answer. */
 static void handle_configuration(const struct admin_request *request, struct admin_answer *answer,
                                  void *user)
 {
@@ -209,7 +209,7 @@
     }
 }
 
-/* What this daemon recorded of a group, also of one that it owns no more. */
+/* The trace that this daemon has recorded of a group, even if it no longer owns the group. */
 static void handle_trace(const struct admin_request *request, struct admin_answer *answer,
                          void *user)
 {
--- a/src/daemon/admin_drain.c
+++ b/src/daemon/admin_drain.c
@@ -1,4 +1,4 @@
-/* How far a drain is; see the header. */
+/* Progress of a drain; see the header. */
 #include "daemon/admin_drain.h"
 
 #include <string.h>
@@ -9,7 +9,7 @@
 #include "daemon/daemon.h"
 #include "daemon/transaction.h"
 
-/* Adds one owner's word. True if it does not use the database any more. */
+/* Adds one owner's report. Returns true if the owner no longer uses the database. */
 static bool add_owner(JsonBuilder *builder, struct group_runtime *group, uint64_t watcher,
                       const char *address, uint32_t database)
 {
@@ -41,7 +41,7 @@
     return unused;
 }
 
-/* The database's index in the group's run time; its count if it is not there. */
+/* Index of the database in the group's run time; database_count if it has none of this name. */
 static uint32_t find_database(const struct group_runtime *group, const char *name)
 {
     uint32_t index = 0;
@@ -83,7 +83,7 @@
     return true;
 }
 
-/* True if the other daemons are told that this one leaves. */
+/* True if this daemon announces itself to the others as leaving. */
 static bool is_leaving(struct daemon *daemon)
 {
     g_autoptr(GArray) members = control_list_members(daemon->control);
--- a/src/daemon/admin_explain.c
+++ b/src/daemon/admin_explain.c
@@ -1,4 +1,4 @@
-/* What the operators' explain tells; see the header. */
+/* JSON of `swiftctl explain`; see the header. */
 #include "daemon/admin_explain.h"
 
 #include <json-glib/json-glib.h>
@@ -13,7 +13,7 @@
 #include "generated/errors.h"
 #include "generated/messages.h"
 
-/* The decision that a request without a session would get now. */
+/* The routing decision for a request without a session, as of now. */
 static struct route_decision decide(struct daemon *daemon, const struct tenant_route *route,
                                     struct group_runtime *group, const struct group_view *view,
                                     bool write)
@@ -36,7 +36,8 @@
     return route_read(view, &request);
 }
 
-/* Why a database was chosen or passed over. Routing looks at no others once it has found one. */
+/* Why a database was chosen or rejected. Routing does not consider the rest once it has chosen one.
+ */
 static const char *verdict_text(bool chosen, enum route_reason chosen_for,
                                 enum route_reason passed_over_for)
 {
@@ -112,7 +113,7 @@
     return group != NULL;
 }
 
-/* The group of a record, if its databases are still those that the record counts; else NULL. */
+/* The group of a record, if its databases are still those of the record; otherwise NULL. */
 static const struct group_configuration *group_of(const struct configuration *configuration,
                                                   const struct decision_record *record)
 {
@@ -122,7 +123,7 @@
     return same ? group : NULL;
 }
 
-/* The group's name, or its number where it is gone; "" for none. The caller frees it. */
+/* The group's name; its number if it no longer exists; "" for none. The caller frees it. */
 static char *group_text(const struct configuration *configuration, uint32_t id)
 {
     const struct group_configuration *group =
@@ -133,7 +134,8 @@
     return id != 0 ? g_strdup_printf("#%u", id) : g_strdup("");
 }
 
-/* The name, or the index where the names have changed since; "" for none. The caller frees it. */
+/* The database's name; its index if the names have changed since; "" for none. The caller frees it.
+ */
 static char *database_text(const struct group_configuration *group, int32_t index)
 {
     if (index < 0) {
@@ -142,7 +144,7 @@
     return group != NULL ? g_strdup(group->databases[index].name) : g_strdup_printf("#%d", index);
 }
 
-/* A forwarded request's record has only what the other daemon told: no view of its own. */
+/* The record of a forwarded request has no view of its own, only what the other daemon reported. */
 static void add_seen_database(JsonBuilder *builder, const struct group_configuration *group,
                               const struct decision_record *record, int32_t index)
 {
@@ -179,7 +181,7 @@
     json_builder_end_array(builder);
 }
 
-/* How it came here and where it went. */
+/* Adds where the request was received from and forwarded to. */
 static void add_way(JsonBuilder *builder, const struct decision_record *record)
 {
     admin_json_flag(builder, "forwarded_here", record->hops > 0);
--- a/src/daemon/admin_json.c
+++ b/src/daemon/admin_json.c
@@ -1,4 +1,4 @@
-/* Members of the operators' answers; see the header. */
+/* JSON helpers of the admin API; see the header. */
 #include "daemon/admin_json.h"
 
 void admin_json_text(JsonBuilder *builder, const char *name, const char *value)
--- a/src/daemon/admin_log.c
+++ b/src/daemon/admin_log.c
@@ -1,4 +1,4 @@
-/* Levels of the log for operators; see the header. */
+/* Log levels in the admin API; see the header. */
 #include "daemon/admin_log.h"
 
 #include <string.h>
@@ -17,7 +17,7 @@
     return part == NULL || strcmp(part, ALL_PARTS) == 0;
 }
 
-/* Where there is no such part, the error names those that there are. */
+/* The error for an unknown part lists the known ones. */
 static bool check_part(const char *part, GError **error)
 {
     g_autoptr(GString) names = g_string_new(ALL_PARTS);
@@ -80,7 +80,7 @@
     if (!check_part(part, error)) {
         return false;
     }
-    /* Before the change: the line about a level that leaves it out is still written. */
+    /* Before the change, so that the log line is still written if the new level excludes it. */
     note_change(daemon, part, level);
     log_set_level(is_all(part) ? NULL : part, value);
     return admin_log_write(part, out, error);
--- a/src/daemon/admin_status.c
+++ b/src/daemon/admin_status.c
@@ -1,4 +1,4 @@
-/* The JSON of the operators' questions; see the header. */
+/* JSON of the admin API's status and events; see the header. */
 #include "daemon/admin_status.h"
 
 #include <json-glib/json-glib.h>
--- a/src/daemon/budget_plan.c
+++ b/src/daemon/budget_plan.c
@@ -1,4 +1,4 @@
-/* The arithmetic of connections; see the header. */
+/* Division of a database's connections; see the header. */
 #include "daemon/budget_plan.h"
 
 #include "core/error.h"
--- a/src/daemon/configuration_content.c
+++ b/src/daemon/configuration_content.c
@@ -6,10 +6,10 @@
 
 #include "configuration/configuration.h"
 
-/* Octets that one step of a conversion may give. */
+/* Output buffer of one conversion step, in bytes. */
 #define CONVERSION_STEP 65536
 
-/* zlib's level: the default between time and size. */
+/* zlib's default level, a balance between time and size. */
 #define COMPRESSION_LEVEL 6
 
 /* Hexadecimal digits of the hash in a mark. */
@@ -26,7 +26,7 @@
     return mark;
 }
 
-/* Runs a converter over all octets; NULL if it fails or would give more than `most`. */
+/* Runs a converter over all bytes; NULL if it fails or its output would exceed `most` bytes. */
 static GBytes *convert(GConverter *converter, const uint8_t *octets, gsize length, gsize most)
 {
     g_autoptr(GByteArray) out = g_byte_array_new();
--- a/src/daemon/configuration_difference.c
+++ b/src/daemon/configuration_difference.c
@@ -1,4 +1,4 @@
-/* Differences by common start and end; see the header. */
+/* Differences by common prefix and suffix; see the header. */
 #include "daemon/configuration_difference.h"
 
 #include "daemon/configuration_content.h"
@@ -12,7 +12,7 @@
     return length;
 }
 
-/* `left` and `right` point behind the last octets. */
+/* `left` and `right` point behind the last byte. */
 static gsize common_end(const uint8_t *left, const uint8_t *right, gsize most)
 {
     gsize length = 0;
--- a/src/daemon/configuration_fetch.c
+++ b/src/daemon/configuration_fetch.c
@@ -1,4 +1,4 @@
-/* The steps of an attempt to get a configuration; see the header. */
+/* The steps of one fetch of a configuration; see the header. */
 #include "daemon/configuration_fetch.h"
 
 #include <malloc.h>
@@ -11,14 +11,14 @@
 #include "configuration/version_store.h"
 #include "daemon/configuration_content.h"
 
-/* Longest time that one question to another daemon takes. */
+/* Time-out of one request to another daemon. */
 #define PEER_TIMEOUT_MS 2000
 
-/* One attempt. On its thread's stack. */
+/* State of one fetch, on its thread's stack. */
 struct fetch {
     const struct fetch_means *means;
     const struct fetch_order *order;
-    struct published_configuration *have; /* in force as the attempt began; or NULL */
+    struct published_configuration *have; /* in force when the fetch began; or NULL */
     struct fetch_result *result;
 };
 
@@ -43,8 +43,8 @@
     g_strlcpy(fetch->result->text, text, FETCH_TEXT_SIZE);
 }
 
-/* Parses a content, one at a time in the process: a large one takes many times its size for a
- * moment, which is given back to the system at once. */
+/* Parses a content. One at a time in the process: parsing a large content temporarily takes many
+ * times its size in memory, which is returned to the system at once. */
 static struct configuration *parse(GBytes *content, GPtrArray *problems)
 {
     static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
@@ -56,8 +56,8 @@
     return configuration;
 }
 
-/* Reads a whole content whose hash was checked, and works out the difference from what this daemon
- * has, for those who have the same. */
+/* Parses a complete content whose hash was checked, and computes its difference from the version in
+ * force here, to serve it to daemons that have the same version. */
 static void take_content(struct fetch *fetch, struct configuration_mark mark, GBytes *content)
 {
     g_autoptr(GPtrArray) problems = configuration_problems_new();
@@ -79,7 +79,7 @@
     configuration_unref(configuration);
 }
 
-/* The store. */
+/* Fetch from the store. */
 
 static void get_bundle(struct fetch *fetch, const char *hash)
 {
@@ -96,7 +96,7 @@
     }
 }
 
-/* True if the head's content is wanted and not in force already. */
+/* True if the head's content is requested and not already in force. */
 static bool wants_head(const struct fetch *fetch)
 {
     uint64_t head = fetch->result->head.version;
@@ -108,7 +108,8 @@
            (fetch->order->source == FETCH_SOURCE_STORE && head == fetch->order->wanted.version);
 }
 
-/* Reads the head into the result. `row` is the caller's; NULL unless something is published. */
+/* Reads the head into the result. The caller frees `row`, which stays NULL unless a version is
+ * published. */
 static void read_head(struct fetch *fetch, struct version_row **row)
 {
     g_autoptr(GError) error = NULL;
@@ -132,14 +133,15 @@
     version_row_free(row);
 }
 
-/* The publisher. */
+/* Handover by a publisher. */
 
 static bool is_same(struct configuration_mark left, struct configuration_mark right)
 {
     return left.version == right.version && left.hash == right.hash;
 }
 
-/* Judges what was handed over by the store's head, which says what is accepted. */
+/* Processes a handover when the store's head is known: takes the head's content if the head is
+ * newer, the handed over content if it is the head, and rejects it otherwise. */
 static void take_handed_by_head(struct fetch *fetch, const char *head_hash)
 {
     struct configuration_mark handed = fetch->order->wanted;
@@ -152,7 +154,8 @@
     }
 }
 
-/* Judges it without the store: by the publisher's word, if it knew what is in force here. */
+/* Checks the handover without the store: accepts it if the publisher's base is the version in force
+ * here. */
 static void take_handed_by_word(struct fetch *fetch)
 {
     struct configuration_mark handed = fetch->order->wanted;
@@ -176,9 +179,9 @@
     version_row_free(row);
 }
 
-/* Another daemon. */
+/* Fetch from another daemon. */
 
-/* The whole content that a reply gives, or NULL. */
+/* The complete content that a reply yields, or NULL. */
 static GBytes *content_of_reply(const struct fetch *fetch, const struct configuration_reply *reply)
 {
     if (reply->base_version == 0) {
@@ -197,7 +200,7 @@
     return configuration_difference_apply(configuration_canonical(before), &difference);
 }
 
-/* True if a content is what the reply and the order say that it is. */
+/* True if the content matches both the reply and the order. */
 static bool is_genuine(const struct fetch *fetch, const struct configuration_reply *reply,
                        struct configuration_mark mark, const char *hash)
 {
@@ -225,7 +228,7 @@
     take_content(fetch, mark, content);
 }
 
-/* Puts the question once. `base` is what a difference may start from; version 0: none. */
+/* Sends one request. `base` is the version that a difference may start from; version 0: none. */
 static void ask_peer(struct fetch *fetch, struct configuration_mark base)
 {
     struct message request;
@@ -252,7 +255,8 @@
     message_clear(&reply);
 }
 
-/* Asks for a difference if this daemon has something; whole, if that leads nowhere. */
+/* Requests a difference if this daemon has a version, and the complete content if the difference
+ * can't be used. */
 static void ask_peer_twice(struct fetch *fetch)
 {
     struct configuration_mark have = mark_of_have(fetch);
@@ -266,7 +270,7 @@
     }
 }
 
-/* True if what is wanted came into force while the order waited. */
+/* True if the requested version came into force while the order was queued. */
 static bool is_stale(const struct fetch *fetch)
 {
     uint64_t wanted = fetch->order->wanted.version;
--- a/src/daemon/configuration_fetcher.c
+++ b/src/daemon/configuration_fetcher.c
@@ -1,4 +1,4 @@
-/* The fetcher's threads and their orders; see the header. */
+/* The fetcher's threads and their queued orders; see the header. */
 #define G_LOG_DOMAIN "configuration"
 #include "daemon/configuration_fetcher.h"
 
@@ -12,11 +12,11 @@
 #include "core/error.h"
 #include "generated/errors.h"
 
-/* Size of a file with a secret, and bits of its mode that it may not have. */
+/* Maximum size of a file with a secret, and permission bits that it must not have. */
 #define SECRET_OCTETS_MAX   4096
 #define SECRET_MODE_REFUSED 077
 
-/* One thread, and what it is to do next. */
+/* One thread and its queued orders, one per source. */
 struct fetch_worker {
     struct configuration_fetcher *fetcher;
     pthread_t thread;
@@ -35,7 +35,7 @@
     struct fetch_worker peer_worker;
 };
 
-/* Takes an order of one source, with the lock held; false if there is none. */
+/* Takes the queued order of one source; false if there is none. Called with the lock held. */
 static bool take_from(struct fetch_worker *worker, enum fetch_source source,
                       struct fetch_order *order)
 {
@@ -47,7 +47,8 @@
     return true;
 }
 
-/* Waits for the next order: contents go before heads. False once the fetcher ends. */
+/* Waits for the next order. Orders for contents precede those for heads. Returns false when the
+ * fetcher stops. */
 static bool take_order(struct fetch_worker *worker, struct fetch_order *order)
 {
     bool taken = false;
@@ -130,7 +131,7 @@
     g_free(fetcher);
 }
 
-/* True if an order is not worth one that waits. */
+/* True if the order must not replace the queued one. */
 static bool is_outdone(const struct fetch_worker *worker, const struct fetch_order *order)
 {
     return order->source == FETCH_SOURCE_PUBLISHER && worker->is_pending[order->source] &&
@@ -160,7 +161,7 @@
     g_set_error(error, SW_ERROR, ERROR_KIND_INVALID_CONFIGURATION, "%s: %s", path, fault);
 }
 
-/* Reads an open file with a secret into `text`, which has SECRET_OCTETS_MAX octets and is zero. */
+/* Reads an open file with a secret into `text`, a zeroed buffer of SECRET_OCTETS_MAX bytes. */
 static bool read_secret(int file, const char *path, char *text, GError **error)
 {
     struct stat status;
--- a/src/daemon/configuration_share.c
+++ b/src/daemon/configuration_share.c
@@ -1,4 +1,4 @@
-/* What other daemons get of the configuration in force; see the header. */
+/* The configuration in force, as served to other daemons; see the header. */
 #include "daemon/configuration_share.h"
 
 #include <pthread.h>
@@ -6,16 +6,16 @@
 #include "daemon/configuration_content.h"
 #include "wire/connection.h"
 
-/* Room that a reply needs beside its content, in octets. */
+/* Bytes of a reply besides its content. */
 #define REPLY_OVERHEAD 256
 
 struct published_configuration {
     struct configuration_mark mark;
     struct configuration *configuration; /* one reference */
-    struct configuration_mark base;      /* of the difference; version 0: there is none */
+    struct configuration_mark base;      /* base of `difference`; version 0: there is none */
     struct configuration_difference difference;
     pthread_mutex_t lock;
-    GBytes *whole; /* compressed; made when first asked for, under the lock */
+    GBytes *whole; /* compressed content; created on first use, under the lock */
 };
 
 struct configuration_share {
--- a/src/daemon/control.c
+++ b/src/daemon/control.c
@@ -16,10 +16,10 @@
 #include "daemon/transaction.h"
 #include "generated/errors.h"
 
-/* The loop looks at everything at least this often. */
+/* Longest time between two passes of the loop. */
 #define CONTROL_PERIOD_MS 100
 
-/* Time between two looks for idle connections to other daemons. */
+/* Interval at which idle connections to other daemons are closed. */
 #define PEERS_SWEEP_MS 2000
 
 void control_post(struct control *control, const struct control_event *event)
@@ -99,7 +99,7 @@
     }
 }
 
-/* Closes connections to other daemons that nobody uses any more. */
+/* Closes idle connections to other daemons. */
 static void peers_tick(struct control *control, time_ns now)
 {
     if (now < control->peers_sweep_at) {
@@ -110,7 +110,7 @@
     peer_pool_close_idle(control->daemon->peers, idle_since);
 }
 
-/* Notes the begin and the end of a refusal storm. */
+/* Records the begin and the end of a refusal storm in the journal. */
 static void refusals_tick(struct control *control, time_ns now)
 {
     struct refusal_note note = refusal_watch_look(&control->daemon->refusals, now);
--- a/src/daemon/control_budget.c
+++ b/src/daemon/control_budget.c
@@ -1,4 +1,4 @@
-/* Hand-over of groups; see the header. */
+/* Handover of groups between owners; see the header. */
 #define G_LOG_DOMAIN "budget"
 #include "daemon/control_budget.h"
 
@@ -7,27 +7,27 @@
 #include "daemon/daemon.h"
 #include "wire/datagram.h"
 
-/* How often the new owners are asked whether they are warm, and the ends of connections looked at.
- */
+/* Interval at which the new owners are asked whether their pools are warm, and at which the ends of
+ * connections are checked. */
 #define RELEASE_STEP_MS 25
 
 enum release_state {
     RELEASE_STATE_HANDING_OVER, /* served here until the new owners are warm */
-    RELEASE_STATE_DRAINING,     /* only what runs goes on */
+    RELEASE_STATE_DRAINING,     /* only running requests continue */
 };
 
-/* A group that this daemon lost and still has connections of. */
+/* A group that this daemon no longer owns but still has connections of. */
 struct release {
     uint32_t group;
     enum release_state state;
     struct group_runtime *runtime; /* one reference */
     struct handover handover;
-    uint32_t told; /* databases whose release was told to the owners */
+    uint32_t told; /* bit per database whose release was announced to the owners */
 };
 
 struct control_budget {
     struct control *control;
-    GPtrArray *releases; /* of struct release; at most one of a group is HANDING_OVER */
+    GPtrArray *releases; /* of struct release; at most one per group is HANDING_OVER */
     time_ns next_step_at;
 };
 
@@ -60,7 +60,7 @@
     return (UINT32_C(1) << runtime->database_count) - 1;
 }
 
-/* Databases that this daemon reaches, one bit each. */
+/* Bit per database that is reachable from this daemon. */
 static uint32_t reachable_databases(struct group_runtime *runtime)
 {
     struct group_view view;
@@ -72,7 +72,7 @@
     return mask;
 }
 
-/* The group's release that still serves, or NULL. */
+/* The group's release that is still served here, or NULL. */
 static struct release *find_handing_over(struct control_budget *budget, uint32_t group)
 {
     for (guint i = 0; i < budget->releases->len; i++) {
@@ -96,7 +96,7 @@
     message_clear(&message);
 }
 
-/* The owners of a group other than this daemon, into `owners` (room for OWNERS_MAX). */
+/* Copies the owners of a group other than this daemon into `owners` (OWNERS_MAX entries). */
 static uint32_t other_owners(struct control_budget *budget, uint32_t group,
                              struct member_entry *owners)
 {
@@ -112,7 +112,7 @@
     return count;
 }
 
-/* Asks an owner about the databases at which it is not known to be warm. */
+/* Asks an owner about the databases for which it has not yet reported to be warm. */
 static void ask_owner(struct control_budget *budget, const struct release *release,
                       const struct member_entry *owner, time_ns now)
 {
@@ -125,7 +125,7 @@
     }
 }
 
-/* Asks the new owners, and says how far the hand-over is. */
+/* Asks the new owners and returns the state of the handover. */
 static enum handover_state step_handover(struct control_budget *budget, struct release *release,
                                          time_ns now)
 {
@@ -143,7 +143,7 @@
     return handover_state(&release->handover, now);
 }
 
-/* From here on new requests go to the new owners. */
+/* From now on new requests go to the new owners. */
 static void start_draining(struct control_budget *budget, struct release *release)
 {
     release->state = RELEASE_STATE_DRAINING;
@@ -157,7 +157,7 @@
     }
 }
 
-/* Tells the owners of a database that its numbers are free. */
+/* Announces to the owners of a database that this daemon's connection numbers are free. */
 static void tell_released(struct control_budget *budget, const struct release *release,
                           uint32_t database)
 {
@@ -177,7 +177,7 @@
     journal_add(budget->control->journal, &entry);
 }
 
-/* Lets connections go as the requests that run end. True if nothing is left. */
+/* Closes connections as the running requests end. Returns true if none is left. */
 static bool drain(struct control_budget *budget, struct release *release, time_ns now)
 {
     if (!group_runtime_is_shared(release->runtime) || now >= release->handover.until) {
@@ -194,7 +194,7 @@
            !group_runtime_is_shared(release->runtime);
 }
 
-/* True if the release is over. */
+/* Returns true if the release is complete. */
 static bool step(struct control_budget *budget, struct release *release, time_ns now)
 {
     if (release->state == RELEASE_STATE_HANDING_OVER) {
@@ -225,7 +225,8 @@
 static void set_position(struct group_runtime *runtime, int32_t position)
 {
     for (uint32_t i = 0; i < runtime->database_count; i++) {
-        /* That the old owner lives is the safe guess: the numbers for hand-over come first. */
+        /* Whether the old owner is alive is not known here. The safe assumption is that it is: then
+         * the pool first opens the numbers reserved for handover. */
         pool_set_position(runtime->databases[i].pool, position, true);
     }
 }
@@ -242,7 +243,8 @@
     }
 }
 
-/* A lost group is served for so long at most; then its pools close in any case, too. */
+/* Maximum time for which a group is served after its loss, and then for which its pools may stay
+ * open. */
 static time_ns handover_max(const struct control_budget *budget)
 {
     const struct settings *settings = &budget->control->daemon->settings;
@@ -268,14 +270,14 @@
 {
     struct release *release = find_handing_over(budget, group);
     if (release != NULL) {
-        /* Nothing is opened for a group that is about to go. */
+        /* No connections are opened for a group that is about to end. */
         start_draining(budget, release);
         return;
     }
     control_budget_place(budget, group, ownership_position(budget->control->ownership, group));
 }
 
-/* Tells the asker if this daemon can serve from a database. */
+/* Answers whether this daemon can serve from a database. */
 static void answer(struct control_budget *budget, const struct budget_notice *asked,
                    const struct sockaddr_in *from)
 {
--- a/src/daemon/control_configuration.c
+++ b/src/daemon/control_configuration.c
@@ -1,4 +1,4 @@
-/* Currency's shell on the control thread; see the header. */
+/* Drives the core's currency state machine on the control thread; see the header. */
 #define G_LOG_DOMAIN "configuration"
 #include <string.h>
 
@@ -8,7 +8,7 @@
 #include "daemon/configuration_content.h"
 #include "daemon/control_configuration_internal.h"
 
-/* How often the members' configurations are looked through. */
+/* Interval at which the members' configurations are checked. */
 #define SURVEY_INTERVAL_MS 1000
 
 void configuration_note(struct control_configuration *self, const char *kind, const char *text)
@@ -19,7 +19,7 @@
     journal_add(self->control->journal, &entry);
 }
 
-/* What the journal calls a source. */
+/* Name of a source in the journal. */
 static const char *name_of(const struct fetch_order *order)
 {
     switch (order->source) {
@@ -71,7 +71,8 @@
            mark.hash == self->unfit.hash;
 }
 
-/* Asks a member or, without one, the store; fails at once where that is in vain. */
+/* Fetches from a member or, if none is given, from the store. Fails at once if the version is known
+ * not to parse, or the member is unknown. */
 static void fetch(struct control_configuration *self, const struct currency_action *action,
                   GArray *actions)
 {
@@ -91,8 +92,8 @@
     configuration_order(self, FETCH_SOURCE_PEER, action->mark, address);
 }
 
-/* A configuration without this daemon's zone is in force all the same; the daemon keeps the zone
- * number that it joined with. */
+/* A configuration that lacks this daemon's zone is put in force nevertheless; the daemon keeps the
+ * zone number with which it joined. */
 static void check_zone(struct control_configuration *self,
                        const struct configuration *configuration)
 {
@@ -106,7 +107,8 @@
     }
 }
 
-/* What was accepted comes into force; a database without room for its owners is not served. */
+/* An accepted configuration is put in force even if a database has too few connections for its
+ * owners; that database is not served. */
 static void check_budgets(struct control_configuration *self,
                           const struct configuration *configuration)
 {
@@ -127,7 +129,7 @@
     configuration_note(self, "configuration_applied", text);
 }
 
-/* Puts in force what was just fetched. */
+/* Puts the fetched configuration in force. */
 static void apply(struct control_configuration *self)
 {
     struct control *control = self->control;
@@ -162,7 +164,7 @@
     configuration_note(self, "configuration_stopped", reason);
 }
 
-/* Performs actions; those that follow from them are appended meanwhile. */
+/* Performs actions, including those that are appended while they run. */
 static void perform(struct control_configuration *self, GArray *actions)
 {
     for (guint i = 0; i < actions->len; i++) {
@@ -217,7 +219,7 @@
     perform(self, actions);
 }
 
-/* The store names another content for the version in force. */
+/* The store has different content under the version in force. */
 static bool contradicts(struct control_configuration *self, struct configuration_mark head)
 {
     struct configuration_mark applied = currency_applied(self->currency);
@@ -233,7 +235,7 @@
     return contradicted;
 }
 
-/* Takes in what the store told of its head. */
+/* Processes the head that the store reported. */
 static void take_head(struct control_configuration *self, const struct fetch_result *result,
                       GArray *actions)
 {
@@ -249,7 +251,7 @@
         return;
     }
     note_heard(self, result->head, "the store");
-    /* An answer that was overtaken by news confirms nothing. */
+    /* If a newer version became known meanwhile, the answer is outdated and confirms nothing. */
     if (result->head.version >= currency_newest(self->currency).version) {
         membership_announce_configuration(self->control->membership, result->head);
         membership_record_store_reply(self->control->membership, result->asked_at);
@@ -268,7 +270,7 @@
     }
 }
 
-/* Takes in what a source gave. */
+/* Processes the content that a source returned. */
 static void take_content(struct control_configuration *self, const struct fetch_result *result,
                          GArray *actions)
 {
@@ -300,7 +302,8 @@
     }
 }
 
-/* When most daemons were last known to have what is in force here. */
+/* Time at which a majority of the daemons was last known to have the configuration in force here.
+ */
 static time_ns agreed_at(const struct control_configuration *self, time_ns peers_confirmed_at,
                          time_ns now)
 {
@@ -398,7 +401,7 @@
     control_post(user, &event);
 }
 
-/* The object store's URL, without a slash at its end; the table service's if none is set. */
+/* URL of the object store without trailing slashes; that of the table service if none is set. */
 static char *object_endpoint(const struct settings *settings)
 {
     const char *own = settings->platform.object_endpoint;
--- a/src/daemon/control_configuration_search.c
+++ b/src/daemon/control_configuration_search.c
@@ -1,11 +1,12 @@
-/* The search for a first configuration. Gossip names zones by number, and only a configuration
- * tells the number of this daemon's zone, so a daemon joins the others when it has found one. */
+/* The search for the first configuration. Gossip identifies zones by number, and only a
+ * configuration maps the name of this daemon's zone to its number. A daemon therefore joins the
+ * membership once it has found one. */
 #include <string.h>
 
 #include "backend/clock.h"
 #include "daemon/control_configuration_internal.h"
 
-/* Sources are tried this often, give or take the jitter. */
+/* Interval at which sources are tried, and its jitter in both directions. */
 #define SEARCH_INTERVAL_MS 1000
 #define SEARCH_JITTER_MS   250
 
@@ -14,7 +15,8 @@
     return strcmp(address, peer_server_address(self->control->daemon->peer_server)) == 0;
 }
 
-/* Asks the next of the other daemons that the settings name, if any is left in this round. */
+/* Sends a request to the next daemon that the settings list as a seed, if any is left in this
+ * round. */
 static void ask_next_seed(struct control_configuration *self)
 {
     const struct address_list *peers = &self->control->daemon->settings.daemon.peers;
@@ -46,7 +48,7 @@
     }
 }
 
-/* The zone of this daemon if gossip can carry its number; else NULL. */
+/* This daemon's zone if gossip can carry its number; otherwise NULL. */
 static const struct zone_configuration *own_zone(struct control_configuration *self,
                                                  const struct configuration *configuration)
 {
@@ -55,7 +57,7 @@
     return zone != NULL && zone->id < MEMBERSHIP_ZONES_MAX ? zone : NULL;
 }
 
-/* Notes that a version does not do, so that only later ones are asked for. */
+/* Records that a version is not usable, so that only later ones are requested. */
 static void pass_over(struct control_configuration *self, uint64_t version, const char *why)
 {
     if (version < self->search_from) {
@@ -67,7 +69,7 @@
     configuration_publish_status(self);
 }
 
-/* Joins the others if the result's configuration has this daemon's zone. */
+/* Joins the membership if the result's configuration has this daemon's zone. */
 static bool join_with(struct control_configuration *self, const struct fetch_result *result)
 {
     const struct zone_configuration *zone =
--- a/src/daemon/control_configuration_status.c
+++ b/src/daemon/control_configuration_status.c
@@ -1,4 +1,4 @@
-/* What operators and request threads see of the configuration; see the headers. */
+/* State of the configuration for operators and request threads; see the headers. */
 #include <string.h>
 
 #include "daemon/control_configuration_internal.h"
@@ -35,7 +35,8 @@
     time_ns bound = daemon->settings.configuration.currency_bound_ms * NANOSECONDS_PER_MILLISECOND;
     bool serving = currency_serving(self->currency);
     time_ns confirmed_at = currency_confirmed_at(self->currency);
-    /* Request threads go by the clock, as the control thread may be paused with its process. */
+    /* Request threads compare with the clock, as the control thread may have been paused with its
+     * process. */
     atomic_store(&daemon->serve_until, serving ? confirmed_at + bound : 0);
     pthread_mutex_lock(&self->status_lock);
     struct configuration_status *status = &self->status;
@@ -63,7 +64,7 @@
     pthread_mutex_unlock(&self->status_lock);
 }
 
-/* True if a member of this zone was last heard of with an older configuration. */
+/* True if the last message of a member of this zone reported an older configuration. */
 static bool is_straggler(const struct member *member, const struct member *self, uint64_t newest)
 {
     bool alive = member->state == MEMBER_STATE_ALIVE || member->state == MEMBER_STATE_SUSPECT;
--- a/src/daemon/control_groups.c
+++ b/src/daemon/control_groups.c
@@ -16,16 +16,17 @@
 #include "daemon/ledger_upkeep.h"
 #include "daemon/task.h"
 
-/* A fence, promotion or follow without an answer for so long is lost. */
+/* Time after which a fence, promotion or follow command without an answer counts as failed. */
 #define COMMAND_TIMEOUT_MS 300
 
-/* After the databases of a group changed and most daemons know: time for the news to reach the last
- * daemon of a zone, and for what was begun under the databases of before to end: the longest
- * transaction that a template allows, and its last statement. */
+/* Waiting times after the databases of a group changed and a majority of the daemons has the
+ * change: for the change to reach the last daemon of a zone, and for work begun under the previous
+ * databases to end, that is the longest transaction that a template allows and its last statement.
+ */
 #define SETTLING_SPREAD_MS 60000
 #define SETTLING_WORK_MS   360000
 
-/* Between two removals of old keys from a group's ledger. */
+/* Interval between two removals of expired keys from a group's ledger. */
 #define LEDGER_EXPIRE_INTERVAL_MS 60000
 
 static void make_sure_of_ledger(struct controlled_group *group, const struct group_view *view)
@@ -37,7 +38,7 @@
     ledger_upkeep_create(group->control->daemon->workers, group->runtime, view);
 }
 
-/* Longest time that a tenant of the group wants keys remembered, in days. */
+/* Longest retention time of keys among the tenants of the group, in days. */
 static uint32_t days_to_remember(struct daemon *daemon, uint32_t group)
 {
     uint32_t days = 0;
@@ -52,8 +53,8 @@
     return days;
 }
 
-/* Ends old keys now and then, at one owner of the group. A key lives as long as the group's longest
- * bound: longer than its tenant asked for, never shorter. */
+/* Removes expired keys periodically, at one owner of the group. Keys are kept for the longest
+ * retention time in the group: some longer than their tenant's setting, never shorter. */
 static void expire_ledger(struct controlled_group *group, time_ns now)
 {
     struct daemon *daemon = group->control->daemon;
@@ -74,13 +75,13 @@
     return g_hash_table_lookup(control->groups, GUINT_TO_POINTER(id));
 }
 
-/* A command under way at the prober. */
+/* A command in progress at the prober. */
 struct pending_command {
     struct control *control;
     uint64_t id; /* of the core's action */
 };
 
-/* Called on the prober's thread, which knows groups by the number of their run time. */
+/* Called on the prober's thread, which identifies a group by the number of its run time. */
 static void on_command_done(void *user, uint32_t runtime, uint32_t database,
                             const struct channel_reply *reply)
 {
@@ -136,7 +137,7 @@
                   on_command_done, pending);
 }
 
-/* Bit per database that has requests or connections in use here. */
+/* Bit per database with requests or connections in use here. */
 static uint32_t busy_databases(struct group_runtime *runtime)
 {
     uint32_t busy = 0;
@@ -153,7 +154,8 @@
     return busy;
 }
 
-/* What this daemon uses of the group now; kept here as well as told. */
+/* Computes which databases of the group this daemon uses, and records it here as a report like the
+ * other owners'. */
 static uint32_t note_own_uses(struct controlled_group *group, uint64_t watcher)
 {
     struct group_uses *uses = &group->runtime->uses;
@@ -196,8 +198,8 @@
 {
     const struct group_view *view = group_control_view(group->machine);
     for (uint32_t i = 0; i < view->database_count; i++) {
-        /* Of a database not probed yet nothing is known: its pool may be a predecessor's, in use.
-         */
+        /* A database that was not probed yet has no known state, and its pool may be in use, shared
+         * with a predecessor. */
         if (view->databases[i].observed_at > 0 || view->databases[i].reachable) {
             pool_set_reachable(group->runtime->databases[i].pool, view->databases[i].reachable);
         }
@@ -222,8 +224,9 @@
     journal_add(group->control->journal, &entry);
 }
 
-/* Whose configuration may have been replaced must not change a group's primary: it might count a
- * majority of databases that the group no longer has. The clock decides, as for requests. */
+/* A daemon whose configuration may have been replaced must not change a group's primary: it might
+ * count a majority of databases that the group no longer has. The clock decides, as for requests.
+ */
 static bool may_perform(const struct controlled_group *group, const struct group_action *action)
 {
     bool changes_primary = action->kind == GROUP_ACTION_FENCE ||
@@ -232,7 +235,7 @@
     return !changes_primary || daemon_may_serve(group->control->daemon);
 }
 
-/* As if the command had got no answer: it is sent again later. */
+/* Treats the command as unanswered, so that it is sent again later. */
 static void lose_command(struct controlled_group *group, const struct group_action *action)
 {
     struct control_event event = {
@@ -363,7 +366,7 @@
     }
 }
 
-/* Called under the group's writes lock, on any thread. */
+/* Called under the group's writes_lock, on any thread. */
 static void on_drained(void *user, uint32_t runtime, uint64_t change)
 {
     struct control_event event = {
@@ -476,7 +479,8 @@
     }
 }
 
-/* Ends the control of a group's run time: its view stays as it is for what is in flight. */
+/* Ends the control of a group's run time. Its last view stays published for requests in progress.
+ */
 static void release_runtime(struct control *control, struct controlled_group *group)
 {
     uint32_t number = group->runtime->number;
@@ -496,8 +500,8 @@
     atomic_store(&control->groups_held, g_hash_table_size(control->groups));
 }
 
-/* The group's run time in the routing table, with one reference, if it is another than the one that
- * is controlled; else NULL. */
+/* The group's run time in the routing table, with one reference, if it differs from the one under
+ * control; otherwise NULL. */
 static struct group_runtime *take_successor(struct control *control,
                                             const struct controlled_group *group)
 {
--- a/src/daemon/control_members.c
+++ b/src/daemon/control_members.c
@@ -1,5 +1,5 @@
-/* The control thread's members: drives membership over the datagram socket, and publishes the
- * member table from which owners are derived. */
+/* The control thread's membership: drives it over the datagram socket, and publishes the member
+ * table from which owners are derived. */
 #define G_LOG_DOMAIN "members"
 #include <arpa/inet.h>
 #include <string.h>
@@ -21,10 +21,10 @@
 #include "wire/address.h"
 #include "wire/datagram.h"
 
-/* Datagrams taken in one go before other work gets its turn. */
+/* Datagrams received in one pass, so that other work is not delayed. */
 #define DATAGRAMS_PER_TURN 64
 
-/* Names an incarnation of a daemon as a watcher. */
+/* Watcher id of an incarnation of a daemon. */
 static uint64_t watcher_id(uint64_t member, uint64_t start)
 {
     return XXH3_64bits_withSeed(&member, sizeof(member), start);
@@ -127,7 +127,7 @@
 static void send_gossip(struct control *control, const struct membership_action *action)
 {
     struct sockaddr_in to = to_socket_address(action->to);
-    /* The encoder only reads: the union borrows the list's message. */
+    /* The encoder only reads, so that the message may borrow from the list. */
     struct message message = {.kind = MESSAGE_KIND_GOSSIP, .gossip = action->message};
     control_send(control, &to, &message);
 }
@@ -185,7 +185,7 @@
     }
 }
 
-/* Identity of the deployment that a datagram says to be of. */
+/* Deployment that a datagram claims to belong to. */
 static uint32_t deployment_of(const struct message *message)
 {
     switch (message->kind) {
--- a/src/daemon/control_ownership.c
+++ b/src/daemon/control_ownership.c
@@ -1,5 +1,5 @@
-/* Which groups this daemon owns: feeds ownership with members and groups, starts and ends the
- * groups gained and lost, and publishes the owners that request threads forward to. */
+/* The groups that this daemon owns: feeds ownership with members and groups, starts gained groups
+ * and releases lost ones, and publishes the owners that request threads forward to. */
 #define G_LOG_DOMAIN "owners"
 #include <stdlib.h>
 #include <string.h>
@@ -11,10 +11,10 @@
 #include "daemon/control_slots.h"
 #include "daemon/daemon.h"
 
-/* A daemon that finds no other claims its groups after this long. */
+/* Time after which a daemon that finds no other claims its groups. */
 #define OWNERSHIP_SETTLE_MS 1000
 
-/* A zone counts as in reach if it was heard of within this time. */
+/* A zone counts as reachable if a message from it was received within this time. */
 #define MAJORITY_WITHIN_MS 5000
 
 static void fill_group(struct ownership_group *out, const struct group_configuration *group)
@@ -32,7 +32,7 @@
     out->count = (uint32_t)ownership_owners(control->ownership, group, out->owners);
 }
 
-/* Replaces the owners that request threads read; groups are in the order of their ids. */
+/* Replaces the table of owners that request threads read; groups are ordered by id. */
 static void publish_owners(struct control *control)
 {
     struct configuration *configuration = daemon_take_configuration(control->daemon);
@@ -59,7 +59,7 @@
     journal_add(control->journal, &entry);
 }
 
-/* Starts the groups gained, hands over those lost. */
+/* Starts gained groups and hands over lost ones. */
 static void apply_changes(struct control *control, const GArray *changes)
 {
     for (guint i = 0; i < changes->len; i++) {
@@ -116,7 +116,7 @@
     apply_changes(control, changes);
 }
 
-/* Takes in what membership holds now. */
+/* Copies the current members into ownership. */
 static void take_members(struct control *control, GArray *changes)
 {
     for (size_t i = 0; i < membership_count(control->membership); i++) {
@@ -146,7 +146,7 @@
     }
 }
 
-/* True if the member list can be relied on: it is whole, and more than half of it is in reach. */
+/* True if the member list is complete and more than half of the members are reachable. */
 static bool view_is_reliable(struct control *control, time_ns now)
 {
     if (control->daemon->settings.daemon.peers.count == 0) {
--- a/src/daemon/control_probes.c
+++ b/src/daemon/control_probes.c
@@ -1,16 +1,17 @@
-/* The control thread's probes: which databases are probed, how often, and what comes of it. */
+/* The control thread's probes: which databases are probed, how often, and how the results are
+ * passed on. */
 #define G_LOG_DOMAIN "control"
 #include "backend/clock.h"
 #include "daemon/control_internal.h"
 #include "daemon/daemon.h"
 
-/* Probe intervals without a good probe before a primary is suspected, at least. */
+/* Minimum number of probe intervals without a successful probe before a primary is suspected. */
 #define PROBES_BEFORE_SUSPICION 4
 
-/* Probes of a database that reads ask for are at least so far apart. */
+/* Minimum interval between the probes of a database that reads request. */
 #define PROBE_NOW_INTERVAL_MS 2
 
-/* Opening a control connection may take so long. */
+/* Time-out for opening a control connection. */
 #define OPEN_TIMEOUT_MS 500
 
 /* Called on the prober's thread. */
@@ -92,7 +93,7 @@
     group_control_set_detection(group->machine, after, after);
 }
 
-/* Brings the next probe of each of the group's databases forward. */
+/* Moves the next probe of each of the group's databases forward. */
 static void probe_soon(struct control *control, const struct controlled_group *group)
 {
     for (uint32_t i = 0; i < group->runtime->database_count; i++) {
@@ -100,9 +101,10 @@
     }
 }
 
-/* Spreads the probes that this daemon may make over the databases it watches: a daemon that owns
- * many groups probes each more rarely, and waits longer before it suspects a primary. One that has
- * handed groups over probes the others at once: their next probe was set by the longer interval. */
+/* Divides the probes that this daemon may make among its databases: a daemon that owns many groups
+ * probes each less often, and waits longer before it suspects a primary. After it has handed groups
+ * over it probes the others at once, since their next probe was scheduled by the longer interval.
+ */
 void control_probes_pace(struct control *control)
 {
     const struct settings *settings = &control->daemon->settings;
--- a/src/daemon/control_slots.c
+++ b/src/daemon/control_slots.c
@@ -8,7 +8,7 @@
 #include "daemon/daemon.h"
 #include "daemon/task.h"
 
-/* An owner of a group, and where it listens. */
+/* An owner of a group and its peer address. */
 struct owner_address {
     bool found;
     struct sockaddr_in address;
@@ -69,7 +69,8 @@
     return load;
 }
 
-/* Lets in as many requests as there are slots now. Called with the admission_lock held. */
+/* Sets the number of slots and starts the queued requests that fit. Called with the admission_lock
+ * held. */
 static void apply_limit(struct controlled_group *group, uint32_t index, time_ns now)
 {
     struct database_runtime *database = &group->runtime->databases[index];
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -24,34 +24,35 @@
 #include "trace/trace_recorder.h"
 #include "wire/address.h"
 
-/* Bounds of one answer: what fits a forwarded reply. */
+/* Limits of one answer: it must fit into a forwarded reply. */
 static const struct result_limits result_limits = {.rows_max = 10000, .bytes_max = 4 << 20};
 
-/* How long a member waits for a position, and how much later its connection is given up. */
+/* Time for which a member waits for a position, additional time before its connection is closed,
+ * and times for opening and reopening. */
 #define EVIDENCE_WAIT_MS         500
 #define EVIDENCE_TIMEOUT_MS      300
 #define EVIDENCE_OPEN_TIMEOUT_MS 500
 #define EVIDENCE_REOPEN_MS       50
 
-/* Longest wait at the start for the other daemons to answer. */
+/* Longest wait at start for answers from the other daemons. */
 #define SETTLE_TIMEOUT_MS 2000
 #define SETTLE_POLL_US    1000
 
-/* Callers' connections that stand are closed by a planned stop once they were quiet for so long. */
+/* A planned stop closes idle connections of callers after this time without a request. */
 #define CALLERS_QUIET_MS 500
 
 #define OCTETS_PER_KIB 1024
 
-/* When to come back to a daemon that is not ready yet. */
+/* Retry delay given by a daemon that is not ready yet. */
 #define NOT_READY_RETRY_AFTER_MS 500
 
-/* Pause between two looks at whether everything has ended. */
+/* Poll interval while a planned stop waits for work to end. */
 #define STOP_POLL_US 5000
 
-/* Inbound connections from other daemons, at most. */
+/* Maximum number of inbound connections from other daemons. */
 #define PEER_CONNECTIONS_MAX 4096
 
-/* When a request that was meant for another deployment's daemon may be sent again. */
+/* Retry delay for a request that was meant for a daemon of another deployment. */
 #define FOREIGN_RETRY_AFTER_MS 300
 
 const struct result_limits *daemon_result_limits(void)
@@ -130,8 +131,8 @@
     return group_runtime_new(group, &options, predecessor);
 }
 
-/* The table in force under another or the same configuration, with its references. Groups that
- * changed get a successor; those that are gone are left out. */
+/* A copy of the table in force for a new or the same configuration, with its own references.
+ * Changed groups get a successor; groups that the configuration no longer has are left out. */
 static struct routing_table *copy_table(struct daemon *daemon, struct configuration *configuration)
 {
     struct routing_table *next = g_new0(struct routing_table, 1);
@@ -249,7 +250,7 @@
     return route_reason_name((enum route_reason)reason);
 }
 
-/* Other daemons' requests: the connection's thread waits for its task. */
+/* Requests of other daemons: the connection's thread waits for its task. */
 
 struct peer_wait {
     pthread_mutex_t lock;
@@ -268,8 +269,8 @@
     pthread_mutex_unlock(&wait->lock);
 }
 
-/* The others hear of this daemon a moment before it can run their requests. They must know that it
- * ran nothing: without an answer they would take the outcome for unknown. */
+/* Other daemons learn of this one shortly before it can run their requests. They need an answer
+ * that nothing was run: without one they would report the outcome as unknown. */
 static void refuse_not_ready(const struct request *request, struct reply *reply)
 {
     reply->request_id = g_strdup(request->request_id);
@@ -309,8 +310,8 @@
     pthread_mutex_unlock(&wait.lock);
 }
 
-/* Answers what was meant for a daemon of another deployment, which had this address before: nothing
- * is run, so that an owner is looked for elsewhere. */
+/* Answers a request for a daemon of another deployment that had this address before. Nothing is
+ * run, so that the sender tries another owner. */
 static void refuse_foreign(const struct message *request, struct message *reply, void *user)
 {
     foreign_traffic_note(user, FOREIGN_TRAFFIC_CONNECTION, NULL);
@@ -411,7 +412,8 @@
     return true;
 }
 
-/* Without a name the daemon can't tell its own deployment's messages from others'. */
+/* Without a deployment name the daemon can't distinguish its own deployment's messages from
+ * others'. */
 static void name_deployment(struct daemon *daemon)
 {
     daemon->deployment = deployment_hash(daemon->settings.daemon.deployment);
@@ -421,7 +423,7 @@
     }
 }
 
-/* Callers are served only once the other daemons are known, or none has answered. */
+/* Callers are served only once the membership is known, or no other daemon has answered in time. */
 static void wait_until_settled(struct daemon *daemon)
 {
     time_ns deadline = backend_now() + SETTLE_TIMEOUT_MS * NANOSECONDS_PER_MILLISECOND;
@@ -430,7 +432,7 @@
     }
 }
 
-/* A static configuration is read now; a published one is looked for by the control thread. */
+/* A static configuration is read now; a published one is fetched by the control thread. */
 static bool begin_configuration(struct daemon *daemon, GError **error)
 {
     const struct settings *settings = &daemon->settings;
@@ -502,14 +504,14 @@
            (daemon->frontend == NULL || frontend_in_flight(daemon->frontend) == 0);
 }
 
-/* True if a request that was sent to this daemon may not have begun to arrive. */
+/* True if a request that was sent to this daemon may still be on its way. */
 static bool callers_may_send(const struct daemon *daemon, time_ns quiet_for)
 {
     return daemon->frontend != NULL && frontend_connections(daemon->frontend) > 0 &&
            quiet_for < CALLERS_QUIET_MS * NANOSECONDS_PER_MILLISECOND;
 }
 
-/* Waits until all has ended. Returns what is left at the deadline. */
+/* Waits until all work has ended. Returns what is left at the deadline. */
 static uint32_t wait_for_end(struct daemon *daemon, time_ns deadline)
 {
     time_ns now = backend_now();
@@ -535,7 +537,7 @@
     admin_api_stop(daemon);
 }
 
-/* Ends what the deadline has cut: tasks end by their own deadlines, which are short. */
+/* Waits for the tasks that are left after the deadline; they end by their own, short deadlines. */
 static void wait_for_tasks(struct daemon *daemon)
 {
     while (atomic_load(&daemon->tasks_open) > 0) {
@@ -568,7 +570,7 @@
     g_free(daemon);
 }
 
-/* Serves on until the groups are with their new owners. */
+/* Keeps serving until the groups have been handed over to their new owners. */
 static void hand_over_groups(struct daemon *daemon, time_ns deadline)
 {
     control_set_leaving(daemon->control, true);
--- a/src/daemon/daemon_metrics.c
+++ b/src/daemon/daemon_metrics.c
@@ -1,4 +1,4 @@
-/* What the daemon measures; see the header. */
+/* Metrics of the daemon; see the header. */
 #include "daemon/daemon_metrics.h"
 
 #include <math.h>
@@ -12,11 +12,11 @@
 #include "daemon/task.h"
 #include "daemon/transaction.h"
 
-/* Upper bounds of request times, seconds. */
+/* Upper bounds of request times, in seconds. */
 static const double request_bounds[] = {0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1,
                                         0.2,   0.5,   1,     2,    5,    10};
 
-/* Upper bounds of write gaps, seconds. */
+/* Upper bounds of write gaps, in seconds. */
 static const double gap_bounds[] = {0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 8, 30, 120};
 
 enum task_use {
@@ -153,7 +153,7 @@
     return (double)status.version;
 }
 
-/* Not a number while the configuration in force was never confirmed, or is static. */
+/* NaN while the configuration in force was never confirmed, or if it is static. */
 static double read_confirmed_age(void *user)
 {
     struct daemon *daemon = user;
--- a/src/daemon/decision_log.c
+++ b/src/daemon/decision_log.c
@@ -8,19 +8,19 @@
 #include "configuration/configuration.h"
 #include "generated/messages.h"
 
-/* Places that an addition tries before it gives up. */
+/* Entries that an addition tries before it drops the record. */
 #define PLACES_TRIED_MAX 4
 
 /* One entry of a ring. */
 struct place {
-    atomic_bool busy;         /* somebody copies in or out; guards `record` */
-    _Atomic uint64_t id_hash; /* of record.request_id, for a search without a copy; 0: empty */
+    atomic_bool busy;         /* a thread copies in or out; guards `record` */
+    _Atomic uint64_t id_hash; /* of record.request_id, to search without copying; 0: empty */
     struct decision_record record;
 };
 
 struct ring {
     uint32_t size;
-    _Atomic uint64_t next; /* additions so far; the place is this modulo the size */
+    _Atomic uint64_t next; /* additions so far; the next entry's index is this modulo the size */
     struct place *places;
 };
 
@@ -80,7 +80,7 @@
     }
 }
 
-/* Copies a place that is in use; an addition that meets it meanwhile goes on to the next. */
+/* Copies an entry that was acquired. An addition that meets it meanwhile uses the next one. */
 static void copy_place(struct place *place, struct decision_record *record)
 {
     while (!take(place)) {
@@ -121,7 +121,7 @@
     return found;
 }
 
-/* Time of the ring's oldest record; 0 if it keeps all that came. */
+/* Time of the ring's oldest record; 0 if none was overwritten. */
 static int64_t oldest_of(struct ring *ring)
 {
     uint64_t next = atomic_load(&ring->next);
--- a/src/daemon/decision_log.h
+++ b/src/daemon/decision_log.h
@@ -40,8 +40,7 @@
     char request_id[DECISION_REQUEST_SIZE];
     char tenant[DECISION_TENANT_SIZE];
     char served_by[DECISION_DAEMON_SIZE];     /* name of the daemon that ran it, if known */
-    char forwarded_to[DECISION_ADDRESS_SIZE]; /* peer address of the last forwarding; empty: ran
-                                                 here */
+    char forwarded_to[DECISION_ADDRESS_SIZE]; /* last peer tried; empty: ran here */
     uint16_t served_by_admin_port; /* admin port of `served_by` for a forwarded request; or 0 */
     int64_t at_us;                 /* wall clock at the answer, microseconds */
     uint64_t took_us;              /* time from submission to answer */
@@ -50,16 +49,15 @@
     uint64_t view_term;            /* term of the view used for the decision; 0 if none */
     struct log_position session;   /* position that the session had seen */
     struct log_position needed;    /* position that a read had to see */
-    struct log_position
-        shown;         /* position that the answer may have shown, or of the write's commit */
-    uint32_t attempts; /* runs at a database, or forwardings */
-    int16_t primary;   /* index in the view, or -1 */
-    int16_t database;  /* index of the database that ran it last, or -1 */
-    uint8_t reason;    /* enum route_reason of the answer */
-    uint8_t outcome;   /* enum outcome */
-    uint8_t error;     /* enum error_kind, unless done */
-    uint8_t kind;      /* enum request_kind */
-    uint8_t hops;      /* above 0: another daemon forwarded it here */
+    struct log_position shown;     /* newest position that the answer may show, or the commit's */
+    uint32_t attempts;             /* runs at a database, or forwardings */
+    int16_t primary;               /* index in the view, or -1 */
+    int16_t database;              /* index of the database that ran it last, or -1 */
+    uint8_t reason;                /* enum route_reason of the answer */
+    uint8_t outcome;               /* enum outcome */
+    uint8_t error;                 /* enum error_kind, unless done */
+    uint8_t kind;                  /* enum request_kind */
+    uint8_t hops;                  /* above 0: another daemon forwarded it here */
     bool read_only;
     bool replayed;          /* the outcome came from the ledger */
     uint8_t database_count; /* entries below; 0 if no view was used */
--- a/src/daemon/foreign_traffic.c
+++ b/src/daemon/foreign_traffic.c
@@ -1,4 +1,4 @@
-/* What other deployments send to this daemon; see the header. */
+/* Messages from other deployments; see the header. */
 #define G_LOG_DOMAIN "members"
 #include "daemon/foreign_traffic.h"
 
@@ -9,10 +9,10 @@
 #include "daemon/daemon_metrics.h"
 #include "wire/address.h"
 
-/* Between two lines in the log, at least. */
+/* Minimum time between two log lines. */
 #define TOLD_INTERVAL_MS 60000
 
-/* True for one caller at a time, no more often than the interval. */
+/* True for one thread at a time, at most once per interval. */
 static bool may_tell(struct daemon *daemon)
 {
     time_ns now = backend_now();
--- a/src/daemon/forward.c
+++ b/src/daemon/forward.c
@@ -1,4 +1,4 @@
-/* Running here or at another daemon; see the header. */
+/* Running a request here or at another daemon; see the header. */
 #include "daemon/forward.h"
 
 #include <glib.h>
@@ -12,20 +12,20 @@
 #include "daemon/task_transaction.h"
 #include "daemon/transaction.h"
 
-/* Daemons that a request may pass through after the first. */
+/* Maximum number of daemons that a request passes through after the first. */
 #define FORWARD_HOPS_MAX 1
 
-/* Kept back from the forwarded deadline for the way back of the answer. */
+/* Time by which the forwarded deadline is shortened, for the transfer of the answer. */
 #define FORWARD_MARGIN_MS 5
 
-/* Pause before the owners are looked at again; a new view ends it earlier. */
+/* Pause before the owners are checked again; a new view ends it earlier. */
 #define OWNER_PAUSE_MS 20
 
-/* When a caller should come back after its tenant had too many requests in flight. */
+/* Bounds of the retry delay for a tenant that had too many requests in flight. */
 #define TENANT_RETRY_AFTER_MIN_MS 50
 #define TENANT_RETRY_AFTER_MAX_MS 150
 
-/* When a caller should come back after no owner could be reached. */
+/* Retry delay if no owner could be reached. */
 #define PEER_RETRY_AFTER_MS 300
 
 static bool is_in_transaction(const struct request *request)
@@ -33,8 +33,8 @@
     return request->transaction_id != NULL && request->transaction_id[0] != '\0';
 }
 
-/* When a tenant over its limit should come back, spread so that its callers do not do so together.
- */
+/* Retry delay for a tenant over its limit. It is random, so that its callers do not retry at the
+ * same time. */
 static uint32_t tenant_retry_after_ms(void)
 {
     return (uint32_t)g_random_int_range(TENANT_RETRY_AFTER_MIN_MS, TENANT_RETRY_AFTER_MAX_MS);
@@ -44,12 +44,13 @@
 {
     const struct request *request = task->request;
     if (is_in_transaction(request)) {
-        /* It goes on where it began, whoever owns the group now. */
+        /* Continues where it began, whichever daemon owns the group now. */
         task_run_transaction(task);
         return;
     }
     if (task->group == NULL) {
-        /* Views of ownership differ for a moment, or nobody has claimed the group yet. */
+        /* The daemons' views of ownership differ temporarily, or no daemon has claimed the group
+         * yet. */
         task_refuse(task, OUTCOME_REFUSED, ERROR_KIND_PEER_UNREACHABLE, NULL, PEER_RETRY_AFTER_MS);
         return;
     }
@@ -75,19 +76,19 @@
     task_run_write(task);
 }
 
-/* True if a request whose answer was lost may be told as not run, and sent again. */
+/* True if a request whose answer was lost may be reported as not run and sent again. */
 static bool is_harmless(const struct request *request)
 {
     return request->read_only && request->kind != REQUEST_KIND_COMMIT;
 }
 
-/* The answer to a forwarded request that got none: what is told depends on what it may have done.
- */
+/* Answers a forwarded request that got no reply, depending on what it may have done. */
 static void answer_lost_hop(struct task *task)
 {
     const struct request *request = task->request;
     if (request->kind == REQUEST_KIND_BEGIN || request->kind == REQUEST_KIND_ROLLBACK) {
-        /* Nobody can commit the transaction: its id was not told, or its caller gives it up. */
+        /* The transaction can't be committed any more: a begun one's id was never returned, and the
+         * caller of a rollback has abandoned its transaction. */
         task_refuse(task, OUTCOME_FAILED, ERROR_KIND_TRANSACTION_ABORTED, NULL,
                     PEER_RETRY_AFTER_MS);
         return;
@@ -95,7 +96,8 @@
     task_refuse(task, OUTCOME_UNKNOWN, ERROR_KIND_OUTCOME_UNKNOWN, NULL, PEER_RETRY_AFTER_MS);
 }
 
-/* True if the other daemon certainly did nothing, for a reason that another may not have. */
+/* True if the other daemon certainly did nothing, for a reason that may not apply to another
+ * daemon. */
 static bool was_turned_away(const struct message *message)
 {
     if (message->kind != MESSAGE_KIND_REPLY || message->reply.outcome != OUTCOME_REFUSED) {
@@ -116,7 +118,7 @@
     task_finish(task);
 }
 
-/* Sends the request over one hop; see peer_call. */
+/* Sends the request to a daemon and waits for the reply; see peer_call. */
 static enum peer_call_result send_request(struct task *task, const char *address, time_ns now,
                                           struct message *in)
 {
@@ -132,8 +134,8 @@
     return result;
 }
 
-/* The answer to a request that was not sent on, for this reason. A commit may have been run by an
- * earlier request. */
+/* Answers a request that could not be forwarded, with this error. For a commit the outcome may be
+ * unknown, as an earlier request may have run it. */
 static void answer_not_forwarded(struct task *task, enum error_kind error)
 {
     if (task->request->kind == REQUEST_KIND_COMMIT) {
@@ -143,8 +145,8 @@
     task_refuse(task, OUTCOME_REFUSED, error, NULL, PEER_RETRY_AFTER_MS);
 }
 
-/* Sends the request to one daemon. False if that certainly did nothing, so that another may be
- * asked; otherwise the task was answered. */
+/* Sends the request to one daemon. Returns false if that daemon certainly did nothing, so that
+ * another may be tried; otherwise the task was answered. */
 static bool forward_to(struct task *task, const char *address)
 {
     struct message in;
@@ -175,8 +177,8 @@
     return !turned_away;
 }
 
-/* Nobody has taken the request: owners or their addresses are changing, or out of reach. True if it
- * was parked to be sent again soon; false after a bound. */
+/* No daemon has accepted the request: owners or their addresses are changing, or they are
+ * unreachable. Returns true if the task was parked to try again soon; false after a bound. */
 static bool wait_for_owner(struct task *task)
 {
     time_ns now = backend_now();
@@ -192,8 +194,8 @@
     return true;
 }
 
-/* Sends the request to an owner of its group, nearest first. False if this daemon owns it, or is
- * taken for an owner by the one that forwarded. */
+/* Sends the request to an owner of its group, nearest first. Returns false if this daemon owns the
+ * group, or if the request was forwarded by a daemon that takes it for an owner. */
 static bool forward_to_owner(struct task *task)
 {
     struct owner_list owners;
@@ -215,11 +217,11 @@
     return true;
 }
 
-/* The owner of a transaction can't be reached, or is no member (any more). */
+/* Answers when the owner of a transaction can't be reached, or is not a member, or no longer. */
 static void answer_owner_lost(struct task *task, bool is_member)
 {
     if (task->request->kind == REQUEST_KIND_COMMIT) {
-        /* Its key, if it has one, is looked up where the group is owned. */
+        /* The commit's key, if it has one, is looked up at an owner of the group. */
         if (!forward_to_owner(task)) {
             task_resolve_commit(task);
         }
--- a/src/daemon/group_metrics.c
+++ b/src/daemon/group_metrics.c
@@ -8,15 +8,15 @@
 #include "daemon/daemon.h"
 #include "frontend/metrics.h"
 
-/* One owned group at the moment of the scrape. */
+/* One owned group at the time of the scrape. */
 struct group_sample {
-    struct group_runtime *runtime; /* the list of the scrape holds one reference */
+    struct group_runtime *runtime; /* reference held by the scrape's list */
     struct group_view view;
     struct pool_counters pools[GROUP_DATABASES_MAX];
-    uint32_t queued[GROUP_DATABASES_MAX]; /* requests that wait for a slot */
+    uint32_t queued[GROUP_DATABASES_MAX]; /* requests waiting for a slot */
 };
 
-/* A family with one series for each database. NaN: not known, no series. */
+/* A family with one series per database. NaN: unknown, no series. */
 struct database_family {
     const char *name;
     const char *help;
@@ -24,7 +24,7 @@
     double (*value)(const struct group_sample *sample, uint32_t database);
 };
 
-/* The same for each group. */
+/* A family with one series per group. */
 struct group_family {
     const char *name;
     const char *help;
@@ -61,7 +61,7 @@
     return (double)view_of(sample, database)->status.applied.offset;
 }
 
-/* In entries: only where both stand in one term. */
+/* In log entries; only if both positions are in the same term. */
 static double lag_entries(const struct group_sample *sample, uint32_t database)
 {
     if (sample->view.primary < 0) {
@@ -229,7 +229,7 @@
     metrics_append_sample(out, name, labels, value);
 }
 
-/* True once a view was published that tells of the group's databases. */
+/* True once a view with the state of the group's databases was published. */
 static bool is_known(const struct group_sample *sample)
 {
     return sample->view.database_count == sample->runtime->database_count;
@@ -261,7 +261,7 @@
     }
 }
 
-/* One series of each database, with the role that it has. */
+/* One series per database, labelled with its role. */
 static void append_roles(GString *out, const struct group_sample *samples, guint count)
 {
     static const char name[] = "swiftworks_database_role";
--- a/src/daemon/group_runtime.c
+++ b/src/daemon/group_runtime.c
@@ -8,7 +8,7 @@
 #include "backend/clock.h"
 #include "daemon/budget_plan.h"
 
-/* Old views are freed after a grace period, by the RCU helper thread. */
+/* A published view. Old ones are freed after a grace period by the RCU helper thread. */
 struct published_view {
     struct rcu_head head;
     struct group_view view;
@@ -19,12 +19,13 @@
     g_free(caa_container_of(head, struct published_view, head));
 }
 
-/* A database's pool, shared by the run times of its group that follow each other. */
+/* A database's pool, shared by consecutive run times of its group. */
 struct shared_pool {
     struct pool *pool;
 };
 
-/* The evidence service's connections to the members, shared likewise while these are the same. */
+/* The evidence service's connections to the members, shared likewise while the members stay the
+ * same. */
 struct evidence_link {
     struct evidence_service *service;
     uint32_t group;
@@ -114,8 +115,8 @@
     return shared;
 }
 
-/* The pool that the predecessor has of the same server, if its numbers stay the same; else a new
- * one. The database's locks keep both together within its connections. */
+/* The predecessor's pool for the same server if its connection numbers stay the same; otherwise a
+ * new pool. The database's locks keep both together within its connection limit. */
 static struct shared_pool *take_pool(const struct database_configuration *configuration,
                                      const struct group_runtime_options *options,
                                      struct group_runtime *predecessor)
@@ -131,14 +132,15 @@
     return open_pool(configuration, options);
 }
 
-/* An incarnation of a share is told from the former ones by a number, which is not 0. */
+/* A random number other than 0 that distinguishes this incarnation of a slot share from earlier
+ * ones. */
 static uint64_t new_incarnation(void)
 {
     return ((uint64_t)g_random_int() << 32 | g_random_int()) | 1;
 }
 
-/* Goes on with the part of the slots that the predecessor has of the same database, if there are as
- * many; else begins without any. */
+/* Continues with the predecessor's share of the slots of the same database if their number is
+ * unchanged; otherwise starts without slots. */
 static void start_share(struct database_runtime *database, struct group_runtime *predecessor,
                         time_ns now)
 {
@@ -178,7 +180,7 @@
     pthread_mutex_destroy(&database->admission_lock);
 }
 
-/* Lets the evidence service connect to the group's members. */
+/* Makes the evidence service connect to the group's members. */
 static struct evidence_link *open_evidence(const struct group_runtime *runtime,
                                            const struct group_runtime_options *options)
 {
@@ -224,7 +226,7 @@
     runtime->evidence_group = runtime->link->group;
 }
 
-/* Publishes the view of a group of which nothing is known. */
+/* Publishes the view of a group of which nothing is known yet. */
 static void start_view(struct group_runtime *runtime)
 {
     struct published_view *first = g_new0(struct published_view, 1);
@@ -234,7 +236,7 @@
     runtime->view = &first->view;
 }
 
-/* Gives up the connections that only the predecessor has, as its requests end. */
+/* Closes the connections that only the predecessor has, as its requests end. */
 static void close_left_pools(const struct group_runtime *runtime, struct group_runtime *predecessor)
 {
     for (uint32_t i = 0; predecessor != NULL && i < predecessor->database_count; i++) {
@@ -324,7 +326,7 @@
     rcu_read_unlock();
 }
 
-/* Reports a drained change if nothing runs any more. Called with writes_lock held. */
+/* Reports a drained change if no write is running. Called with writes_lock held. */
 static void report_if_drained(struct group_runtime *runtime)
 {
     if (!runtime->drain_armed || runtime->drain_change == 0 || runtime->writes_running > 0) {
--- a/src/daemon/group_uses.c
+++ b/src/daemon/group_uses.c
@@ -1,9 +1,9 @@
-/* Owners' use of a group's databases; see the header. */
+/* Which databases each owner uses; see the header. */
 #include "daemon/group_uses.h"
 
 #include <string.h>
 
-/* How long a database must not have been busy. */
+/* Time for which a database must not have been busy to count as unused. */
 #define QUIET_MS 500
 
 void group_uses_init(struct group_uses *uses)
@@ -43,7 +43,7 @@
     return used;
 }
 
-/* The owner's entry, or the one that was told longest ago. Called with the lock held. */
+/* The owner's entry, or else the one with the oldest report. Called with the lock held. */
 static struct owner_uses *place_of(struct group_uses *uses, uint64_t watcher)
 {
     struct owner_uses *oldest = &uses->owners[0];
--- a/src/daemon/group_uses.h
+++ b/src/daemon/group_uses.h
@@ -25,8 +25,7 @@
 struct group_uses {
     pthread_mutex_t lock; /* guards `owners` */
     struct owner_uses owners[GROUP_USES_OWNERS_MAX];
-    time_ns quiet_since[GROUP_DATABASES_MAX]; /* since when this daemon has not used it; 0 while
-                                                 used. Control thread */
+    time_ns quiet_since[GROUP_DATABASES_MAX]; /* own use ended; 0 while used. Control thread */
 };
 
 void group_uses_init(struct group_uses *uses);
--- a/src/daemon/journal.c
+++ b/src/daemon/journal.c
@@ -7,7 +7,7 @@
 struct journal {
     pthread_mutex_t lock; /* guards all below */
     uint64_t next_sequence;
-    struct journal_entry entries[JOURNAL_ENTRIES_MAX]; /* by sequence modulo their number */
+    struct journal_entry entries[JOURNAL_ENTRIES_MAX]; /* index: sequence modulo the size */
 };
 
 struct journal *journal_new(void)
--- a/src/daemon/ledger_upkeep.c
+++ b/src/daemon/ledger_upkeep.c
@@ -1,4 +1,4 @@
-/* Upkeep of a group's ledger; see the header. */
+/* Maintenance of a group's ledger; see the header. */
 #define G_LOG_DOMAIN "ledger"
 #include "daemon/ledger_upkeep.h"
 
@@ -7,20 +7,20 @@
 #include "backend/adapter.h"
 #include "backend/clock.h"
 
-/* How long one job may take. */
+/* Time-out of one job. */
 #define LEDGER_TIMEOUT_MS 2000
 
-/* Rows removed in one go: a short transaction, so that writes hardly wait. */
+/* Rows removed in one transaction, which is kept short so that writes are hardly delayed. */
 #define EXPIRE_ROWS 200
 
-/* What a job does. */
+/* The kinds of jobs. */
 enum ledger_task {
     LEDGER_TASK_CREATE,
     LEDGER_TASK_EXPIRE,
 };
 
 struct ledger_job {
-    struct worker_job job; /* first: a job is its ledger_job */
+    struct worker_job job; /* first member: a job is cast to its ledger_job */
     enum ledger_task task;
     struct group_runtime *group; /* one reference */
     int32_t primary;
--- a/src/daemon/log.c
+++ b/src/daemon/log.c
@@ -8,7 +8,8 @@
 #include <stdio.h>
 #include <string.h>
 
-/* A line equal to the one before it is written again only after this long, with its count. */
+/* A line equal to the previous one is written again only after this time, with the number of
+ * repetitions. */
 #define REPEAT_PERIOD_US (10 * G_USEC_PER_SEC)
 
 struct log_state {
@@ -21,15 +22,15 @@
 
 static struct log_state state = {.lock = PTHREAD_MUTEX_INITIALIZER};
 
-/* Log domains of our files, in alphabetical order. */
+/* Log domains of the daemon's files, in alphabetical order. */
 static const char *const parts[] = {
     "admin",  "budget",  "configuration", "control",  "daemon",
     "ledger", "members", "owners",        "requests",
 };
 
-/* Levels are read before the lock is taken: a line that is not wanted costs no lock. */
+/* Read without the lock, so that a line below its part's level takes no lock. */
 static _Atomic int levels[G_N_ELEMENTS(parts)];
-static _Atomic int other_level; /* of libraries' lines */
+static _Atomic int other_level; /* for lines of libraries */
 
 static enum log_level level_of(GLogLevelFlags flags)
 {
@@ -73,7 +74,7 @@
     return false;
 }
 
-/* The part's place, or -1. */
+/* Index of the part, or -1. */
 static int find_part(const char *part)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(parts); i++) {
@@ -92,7 +93,7 @@
     return (int)level <= highest;
 }
 
-/* Called with the lock held. True if the line is to be written; counts it otherwise. */
+/* True if the line is to be written; otherwise counts it. Called with the lock held. */
 static bool is_new(const char *line, gint64 now_us)
 {
     bool same = state.last_line != NULL && strcmp(state.last_line, line) == 0;
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -1,4 +1,4 @@
-/* swiftworksd: reads its settings, starts the daemon, and stops it in a planned way on SIGTERM or
+/* swiftworksd: reads its settings, starts the daemon, and performs a planned stop on SIGTERM or
  * SIGINT. */
 #define G_LOG_DOMAIN "daemon"
 #include <glib.h>
@@ -15,9 +15,9 @@
 #define EXIT_OK       0
 #define EXIT_SETTINGS 2 /* the command line or the settings are wrong */
 #define EXIT_START    3 /* a part could not start */
-#define EXIT_CUT      4 /* the planned stop cut requests */
+#define EXIT_CUT      4 /* the planned stop aborted requests */
 
-/* The command line. */
+/* Command-line options. */
 struct options {
     char *settings_file;
     char **overrides;
--- a/src/daemon/refusal_watch.c
+++ b/src/daemon/refusal_watch.c
@@ -1,4 +1,4 @@
-/* Refusal storms; see the header. */
+/* Detection of refusal storms; see the header. */
 #include "daemon/refusal_watch.h"
 
 #include <string.h>
@@ -10,7 +10,7 @@
     }
 }
 
-/* Refusals since the last look, by kind. Returns their sum. */
+/* Computes the refusals since the last check, by kind. Returns their sum. */
 static uint64_t take_counts(struct refusal_watch *watch, uint64_t fresh[ERROR_KIND_COUNT])
 {
     uint64_t sum = 0;
--- a/src/daemon/task.c
+++ b/src/daemon/task.c
@@ -16,13 +16,13 @@
 #include "daemon/daemon_metrics.h"
 #include "frontend/admin.h"
 
-/* When a caller should come back after the daemon itself had no room or was not ready. */
+/* Retry delay if the daemon itself is overloaded or not ready. */
 #define DAEMON_RETRY_AFTER_MS 500
 
-/* A slot queue's Retry-After is spread by up to this part of it, in percent. */
+/* The Retry-After of a slot queue is extended by a random part of up to this percentage. */
 #define RETRY_AFTER_JITTER_PERCENT 50
 
-/* An attempt that can be made again may use up to this part of the time left, in percent. */
+/* An attempt that can be repeated may use up to this percentage of the remaining time. */
 #define ATTEMPT_TIME_PERCENT 75
 
 static void free_task(struct task *task)
@@ -40,7 +40,7 @@
     g_free(task);
 }
 
-/* Ends a transaction whose commit was never sent. */
+/* Rolls back a transaction whose commit was never sent. */
 static void roll_back(struct task *task)
 {
     transaction_rollback(task->transaction, task->deadline);
@@ -48,7 +48,7 @@
     task->transaction = NULL;
 }
 
-/* The daemon that forwarded tells operators where this one's record is. */
+/* Lets the forwarding daemon show operators where this daemon's record is. */
 static void note_admin_port(struct task *task)
 {
     if (task->request->hops > 0 && task->daemon->admin != NULL) {
@@ -71,7 +71,7 @@
         group_runtime_end_write(task->group);
         task->counts_as_write = false;
     }
-    /* Before the answer: who has it finds the trace. */
+    /* Before the answer, so that the trace is complete when the caller receives it. */
     write_trace_end(task->write_trace);
     task->state = TASK_STATE_ANSWERED;
     struct reply *reply = &task->reply;
@@ -101,7 +101,7 @@
     task_finish(task);
 }
 
-/* Adds jitter, so that refused callers do not come back together. */
+/* Adds jitter, so that refused callers do not retry at the same time. */
 static uint32_t spread(uint32_t retry_after_ms)
 {
     uint32_t width = retry_after_ms * RETRY_AFTER_JITTER_PERCENT / 100 + 1;
@@ -134,13 +134,13 @@
     return request->idempotency_key != NULL && request->idempotency_key[0] != '\0';
 }
 
-/* True if it goes on with what was begun, under a configuration that was in force then. */
+/* True if the request continues earlier work, under a configuration that was in force then. */
 static bool continues(const struct task *task)
 {
     return task->request->transaction_id != NULL && task->request->transaction_id[0] != '\0';
 }
 
-/* Finds route and group, or says why there is none. */
+/* Finds route and group, or sets the reason why there is none. */
 static bool resolve(struct task *task, enum error_kind *error)
 {
     task->configuration = daemon_take_configuration(task->daemon);
@@ -155,7 +155,7 @@
         *error = ERROR_KIND_UNKNOWN_TENANT;
         return false;
     }
-    /* NULL where this daemon does not own the group: the task is forwarded. */
+    /* NULL if this daemon does not own the group: the task is forwarded. */
     task->group = daemon_take_group(task->daemon, task->route->group);
     return true;
 }
@@ -249,7 +249,7 @@
     }
     atomic_store(&runtime->queued, runtime->admission.queued);
     pthread_mutex_unlock(&runtime->admission_lock);
-    /* Once queued, another thread may run the task: nothing of it may be touched any more. */
+    /* Once queued, the task may be run by another thread and must not be accessed here. */
     if (verdict == ADMISSION_QUEUED) {
         control_slots_wanted(control);
     }
--- a/src/daemon/task_begin.c
+++ b/src/daemon/task_begin.c
@@ -10,17 +10,17 @@
 #include "daemon/task_transaction.h"
 #include "daemon/transaction.h"
 
-/* Pause before looking again for a database or a connection; a new view ends it earlier. */
+/* Pause before a database or a connection is tried again; a new view ends it earlier. */
 #define BEGIN_PAUSE_MS 10
 
-/* The database ends a transaction so much later than the daemon would: only if the daemon is paused
- * or cut off. */
+/* The database's idle time-out is longer than the daemon's by this time, so that it only ends
+ * transactions of a daemon that is paused or partitioned. */
 #define IDLE_MARGIN_MS 5000
 
-/* Starts of one transaction that may be lost or refused by a database, at most. */
+/* Maximum number of attempts to begin one transaction, after a database lost or refused it. */
 #define BEGIN_ATTEMPTS_MAX 4
 
-/* Chooses the database of a new transaction; -1 with the reason. */
+/* Chooses the database of a new transaction; -1 with the reason if there is none. */
 static struct route_decision route_begin(struct task *task, const struct group_view *view)
 {
     if (!task->request->read_only) {
@@ -61,7 +61,7 @@
     task_refuse(task, OUTCOME_REFUSED, error, NULL, BEGIN_RETRY_AFTER_MS);
 }
 
-/* No database can serve now: waits for one, within bounds. */
+/* Waits, within bounds, until a database can serve. */
 static void wait_for_database(struct task *task, const struct route_decision *decision)
 {
     time_ns now = backend_now();
@@ -75,7 +75,7 @@
                                                     : ERROR_KIND_NO_PRIMARY);
         return;
     }
-    /* Every database gets another chance under the next view. */
+    /* All databases are tried again under the next view. */
     task->begin_excluded = 0;
     pause_begin(task);
 }
@@ -100,7 +100,7 @@
     transaction->idle = task->route->transaction_idle_ms * NANOSECONDS_PER_MILLISECOND;
     transaction->total_until =
         task->started_at + task->route->transaction_total_ms * NANOSECONDS_PER_MILLISECOND;
-    /* From now on the transaction keeps the group's writes counted, not the task. */
+    /* From now on the transaction, not the task, is counted among the group's running writes. */
     transaction->counts_as_write = task->counts_as_write;
     task->counts_as_write = false;
     return transaction;
@@ -122,7 +122,7 @@
     task_finish(task);
 }
 
-/* Starts the transaction on its connection, with its ledger table there. */
+/* Creates the ledger table if needed and begins the transaction on its connection. */
 static enum execute_result prepare_and_begin(struct task *task, struct transaction *transaction)
 {
     time_ns deadline = task_attempt_deadline(task);
@@ -136,7 +136,8 @@
     return adapter_begin(transaction->connection, &transaction->options, deadline, &task->run);
 }
 
-/* The same while waiting for it is of use. */
+/* The same, registered as an active call, so that it is aborted when the database is unreachable or
+ * replaced. */
 static enum execute_result begin_on(struct task *task, struct transaction *transaction)
 {
     struct active_call call;
@@ -150,7 +151,7 @@
     return result;
 }
 
-/* True if nothing of the transaction was begun, and another attempt may do better. */
+/* True if nothing of the transaction was begun and another attempt may succeed. */
 static bool may_begin_again(struct task *task, enum execute_result result)
 {
     bool nothing_begun = result == EXECUTE_NOT_SENT || result == EXECUTE_NOT_PRIMARY ||
@@ -201,7 +202,8 @@
         return;
     }
     task->unavailable_since = 0;
-    /* Open transactions may hold all connections for long: no thread waits for one. */
+    /* Open transactions may hold all connections for a long time, so no thread waits for one here.
+     */
     struct pool *pool = task->group->databases[decision.database].pool;
     struct backend_connection *connection = pool_acquire(pool, backend_now(), NULL);
     if (connection == NULL) {
--- a/src/daemon/task_decision.c
+++ b/src/daemon/task_decision.c
@@ -10,7 +10,7 @@
 #include "daemon/log.h"
 #include "daemon/task.h"
 
-/* Time by which a database is behind the primary, milliseconds. */
+/* Replication lag of a database in milliseconds. */
 static uint32_t lag_of(const struct group_view *view, const struct database_view *database)
 {
     time_ns lag = position_samples_lag(view, database);
@@ -76,7 +76,7 @@
     record->attempts++;
 }
 
-/* What the daemon that ran the request tells of the databases. */
+/* Copies what the daemon that ran the request reported about the databases. */
 static void take_refused(struct decision_record *record, const struct reply *reply,
                          const struct group_configuration *group)
 {
@@ -102,7 +102,7 @@
     return -1;
 }
 
-/* The group as the task knew it, or NULL. */
+/* The group as known to the task, or NULL. */
 static const struct group_configuration *group_of(const struct task *task)
 {
     if (task->group != NULL) {
@@ -155,7 +155,7 @@
     }
 }
 
-/* Runs at databases; of a forwarded request, daemons asked. */
+/* Runs at databases; for a forwarded request, the number of daemons tried. */
 static uint32_t attempts_of(const struct task *task)
 {
     if (task->decision.forwarded_to[0] != '\0') {
--- a/src/daemon/task_ledger.c
+++ b/src/daemon/task_ledger.c
@@ -1,8 +1,8 @@
-/* The ledger table of a group; see the header. A new primary may lack it: its creation is no write
- * that was acknowledged, so that a failover can lose it. */
+/* The ledger table of a group; see the header. A new primary may lack the table: its creation is
+ * not an acknowledged write, so that a failover can lose it. */
 #include "daemon/task_ledger.h"
 
-/* The request was not sent, whatever became of the table. */
+/* The request itself was not sent, whatever happened to the table's creation. */
 static enum execute_result result_for_request(enum execute_result result)
 {
     switch (result) {
--- a/src/daemon/task_read.c
+++ b/src/daemon/task_read.c
@@ -1,4 +1,4 @@
-/* The read path: drives read_flow, one guarded round trip per step. */
+/* The read path: drives read_flow with one guarded round trip per step. */
 #include "daemon/task.h"
 
 #include <glib.h>
@@ -8,13 +8,13 @@
 #include "daemon/daemon.h"
 #include "daemon/task_decision.h"
 
-/* Databases that one read may try, at most. */
+/* Maximum number of databases that one read tries. */
 #define READ_ATTEMPTS_MAX 4
 
-/* Reads are counted in a sliding way: both counters are halved at this many. */
+/* The counters of reads form a decaying window: both are halved at this count. */
 #define READ_COUNT_WINDOW 10000
 
-/* True while the tenant's reads at the primary stay within its share. */
+/* True while the tenant's reads at the primary are within its limit. */
 static bool primary_read_allowed(const struct task *task)
 {
     uint32_t percent = task->route->read_primary_share_percent;
@@ -36,7 +36,7 @@
     }
 }
 
-/* Fills in what routing needs to know now. */
+/* Fills in the current inputs of routing. */
 static void refresh_route(struct task *task)
 {
     struct route_read_request *route = &task->read_flow.options.route;
@@ -49,7 +49,7 @@
     route->random = g_random_int();
 }
 
-/* Notes a step that was routed under the view: where to read, or why nowhere. */
+/* Records a step routed under the view: where to read, or why no database is eligible. */
 static void note_decision(struct task *task, const struct group_view *view)
 {
     const struct read_step *step = &task->read_step;
@@ -85,7 +85,7 @@
     }
 }
 
-/* Performs a READ step on a connection of its database; the slot is held. */
+/* Performs a READ step on a connection of its database. Requires that the slot is held. */
 static enum execute_result read_at(struct task *task)
 {
     const struct read_step *step = &task->read_step;
@@ -107,7 +107,7 @@
     return result;
 }
 
-/* Takes a slot of the database. False: the task was queued, or *event is GIVE_UP. */
+/* Takes a slot of the database. Returns false if the task was queued, or if *event is GIVE_UP. */
 static bool take_read_slot(struct task *task, struct read_event *event)
 {
     bool refused = false;
@@ -124,7 +124,8 @@
     return false;
 }
 
-/* Performs the READ step. False if the task was queued for a slot and must not be touched. */
+/* Performs the READ step. Returns false if the task was queued for a slot and must not be accessed.
+ */
 static bool perform_read(struct task *task)
 {
     struct read_event event = {.kind = READ_EVENT_START};
@@ -155,8 +156,9 @@
     task->reply.reason = (uint32_t)step->reason;
     task_note_refused(task);
     if (step->outcome == OUTCOME_REFUSED) {
-        /* A read that found no fresh replica counts too: the primary's share is one of what is
-         * asked, and would never be earned again if only what replicas serve counted. */
+        /* A read that found no fresh replica counts too. The primary's share is relative to the
+         * requested reads; if only reads served by replicas counted, it could never be earned
+         * again. */
         if (step->error == ERROR_KIND_NO_FRESH_REPLICA) {
             count_read(task, step->reason);
         }
--- a/src/daemon/task_transaction.c
+++ b/src/daemon/task_transaction.c
@@ -29,7 +29,8 @@
         return;
     case EXECUTE_KEY_CLOSED:
     case EXECUTE_ALREADY_DONE:
-        /* The key's transaction has ended; its outcome is asked for by a commit with the key. */
+        /* The transaction with this key has ended. Its outcome is found by a commit with the key.
+         */
         task_refuse(task, OUTCOME_REFUSED, ERROR_KIND_KEY_CLOSED,
                     "The key's transaction has ended.", BEGIN_RETRY_AFTER_MS);
         return;
@@ -62,7 +63,8 @@
     transaction_rollback(transaction, task->deadline);
     bool writes_in_read = transaction->options.read_only && result == EXECUTE_NOT_PRIMARY;
     transaction_table_end(task->daemon->transactions, transaction);
-    /* In a read-only transaction the error tells of the statement, not of the database's role. */
+    /* In a read-only transaction this error is about the statement, not about the database's role.
+     */
     task_answer_transaction_result(task, writes_in_read ? EXECUTE_FAILED : result);
 }
 
@@ -74,7 +76,7 @@
     task_finish(task);
 }
 
-/* A read-only transaction has nothing to confirm. */
+/* A read-only transaction has nothing to acknowledge. */
 static void run_read_commit(struct task *task, struct transaction *transaction)
 {
     struct log_position seen = transaction->seen;
@@ -85,7 +87,7 @@
     task_finish(task);
 }
 
-/* The commit's key is that of the begin: the caller need not repeat it. */
+/* The commit uses the key of the begin, so that the caller need not repeat it. */
 static void run_write_commit(struct task *task, struct transaction *transaction)
 {
     g_free(task->ledger_key);
@@ -108,8 +110,8 @@
     task_run_write(task);
 }
 
-/* A transaction goes on with the run time that it began with, also where the group has a successor
- * by now or is owned by others: its connection and its count among the writes are there. */
+/* A transaction stays with the run time that it began with, even if the group has a successor or
+ * other owners now: that run time has its connection and counts it among its writes. */
 static void adopt_group(struct task *task, struct transaction *transaction)
 {
     struct group_runtime *group = group_runtime_ref(transaction->group);
--- a/src/daemon/task_write.c
+++ b/src/daemon/task_write.c
@@ -1,4 +1,4 @@
-/* The write path: drives write_flow. A write holds a slot while it runs at the primary, and none
+/* The write path: drives write_flow. A write holds a slot while it runs at the primary, but not
  * while evidence is gathered or while it waits. */
 #include "daemon/task.h"
 
@@ -10,13 +10,14 @@
 #include "daemon/task_ledger.h"
 #include "daemon/transaction.h"
 
-/* Times that one write may be run under its key, at most. */
+/* Maximum number of runs of one write under its key. */
 #define WRITE_ATTEMPTS_MAX 4
 
-/* When a caller should come back after the retry budget was spent. */
+/* Retry delay if the retry budget is exhausted. */
 #define RETRY_BUDGET_RETRY_AFTER_MS 500
 
-/* Notes a step that was routed under the view: where to run, or why nowhere yet or at all. */
+/* Records a step routed under the view: where to run, or why no database is eligible now or at all.
+ */
 static void note_decision(struct task *task, const struct group_view *view)
 {
     const struct write_step *step = &task->write_step;
@@ -28,7 +29,7 @@
     }
 }
 
-/* Feeds an event under the newest view, counting the write while it may run. */
+/* Feeds an event under the newest view, and counts the write as running while it may run. */
 static void next_step(struct task *task, const struct write_event *event)
 {
     struct group_view view;
@@ -106,8 +107,9 @@
     return key;
 }
 
-/* Runs the transaction, or closes its key, on a connection. With a key an attempt ends while there
- * is time to ask the ledger; without one there is nothing to ask, and the answer is waited for. */
+/* Runs the transaction, or closes its key, on a connection. An attempt with a key ends while there
+ * is time left to query the ledger. Without a key there is nothing to query, so that the answer is
+ * awaited until the deadline. */
 static enum execute_result run_on(struct task *task, struct backend_connection *connection)
 {
     struct adapter_key key = key_of(task);
@@ -132,7 +134,7 @@
     return task->ledger_key != NULL ? ACTIVE_CALL_KEYED_WRITE : ACTIVE_CALL_WRITE;
 }
 
-/* The same at the step's database; the slot is held. */
+/* The same at the step's database. Requires that the slot is held. */
 static enum execute_result run_at(struct task *task)
 {
     struct active_call call;
@@ -153,7 +155,7 @@
     return result;
 }
 
-/* Keeps the database's error: it is told once the key is closed. */
+/* Keeps the database's error for the answer after the key is closed. */
 static void keep_failure(struct task *task, enum execute_result result)
 {
     if (result != EXECUTE_FAILED && result != EXECUTE_CONFLICT &&
@@ -171,7 +173,7 @@
 static bool retry_allowed(struct task *task)
 {
     if (task->slot_database >= 0) {
-        return true; /* asked before it was queued for the slot */
+        return true; /* checked before the task was queued for the slot */
     }
     if (task->write_flow.attempts <= 1) {
         retry_budget_earn(&task->group->retry_budget);
@@ -187,14 +189,14 @@
     task->run_database = task->transaction->database;
     time_ns deadline = task->ledger_key != NULL ? task_attempt_deadline(task) : task->deadline;
     enum execute_result result = transaction_commit(task->transaction, deadline, &task->run);
-    /* Whatever came of it, the transaction has ended: only its key may be asked for now. */
+    /* The transaction has ended with any result; only its key can be queried now. */
     transaction_table_end(task->daemon->transactions, task->transaction);
     task->transaction = NULL;
     keep_failure(task, result);
     feed(task, event_of(result));
 }
 
-/* Performs EXECUTE or CLOSE_KEY. False if the task was queued and must not be touched. */
+/* Performs EXECUTE or CLOSE_KEY. Returns false if the task was queued and must not be accessed. */
 static bool perform_run(struct task *task)
 {
     bool refused = false;
@@ -220,7 +222,7 @@
     return true;
 }
 
-/* Feeds one member's part of the evidence. */
+/* Feeds one member's evidence. */
 static void feed_member(struct task *task, uint32_t database, bool holds)
 {
     struct log_position position = task->write_step.position;
@@ -301,7 +303,7 @@
     feed(task, WRITE_EVENT_START);
 }
 
-/* Performs steps until the task waits or is to be answered. False if it was queued. */
+/* Performs steps until the task waits or is to be answered. Returns false if it was queued. */
 static bool perform_steps(struct task *task)
 {
     for (;;) {
--- a/src/daemon/tenant_gate.c
+++ b/src/daemon/tenant_gate.c
@@ -1,4 +1,4 @@
-/* Bounds the requests of one tenant; see the header. */
+/* Limits the running requests of one tenant; see the header. */
 #include "daemon/tenant_gate.h"
 
 #include <glib.h>
@@ -6,7 +6,7 @@
 
 struct tenant_gate {
     pthread_mutex_t lock; /* guards inside */
-    GHashTable *inside;   /* tenant -> requests inside, as pointer; tenants with none are absent */
+    GHashTable *inside;   /* tenant -> running requests, as pointer; absent if none */
 };
 
 struct tenant_gate *tenant_gate_new(void)
--- a/src/daemon/transaction.c
+++ b/src/daemon/transaction.c
@@ -5,7 +5,7 @@
 
 #include "backend/clock.h"
 
-/* Random octets in an id, so that it cannot be guessed. */
+/* Random bytes in an id, so that it cannot be guessed. */
 #define ID_RANDOM_FORMAT "%08x%08x"
 
 struct transaction_table {
@@ -160,7 +160,7 @@
     active_calls_leave(&transaction->group->calls, call);
 }
 
-/* What to wait for in an open transaction; what it has done can't be repeated. */
+/* Kind of call on the connection of an open transaction. Its writes can't be repeated. */
 static enum active_call_kind kind_of(const struct transaction *transaction)
 {
     return transaction->options.read_only ? ACTIVE_CALL_READ : ACTIVE_CALL_WRITE;
--- a/src/daemon/worker_pool.c
+++ b/src/daemon/worker_pool.c
@@ -6,22 +6,22 @@
 
 #include "backend/clock.h"
 
-/* Threads of a lane that starts them when needed, at most. */
+/* Maximum number of threads of a lane that starts them on demand. */
 #define LANE_THREADS_MAX 4096
 
 /* The same for requests that other daemons serve. At the target size a daemon forwards 408 requests
- * a second, and each may wait for 2 s while no primary is known: enough for three of ten. More
- * would only open more connections to the owners when all callers come at once. */
+ * per second, and each may wait for 2 s while no primary is known: this suffices for three of ten.
+ * More threads would only open more connections to the owners when all callers send at once. */
 #define FORWARDING_THREADS_MAX 256
 
 /* One queue with its threads. */
 struct lane {
     struct worker_pool *pool;
-    pthread_cond_t queued_more; /* or the pool stops */
+    pthread_cond_t queued_more; /* a job was queued, or the pool stops */
     struct worker_job *first;
     struct worker_job **last;
     uint32_t queued;
-    uint32_t idle; /* threads that wait for a job */
+    uint32_t idle; /* threads waiting for a job */
     uint32_t threads_max;
     GArray *threads; /* of pthread_t */
 };
@@ -47,7 +47,7 @@
     return first->due < second->due ? -1 : 1;
 }
 
-/* The steps below are called with the lock held. */
+/* The functions below are called with the lock held. */
 
 static struct worker_job *take_first(struct lane *lane)
 {
@@ -92,8 +92,8 @@
     return NULL;
 }
 
-/* Starts one more thread. Without one at all nothing would run: that is fatal; later the jobs wait
- * for those there are. */
+/* Starts one more thread. If the lane has none at all, no job could run, which is fatal; otherwise
+ * jobs wait for the existing threads. */
 static void start_thread(struct lane *lane)
 {
     pthread_t thread;
@@ -194,7 +194,7 @@
     return pool;
 }
 
-/* Ends a lane's threads after its last job. No thread starts another any more. */
+/* Ends a lane's threads after its last job. No more threads are started then. */
 static void stop_lane(struct lane *lane)
 {
     for (guint i = 0; i < lane->threads->len; i++) {
--- a/src/daemon/worker_pool.h
+++ b/src/daemon/worker_pool.h
@@ -22,8 +22,7 @@
     WORKER_LANE_NEW,         /* new work of local callers, and the daemon's own jobs */
     WORKER_LANE_FORWARDING,  /* new work of local callers that another daemon serves */
     WORKER_LANE_TRANSACTION, /* requests of open transactions: at most one for each */
-    WORKER_LANE_FORWARDED,   /* requests of other daemons: at most one for each of their connections
-                              */
+    WORKER_LANE_FORWARDED,   /* requests of other daemons: one per connection of theirs at most */
     WORKER_LANE_COUNT,
 };
 
