--- a/src/daemon/admin_api.c
+++ b/src/daemon/admin_api.c
@@ -35,7 +35,8 @@
 static void refuse_elsewhere(struct admin_answer *answer, struct daemon *daemon, uint32_t group)
 {
     struct owner_list owners;
-    g_autoptr(GString) text = g_string_new("This daemon does not own the group; ask an owner:");
+    g_autoptr(GString) text =
+        g_string_new("This daemon does not own the group; send the request to an owner:");
     control_owners_of(daemon->control, group, &owners);
     for (uint32_t i = 0; i < owners.count; i++) {
         g_string_append_printf(text, " %s", owners.addresses[i]);
@@ -86,7 +87,8 @@
         refuse_elsewhere(answer, daemon, group->id);
     } else {
         if (!admin_drain_database(daemon, runtime, database, answer->body)) {
-            refuse(answer, ERROR_KIND_NOT_READY, "The database is not in the group here yet.");
+            refuse(answer, ERROR_KIND_NOT_READY,
+                   "The group does not have the database yet in this daemon's configuration.");
         }
         group_runtime_unref(runtime);
     }
@@ -105,7 +107,7 @@
     } else if (database != NULL) {
         mark_database(answer, daemon, database, leaving);
     } else {
-        refuse(answer, ERROR_KIND_BAD_REQUEST, "Name a database, or daemon=self.");
+        refuse(answer, ERROR_KIND_BAD_REQUEST, "Missing parameter: database, or daemon=self.");
     }
 }
 
@@ -125,7 +127,7 @@
     } else if (database != NULL) {
         tell_progress(answer, user, database);
     } else {
-        refuse(answer, ERROR_KIND_BAD_REQUEST, "Name a database, or daemon=self.");
+        refuse(answer, ERROR_KIND_BAD_REQUEST, "Missing parameter: database, or daemon=self.");
     }
 }
 
@@ -181,11 +183,12 @@
     if (!admin_query_number(request, "version", INT64_MAX, &handover.version, &error)) {
         admin_answer_error(answer, error);
     } else if (handover.version == 0) {
-        refuse(answer, ERROR_KIND_BAD_REQUEST, "Name the version.");
+        refuse(answer, ERROR_KIND_BAD_REQUEST, "Missing parameter: version.");
     } else if (g_strcmp0(admin_query_text(request, "hash"), hash) != 0) {
-        refuse(answer, ERROR_KIND_BAD_REQUEST, "The content has another hash.");
+        refuse(answer, ERROR_KIND_BAD_REQUEST, "The content does not match the hash.");
     } else if (!control_configuration_hand_over(daemon->control, &handover)) {
-        refuse(answer, ERROR_KIND_BAD_REQUEST, "This daemon's configuration is a file.");
+        refuse(answer, ERROR_KIND_BAD_REQUEST,
+               "This daemon's configuration is static, read from a file.");
     } else {
         g_string_append_printf(answer->body, "{\"version\":%" G_GUINT64_FORMAT "}",
                                handover.version);
@@ -203,7 +206,7 @@
     if (request_id != NULL) {
         admin_explain_request(user, request_id, answer->body);
     } else if (tenant == NULL) {
-        refuse(answer, ERROR_KIND_BAD_REQUEST, "Name a tenant or a request.");
+        refuse(answer, ERROR_KIND_BAD_REQUEST, "Missing parameter: tenant or request.");
     } else if (!admin_explain_write(user, tenant, write, answer->body, &error)) {
         admin_answer_error(answer, error);
     }
@@ -264,7 +267,7 @@
         return false;
     }
     if (!control_is_settled(daemon->control)) {
-        g_string_append(reason, "the other daemons are not known yet");
+        g_string_append(reason, "the membership is not known yet");
         return false;
     }
     return true;
@@ -304,7 +307,7 @@
     if (!admin_start(daemon->admin, error)) {
         return false;
     }
-    g_message("Operators at port %u.", admin_port(daemon->admin));
+    g_message("Admin listener on port %u.", admin_port(daemon->admin));
     return true;
 }
 
--- a/src/daemon/admin_explain.c
+++ b/src/daemon/admin_explain.c
@@ -102,9 +102,10 @@
         write_explanation(daemon, route, group, write, out);
         group_runtime_unref(group);
     } else if (route != NULL) {
-        g_set_error(error, SW_ERROR, ERROR_KIND_BAD_REQUEST,
-                    "This daemon does not own group %u of the tenant; ask one that does.",
-                    route->group);
+        g_set_error(
+            error, SW_ERROR, ERROR_KIND_BAD_REQUEST,
+            "This daemon does not own group %u of the tenant; send the request to an owner.",
+            route->group);
     } else {
         g_set_error_literal(error, SW_ERROR, ERROR_KIND_UNKNOWN_TENANT,
                             error_entry_of(ERROR_KIND_UNKNOWN_TENANT)->text);
--- a/src/daemon/admin_log.c
+++ b/src/daemon/admin_log.c
@@ -73,8 +73,9 @@
 {
     enum log_level value;
     if (part == NULL || level == NULL || !log_level_from_name(level, &value)) {
-        g_set_error_literal(error, SW_ERROR, ERROR_KIND_BAD_REQUEST,
-                            "Name a part, and a level: error, warning, message, info or debug.");
+        g_set_error_literal(
+            error, SW_ERROR, ERROR_KIND_BAD_REQUEST,
+            "A part and a level are required; levels: error, warning, message, info, debug.");
         return false;
     }
     if (!check_part(part, error)) {
--- a/src/daemon/budget_plan.c
+++ b/src/daemon/budget_plan.c
@@ -31,12 +31,13 @@
         return true;
     }
     uint32_t opening = BUDGET_OWNER_SETS * owners;
-    g_set_error(error, SW_ERROR, ERROR_KIND_INVALID_CONFIGURATION,
-                "database \"%s\" accepts %u connections, too few for %u owners: %u are kept for "
-                "probes and evidence (%u sets of owners x %u owners x %u), %u for opening, and the "
-                "rest must give each owner one and hand-over one",
-                database->name, database->connections, owners, plan.control,
-                (uint32_t)BUDGET_OWNER_SETS, owners, (uint32_t)BUDGET_CONTROL_CONNECTIONS, opening);
+    g_set_error(
+        error, SW_ERROR, ERROR_KIND_INVALID_CONFIGURATION,
+        "database \"%s\" accepts %u connections, too few for %u owners: %u are reserved for "
+        "probes and evidence (%u sets of owners x %u owners x %u), %u for opening, and the "
+        "rest must provide one for each owner and one for handover",
+        database->name, database->connections, owners, plan.control, (uint32_t)BUDGET_OWNER_SETS,
+        owners, (uint32_t)BUDGET_CONTROL_CONNECTIONS, opening);
     return false;
 }
 
--- a/src/daemon/configuration_fetch.c
+++ b/src/daemon/configuration_fetch.c
@@ -163,7 +163,7 @@
     if (base.version + 1 == handed.version && is_same(base, mark_of_have(fetch))) {
         take_content(fetch, handed, fetch->order->content);
     } else {
-        refuse(fetch, handed, "it does not follow the version in force here");
+        refuse(fetch, handed, "its base is not the version in force here");
     }
 }
 
@@ -215,13 +215,13 @@
         configuration_mark_of(reply->version, reply->hash != NULL ? reply->hash : "");
     g_autoptr(GBytes) content = content_of_reply(fetch, reply);
     if (content == NULL) {
-        refuse(fetch, told, "the content can't be read");
+        refuse(fetch, told, "the content can't be decoded");
         return;
     }
     g_autofree char *hash = canonical_hash(content);
     struct configuration_mark mark = configuration_mark_of(reply->version, hash);
     if (!is_genuine(fetch, reply, mark, hash)) {
-        refuse(fetch, told, "the content has another hash");
+        refuse(fetch, told, "the content does not match its hash");
         return;
     }
     fetch->result->difference = reply->base_version != 0;
--- a/src/daemon/configuration_fetcher.c
+++ b/src/daemon/configuration_fetcher.c
@@ -83,7 +83,7 @@
     pthread_mutex_init(&worker->lock, NULL);
     pthread_cond_init(&worker->work, NULL);
     if (pthread_create(&worker->thread, NULL, run_worker, worker) != 0) {
-        g_error("Can't start a thread that gets configurations.");
+        g_error("Can't start a thread of the configuration fetcher.");
     }
 }
 
--- a/src/daemon/control_budget.c
+++ b/src/daemon/control_budget.c
@@ -173,7 +173,7 @@
 {
     struct journal_entry entry = {.group = release->group, .database = -1};
     g_strlcpy(entry.kind, "connections_released", sizeof(entry.kind));
-    g_strlcpy(entry.text, "by hand-over", sizeof(entry.text));
+    g_strlcpy(entry.text, "by handover", sizeof(entry.text));
     journal_add(budget->control->journal, &entry);
 }
 
@@ -203,7 +203,8 @@
             return false;
         }
         if (state == HANDOVER_STATE_TIMED_OUT) {
-            g_message("Group %u is given up before its new owners are warm.", release->group);
+            g_message("Handover of group %u timed out: its new owners are not warm.",
+                      release->group);
         }
         start_draining(budget, release);
     }
--- a/src/daemon/control_configuration.c
+++ b/src/daemon/control_configuration.c
@@ -47,9 +47,9 @@
     }
     g_strlcpy(self->failure, failure, sizeof(self->failure));
     if (failed) {
-        g_warning("The store does not give the configuration: %s.", failure);
+        g_warning("Reading the configuration from the store failed: %s.", failure);
     } else {
-        g_message("The store answers.");
+        g_message("Reading the configuration from the store succeeds again.");
     }
 }
 
@@ -101,8 +101,8 @@
     const struct zone_configuration *zone =
         configuration_find_zone_by_name(configuration, daemon->settings.daemon.zone);
     if (zone == NULL || zone->id != atomic_load(&daemon->zone)) {
-        g_warning("Zone \"%s\" is gone from the configuration or has another id: restart this "
-                  "daemon with a zone that is there.",
+        g_warning("Zone \"%s\" is missing from the configuration or has another id: restart "
+                  "this daemon with a configured zone.",
                   daemon->settings.daemon.zone);
     }
 }
@@ -115,7 +115,7 @@
     g_autoptr(GError) error = NULL;
     uint32_t owners = self->control->daemon->settings.ownership.owners_per_group;
     if (!budget_plan_check(configuration, owners, &error)) {
-        g_critical("Not served: %s.", error->message);
+        g_critical("A database is not served for lack of connections: %s.", error->message);
     }
 }
 
@@ -226,9 +226,9 @@
     bool contradicted =
         head.version == applied.version && head.version != 0 && head.hash != applied.hash;
     if (contradicted && !self->contradicted) {
-        g_autofree char *text = g_strdup_printf("version=%" G_GUINT64_FORMAT
-                                                " the store has another content under this version",
-                                                head.version);
+        g_autofree char *text = g_strdup_printf(
+            "version=%" G_GUINT64_FORMAT " the store has different content under this version",
+            head.version);
         configuration_note(self, "configuration_refused", text);
     }
     self->contradicted = contradicted;
--- a/src/daemon/control_configuration_search.c
+++ b/src/daemon/control_configuration_search.c
@@ -76,7 +76,7 @@
         own_zone(self, published_configuration_content(result->published));
     if (zone == NULL) {
         pass_over(self, published_configuration_mark(result->published).version,
-                  "does not have the zone of this daemon");
+                  "does not contain this daemon's zone");
         return false;
     }
     atomic_store(&self->control->daemon->zone, zone->id);
--- a/src/daemon/control_configuration_status.c
+++ b/src/daemon/control_configuration_status.c
@@ -14,17 +14,17 @@
                    self->search_from - 1, self->control->daemon->settings.daemon.zone);
     } else if (!self->joined) {
         g_snprintf(reason, CONFIGURATION_REASON_SIZE,
-                   "no configuration: no other daemon gave one, nor did the store%s%s",
+                   "no configuration: neither other daemons nor the store returned one%s%s",
                    self->failure[0] != '\0' ? ": " : "", self->failure);
     } else if (newest > applied) {
         g_snprintf(reason, CONFIGURATION_REASON_SIZE,
-                   "version %" G_GUINT64_FORMAT " is accepted, and only version %" G_GUINT64_FORMAT
-                   " could be had",
+                   "version %" G_GUINT64_FORMAT
+                   " is the newest, but only version %" G_GUINT64_FORMAT " could be fetched",
                    newest, applied);
     } else {
         g_snprintf(reason, CONFIGURATION_REASON_SIZE,
-                   "neither the store nor most daemons confirm that version %" G_GUINT64_FORMAT
-                   " is the newest",
+                   "neither the store nor a majority of the daemons confirms that version "
+                   "%" G_GUINT64_FORMAT " is the newest",
                    applied);
     }
 }
--- a/src/daemon/control_members.c
+++ b/src/daemon/control_members.c
@@ -152,7 +152,7 @@
         control_ownership_forget(control, action->member.id);
         break;
     case MEMBERSHIP_ACTION_SUPERSEDED:
-        g_critical("Another daemon runs under this name: this one is silent.");
+        g_critical("Another daemon runs under this name: this one has stopped sending gossip.");
         break;
     case MEMBERSHIP_ACTION_CONFIGURATION_ANNOUNCED:
         control_configuration_hear(control, action->configuration,
--- a/src/daemon/control_ownership.c
+++ b/src/daemon/control_ownership.c
@@ -171,7 +171,8 @@
     }
     g_autoptr(GArray) changes = g_array_new(FALSE, FALSE, sizeof(struct ownership_change));
     control->view_reliable = reliable;
-    g_message("Members are %s.", reliable ? "known, and most are in reach" : "not to be relied on");
+    g_message("The member list is %s.",
+              reliable ? "complete, and a majority is reachable" : "not reliable");
     ownership_set_settled(control->ownership, reliable, changes);
     if (atomic_load(&control->owners_settled)) {
         apply_changes(control, changes);
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -322,7 +322,8 @@
         reply->reply.request_id = g_strdup(request->request.request_id);
         reply->reply.outcome = OUTCOME_REFUSED;
         reply->reply.error_kind = ERROR_KIND_PEER_UNREACHABLE;
-        reply->reply.error_text = g_strdup("The daemon at this address is of another deployment.");
+        reply->reply.error_text =
+            g_strdup("The daemon at this address belongs to another deployment.");
         reply->reply.retry_after_ms = FOREIGN_RETRY_AFTER_MS;
     }
 }
@@ -418,8 +419,7 @@
 {
     daemon->deployment = deployment_hash(daemon->settings.daemon.deployment);
     if (daemon->deployment == DEPLOYMENT_UNNAMED) {
-        g_message(
-            "daemon.deployment is empty: daemons of every deployment are taken for own ones.");
+        g_message("daemon.deployment is empty: messages from other deployments are not detected.");
     }
 }
 
--- a/src/daemon/decision_log.c
+++ b/src/daemon/decision_log.c
@@ -80,7 +80,8 @@
     }
 }
 
-/* Copies an entry that was acquired. An addition that meets it meanwhile uses the next one. */
+/* Acquires an entry, yielding the processor while another thread holds it, and copies it. An
+ * addition that finds it held uses the next one. */
 static void copy_place(struct place *place, struct decision_record *record)
 {
     while (!take(place)) {
--- a/src/daemon/foreign_traffic.c
+++ b/src/daemon/foreign_traffic.c
@@ -31,6 +31,6 @@
         return;
     }
     g_autofree char *address = from != NULL ? format_address(from) : NULL;
-    g_warning("Messages of another deployment are dropped%s%s.",
+    g_warning("Dropped messages from another deployment%s%s.",
               address != NULL ? ", the last from " : "", address != NULL ? address : "");
 }
--- a/src/daemon/ledger_upkeep.c
+++ b/src/daemon/ledger_upkeep.c
@@ -36,7 +36,7 @@
     if (result == EXECUTE_DONE) {
         atomic_store(&job->group->ledger_term, job->term);
     } else {
-        g_info("Ledger of group %u not made: %s.", job->group->group->id,
+        g_info("Creating the ledger of group %u failed: %s.", job->group->group->id,
                execute_result_name(result));
     }
     execute_answer_clear(&answer);
@@ -50,8 +50,8 @@
     enum execute_result result =
         adapter_expire_ledger(connection, job->days, EXPIRE_ROWS, deadline, &removed, &answer);
     if (result != EXECUTE_DONE) {
-        g_info("Ledger of group %u not cleared: %s.", job->group->group->id,
-               execute_result_name(result));
+        g_info("Removing expired keys from the ledger of group %u failed: %s.",
+               job->group->group->id, execute_result_name(result));
     } else if (removed > 0) {
         g_info("Ledger of group %u: %" G_GUINT64_FORMAT " keys older than %u days removed.",
                job->group->group->id, removed, job->days);
--- a/src/daemon/log.c
+++ b/src/daemon/log.c
@@ -147,7 +147,7 @@
         return;
     }
     if (repeated > 0) {
-        g_autofree char *note = g_strdup_printf("(%u equal lines left out)", repeated);
+        g_autofree char *note = g_strdup_printf("(last message repeated %u times)", repeated);
         write_line("log", LOG_LEVEL_MESSAGE, note);
         state.repeated = 0;
     }
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -64,12 +64,12 @@
         g_critical("Start failed: %s.", error->message);
         return EXIT_START;
     }
-    g_message("Ready: callers at port %u.", frontend_port(daemon->frontend));
+    g_message("Ready: listening for callers on port %u.", frontend_port(daemon->frontend));
     sigwait(&signals, &received);
-    g_message("Planned stop by signal %d.", received);
+    g_message("Planned stop on signal %d.", received);
     time_ns deadline = backend_now() + stop_timeout_ms * NANOSECONDS_PER_MILLISECOND;
     uint32_t cut = daemon_stop(daemon, deadline);
-    g_message("Stopped: %u requests or transactions cut.", cut);
+    g_message("Stopped: %u requests or transactions aborted.", cut);
     return cut == 0 ? EXIT_OK : EXIT_CUT;
 }
 
--- a/src/daemon/task_transaction.c
+++ b/src/daemon/task_transaction.c
@@ -32,7 +32,7 @@
         /* The transaction with this key has ended. Its outcome is found by a commit with the key.
          */
         task_refuse(task, OUTCOME_REFUSED, ERROR_KIND_KEY_CLOSED,
-                    "The key's transaction has ended.", BEGIN_RETRY_AFTER_MS);
+                    "The transaction with this idempotency key has ended.", BEGIN_RETRY_AFTER_MS);
         return;
     default:
         task_refuse(task, OUTCOME_FAILED, ERROR_KIND_TRANSACTION_ABORTED, NULL,
@@ -129,7 +129,7 @@
         task->daemon->transactions, request->transaction_id, request->tenant, &transaction);
     if (lookup == TRANSACTION_BUSY) {
         task_refuse(task, OUTCOME_REFUSED, ERROR_KIND_BAD_REQUEST,
-                    "The transaction runs another request.", 0);
+                    "The transaction is already running another request.", 0);
         return;
     }
     if (lookup == TRANSACTION_NOT_OPEN) {
--- a/tests/daemon/test_configuration.c
+++ b/tests/daemon/test_configuration.c
@@ -1,5 +1,5 @@
-/* Published configurations over whole deployments: what is accepted is in force on every daemon
- * soon, through races and outages of the store, and none goes back to an older one. */
+/* Published configurations in complete deployments: an accepted version is soon in force on every
+ * daemon, despite races and outages of the store, and no daemon returns to an older one. */
 #include "published_fixture.h"
 
 #include <string.h>
@@ -11,10 +11,10 @@
 
 #define DAEMONS 3
 
-/* Long enough that no test meets it by chance. */
+/* So long that no test reaches it. */
 #define BOUND_LONG_MS 600000
 
-/* Met on purpose. */
+/* Reached intentionally. */
 #define BOUND_SHORT_MS 2000
 
 static void check_readiness(struct published_cluster *test, unsigned daemon, long expected,
@@ -26,7 +26,7 @@
     g_assert_nonnull(strstr(body, reason));
 }
 
-/* What /v1/status tells of the configuration. */
+/* Checks the configuration in /v1/status. */
 static void check_status(struct published_cluster *test, unsigned daemon, int64_t version,
                          const char *hash)
 {
@@ -44,7 +44,7 @@
     g_assert_cmpint(json_object_get_int_member(told, "confirmed_age_ms"), <, BOUND_LONG_MS);
 }
 
-/* A deployment that serves version 1. */
+/* Starts a deployment that serves version 1. */
 static void serve(struct published_cluster *test, unsigned daemons)
 {
     g_free(published_publish(test, test->bundle, 1));
@@ -81,7 +81,7 @@
     published_stop(test);
 }
 
-/* One of two operators who publish on the same base. */
+/* One of two operators that publish on the same base. */
 struct racer {
     struct publisher *publisher;
     const char *bundle;
@@ -120,14 +120,14 @@
     AWAIT(published_all_serve(test, 2));
     g_autofree char *winning = publisher_hash(winner->bundle);
     published_check_all_have(test, winning);
-    /* The loser tries again, on top of the winner. */
+    /* The operator that lost publishes again, on top of the winner's version. */
     g_autofree char *hash = published_publish(test, loser->bundle, 3);
     AWAIT(published_all_serve(test, 3));
     published_check_all_have(test, hash);
     published_stop(test);
 }
 
-/* The store answers one daemon only, and goes down as soon as that one has the new version. */
+/* The store answers only one daemon, and goes down as soon as that one has the new version. */
 static void test_store_down_after_acceptance(void)
 {
     struct published_cluster *test = published_start(BOUND_SHORT_MS);
@@ -146,7 +146,7 @@
     for (unsigned i = 1; i < DAEMONS; i++) {
         g_assert_cmpuint(published_count_events(test, i, "configuration_applied", "store"), ==, 0);
     }
-    /* Long after the bound all serve on, as most daemons confirm each other. */
+    /* Long after the bound all daemons still serve, as a majority confirms each other's version. */
     time_ns past = down_since + 2 * BOUND_SHORT_MS * NANOSECONDS_PER_MILLISECOND;
     for (unsigned i = 0; i < DAEMONS; i++) {
         AWAIT(published_status(test, i).confirmed_at > past);
@@ -156,7 +156,7 @@
     published_stop(test);
 }
 
-/* A daemon that keeps nothing starts again while the store is down. */
+/* A daemon without stored state restarts while the store is down. */
 static void test_restart_without_store(void)
 {
     struct published_cluster *test = start_serving(BOUND_LONG_MS, DAEMONS);
@@ -192,8 +192,8 @@
     return any;
 }
 
-/* A group is taken out while its old owner waits for a new one that can't come: nobody is waited
- * for any more. Its databases go on in a group of another number. */
+/* A group is removed while its old owner waits for a new owner that can't start: the wait ends. Its
+ * databases continue in a group with another number. */
 static void test_group_removed_in_a_move(void)
 {
     struct published_cluster *test = published_start(BOUND_LONG_MS);
@@ -216,7 +216,7 @@
     published_stop(test);
 }
 
-/* A store that takes its time still gives what is accepted. */
+/* A slow store still delivers the accepted version. */
 static void test_slow_store(void)
 {
     struct published_cluster *test = start_serving(BOUND_LONG_MS, DAEMONS);
@@ -228,7 +228,7 @@
     published_stop(test);
 }
 
-/* A store that hangs keeps nobody from asking the others. */
+/* A store that does not respond does not delay requests to other daemons. */
 static void test_restart_with_hanging_store(void)
 {
     struct published_cluster *test = start_serving(BOUND_LONG_MS, DAEMONS);
@@ -242,14 +242,15 @@
     published_stop(test);
 }
 
-/* With neither store nor peers, a daemon stops serving, says why, and comes back with the store. */
+/* Without store and peers a daemon stops serving, reports why, and serves again once the store is
+ * back. */
 static void test_cut_off(void)
 {
     struct published_cluster *test = start_serving(BOUND_SHORT_MS, DAEMONS);
     publisher_set_down(test->publisher, true);
     cluster_stop_daemon(test->cluster, 1);
     cluster_stop_daemon(test->cluster, 2);
-    /* Planned stops leave a lone daemon, which nobody confirms. */
+    /* After planned stops of the others, no daemon confirms the remaining one. */
     AWAIT(!published_status(test, 0).serving);
     struct configuration_status status = published_status(test, 0);
     g_assert_nonnull(strstr(status.reason, "confirm"));
@@ -272,7 +273,7 @@
 }
 
 /* A daemon whose configuration may have been replaced might count a majority of databases that the
- * group no longer has: it changes no primary until it is confirmed again. */
+ * group no longer has. It must change no primary until it is confirmed again. */
 static void test_cut_off_deposes_nobody(void)
 {
     struct published_cluster *test = published_start(BOUND_SHORT_MS);
@@ -284,7 +285,7 @@
     AWAIT(!published_status(test, 0).serving);
     uint64_t promised = promised_term(test, 1);
     cluster_cut(test->cluster, 0);
-    /* The second attempt begins after the first one's commands were answered, or lost for good. */
+    /* The second attempt starts after the first one's commands were answered or timed out. */
     AWAIT(published_count_events(test, 0, "fence_started", "") >= 2);
     for (uint32_t i = 1; i < 3; i++) {
         g_assert_cmpuint(promised_term(test, i), ==, promised);
@@ -295,7 +296,8 @@
     published_stop(test);
 }
 
-/* The next change of a group's databases waits for the last one, of which its owners tell. */
+/* The next change of a group's databases waits until the owners report that the last one is
+ * complete. */
 static void test_change_of_databases(void)
 {
     struct published_cluster *test = start_serving(BOUND_LONG_MS, DAEMONS);
@@ -314,7 +316,8 @@
     published_stop(test);
 }
 
-/* What no daemon can parse is in force nowhere, whatever follows from that, until it is mended. */
+/* A version that no daemon can parse is not put in force anywhere, until it is replaced by a valid
+ * one. All daemons stop serving meanwhile. */
 static void test_unfit_bundle(void)
 {
     struct published_cluster *test = start_serving(BOUND_SHORT_MS, DAEMONS);
@@ -323,7 +326,7 @@
     for (unsigned i = 0; i < DAEMONS; i++) {
         AWAIT(published_status(test, i).newest == 2);
         AWAIT(!published_status(test, i).serving);
-        g_assert_nonnull(strstr(published_status(test, i).reason, "version 2 is accepted"));
+        g_assert_nonnull(strstr(published_status(test, i).reason, "version 2 is the newest"));
         published_check_read(test, i, "refuge", "not_ready");
     }
     published_check_all_have(test, first);
@@ -347,7 +350,8 @@
     return running;
 }
 
-/* Slots change under an open transaction: it commits, and later requests meet the new slots. */
+/* The number of slots changes during an open transaction: it commits, and later requests use the
+ * new slots. */
 static void test_group_change(void)
 {
     struct published_cluster *test = start_serving(BOUND_LONG_MS, DAEMONS);
@@ -390,7 +394,7 @@
 int main(int argc, char **argv)
 {
     cluster_test_init(&argc, &argv);
-    /* The outages made here are worth a warning in the log. */
+    /* The outages made here cause warnings in the log. */
     g_log_set_always_fatal(G_LOG_FATAL_MASK | G_LOG_LEVEL_CRITICAL);
     g_test_add_func("/daemon/configuration/publish", test_publish);
     g_test_add_func("/daemon/configuration/racing_publishers", test_racing_publishers);
--- a/tests/daemon/test_configuration_handover.c
+++ b/tests/daemon/test_configuration_handover.c
@@ -1,15 +1,15 @@
-/* The publisher hands an accepted version to daemons: it is in force everywhere although the store
- * goes down right after it was accepted, and what was not accepted never is. */
+/* The publisher hands an accepted version over to daemons: it is in force everywhere although the
+ * store goes down right after its acceptance, and a version that was not accepted never is. */
 #include "published_fixture.h"
 
 #include <string.h>
 
 #define DAEMONS 3
 
-/* Long enough that no test meets it by chance. */
+/* So long that no test reaches it. */
 #define BOUND_MS 600000
 
-/* Daemons that never reach the store; nothing is published. */
+/* Starts daemons that never reach the store; nothing is published. */
 static struct published_cluster *start_without_store(void)
 {
     struct published_cluster *test = published_start(BOUND_MS);
@@ -27,7 +27,7 @@
     g_assert_null(strstr(output->str, "not in force"));
 }
 
-/* As if the store went down in the moment after each acceptance: no daemon ever reads it. */
+/* Behaves as if the store went down right after each acceptance: no daemon ever reads it. */
 static void test_store_down_at_once(void)
 {
     struct published_cluster *test = start_without_store();
@@ -46,8 +46,8 @@
     published_stop(test);
 }
 
-/* Two versions in a row, each handed to another daemon: one that lags takes it once it has caught
- * up. */
+/* Two consecutive versions are handed to different daemons: a daemon that is behind applies the
+ * second once it has the first. */
 static void test_versions_in_a_row(void)
 {
     struct published_cluster *test = start_without_store();
@@ -62,7 +62,8 @@
     published_stop(test);
 }
 
-/* Of two who publish on the same base one is accepted; the other's is handed to nobody. */
+/* Of two operators that publish on the same base one is accepted; the other's version is not handed
+ * over. */
 static void test_lost_race(void)
 {
     struct published_cluster *test = start_without_store();
@@ -75,14 +76,15 @@
     g_free(published_publish(test, winner, 2));
     enum exit_code exit_code = published_by_ctl(test, loser, 1, -1, output);
     g_assert_cmpint(exit_code, ==, EXIT_CODE_CONFLICT);
-    /* The winner's publisher died before it told anyone: asked again, it hands over. */
+    /* As after a crash of the winner's publisher before the handover: publishing again hands over.
+     */
     publish(test, winner, 2, 0);
     AWAIT(published_all_serve(test, 2));
     published_check_all_have(test, hash);
     published_stop(test);
 }
 
-/* Acceptance is the move of the head, and swiftctl says that no daemon has the version. */
+/* Moving the store's head is the acceptance; swiftctl reports that no daemon has the version. */
 static void test_no_daemon(void)
 {
     struct published_cluster *test = published_start(BOUND_MS);
@@ -95,7 +97,7 @@
     published_stop(test);
 }
 
-/* Hands a bundle over as version `version`, without having published it. */
+/* Hands a bundle over as version `version` without publishing it. */
 static void hand_over(struct published_cluster *test, const char *bundle, uint64_t version,
                       const char *hash, const char *base_hash, long expected)
 {
@@ -113,7 +115,7 @@
     return published_count_events(test, 0, "configuration_refused", text) > 0;
 }
 
-/* What was never accepted does not come into force where the store can be asked. */
+/* A version that was not accepted is not put in force while the store is reachable. */
 static void test_never_accepted(void)
 {
     struct published_cluster *test = published_start(BOUND_MS);
@@ -127,7 +129,7 @@
     hand_over(test, bundle, 1, hash, "", 200);
     hand_over(test, bundle, 2, first, first, 400);
     hand_over(test, bundle, 0, hash, "", 400);
-    /* What is accepted as version 2 instead is what all have. */
+    /* All daemons get the version that is accepted as version 2 instead. */
     g_autofree char *other = published_with_tenant(test, "porter");
     g_autofree char *accepted = published_publish(test, other, 2);
     AWAIT(published_all_serve(test, 2));
@@ -135,8 +137,8 @@
     published_stop(test);
 }
 
-/* Without the store, only the successor of the version in force is taken at the publisher's word.
- */
+/* Without the store, only the direct successor of the version in force is accepted from the
+ * publisher. */
 static void test_not_the_successor(void)
 {
     struct published_cluster *test = start_without_store();
@@ -146,9 +148,9 @@
     g_autofree char *bundle = published_with_tenant(test, "guide");
     g_autofree char *hash = publisher_hash(bundle);
     hand_over(test, bundle, 9, hash, first, 200);
-    AWAIT(was_refused(test, "version=9 from the publisher: it does not follow"));
+    AWAIT(was_refused(test, "version=9 from the publisher: its base is not the version in force"));
     hand_over(test, bundle, 2, hash, hash, 200);
-    AWAIT(was_refused(test, "version=2 from the publisher: it does not follow"));
+    AWAIT(was_refused(test, "version=2 from the publisher: its base is not the version in force"));
     g_assert_cmpuint(published_status(test, 0).newest, ==, 1);
     published_check_all_have(test, first);
     published_stop(test);
@@ -157,7 +159,7 @@
 int main(int argc, char **argv)
 {
     cluster_test_init(&argc, &argv);
-    /* The outages made here are worth a warning in the log. */
+    /* The outages made here cause warnings in the log. */
     g_log_set_always_fatal(G_LOG_FATAL_MASK | G_LOG_LEVEL_CRITICAL);
     g_test_add_func("/daemon/configuration/handover/store_down_at_once", test_store_down_at_once);
     g_test_add_func("/daemon/configuration/handover/versions_in_a_row", test_versions_in_a_row);
--- a/tests/daemon/test_configuration_peers.c
+++ b/tests/daemon/test_configuration_peers.c
@@ -1,5 +1,5 @@
-/* What other daemons tell of configurations is checked: a wrong content is refused, and nothing old
- * that comes late takes a daemon back. */
+/* Configurations from other daemons are checked: content that does not match is rejected, and
+ * delayed messages about old versions do not take a daemon back. */
 #include "fake_peer.h"
 #include "published_fixture.h"
 
@@ -7,15 +7,16 @@
 
 #include "daemon/configuration_content.h"
 
-/* Long enough that no test meets it by chance. */
+/* So long that no test reaches it. */
 #define BOUND_LONG_MS 600000
 
-/* One daemon that serves version 1, a peer that can't be trusted, and version 2 not published. */
+/* One daemon that serves version 1, a simulated peer that sends wrong data, and version 2, not yet
+ * published. */
 struct peers_test {
     struct published_cluster *deployment;
     struct fake_peer *peer;
     GBytes *first;  /* canonical content of version 1 */
-    GBytes *second; /* of version 2 */
+    GBytes *second; /* canonical content of version 2 */
     char *first_hash;
     char *second_hash;
     char *second_bundle;
@@ -59,8 +60,8 @@
     return published_count_events(test->deployment, 0, kind, text);
 }
 
-/* The peer says that it has version 2 and gives `answer`, which must not be used; then the store
- * has version 2. */
+/* The peer claims version 2 and sends `answer`, which must not be used; then the store gets version
+ * 2. */
 static void check_refused(struct peers_test *test, const struct fake_answer *answer,
                           const char *reason)
 {
@@ -81,21 +82,21 @@
 static void test_wrong_hash(struct peers_test *test, gconstpointer unused)
 {
     struct fake_answer answer = {.version = 2, .hash = test->second_hash, .content = test->first};
-    check_refused(test, &answer, "another hash");
+    check_refused(test, &answer, "does not match its hash");
 }
 
-/* The content and the hash beside it agree, but gossip had another hash. */
+/* Content and hash of the reply match, but gossip announced another hash. */
 static void test_other_content(struct peers_test *test, gconstpointer unused)
 {
     struct fake_answer answer = {.version = 2, .hash = test->first_hash, .content = test->first};
-    check_refused(test, &answer, "another hash");
+    check_refused(test, &answer, "does not match its hash");
 }
 
 static void test_spoilt_content(struct peers_test *test, gconstpointer unused)
 {
     struct fake_answer answer = {
         .version = 2, .hash = test->second_hash, .content = test->second, .spoilt = true};
-    check_refused(test, &answer, "can't be read");
+    check_refused(test, &answer, "can't be decoded");
 }
 
 static void test_older_content(struct peers_test *test, gconstpointer unused)
@@ -104,7 +105,8 @@
     check_refused(test, &answer, NULL);
 }
 
-/* A difference that leads elsewhere, or nowhere, is no reason to refuse the whole. */
+/* A difference that yields other content, or none, does not prevent the use of the complete
+ * content. */
 static void check_difference(struct peers_test *test, const struct fake_answer *difference)
 {
     struct fake_answer whole = {.version = 2, .hash = test->second_hash, .content = test->second};
@@ -147,7 +149,7 @@
     check_difference(test, &difference);
 }
 
-/* Gossip of version 1, held back until version 2 is in force everywhere. */
+/* Gossip about version 1 is delayed until version 2 is in force everywhere. */
 static void test_delayed_gossip(struct peers_test *test, gconstpointer unused)
 {
     struct configuration_mark first_mark = configuration_mark_of(1, test->first_hash);
@@ -162,14 +164,14 @@
     g_assert_cmpuint(published_status(test->deployment, 0).newest, ==, 2);
     g_assert_cmpuint(fake_peer_questions(test->peer), ==, 0);
     published_check_all_have(test->deployment, test->second_hash);
-    /* Nor does it keep the next version away. */
+    /* The delayed gossip does not block the next version either. */
     g_autofree char *third = published_with_tenant(test->deployment, "porter");
     g_autofree char *third_hash = published_publish(test->deployment, third, 3);
     published_await(test->deployment, 3);
     published_check_all_have(test->deployment, third_hash);
 }
 
-/* The peer is listed while it lags. */
+/* A peer with an older version is listed as a straggler. */
 static void test_straggler(struct peers_test *test, gconstpointer unused)
 {
     struct configuration_mark first_mark = configuration_mark_of(1, test->first_hash);
--- a/tests/daemon/test_configuration_share.c
+++ b/tests/daemon/test_configuration_share.c
@@ -1,4 +1,4 @@
-/* What travels between daemons of a configuration: differences, compression, answers. */
+/* Encoding of configurations between daemons: differences, compression, replies. */
 #include <glib.h>
 #include <string.h>
 
@@ -14,8 +14,8 @@
     return g_bytes_new(text, strlen(text));
 }
 
-/* Makes the difference of two texts, checks that it leads from one to the other, and what it
- * keeps. */
+/* Makes the difference of two texts, checks that it turns one into the other, and the lengths that
+ * it keeps. */
 static void check_difference(const char *before, const char *after, uint32_t keep_start,
                              uint32_t keep_end)
 {
@@ -44,7 +44,7 @@
     check_difference("{\"x\":1,\"y\":2}", "{\"x\":1,\"xx\":7,\"y\":2}", 8, 5);
 }
 
-/* A short text of few different characters, so that starts and ends meet by chance. */
+/* A short text from a small alphabet, so that common prefixes and suffixes occur by chance. */
 static char *random_text(GRand *random)
 {
     gsize length = (gsize)g_rand_int_range(random, 0, 12);
@@ -104,7 +104,7 @@
     g_assert_null(configuration_decompress(NULL, 0));
 }
 
-/* Few octets that stand for more than the largest bundle. */
+/* A few bytes that decompress to more than the largest bundle. */
 static void test_compression_bound(void)
 {
     gsize length = CONFIGURATION_BYTES_MAX + 1;
@@ -140,7 +140,7 @@
     configuration_unref(configuration);
 }
 
-/* Versions 1 and 2 in force one after the other, with the difference between them. */
+/* Versions 1 and 2, put in force one after the other, with the difference between them. */
 struct share_test {
     struct configuration_share *share;
     struct configuration *first;
@@ -173,8 +173,8 @@
     configuration_unref(test->second);
 }
 
-/* Checks what a request gets: version 0 is nothing, base version 0 the whole of `content`, another
- * one a difference that leads from `before` to it. */
+/* Checks the reply to a request: version 0 is no content, base version 0 the complete `content`,
+ * any other base version a difference that leads from `before` to `content`. */
 static void check_answer(struct share_test *test, struct configuration_request request,
                          uint64_t version, uint64_t base_version, GBytes *before, GBytes *content)
 {
--- a/tests/daemon/test_log.c
+++ b/tests/daemon/test_log.c
@@ -1,5 +1,5 @@
-/* The log's levels by part: what is written at run time, that the operators' call changes it, and
- * that the list of parts is that of the sources. */
+/* Log levels by part: which lines are written, changes through the admin API, and that the list of
+ * parts matches the sources. */
 #include <glib/gstdio.h>
 #include <string.h>
 
@@ -25,7 +25,7 @@
     g_assert_true(log_wants("some library", LOG_LEVEL_WARNING));
 }
 
-/* In a process of its own, since the writer can be set once. */
+/* In a child process, since the writer can be set only once. */
 static void test_written_lines(void)
 {
     if (g_test_subprocess()) {
@@ -41,8 +41,9 @@
     }
     g_test_trap_subprocess(NULL, 0, 0);
     g_test_trap_assert_passed();
-    g_test_trap_assert_stderr("*members: told\n*owners: again\n*log: (2 equal lines left out)\n"
-                              "*owners: end\n*");
+    g_test_trap_assert_stderr(
+        "*members: told\n*owners: again\n*log: (last message repeated 2 times)\n"
+        "*owners: end\n*");
     g_test_trap_assert_stderr_unmatched("*untold*");
 }
 
@@ -54,7 +55,8 @@
     g_assert_error(error, SW_ERROR, (gint)ERROR_KIND_BAD_REQUEST);
 }
 
-/* A change is answered, in force, and an event; what is wrong changes nothing. */
+/* A valid change is answered, takes effect and is recorded as an event; an invalid one changes
+ * nothing. */
 static void test_operator_call(void)
 {
     struct daemon daemon = {.journal = journal_new()};
@@ -87,7 +89,8 @@
     return false;
 }
 
-/* Log domains that the sources of a folder define; fails the test for one that is no part. */
+/* Number of log domains defined by the sources of a folder; fails the test for one that is not a
+ * part. */
 static unsigned check_domains(const char *folder)
 {
     g_autoptr(GRegex) domain = g_regex_new("#define G_LOG_DOMAIN \"([^\"]+)\"", 0, 0, NULL);
