--- a/tests/daemon/budget_plan_test.c
+++ b/tests/daemon/budget_plan_test.c
@@ -1,5 +1,4 @@
-/* The arithmetic of a database's connections, and the refusal of a configuration where it can't
- * hold. */
+/* Division of a database's connections, and rejection of a configuration with too few. */
 #include "daemon/budget_plan.h"
 
 #include <string.h>
@@ -9,7 +8,8 @@
 #define OWNERS_MOST      9
 #define CONNECTIONS_MOST 200
 
-/* Whatever holds by its own account adds up, with one number for each owner and for hand-over. */
+/* A plan that holds by its own check fits the connections, with one number for each owner and one
+ * for handover. */
 static void test_adds_up(void)
 {
     for (uint32_t connections = 0; connections <= CONNECTIONS_MOST; connections++) {
@@ -28,7 +28,7 @@
     }
 }
 
-/* Sizes of today, by three owners. */
+/* Limits of 35 and 65 connections with three owners. */
 static void test_sizes_of_today(void)
 {
     struct budget_plan plan;
@@ -40,7 +40,7 @@
     g_assert_cmpuint(budget_share(&plan.options), ==, 13);
 }
 
-/* More connections never make it fail. */
+/* A plan that holds also holds with more connections. */
 static void test_grows_with_connections(void)
 {
     for (uint32_t owners = 1; owners <= OWNERS_MOST; owners++) {
--- a/tests/daemon/callers.c
+++ b/tests/daemon/callers.c
@@ -1,4 +1,4 @@
-/* Callers without pause; see the header. */
+/* Callers that send continuously; see the header. */
 #include "callers.h"
 
 #include <string.h>
@@ -14,7 +14,8 @@
         caller->kind, atomic_load(&caller->rounds), call->path != NULL ? call->path : "statements",
         call->transaction != NULL ? call->transaction : "", answer->served_by, answer->status,
         body != NULL ? body : answer->failure);
-    g_message("A call failed: %s", text); /* now, in its place among the daemons' own lines */
+    /* Logged at once, to appear in order among the daemons' own lines. */
+    g_message("A call failed: %s", text);
     pthread_mutex_lock(&callers->lock);
     if (callers->first_failure->len == 0) {
         g_string_assign(callers->first_failure, text);
@@ -30,14 +31,15 @@
     return port;
 }
 
-/* True if the call was certainly not run and may be sent again, by the answer or without one. */
+/* True if the call was certainly not run and may be sent again, according to the answer or because
+ * no connection was made. */
 static bool may_send_again(const struct http_answer *answer)
 {
     bool refused = g_strcmp0(answer->outcome, "refused") == 0 && answer->retry_after != NULL;
     return refused || answer->unconnected;
 }
 
-/* Sends until it is taken. True if done; the caller clears the answer. */
+/* Sends the call until it is accepted. Returns true if it is done; the caller clears the answer. */
 static bool send_until_taken(struct caller *caller, unsigned turn, const struct http_call *call,
                              struct http_answer *answer)
 {
@@ -55,7 +57,7 @@
     return done;
 }
 
-/* The same for a request whose answer's content is of no interest. */
+/* The same for a request whose answer's content is not checked. */
 static bool send_plain(struct caller *caller, unsigned turn, const struct http_call *call)
 {
     struct http_answer answer;
@@ -78,7 +80,7 @@
     caller->rows += send_plain(caller, caller->number + round, &call);
 }
 
-/* Reads a text that no other caller and no other round has. */
+/* Reads a text that is unique to this caller and round. */
 static void read_once(struct caller *caller, unsigned round)
 {
     struct http_answer answer;
--- a/tests/daemon/callers.h
+++ b/tests/daemon/callers.h
@@ -1,4 +1,4 @@
-/* Callers that send without pause to several daemons, and count what they are told. */
+/* Callers that send to several daemons continuously and record the outcomes. */
 #ifndef SW_TESTS_DAEMON_CALLERS_H
 #define SW_TESTS_DAEMON_CALLERS_H
 
@@ -9,7 +9,7 @@
 
 #define CALLERS_MAX 16
 
-/* What a caller does, over and over. */
+/* What a caller does in each round. */
 enum caller_kind {
     CALLER_KIND_KEYED_WRITE,
     CALLER_KIND_UNKEYED_WRITE,
@@ -23,8 +23,8 @@
     struct callers *callers;
     enum caller_kind kind;
     unsigned number;
-    atomic_uint rounds; /* ended, whatever came of them */
-    unsigned rows;      /* that it was told are written; after callers_stop */
+    atomic_uint rounds; /* rounds ended, with any outcome */
+    unsigned rows;      /* rows reported as written; set by callers_stop */
     GThread *thread;
 };
 
@@ -33,24 +33,25 @@
     unsigned count;
     struct caller items[CALLERS_MAX];
     atomic_bool stop;
-    atomic_uint failures;        /* answers other than done, and calls without a whole answer */
-    atomic_bool refused_is_fine; /* a call that was not run is sent again elsewhere */
-    pthread_mutex_t lock;        /* not GLib's: the thread sanitizer does not see that */
-    unsigned port_count;         /* this and all below under the lock */
+    atomic_uint failures;        /* answers other than done, and calls without a complete answer */
+    atomic_bool refused_is_fine; /* a call that was not run is sent again to another daemon */
+    pthread_mutex_t lock; /* a pthread mutex, since the thread sanitizer does not support GLib's */
+    unsigned port_count;  /* this and all below are under the lock */
     unsigned ports[CLUSTER_DAEMONS_MAX];
     GString *first_failure;
 };
 
-/* Starts `count` callers, of each kind in turn, at all daemons that run. */
+/* Starts `count` callers, of all kinds alternately, at all running daemons. */
 void callers_start(struct callers *callers, struct cluster *cluster, unsigned count);
 
-/* From now on they call all daemons that run but one; CLUSTER_DAEMONS_MAX leaves out none. */
+/* From now on they call all running daemons except one; CLUSTER_DAEMONS_MAX excludes none. */
 void callers_use_daemons(struct callers *callers, struct cluster *cluster, unsigned besides);
 
-/* Waits until every caller has ended so many more rounds. */
+/* Waits until every caller has ended this many more rounds. */
 void callers_await(struct callers *callers, unsigned more);
 
-/* Stops them, and checks that none failed and that what they were told is what is there. */
+/* Stops the callers, and checks that none failed and that exactly the acknowledged rows are
+ * present. */
 void callers_stop(struct callers *callers, struct cluster *cluster);
 
 #endif
--- a/tests/daemon/cluster_fixture.c
+++ b/tests/daemon/cluster_fixture.c
@@ -12,7 +12,7 @@
 #include "frontend/frontend.h"
 #include "wire/peer_server.h"
 
-/* A condition that does not hold by then never will. */
+/* A condition that does not hold within this time fails the test. */
 #define PATIENCE_US (30 * G_USEC_PER_SEC)
 #define PAUSE_US    2000
 
@@ -20,7 +20,7 @@
 
 const char *const cluster_zones[3] = {"imlil", "marrakech", "ouarzazate"};
 
-/* The deployments that run, of struct cluster; of the test's main thread. */
+/* The running deployments, of struct cluster. Used by the test's main thread. */
 static GPtrArray *deployments;
 
 static void give_up(const char *condition, const char *place)
@@ -46,7 +46,7 @@
     g_test_init(argc, argv, NULL);
     g_log_writer_default_set_use_stderr(TRUE);
     curl_global_init(CURL_GLOBAL_DEFAULT);
-    http_loopback(); /* made before there are other threads */
+    http_loopback(); /* created before there are other threads */
 }
 
 static const char *zone_of(unsigned index)
@@ -170,7 +170,7 @@
     return running;
 }
 
-/* Peer addresses of the daemons that run, as a setting. */
+/* Peer addresses of the running daemons, as a setting. */
 static char *peers_setting(const struct cluster *cluster)
 {
     g_autoptr(GString) text = g_string_new("daemon.peers=");
@@ -183,8 +183,8 @@
     return g_strdup(text->str);
 }
 
-/* Where a test provokes no failure of a database, none is to be seen, also when the machine is so
- * busy that a database stands still for a while. */
+/* For tests that provoke no failure of a database: time-outs so long that a database that stalls on
+ * a busy machine is not taken for failed. */
 static const char *const patience_settings[] = {
     "backend.probe_timeout_ms=10000",
     "failover.suspect_after_ms=60000",
@@ -241,7 +241,7 @@
     return GPOINTER_TO_UINT(run_stop(g_steal_pointer(&cluster->daemons[index])));
 }
 
-/* True if all daemons that run take no other for usable than each other. */
+/* True if each running daemon counts as many usable daemons as are running. */
 static bool know_only_each_other(const struct cluster *cluster)
 {
     for (unsigned i = 0; i < CLUSTER_DAEMONS_MAX; i++) {
@@ -314,7 +314,7 @@
     return true;
 }
 
-/* An owner sees a primary and all databases. */
+/* True if an owner sees a primary and all databases as reachable. */
 static bool sees_group(const struct cluster *cluster, unsigned daemon)
 {
     struct group_view view = cluster_view(cluster, daemon);
@@ -325,7 +325,7 @@
     return all;
 }
 
-/* Owners of the group that a daemon knows of, itself among them. */
+/* Number of the group's owners known to a daemon, including itself. */
 static uint32_t count_owners(const struct cluster *cluster, unsigned daemon)
 {
     struct owner_list owners;
@@ -498,7 +498,7 @@
     slots_set_service_time(&cluster->databases[database]->slots, microseconds);
 }
 
-/* Holding takes all slots of each database on top of those in use. */
+/* Takes or releases all slots of each database, in addition to those in use. */
 void cluster_hold_slots(struct cluster *cluster, bool held)
 {
     for (unsigned i = 0; i < cluster->options.databases; i++) {
--- a/tests/daemon/cluster_state.c
+++ b/tests/daemon/cluster_state.c
@@ -1,4 +1,4 @@
-/* A deployment in words; see the header. */
+/* Text description of a deployment; see the header. */
 #include "cluster_state.h"
 
 #include "daemon/control.h"
@@ -16,7 +16,7 @@
                            position.term, position.offset);
 }
 
-/* What a database says of itself. */
+/* The state that a database reports. */
 static void add_database(GString *text, const struct cluster *cluster, unsigned index)
 {
     struct database *database = cluster->databases[index]->database;
@@ -32,7 +32,7 @@
     g_string_append_printf(text, ", slots used %u\n", cluster_slots_used(cluster, index));
 }
 
-/* What a daemon believes of the group's databases. */
+/* A daemon's view of the group's databases. */
 static void add_view(GString *text, const struct cluster *cluster, unsigned index)
 {
     struct group_view view = cluster_view(cluster, index);
--- a/tests/daemon/daemon_probe.c
+++ b/tests/daemon/daemon_probe.c
@@ -1,4 +1,4 @@
-/* A daemon's inner state; see the header. */
+/* Access to a daemon's internal state; see the header. */
 #include "daemon_probe.h"
 
 #include "daemon/transaction.h"
--- a/tests/daemon/daemon_probe.h
+++ b/tests/daemon/daemon_probe.h
@@ -1,5 +1,5 @@
-/* A daemon's inner state, for tests that also see the stand-ins' headers: both have a struct
- * transaction, so that no file can see both. */
+/* Access to a daemon's internal state, for tests that include the stand-ins' headers: both define a
+ * struct transaction, so that no file can include both. */
 #ifndef SW_TESTS_DAEMON_DAEMON_PROBE_H
 #define SW_TESTS_DAEMON_DAEMON_PROBE_H
 
--- a/tests/daemon/fake_peer.c
+++ b/tests/daemon/fake_peer.c
@@ -1,4 +1,4 @@
-/* A daemon that is none; see the header. */
+/* A simulated peer daemon; see the header. */
 #include "fake_peer.h"
 
 #include <string.h>
@@ -16,7 +16,7 @@
 
 struct fake_peer {
     struct peer_server *server;
-    int socket; /* at the same port */
+    int socket; /* UDP, same port as `server` */
     struct sockaddr_in address;
     uint32_t sequence;
     pthread_mutex_t lock; /* guards all below */
@@ -115,7 +115,7 @@
     gossip->heard_hash = heard.hash;
 }
 
-/* Waits a moment for the answer to the last ping; other datagrams are dropped. */
+/* Waits briefly for the answer to the last ping; other datagrams are dropped. */
 static bool was_answered(struct fake_peer *peer)
 {
     time_ns deadline = wire_clock_now() + ANSWER_PATIENCE_NS;
--- a/tests/daemon/fake_peer.h
+++ b/tests/daemon/fake_peer.h
@@ -1,5 +1,5 @@
-/* A daemon that is none: it gossips what the test says, and answers questions for configurations
- * with what the test says. */
+/* A simulated peer daemon that sends gossip and answers requests for configurations as set by the
+ * test. */
 #ifndef SW_TESTS_DAEMON_FAKE_PEER_H
 #define SW_TESTS_DAEMON_FAKE_PEER_H
 
@@ -12,16 +12,16 @@
 
 struct fake_peer;
 
-/* Its answer to those who have nothing, and to those who may be given a difference. Zeroed: not
- * there. */
+/* An answer to a request for a configuration, complete or as a difference. Zeroed: not available.
+ */
 struct fake_answer {
     uint64_t version;
-    const char *hash; /* as the reply tells it */
+    const char *hash; /* as sent in the reply */
     uint64_t base_version;
     uint32_t keep_start;
     uint32_t keep_end;
     GBytes *content; /* before compression */
-    bool spoilt;     /* not compressed at all */
+    bool spoilt;     /* sent uncompressed, so that it can't be decoded */
 };
 
 /* Listens on a free port. */
@@ -32,11 +32,11 @@
 void fake_peer_set_answers(struct fake_peer *peer, const struct fake_answer *whole,
                            const struct fake_answer *difference);
 
-/* Questions for configurations so far. */
+/* Number of requests for configurations so far. */
 unsigned fake_peer_questions(struct fake_peer *peer);
 
-/* Tells a daemon that it has a version in force and has heard of another, and waits until that was
- * taken in. */
+/* Sends gossip to a daemon that this peer has a version in force and knows another, and waits until
+ * it was processed. */
 void fake_peer_gossip(struct fake_peer *peer, const struct daemon *daemon,
                       struct configuration_mark in_force, struct configuration_mark heard);
 
--- a/tests/daemon/http_call.c
+++ b/tests/daemon/http_call.c
@@ -1,4 +1,4 @@
-/* A caller over libcurl; see the header. */
+/* An HTTP client with libcurl; see the header. */
 #include "http_call.h"
 
 #include <curl/curl.h>
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Longer than any request's deadline: an answer later than this was never sent. */
+/* Longer than any request's deadline: an answer that is later than this was never sent. */
 #define PATIENCE_MS 60000L
 
 const char *http_loopback(void)
@@ -15,7 +15,8 @@
     static char address[INET_ADDRSTRLEN];
     static gsize made = 0;
     if (g_once_init_enter(&made)) {
-        /* 127.16.0.0/12 by the process's number, which has at most 22 bits: its lower 20. */
+        /* An address in 127.16.0.0/12 from the lower 20 bits of the process id, which has at most
+         * 22. */
         guint32 number = (guint32)getpid() & 0xfffff;
         g_snprintf(address, sizeof(address), "127.%u.%u.%u", 16 + (number >> 16),
                    (number >> 8) & 0xff, number & 0xff);
@@ -122,9 +123,8 @@
     read_body(answer, body);
 }
 
-/* Why there is no answer, and how far the call came: whether it was connected, and how long it
- * took.
- */
+/* Describes why there is no answer, and how far the call came: whether it was connected, and how
+ * long it took. */
 static char *describe_failure(CURL *client, CURLcode result, const char *detail, unsigned port)
 {
     curl_off_t connected_us = 0;
--- a/tests/daemon/ownership_move_test.c
+++ b/tests/daemon/ownership_move_test.c
@@ -1,7 +1,6 @@
-/* Groups move between daemons, two of three of which own each: no database ever sees more
- * connections than its limit, and writes go on without a refusal. Each daemon is alone in its zone,
- * and a group's owners are chosen in the order of its zones: daemons 0 and 1, as long as they are
- * there. */
+/* Moves of a group between its two owners among three daemons: no database sees more connections
+ * than its limit, and writes continue without a refusal. Each daemon is the only one in its zone,
+ * and owners are chosen in the order of the group's zones: daemons 0 and 1 while they run. */
 #include "cluster_fixture.h"
 
 #include <stdatomic.h>
@@ -12,13 +11,13 @@
 
 #define WRITERS 4
 
-/* Writes of each writer that have to be done between two moves. */
+/* Writes that each writer must complete between two moves. */
 #define WRITES_BETWEEN 20
 
 /* Restarts of each owner. */
 #define ROUNDS 2
 
-/* One caller that writes without pause, each row under a key of its own. */
+/* One caller that writes continuously, each row under its own key. */
 struct writer {
     unsigned number;
     unsigned port;
@@ -27,7 +26,7 @@
     GThread *thread;
 };
 
-/* Owners wait for each other as long as the test does. */
+/* The time-out of a handover exceeds that of the test. */
 static const char *const two_owners[] = {"ownership.owners_per_group=2",
                                          "ownership.handover_max_ms=600000", NULL};
 
@@ -59,7 +58,7 @@
     return NULL;
 }
 
-/* Writers at the daemon that stays. */
+/* Starts writers at the daemon that keeps running. */
 static void start_writers(struct cluster *cluster, struct writer *writers, unsigned daemon)
 {
     for (unsigned i = 0; i < WRITERS; i++) {
@@ -76,7 +75,7 @@
     }
 }
 
-/* Ends the writers; each row that was acknowledged is there, once. */
+/* Stops the writers, and checks that each acknowledged row is present once. */
 static void end_writers(struct cluster *cluster, struct writer *writers)
 {
     int64_t rows = 0;
@@ -97,7 +96,7 @@
     return group != NULL;
 }
 
-/* True if the daemon's pool of each database holds its whole share and nothing else. */
+/* True if the daemon's pool of each database holds its complete share and nothing else. */
 static bool holds_shares(const struct cluster *cluster, unsigned daemon)
 {
     struct group_runtime *group = daemon_take_group(cluster->daemons[daemon], CLUSTER_GROUP);
@@ -122,7 +121,7 @@
     }
 }
 
-/* Each owner leaves and comes back, in turn. */
+/* Each owner leaves and returns, one after the other. */
 static void test_owners_restart(void)
 {
     struct cluster *cluster = start();
@@ -148,7 +147,7 @@
     return GUINT_TO_POINTER(cluster_stop_daemon(cluster, 0));
 }
 
-/* A caller's connection to a daemon that is stopping. */
+/* Writes at a daemon that may be stopping, and checks which daemon served it. */
 static void write_at(unsigned port, const char *id, const char *served_by)
 {
     g_autofree char *sql = g_strdup_printf("INSERT INTO stays VALUES ('%s', '')", id);
@@ -173,7 +172,7 @@
     return false;
 }
 
-/* The new owner does not get through to the databases: the old one serves until it does. */
+/* The new owner can't connect to the databases: the old one serves until it can. */
 static void test_old_owner_serves_until_new_is_warm(void)
 {
     struct cluster *cluster = start();
@@ -194,7 +193,7 @@
     cluster_stop(cluster);
 }
 
-/* A daemon with nobody to hand over to stops without waiting for anyone. */
+/* A daemon without others to hand over to stops without waiting. */
 static void test_last_daemon_stops(void)
 {
     struct cluster_options options = {.daemons = 1, .overrides = two_owners};
--- a/tests/daemon/published_fixture.c
+++ b/tests/daemon/published_fixture.c
@@ -31,7 +31,7 @@
     g_free(test);
 }
 
-/* A URL at which nobody listens: of a port that was free a moment ago. */
+/* A URL without a listener: of a port that was free just before. */
 static char *nobodys_url(void)
 {
     struct wire_listener *listener = wire_listener_open("127.0.0.1:0", NULL);
@@ -40,7 +40,7 @@
     return url;
 }
 
-/* The cluster borrows the settings, which tests may change between two daemons. */
+/* The cluster borrows the settings, which tests may change between two starts of daemons. */
 static void set_overrides(struct published_cluster *test)
 {
     g_autofree char *nobody = nobodys_url();
@@ -119,7 +119,7 @@
     return all;
 }
 
-/* True once a daemon's write lands: it knows owners and primary. */
+/* True once a write at a daemon succeeds, which means that it knows owners and primary. */
 static bool lands(struct published_cluster *test, unsigned daemon)
 {
     static unsigned last_key;
@@ -170,7 +170,7 @@
                            admin_port(test->cluster->daemons[daemon]->admin));
 }
 
-/* A POST if there is a body to send. */
+/* Sends a POST if there is a body, otherwise a GET. */
 static char *admin_call(const struct published_cluster *test, unsigned daemon, const char *path,
                         GBytes *sent, long *status)
 {
@@ -245,7 +245,7 @@
     return count;
 }
 
-/* Fails the test if the versions that a daemon applied do not ascend. */
+/* Fails the test if the versions that a daemon applied are not ascending. */
 static void check_ascending(const struct published_cluster *test, unsigned daemon)
 {
     g_autoptr(GArray) entries = journal_since(test->cluster->daemons[daemon]->journal, 0);
--- a/tests/daemon/published_fixture.h
+++ b/tests/daemon/published_fixture.h
@@ -1,5 +1,5 @@
-/* A deployment whose configuration is published: the stand-in platform and a publisher beside
- * databases and daemons. */
+/* A deployment with a published configuration: databases and daemons, the stand-in platform and a
+ * publisher. */
 #ifndef SW_TESTS_DAEMON_PUBLISHED_FIXTURE_H
 #define SW_TESTS_DAEMON_PUBLISHED_FIXTURE_H
 
@@ -12,22 +12,22 @@
 struct published_cluster {
     struct cluster *cluster;
     struct publisher *publisher;
-    char *bundle;             /* the first bundle: that of the cluster's static file */
+    char *bundle;             /* the first bundle, equal to the cluster's static file */
     GPtrArray *overrides;     /* settings of the daemons started last */
-    uint32_t bound_ms;        /* configuration.currency_bound_ms of those started next */
-    uint32_t handover_max_ms; /* ownership.handover_max_ms of those; 0: as it is by default */
-    bool daemons_lack_store;  /* these find nobody at the platform's address */
+    uint32_t bound_ms;        /* configuration.currency_bound_ms of the daemons started next */
+    uint32_t handover_max_ms; /* ownership.handover_max_ms of the same; 0: the default */
+    bool daemons_lack_store;  /* the daemons started next can't reach the platform */
 };
 
-/* Databases and platform; no daemon yet, and nothing is published. */
+/* Starts databases and platform, but no daemon, and publishes nothing. */
 struct published_cluster *published_start(uint32_t bound_ms);
 
 void published_stop(struct published_cluster *test);
 
-/* Starts daemons up to `count` that don't run yet. */
+/* Starts the daemons below `count` that are not running. */
 void published_start_daemons(struct published_cluster *test, unsigned count);
 
-/* The first bundle with another text in place of one that stands in it. The caller frees it. */
+/* The first bundle with `from`, which must occur in it, replaced by `to`. The caller frees it. */
 char *published_edit(const struct published_cluster *test, const char *from, const char *to);
 
 /* The first bundle with one more tenant. The caller frees it. */
@@ -38,21 +38,21 @@
 
 struct configuration_status published_status(const struct published_cluster *test, unsigned daemon);
 
-/* Hash of what is in force at a daemon, or NULL. The caller frees it. */
+/* Hash of the configuration in force at a daemon, or NULL. The caller frees it. */
 char *published_hash(const struct published_cluster *test, unsigned daemon);
 
-/* True if all daemons that run serve, and under this version. */
+/* True if all running daemons serve under this version. */
 bool published_all_serve(const struct published_cluster *test, uint64_t version);
 
-/* Waits for that, and until every daemon's writes land. */
+/* Waits for that, and until writes at every daemon succeed. */
 void published_await(struct published_cluster *test, uint64_t version);
 
-/* Reads the table "stays" for a tenant through a daemon: it must be done, or be refused with the
- * error kind if one is given. */
+/* Reads the table "stays" for a tenant through a daemon. The read must succeed, or be refused with
+ * the error kind if one is given. */
 void published_check_read(struct published_cluster *test, unsigned daemon, const char *tenant,
                           const char *error_kind);
 
-/* Answer of a daemon's admin listener to a GET. The caller frees it. */
+/* Response of a daemon's admin listener to a GET. The caller frees it. */
 char *published_admin_get(const struct published_cluster *test, unsigned daemon, const char *path,
                           long *status);
 
@@ -60,17 +60,18 @@
 char *published_admin_post(const struct published_cluster *test, unsigned daemon, const char *path,
                            GBytes *body, long *status);
 
-/* Publishes a bundle by swiftctl on top of version `base`, and hands it to the daemons that run, or
- * with `daemon` of 0 or above to that one alone. Returns the exit code; what swiftctl wrote goes to
- * `output`. */
+/* Publishes a bundle with swiftctl on top of version `base`, and hands it over to all running
+ * daemons, or only to `daemon` if that is 0 or above. Returns the exit code and writes swiftctl's
+ * output to `output`. */
 enum exit_code published_by_ctl(const struct published_cluster *test, const char *bundle,
                                 uint64_t base, int daemon, GString *output);
 
-/* Entries of a kind in a daemon's journal, with `text` in them. */
+/* Number of entries of a kind in a daemon's journal that contain `text`. */
 unsigned published_count_events(const struct published_cluster *test, unsigned daemon,
                                 const char *kind, const char *text);
 
-/* All daemons that run have the content in force, and each took its versions in ascending order. */
+/* Checks that all running daemons have the content in force, and that each applied its versions in
+ * ascending order. */
 void published_check_all_have(const struct published_cluster *test, const char *hash);
 
 #endif
--- a/tests/daemon/publisher.h
+++ b/tests/daemon/publisher.h
@@ -1,5 +1,5 @@
-/* The stand-in platform and an operator who publishes to it, apart from the headers of the
- * platform's clients. */
+/* The stand-in platform and an operator that publishes to it. Keeps the headers of the platform's
+ * clients out of the tests. */
 #ifndef SW_TESTS_DAEMON_PUBLISHER_H
 #define SW_TESTS_DAEMON_PUBLISHER_H
 
@@ -7,7 +7,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Calls may come from several threads. */
+/* Thread-safe. */
 struct publisher;
 
 struct publisher *publisher_start(void);
@@ -16,7 +16,7 @@
 /* The platform's URL. */
 const char *publisher_url(const struct publisher *publisher);
 
-/* Publishes a bundle on top of version `base`. False with SW_ERROR where it was refused. */
+/* Publishes a bundle on top of version `base`. Returns false with SW_ERROR if it was refused. */
 bool publisher_publish(struct publisher *publisher, const char *bundle, uint64_t base,
                        GError **error);
 
@@ -24,16 +24,16 @@
 char *publisher_hash(const char *bundle);
 GBytes *publisher_canonical(const char *bundle);
 
-/* Makes a content that need not be a bundle the next version, as no publisher of ours would. */
+/* Publishes any content as the next version, without the publisher's checks. */
 void publisher_force(struct publisher *publisher, const char *content, uint64_t version);
 
-/* The platform fails all requests from now on, or works again. */
+/* Makes the platform fail all requests from now on, or work again. */
 void publisher_set_down(struct publisher *publisher, bool down);
 
-/* The platform takes so long for each request from now on. */
+/* Delays the platform's answer to each request from now on. */
 void publisher_set_slow(struct publisher *publisher, uint32_t delay_ms);
 
-/* Requests to the object store so far. */
+/* Number of requests to the object store so far. */
 uint64_t publisher_object_requests(struct publisher *publisher);
 
 #endif
--- a/tests/daemon/test_answers.c
+++ b/tests/daemon/test_answers.c
@@ -1,5 +1,5 @@
-/* Each caller gets the whole answer to its own request, over databases that are slow in turn, cut
- * answers short and close connections, and among callers that go away. */
+/* Each caller gets the complete answer to its own request, while databases are slow, truncate
+ * answers or close connections, and other callers disconnect. */
 #include "cluster_fixture.h"
 
 #include <stdatomic.h>
@@ -8,7 +8,7 @@
 #define CALLERS     16
 #define ANSWER_ROWS 150
 
-/* Whole answers that every caller must get, and how often the faults change meanwhile. */
+/* Complete answers that every caller must get, and how often the faults change meanwhile. */
 #define ANSWERS 12
 
 struct asker {
@@ -20,7 +20,7 @@
     GThread *thread;
 };
 
-/* Every row of the answer must carry the text that was asked for, and none may be missing. */
+/* Every row of the answer must carry the requested text, and none may be missing. */
 static void check_answer(const struct http_answer *answer, const char *text)
 {
     g_assert_cmpuint(http_rows(answer), ==, ANSWER_ROWS);
--- a/tests/daemon/test_await.c
+++ b/tests/daemon/test_await.c
@@ -1,7 +1,7 @@
-/* A wait that gives up says what it waited for, and what the deployment looked like. */
+/* A wait that times out prints what it waited for and the state of the deployment. */
 #include "cluster_fixture.h"
 
-/* As if the wait had begun before the machine did: no time is left. */
+/* A start so early that no time is left. */
 #define LONG_AGO (G_MININT64 / 2)
 
 static void give_up(void)
--- a/tests/daemon/test_decision_log.c
+++ b/tests/daemon/test_decision_log.c
@@ -1,4 +1,5 @@
-/* The bounded record of decisions: what pushes out what, and whole copies beside additions. */
+/* The bounded record of decisions: which records are overwritten, and consistent copies during
+ * concurrent additions. */
 #include "daemon/decision_log.h"
 
 #include <stdatomic.h>
@@ -21,7 +22,8 @@
     return records->len;
 }
 
-/* The oldest of a kind goes first; requests that were done push out none that were not. */
+/* The oldest record of a ring is overwritten first; requests that were done overwrite none that
+ * were not. */
 static void test_bound(void)
 {
     struct decision_log *log = decision_log_new(ENTRIES);
@@ -40,7 +42,7 @@
     decision_log_free(log);
 }
 
-/* One id sent twice: both, oldest first, whatever became of them. */
+/* An id that was sent twice yields both records, oldest first, from both rings. */
 static void test_repeated_id(void)
 {
     struct decision_log *log = decision_log_new(ENTRIES);
@@ -59,7 +61,8 @@
     GThread *thread;
 };
 
-/* Records whose every octet of text and whose numbers tell the same letter. */
+/* Adds records in which every byte of text and every number derives from the same letter, so that a
+ * mixed copy is detected. */
 static gpointer run_adder(gpointer data)
 {
     struct adder *adder = data;
--- a/tests/daemon/test_deployment.c
+++ b/tests/daemon/test_deployment.c
@@ -1,4 +1,4 @@
-/* Two deployments that meet because an address of one is known to the other. */
+/* Two deployments that exchange messages because one has an address of the other. */
 #include "cluster_fixture.h"
 
 #include <string.h>
@@ -34,7 +34,7 @@
     return atomic_load(&cluster->daemons[0]->foreign_messages);
 }
 
-/* The second has the first's address among those that it joins by. */
+/* The second deployment has the first's address among its seeds. */
 static void test_gossip(void)
 {
     static const char *const huts_settings[] = {"daemon.deployment=huts", NULL};
@@ -53,7 +53,7 @@
     cluster_stop(huts);
 }
 
-/* A write as the daemon of another deployment would forward it. */
+/* Sends a write as a daemon of the given deployment would forward it. */
 static void forward_write(const struct cluster *to, const char *deployment, struct message *reply)
 {
     struct peer_pool *pool = peer_pool_new(1);
@@ -79,7 +79,8 @@
     peer_pool_free(pool);
 }
 
-/* It is not run, and said to be so; one of the own deployment is. */
+/* A write from another deployment is not run, and the reply reports that. One from the own
+ * deployment is run. */
 static void test_forwarded_write(void)
 {
     static const char *const settings[] = {"daemon.deployment=huts", NULL};
@@ -101,7 +102,7 @@
 int main(int argc, char **argv)
 {
     cluster_test_init(&argc, &argv);
-    /* The warning of another deployment's messages is what must be. */
+    /* The warning about messages from another deployment is expected. */
     g_log_set_always_fatal(G_LOG_FATAL_MASK | G_LOG_LEVEL_CRITICAL);
     g_test_add_func("/daemon/deployment/gossip", test_gossip);
     g_test_add_func("/daemon/deployment/forwarded_write", test_forwarded_write);
--- a/tests/daemon/test_drain.c
+++ b/tests/daemon/test_drain.c
@@ -1,5 +1,5 @@
-/* Planned changes under load: a database or a daemon that leaves gets no new work, and no request
- * fails for it. */
+/* Planned changes under load: a leaving database or daemon gets no new work, and no request fails
+ * because of it. */
 #include "callers.h"
 
 #include <string.h>
@@ -21,7 +21,7 @@
     return leaving;
 }
 
-/* Order of the request that the database took last; 0 if none. */
+/* Order number of the last drain request that the database accepted; 0 if none. */
 static uint64_t leaving_order(struct cluster *cluster, unsigned database)
 {
     struct database *target = cluster->databases[database]->database;
@@ -42,7 +42,7 @@
     return true;
 }
 
-/* Counts statements that pass the database's slots from now on. */
+/* Restarts the count of statements that run in the database's slots at the same time. */
 static void reset_peak(struct cluster *cluster, unsigned database)
 {
     struct slots *slots = &cluster->databases[database]->slots;
@@ -56,7 +56,7 @@
     control_drain_database(cluster->daemons[daemon]->control, CLUSTER_GROUP, database, leaving);
 }
 
-/* Work that began before may still end; from then on there is none. */
+/* Work that began before may still end. After that, the database must get none. */
 static void expect_no_work(struct cluster *cluster, struct callers *callers, unsigned database)
 {
     callers_await(callers, ROUNDS);
@@ -83,8 +83,8 @@
     cluster_stop(cluster);
 }
 
-/* The last word wins, at whichever daemon it was said, also if both come to the database at once.
- */
+/* The last request takes effect, whichever daemon received it, even if both reach the database at
+ * the same time. */
 static void test_taken_back_while_out_of_reach(void)
 {
     struct cluster *cluster = cluster_start(NULL);
@@ -114,7 +114,7 @@
     cluster_stop(cluster);
 }
 
-/* One after the other, while the first is still leaving. */
+/* The second is drained while the first is still leaving. */
 static void test_two_databases(void)
 {
     struct cluster *cluster = cluster_start(NULL);
@@ -129,7 +129,8 @@
     cluster_stop(cluster);
 }
 
-/* The planned change waits for the open transaction, and the transaction for nothing. */
+/* The planned change waits for the open transaction, and the transaction does not wait for the
+ * change. */
 static void test_primary_with_open_transaction(void)
 {
     struct cluster *cluster = cluster_start(NULL);
@@ -155,7 +156,7 @@
     cluster_stop(cluster);
 }
 
-/* The callers use the daemons that stay. */
+/* The callers use the daemons that are not stopping. */
 static void check_stop(const char *const *overrides)
 {
     struct cluster_options options = {.overrides = overrides};
@@ -163,7 +164,7 @@
     struct callers callers;
     callers_start(&callers, cluster, CALLERS);
     callers_await(&callers, ROUNDS);
-    /* Leaving, each of the three in turn is an owner, a former owner or none. */
+    /* Each of the three daemons leaves; it may be an owner, a former owner or none. */
     for (unsigned i = 0; i < 3; i++) {
         callers_use_daemons(&callers, cluster, i);
         callers_await(&callers, 1);
@@ -189,8 +190,8 @@
     check_stop(overrides);
 }
 
-/* Callers who go on calling the stopping daemon: it takes a call or says that it does not, and cuts
- * none that reached it. */
+/* Callers keep calling the stopping daemon: it accepts a call or refuses it, and aborts none that
+ * reached it. */
 static void test_stop_under_own_callers(void)
 {
     struct cluster *cluster = cluster_start(NULL);
@@ -211,7 +212,7 @@
     cluster_stop(cluster);
 }
 
-/* Callers of the stopping daemon itself: each call that reached it gets a whole answer. */
+/* Callers of the stopping daemon: each call that reached it gets a complete answer. */
 static void test_stop_with_own_callers(void)
 {
     struct cluster *cluster = cluster_start(NULL);
--- a/tests/daemon/test_drain_wait.c
+++ b/tests/daemon/test_drain_wait.c
@@ -1,5 +1,5 @@
-/* `swiftctl drain --wait`: it ends when a database or daemon is safe to remove by the word of all
- * owners, and not before. */
+/* `swiftctl drain --wait` ends when all owners report that a database or daemon is safe to remove,
+ * and not before. */
 #include "cluster_fixture.h"
 
 #include <string.h>
@@ -12,8 +12,8 @@
 
 struct run {
     enum exit_code exit_code;
-    char *output; /* and errors */
-    char *shown;  /* on the terminal */
+    char *output; /* standard output and errors */
+    char *shown;  /* progress shown on the terminal */
 };
 
 static void run_clear(struct run *run)
@@ -22,7 +22,7 @@
     free(run->shown);
 }
 
-/* Runs swiftctl at a daemon with the words before --admin, NULL-ended. */
+/* Runs swiftctl against a daemon, with a NULL-terminated list of words before --admin. */
 static struct run swiftctl(const struct cluster *cluster, unsigned daemon, const char *timeout_ms,
                            const char *what, const char *name)
 {
@@ -49,7 +49,8 @@
     run_clear(&run);
 }
 
-/* Begins a read-only transaction at a daemon; the database that serves it, by name, and its id. */
+/* Begins a read-only transaction at a daemon. Returns the name of the database that serves it, and
+ * its id. */
 static char *begin_read(struct cluster *cluster, unsigned daemon, char **id)
 {
     struct http_answer answer;
@@ -64,7 +65,7 @@
     return database;
 }
 
-/* A transaction that is open at one owner holds the drain back that another was asked for. */
+/* An open transaction at one owner delays the drain that was requested at another. */
 static void test_database(void)
 {
     struct cluster *cluster = cluster_start(NULL);
@@ -82,7 +83,7 @@
     cluster_stop(cluster);
 }
 
-/* The primary is safe to remove only once another leads. */
+/* The primary is safe to remove only after another database became primary. */
 static void test_primary(void)
 {
     struct cluster *cluster = cluster_start(NULL);
@@ -101,7 +102,7 @@
     cluster_stop(cluster);
 }
 
-/* A wait is refused at once where nothing was marked. */
+/* The wait is refused at once if the database does not exist. */
 static void test_refused(void)
 {
     struct cluster_options options = {.daemons = 1};
@@ -111,7 +112,7 @@
     cluster_stop(cluster);
 }
 
-/* A group whose database 0 leads and whose database 1 is a leaving replica. */
+/* A group in which database 0 is primary and database 1 is a leaving replica. */
 static struct group_view make_view(void)
 {
     struct group_view view = {.primary = 0, .database_count = 2};
@@ -122,7 +123,8 @@
     return view;
 }
 
-/* What leads is in use; what is not busy counts as unused only after a while of that. */
+/* The primary counts as used. A leaving replica counts as unused only after it was not busy for a
+ * while. */
 static void test_own_uses(void)
 {
     struct group_uses uses;
@@ -139,7 +141,7 @@
     group_uses_clear(&uses);
 }
 
-/* Who has not told, or not of late, may use everything. */
+/* An owner without a recent report may use all databases. */
 static void test_told_uses(void)
 {
     struct group_uses uses;
--- a/tests/daemon/test_explain.c
+++ b/tests/daemon/test_explain.c
@@ -1,5 +1,5 @@
-/* What daemons keep of a request for `swiftctl explain`: at the one that was asked and at the one
- * that ran it, with reasons, positions and terms; by the id that the answer tells. */
+/* Records of a request for `swiftctl explain`, at the daemon that received it and at the one that
+ * ran it: reasons, positions and terms, found by the id in the answer. */
 #include "cluster_fixture.h"
 
 #include <string.h>
@@ -10,7 +10,8 @@
 #include "frontend/admin.h"
 #include "generated/errors.h"
 
-/* Daemons with one owner of the group, whose admin listeners are where their peer listeners are. */
+/* Starts daemons with one owner of the group; their admin listeners use the same address as their
+ * peer listeners. */
 static struct cluster *start(unsigned daemons)
 {
     g_autofree char *listen = g_strdup_printf("daemon.admin_listen=%s:0", http_loopback());
@@ -25,7 +26,7 @@
     return cluster_is_owner(cluster, 0) ? 0 : 1;
 }
 
-/* Sends a request to a daemon and returns the id that its answer tells; the caller frees it. */
+/* Sends a request to a daemon and returns the id in its answer; the caller frees it. */
 static char *ask(struct cluster *cluster, unsigned daemon, struct http_call call,
                  const char *outcome)
 {
@@ -113,7 +114,7 @@
     cluster_stop(cluster);
 }
 
-/* The replica that lags is passed over as behind, with the position that it had applied. */
+/* A lagging replica is recorded as rejected for being behind, with its applied position. */
 static void test_lagging_replica(void)
 {
     struct cluster *cluster = start(1);
@@ -141,8 +142,8 @@
     cluster_stop(cluster);
 }
 
-/* Both daemons keep a forwarded request under one id; swiftctl, which is told of the first, asks
- * the second too. */
+/* Both daemons keep the record of a forwarded request under one id. swiftctl is given the first
+ * daemon and also queries the second. */
 static void test_forwarded(void)
 {
     struct cluster *cluster = start(2);
@@ -192,7 +193,8 @@
     cluster_stop(cluster);
 }
 
-/* A request that was refused by its head alone has an id, and no record; nor has one unheard of. */
+/* A request that was refused because of its headers has an id but no record; an unknown id has none
+ * either. */
 static void test_ids(void)
 {
     struct cluster *cluster = start(1);
--- a/tests/daemon/test_failover.c
+++ b/tests/daemon/test_failover.c
@@ -1,5 +1,5 @@
-/* The primary is cut off with callers on its side: it acknowledges nothing more, and every write
- * that was acknowledged is in the new primary. */
+/* The primary is partitioned together with some callers: it acknowledges no more writes, and the
+ * new primary has every acknowledged write. */
 #include "cluster_fixture.h"
 
 #include <stdatomic.h>
@@ -7,18 +7,18 @@
 
 #define WRITERS 6
 
-/* Writes that have to be done on each side of the failover before it goes on. */
+/* Writes that must be done before and after the failover. */
 #define WRITES_BEFORE 30
 #define WRITES_AFTER  30
 
-/* What was told of one write, in the end. */
+/* Final outcome of one write, as reported to its caller. */
 enum write_fate {
     WRITE_FATE_DONE,
     WRITE_FATE_NOT_DONE, /* refused or rolled back */
     WRITE_FATE_UNKNOWN,
 };
 
-/* One caller that writes without pause, each row under a key of its own, at one daemon. */
+/* One caller that writes continuously at one daemon, each row under its own key. */
 struct writer {
     struct cluster *cluster;
     unsigned number;
@@ -82,7 +82,7 @@
     }
 }
 
-/* Waits until the daemons `first` to 2 have done `more` writes each for every writer. */
+/* Waits until each of the daemons `first` to 2 has done `more` writes for every writer. */
 static void await_writes(struct writer *writers, unsigned first, unsigned more)
 {
     unsigned targets[WRITERS];
@@ -102,14 +102,14 @@
     return cluster_count(cluster, primary, from);
 }
 
-/* Compares what was told with what the new primary holds. */
+/* Compares the reported outcomes with the rows in the new primary. */
 static void check_writer(struct cluster *cluster, unsigned primary, struct writer *writer)
 {
     for (unsigned row = 0; row < writer->fates->len; row++) {
         enum write_fate fate = g_array_index(writer->fates, enum write_fate, row);
         int64_t held = count_row(cluster, primary, writer->number, row);
         if (fate == WRITE_FATE_UNKNOWN && writer->keyed) {
-            /* Asked again under its key, it is known. */
+            /* Sent again under its key, the outcome is known. */
             fate = write_row(writer, row);
             held = count_row(cluster, primary, writer->number, row);
             g_assert_cmpint(fate, !=, WRITE_FATE_UNKNOWN);
@@ -142,7 +142,7 @@
     }
 }
 
-/* The daemon in the primary's zone reaches the old primary only, until the cut heals. */
+/* The daemon in the primary's zone reaches only the old primary until the partition ends. */
 static void test_primary_isolated_with_callers(void)
 {
     struct cluster_options options = {.provokes_failures = true};
@@ -160,7 +160,7 @@
     cluster_stop(cluster);
 }
 
-/* Twice in a row, the second time before the first primary is back. */
+/* Two failovers, the second before the first primary is back. */
 static void test_two_failovers(void)
 {
     struct cluster_options options = {.databases = 5, .provokes_failures = true};
@@ -181,8 +181,8 @@
     cluster_stop(cluster);
 }
 
-/* Deadlines beyond the test's patience: what is at work at a database that is cut off must not wait
- * for them. */
+/* The deadlines exceed the test's time-out: requests in progress at a partitioned database must not
+ * wait for them. */
 static struct cluster *start_with_long_deadlines(void)
 {
     static const char *const overrides[] = {"request.default_timeout_ms=60000",
@@ -194,7 +194,7 @@
     return cluster_start(&options);
 }
 
-/* Sends a request and cuts the database off where it is at work, then waits for the answer. */
+/* Sends a request, partitions the database while it runs the request, then waits for the answer. */
 static void cut_under(struct cluster *cluster, struct http_call call, struct http_answer *answer)
 {
     for (unsigned i = 0; i < 3; i++) {
@@ -230,7 +230,8 @@
     cluster_stop(cluster);
 }
 
-/* Nothing was committed: without a key it may run again, or is told what it is. */
+/* Nothing was committed. Without a key the write may be run again, or its real outcome is reported.
+ */
 static void test_unkeyed_write_under_way(void)
 {
     struct cluster *cluster = start_with_long_deadlines();
@@ -257,7 +258,8 @@
     cluster_stop(cluster);
 }
 
-/* A transaction at the replaced primary is over, whether a request of it is under way or not. */
+/* A transaction at the replaced primary is aborted, whether one of its requests is in progress or
+ * not. */
 static void test_transaction_at_replaced_primary(void)
 {
     struct cluster *cluster = start_with_long_deadlines();
--- a/tests/daemon/test_forward.c
+++ b/tests/daemon/test_forward.c
@@ -1,5 +1,5 @@
-/* Requests at daemons that don't own the group: the owner serves them; where the way to it is cut,
- * what is told of a request is what can be known of it. */
+/* Requests at daemons that don't own the group: the owner serves them. If the connection to the
+ * owner breaks, the reported outcome claims no more than is known. */
 #include "cluster_fixture.h"
 
 #include <pthread.h>
@@ -72,7 +72,7 @@
     cluster_stop(cluster);
 }
 
-/* A connection that the other daemon has closed does not stay open here. */
+/* A connection that the other daemon has closed is closed here too. */
 static void test_closed_connections_end(void)
 {
     struct cluster *cluster = start(2);
@@ -89,8 +89,8 @@
     cluster_stop(cluster);
 }
 
-/* The other daemons hear of an owner that starts before it is ready: it says that it ran nothing,
- * so that the write it gets is done once it is, and never unknown. */
+/* Other daemons learn of an owner that starts before it is ready. It replies that it ran nothing,
+ * so that a write sent to it is done once it is ready, and its outcome is never unknown. */
 static void test_owner_not_ready(void)
 {
     struct cluster *cluster = start(2);
@@ -109,7 +109,8 @@
     cluster_stop(cluster);
 }
 
-/* Each zone has an owner and a daemon that owns nothing: what that is asked stays in its zone. */
+/* Each zone has an owner and a daemon that owns nothing, whose requests are served within the zone.
+ */
 static void test_nearest_owner_serves(void)
 {
     static const char *const three_owners[] = {"ownership.owners_per_group=3", NULL};
@@ -129,7 +130,8 @@
     cluster_stop(cluster);
 }
 
-/* Stands where the owner's peer server stood: reads each request and closes without an answer. */
+/* Replaces the owner's peer server: reads each request and closes the connection without a reply.
+ */
 struct mute_peer {
     struct wire_listener *listener;
     int stop_descriptor;
@@ -158,7 +160,7 @@
     return NULL;
 }
 
-/* Ends the owner's peer server; its other parts go on. The caller frees the address. */
+/* Stops the owner's peer server; its other parts keep running. The caller frees the address. */
 static char *end_peer_server(struct daemon *daemon)
 {
     char *address = g_strdup(peer_server_address(daemon->peer_server));
@@ -193,7 +195,8 @@
     http_answer_clear(&answer);
 }
 
-/* The request left and no answer came: only what has no effect may be told as not run. */
+/* The request was sent and no reply came: only requests without effect may be reported as not run.
+ */
 static void test_hop_cut_after_request(void)
 {
     struct cluster *cluster = start(2);
@@ -214,7 +217,7 @@
     expect(cluster, other, (struct http_call){.sql = "SELECT 1"}, "refused", "peer_unreachable");
     expect(cluster, other, (struct http_call){.path = "transactions", .body = "{\"begin\": true}"},
            "failed", "transaction_aborted");
-    /* The statement may have run, and the transaction may yet be committed. */
+    /* The statement may have run, and the transaction may still be committed. */
     write.key = NULL;
     write.transaction = id;
     expect(cluster, other, write, "unknown", "outcome_unknown");
@@ -227,7 +230,7 @@
     cluster_stop(cluster);
 }
 
-/* The request never left: it was not run, and the caller learns when to come back. */
+/* The request was never sent: it is reported as not run, with a retry delay. */
 static void test_owner_out_of_reach(void)
 {
     struct cluster *cluster = start(2);
@@ -254,7 +257,7 @@
         g_assert_nonnull(answer.retry_after);
         http_answer_clear(&answer);
     }
-    /* An earlier commit may have been run. */
+    /* An earlier commit may have been executed. */
     expect(cluster, other, (struct http_call){.transaction = id, .path = "commit"}, "unknown",
            "outcome_unknown");
     call(cluster, owner, &answer, (struct http_call){.transaction = id, .path = "rollback"});
--- a/tests/daemon/test_group_metrics.c
+++ b/tests/daemon/test_group_metrics.c
@@ -1,5 +1,5 @@
-/* Metrics of owned groups: what they tell of databases that lag or are gone, that only owners tell
- * it, and that the page names every metric. */
+/* Metrics of owned groups: values for databases that lag or are unreachable, series only at owners,
+ * and every metric named in docs/metrics.md. */
 #include "cluster_fixture.h"
 
 #include <string.h>
@@ -59,7 +59,7 @@
     cluster_stop(cluster);
 }
 
-/* The lag of a replica in entries and in time; the primary has none. */
+/* A replica's lag in entries and in time; the primary's is 0. */
 static void test_lag(void)
 {
     struct cluster_options options = {.daemons = 1};
@@ -75,7 +75,7 @@
     cluster_stop(cluster);
 }
 
-/* A daemon that owns nothing has the families and no series. */
+/* A daemon without groups has the families but no series. */
 static void test_owners_only(void)
 {
     struct cluster_options options = {.daemons = 2, .overrides = one_owner};
@@ -89,7 +89,7 @@
     cluster_stop(cluster);
 }
 
-/* docs/metrics.md names each family that a daemon has, in backquotes. */
+/* docs/metrics.md must name each family of a daemon in backquotes. */
 static void test_page(void)
 {
     struct cluster_options options = {.daemons = 1};
--- a/tests/daemon/test_handover.c
+++ b/tests/daemon/test_handover.c
@@ -1,5 +1,5 @@
-/* A group goes to another owner while a transaction is open at the old one: the transaction ends
- * where it began. */
+/* A group moves to another owner while a transaction is open at the old one: the transaction
+ * completes where it began. */
 #include "cluster_fixture.h"
 
 #include "daemon/control.h"
@@ -16,7 +16,7 @@
     return true;
 }
 
-/* Daemons that own the group; the last of them into `owner`. */
+/* Number of daemons that own the group; sets `owner` to the last of them. */
 static unsigned count_owners(const struct cluster *cluster, unsigned *owner)
 {
     unsigned count = 0;
@@ -29,7 +29,7 @@
     return count;
 }
 
-/* True once all daemons send a request to the same one owner. */
+/* True once all daemons forward requests to the same single owner. */
 static bool has_one_owner(const struct cluster *cluster, unsigned *owner)
 {
     bool agreed = count_owners(cluster, owner) == 1;
@@ -99,7 +99,8 @@
     cluster_stop(cluster);
 }
 
-/* An owner that has just started, or lost touch, serves nothing: others are asked instead. */
+/* An owner that has just started, or lost its connections, serves nothing: requests go to other
+ * owners. */
 static void test_owner_not_ready(void)
 {
     static const char *const overrides[] = {"ownership.owners_per_group=2", NULL};
--- a/tests/daemon/test_refusal_watch.c
+++ b/tests/daemon/test_refusal_watch.c
@@ -1,4 +1,4 @@
-/* Refusal storms on virtual time: when they begin and end, and what does not make one. */
+/* Refusal storms in virtual time: when they begin and end, and what does not count as one. */
 #include <glib.h>
 
 #include "daemon/refusal_watch.h"
@@ -10,7 +10,7 @@
     }
 }
 
-/* Looks at a second of virtual time. */
+/* Checks at a second of virtual time. */
 static struct refusal_note look(struct refusal_watch *watch, uint64_t second)
 {
     return refusal_watch_look(watch, second * NANOSECONDS_PER_SECOND);
@@ -41,7 +41,8 @@
     g_assert_cmpint(look(&watch, 30).change, ==, REFUSAL_CHANGE_NONE);
 }
 
-/* Callers' own faults are none, and a look within the second sees nothing. */
+/* Refusals that are the caller's fault do not count, and a check within the same second sees
+ * nothing. */
 static void test_no_storm(void)
 {
     struct refusal_watch watch = {0};
--- a/tests/daemon/test_refusals.c
+++ b/tests/daemon/test_refusals.c
@@ -1,4 +1,5 @@
-/* Requests that can't be served get their final answer at once, true and with when to come back. */
+/* Requests that can't be served get their final answer at once, with a correct reason and a retry
+ * delay. */
 #include "cluster_fixture.h"
 
 #include <string.h>
@@ -26,7 +27,7 @@
     cluster_stop(cluster);
 }
 
-/* The deadlines lie beyond the test's patience: answers don't wait for them. */
+/* The deadlines exceed the test's time-out: answers must not wait for them. */
 static void test_no_database(void)
 {
     static const char *const overrides[] = {"routing.unavailable_wait_ms=300",
@@ -55,7 +56,7 @@
     cluster_stop(cluster);
 }
 
-/* An open transaction that has written holds back all writers at the stand-in database. */
+/* Opens a transaction that has written and so blocks all other writers at the stand-in database. */
 static char *hold_writers(struct cluster *cluster)
 {
     struct http_answer answer;
@@ -86,7 +87,7 @@
     return count;
 }
 
-/* One slot, room for one in the queue: all others are refused while both still wait. */
+/* One slot and a queue of length one: all other requests are refused while these two still wait. */
 static void test_overload(void)
 {
     enum { WRITERS = 10, TAKEN = 2 };
@@ -127,7 +128,7 @@
     cluster_stop(cluster);
 }
 
-/* Queued behind one that waits longer than its deadline, it is told at its deadline. */
+/* A request queued behind one that waits longer than its deadline is answered at its deadline. */
 static void test_deadline_in_queue(void)
 {
     struct cluster_options options = {.daemons = 1, .slots = 1};
@@ -159,8 +160,8 @@
     return cluster_count(cluster, 0, from);
 }
 
-/* Deadlines that pass anywhere on the way: what is told as not run is not there, and never comes.
- */
+/* Deadlines that expire at any stage: a write reported as not run is not present, and does not
+ * appear later. */
 static void test_short_deadlines(void)
 {
     enum { WRITES = 24 };
--- a/tests/daemon/test_secrets.c
+++ b/tests/daemon/test_secrets.c
@@ -1,4 +1,5 @@
-/* The file with the platform's key: who may read it, and that faults do not quote it. */
+/* The file with the platform's key: its required permissions, and errors that do not quote its
+ * content. */
 #include <glib/gstdio.h>
 #include <string.h>
 
@@ -11,7 +12,7 @@
 struct secret_case {
     const char *text;
     int mode;
-    const char *fault; /* NULL: read */
+    const char *fault; /* NULL: the file is read */
 };
 
 static const struct secret_case cases[] = {
--- a/tests/daemon/test_sessions.c
+++ b/tests/daemon/test_sessions.c
@@ -1,9 +1,10 @@
-/* Sessions over a whole deployment: what a session has written or seen, it sees on any daemon. */
+/* Sessions in a complete deployment: a session sees on any daemon what it has written or seen
+ * before. */
 #include "cluster_fixture.h"
 
 #include <string.h>
 
-/* Lag of replicas that the guard's wait covers, and lag that it never covers. */
+/* Replica lag that the guard's wait covers, and lag that it never covers. */
 #define SHORT_LAG_MS 60
 #define LONG_LAG_MS  600000
 
@@ -16,7 +17,7 @@
     *session = cluster_write(cluster, daemon, key, sql);
 }
 
-/* Reads how many stays there are, and keeps the new token. */
+/* Reads the number of stays and keeps the new token. */
 static unsigned count_stays(struct cluster *cluster, unsigned daemon, char **session,
                             char **served_by)
 {
@@ -54,8 +55,8 @@
     cluster_stop(cluster);
 }
 
-/* Replicas that will not catch up in time: the primary answers, within the tenant's allowance, and
- * a tenant without one is refused with when to come back. */
+/* Replicas do not catch up in time: the primary answers within the tenant's limit, and a tenant
+ * without primary reads is refused with a retry delay. */
 static void test_read_your_write_far_behind(void)
 {
     struct cluster *cluster = cluster_start(NULL);
@@ -77,8 +78,8 @@
     cluster_stop(cluster);
 }
 
-/* One replica is current, the other far behind: who has seen the newer state never sees the older
- * one, whichever daemon and replica come next. */
+/* One replica is current, the other far behind: a session that has seen the newer state never sees
+ * the older one, whichever daemon and replica serve it next. */
 static void test_monotonic_reads(void)
 {
     struct cluster *cluster = cluster_start(NULL);
@@ -98,8 +99,8 @@
     cluster_stop(cluster);
 }
 
-/* Begins a transaction, lets another session write, and reads the count of stays. Keeps the token
- * of the last answer that gave one. */
+/* Begins a transaction, lets another session write, and reads the number of stays. Keeps the last
+ * token received. */
 static unsigned count_in_transaction(struct cluster *cluster, const char *begin, unsigned number,
                                      char **session)
 {
@@ -135,8 +136,8 @@
     }
 }
 
-/* What a transaction has read counts as seen. It runs while only the current replica is there; the
- * session goes on while only the one far behind is. */
+/* What a transaction has read counts as seen. It runs while only the current replica is reachable;
+ * the session continues while only the lagging one is. */
 static void check_monotonic_after_transaction(const char *begin)
 {
     struct cluster_options options = {.provokes_failures = true};
@@ -196,7 +197,8 @@
     cluster_stop(cluster);
 }
 
-/* A daemon that has just started waits for its first view; it neither refuses nor guesses. */
+/* A daemon that has just started waits for its first view; it neither refuses the request nor
+ * serves it without a view. */
 static void test_daemon_just_started(void)
 {
     static const char *const overrides[] = {"daemon.worker_threads=1",
--- a/tests/daemon/test_slots.c
+++ b/tests/daemon/test_slots.c
@@ -1,16 +1,16 @@
-/* The owners of a group share its databases' slots: together they send no database more statements
- * at once than it has slots, and the slots that one does not need serve another. */
+/* The owners of a group share its databases' slots: together they run no more statements at a
+ * database than it has slots, and slots that one owner does not need are used by another. */
 #include "callers.h"
 
 #define SLOTS   5
 #define SENDERS 12
 #define ROUNDS  10
 
-/* Threads that send without pause, three writers to a reader. */
+/* Threads that send continuously, three writers to one reader. */
 struct sender {
     struct cluster *cluster;
     unsigned number;
-    unsigned daemon; /* CLUSTER_DAEMONS_MAX: each in turn */
+    unsigned daemon; /* CLUSTER_DAEMONS_MAX: all, round robin */
     atomic_uint rounds;
     atomic_bool *stop;
     GThread *thread;
@@ -76,7 +76,7 @@
     }
 }
 
-/* Slots that a daemon may use at a database now. */
+/* Slots that a daemon may currently use at a database. */
 static uint32_t limit_of(const struct cluster *cluster, unsigned daemon, unsigned database)
 {
     struct group_runtime *group = daemon_take_group(cluster->daemons[daemon], CLUSTER_GROUP);
@@ -96,7 +96,7 @@
     return limits;
 }
 
-/* Each owner has its part, and nothing is lent. */
+/* Waits until each owner has its share and no slot is lent. */
 static void await_division(const struct cluster *cluster)
 {
     for (unsigned i = 0; i < cluster->options.databases; i++) {
@@ -122,7 +122,7 @@
     }
 }
 
-/* The databases themselves would run any number. */
+/* The databases themselves accept any number of statements. */
 static struct cluster *start_cluster(void)
 {
     struct cluster_options options = {.slots = SLOTS, .database_slots = 8 * SLOTS};
--- a/tests/daemon/test_tenant_gate.c
+++ b/tests/daemon/test_tenant_gate.c
@@ -1,4 +1,5 @@
-/* The bound on one tenant's requests: by tenant, given back, and none where the limit is zero. */
+/* Limit on the running requests of one tenant: counted per tenant, released at the end, and
+ * unlimited if zero. */
 #include "daemon/tenant_gate.h"
 
 #include <glib.h>
--- a/tests/daemon/test_traces.c
+++ b/tests/daemon/test_traces.c
@@ -1,4 +1,4 @@
-/* What running daemons record, of a failover and of a lost answer, is replayed to the same
+/* Traces that running daemons record of a failover and of a lost answer are replayed with the same
  * decisions. */
 #include "cluster_fixture.h"
 
@@ -9,7 +9,7 @@
 #include "trace/trace_file.h"
 #include "trace/trace_recorder.h"
 
-/* Writes what a daemon recorded to a new file; the caller removes and frees it. */
+/* Writes a daemon's trace to a new file; the caller removes and frees it. */
 static char *save_trace(struct cluster *cluster, unsigned daemon)
 {
     g_autoptr(GByteArray) trace =
@@ -33,7 +33,7 @@
     g_assert_cmpint(g_remove(path), ==, 0);
 }
 
-/* True of a write that lost an answer and was told done in the end. */
+/* True for a write that lost an answer and was finally reported as done. */
 static bool lost_and_done(const struct trace_record *record)
 {
     const struct trace_write *write = &record->write;
@@ -46,7 +46,7 @@
     return lost && last->kind == WRITE_STEP_ANSWER && last->outcome == OUTCOME_DONE;
 }
 
-/* Such writes that a daemon kept the trace of. */
+/* Number of such writes in a daemon's trace. */
 static guint count_writes(struct cluster *cluster, unsigned daemon)
 {
     g_autofree char *path = save_trace(cluster, daemon);
@@ -75,7 +75,8 @@
     cluster_stop(cluster);
 }
 
-/* The answer to a keyed write's COMMIT is lost: how its outcome was found out is recorded. */
+/* The answer to a keyed write's COMMIT is lost: the steps that determined its outcome are recorded.
+ */
 static void test_lost_answer(void)
 {
     struct cluster *cluster = cluster_start(NULL);
--- a/tests/daemon/test_traffic.c
+++ b/tests/daemon/test_traffic.c
@@ -1,4 +1,4 @@
-/* The daemons' own count of the datagrams between them. */
+/* Each daemon's count of the datagrams between daemons. */
 #include "cluster_fixture.h"
 
 #include <string.h>
@@ -13,7 +13,7 @@
     uint64_t octets;
 };
 
-/* The value on the line of a metric, as an operator's collector sees it. */
+/* The value of a metric in the scraped text. */
 static uint64_t scrape(const GString *text, const char *name, const char *direction)
 {
     g_autofree char *start = g_strdup_printf("\n%s{direction=\"%s\"} ", name, direction);
@@ -34,8 +34,8 @@
     return traffic;
 }
 
-/* With two daemons each gets only what the other has sent. Octets are counted after datagrams, so
- * a single reading may lack those of the newest. */
+/* With two daemons each receives only what the other has sent. Bytes are counted after datagrams,
+ * so that a single reading may not include those of the newest. */
 static void check_pair(const struct cluster *cluster, unsigned receiver, unsigned sender)
 {
     AWAIT(read_traffic(cluster, receiver, "received").octets > 0);
--- a/tests/daemon/test_transactions.c
+++ b/tests/daemon/test_transactions.c
@@ -1,23 +1,23 @@
-/* Interactive transactions over a whole deployment: each is at one daemon and is reached through
- * all. */
+/* Interactive transactions in a complete deployment: each is open at one daemon and can be used
+ * through all. */
 #include "cluster_fixture.h"
 
 #include <string.h>
 
 #include "daemon_probe.h"
 
-/* A deadline that a busy machine does not reach. */
+/* A deadline that is not reached even on a busy machine. */
 #define LONG_TIMEOUT_MS 20000
 
-/* A deployment whose transactions may be idle for so long; 0 for the fixture's default. */
+/* Starts a deployment with this idle time-out of transactions; 0 for the fixture's default. */
 static struct cluster *start(unsigned transaction_idle_ms)
 {
     struct cluster_options options = {.transaction_idle_ms = transaction_idle_ms};
     return cluster_start(&options);
 }
 
-/* The database that leads; it may be another than at the start, as a group's owner that joins late
- * on a slow machine may find none. */
+/* The current primary. It may differ from the one at the start, as an owner that joins late on a
+ * slow machine may find no primary and elect another. */
 static unsigned primary_of(const struct cluster *cluster)
 {
     int primary = cluster_primary(cluster);
@@ -30,7 +30,7 @@
     return cluster_count(cluster, primary_of(cluster), "stays");
 }
 
-/* Begins at a daemon and returns the id, which the caller frees. */
+/* Begins a transaction at a daemon and returns the id, which the caller frees. */
 static char *begin(struct cluster *cluster, unsigned daemon, const char *key, const char *access)
 {
     struct http_answer answer;
@@ -44,7 +44,7 @@
     return id;
 }
 
-/* Runs a statement that must be done; returns the first cell of its first row, if any. */
+/* Runs a statement, which must succeed; returns the first cell of its first row, if any. */
 static char *statement(struct cluster *cluster, unsigned daemon, const char *id, const char *sql)
 {
     struct http_answer answer;
@@ -55,7 +55,7 @@
     return cell;
 }
 
-/* Commits or rolls back, which must be done; returns the session's token, if any. */
+/* Commits or rolls back, which must succeed; returns the session token, if any. */
 static char *end(struct cluster *cluster, unsigned daemon, const char *id, const char *how,
                  const char *key)
 {
@@ -114,7 +114,7 @@
     cluster_stop(cluster);
 }
 
-/* Another tenant's transaction is not there. */
+/* A transaction is not visible to another tenant. */
 static void test_other_tenant(void)
 {
     struct cluster *cluster = start(0);
@@ -141,7 +141,7 @@
         expect_error(cluster, i,
                      (struct http_call){.transaction = keyed, .path = "commit", .key = "key"},
                      "failed", "transaction_aborted");
-        /* Without a key nobody can tell whether an earlier commit was done. */
+        /* Without a key it is not known whether an earlier commit was executed. */
         expect_error(cluster, i, (struct http_call){.transaction = unkeyed, .path = "commit"},
                      "unknown", "outcome_unknown");
     }
@@ -149,7 +149,8 @@
     cluster_stop(cluster);
 }
 
-/* The database's answer to COMMIT is lost: the key tells; asked again elsewhere, it tells again. */
+/* The database's answer to COMMIT is lost: the outcome is found by the key, and again when the
+ * commit is repeated at another daemon. */
 static void test_commit_answer_lost(void)
 {
     struct cluster *cluster = start(0);
@@ -182,7 +183,7 @@
     cluster_stop(cluster);
 }
 
-/* A key whose transaction was closed stands for that transaction for ever. */
+/* The key of a closed transaction can't be used for anything else. */
 static void test_key_of_closed_transaction(void)
 {
     struct cluster *cluster = start(200);
@@ -241,8 +242,8 @@
     cluster_stop(cluster);
 }
 
-/* The transaction's statement is known to be at the database, and stays there until its transaction
- * was asked for anew. */
+/* The transaction's statement is known to be at the database, and is held there until another
+ * request for the transaction was made. */
 static void test_busy(void)
 {
     struct cluster *cluster = start(0);
@@ -265,11 +266,11 @@
     cluster_stop(cluster);
 }
 
-/* A read-only transaction runs at a replica, and can't write. */
+/* A read-only transaction runs at a replica and can't write. */
 static void test_read_only(void)
 {
     struct cluster *cluster = start(0);
-    cluster_await_replicated(cluster); /* the table, too, is only there once it was replicated */
+    cluster_await_replicated(cluster); /* for the table to exist at the replicas */
     g_autofree char *id = begin(cluster, 0, NULL, "read");
     g_autofree char *count = statement(cluster, 1, id, "SELECT count(*) FROM stays");
     g_assert_cmpstr(count, ==, "0");
@@ -284,8 +285,8 @@
     cluster_stop(cluster);
 }
 
-/* A planned stop waits for the open transaction, which goes on through the other daemons. Nobody
- * waits for a daemon that is known to be gone. */
+/* A planned stop waits for the open transaction, which continues through the other daemons. After
+ * the daemon has left, requests do not wait for it. */
 static void test_owner_stops(void)
 {
     static const char *const overrides[] = {"routing.unavailable_wait_ms=60000", NULL};
@@ -299,13 +300,13 @@
     g_assert_nonnull(session);
     g_assert_cmpuint(cluster_join_stop(stop), ==, 0);
     g_assert_cmpint(count_stays(cluster), ==, 2);
-    /* The answer is to be had although its daemon is gone. */
+    /* The outcome is available although the transaction's daemon has left. */
     g_free(end(cluster, 2, id, "commit", "key"));
     cluster_stop(cluster);
 }
 
-/* The answer to a commit that was run before: nothing else may be told, unless its time was over
- * before it had arrived whole. */
+/* Checks the answer to a commit that was executed before. It is done or unknown, unless the
+ * request's deadline expired before the request had arrived completely. */
 static void expect_done_or_not_looked_at(const struct http_answer *answer)
 {
     g_autofree char *body = answer->body != NULL ? json_to_string(answer->body, FALSE) : NULL;
@@ -315,7 +316,8 @@
     }
 }
 
-/* What was committed is never told "not run" to who asks again, however little time that leaves. */
+/* A commit that was executed is never reported as not run when it is repeated, however short the
+ * deadline. */
 static void test_commit_asked_again_in_haste(void)
 {
     enum { TIMES = 50 };
@@ -334,7 +336,7 @@
     cluster_stop(cluster);
 }
 
-/* Begins, writes, and lets the database end the transaction as idle for too long. */
+/* Begins, writes, and makes the database end the transaction as idle for too long. */
 static char *begin_and_lose(struct cluster *cluster, const char *key)
 {
     char *id = begin(cluster, 0, key, "write");
@@ -345,7 +347,7 @@
     return id;
 }
 
-/* The database has ended the transaction: it is rolled back, and its caller is told so. */
+/* The database has ended the transaction: it is rolled back, and its caller gets that outcome. */
 static void test_ended_by_database(void)
 {
     struct cluster *cluster = start(0);
@@ -364,7 +366,7 @@
     cluster_stop(cluster);
 }
 
-/* Statements that the databases are at work on. */
+/* Statements in progress at the databases. */
 static unsigned slots_used(const struct cluster *cluster)
 {
     unsigned used = 0;
@@ -374,7 +376,8 @@
     return used;
 }
 
-/* A commit that waits for a worker past its deadline is not run; the transaction must end. */
+/* A commit that waits for a worker past its deadline is not executed, and the transaction must end.
+ */
 static void test_commit_after_deadline(void)
 {
     static const char *const overrides[] = {"daemon.worker_threads=1",
--- a/tests/daemon/test_workers.c
+++ b/tests/daemon/test_workers.c
@@ -1,10 +1,11 @@
-/* Requests that wait for each other never wait for the same workers: whatever fills a daemon's
- * workers, what it waits for goes on. The requests' deadlines lie beyond the test's patience. */
+/* Requests that wait for each other must not wait for the same workers: whatever occupies a
+ * daemon's workers, the work that it waits for makes progress. The requests' deadlines exceed the
+ * test's time-out. */
 #include "cluster_fixture.h"
 
 #include "daemon/worker_pool.h"
 
-/* Enough for two requests to cross in at least one of them. */
+/* Enough rounds for two requests to cross in at least one of them. */
 #define ROUNDS 10
 
 #define LONG_DEADLINES                                                                             \
@@ -29,7 +30,7 @@
     return http_post_start(cluster_port(cluster, daemon), &call);
 }
 
-/* Waits for an answer that must be done. The caller frees the transaction's id, if any. */
+/* Waits for an answer, which must be done. The caller frees the transaction's id, if any. */
 static char *await_done(struct http_poster *poster)
 {
     struct http_answer answer;
@@ -51,10 +52,10 @@
     AWAIT(worker_pool_backlog(cluster->daemons[0]->workers) >= backlog);
 }
 
-/* All connections are held by open transactions, and callers who want to begin others wait. */
+/* Open transactions hold all connections, and callers wait to begin more. */
 static void test_begins_wait_for_ends(void)
 {
-    /* Of 12 connections, one owner's share is 5; one more may serve it at the start. */
+    /* Of 12 connections one owner's share is 5; at the start it may use one more. */
     enum { OPEN = 5, WAITING = OPEN - 1 };
     struct cluster_options options = {.daemons = 1,
                                       .slots = 5,
@@ -71,7 +72,7 @@
         begins[i] = post(cluster, 0,
                          (struct http_call){.path = "transactions", .body = "{\"begin\": true}"});
     }
-    /* One of those that wait has the worker. */
+    /* One of the waiting requests occupies the worker. */
     await_backlog(cluster, WAITING - 1);
     for (unsigned i = 0; i < OPEN; i++) {
         end(cluster, 0, ids[i], "rollback");
@@ -84,7 +85,7 @@
     cluster_stop(cluster);
 }
 
-/* Statements wait at the database for the lock of a transaction whose commit comes after them. */
+/* Statements wait at the database for the lock of a transaction whose commit is sent after them. */
 static void test_statements_wait_for_commit(void)
 {
     struct cluster_options options = {
@@ -101,7 +102,7 @@
     insert.transaction = third;
     insert.sql = "INSERT INTO stays VALUES ('c', '')";
     struct http_poster *waits_longer = post(cluster, 0, insert);
-    /* The database gives up on a lock after ten seconds: then these would not be done. */
+    /* The database's lock time-out is ten seconds; after it these would not be done. */
     end(cluster, 0, first, "commit");
     while (!http_has_ended(waits) && !http_has_ended(waits_longer)) {
         g_usleep(1000);
@@ -115,7 +116,7 @@
     cluster_stop(cluster);
 }
 
-/* Each daemon's only worker sends requests on to the other daemon. */
+/* Each daemon's only worker forwards requests to the other daemon. */
 static void test_daemons_forward_to_each_other(void)
 {
     enum { OPEN = 6 };
@@ -126,7 +127,7 @@
     for (unsigned i = 0; i < OPEN; i++) {
         ids[i] = begin(cluster, i % 2);
     }
-    /* Long enough for requests to queue up on both sides. */
+    /* Long enough for requests to queue at both daemons. */
     cluster_set_service_time(cluster, 0, 5000);
     for (unsigned round = 0; round < ROUNDS; round++) {
         struct http_poster *posters[OPEN];
@@ -145,7 +146,7 @@
     cluster_stop(cluster);
 }
 
-/* The only worker of a daemon sends a request on that gets no answer for long. */
+/* A daemon's only worker forwards a request that is not answered for a long time. */
 static void test_forwarding_holds_up_no_other(void)
 {
     struct cluster_options options = {
@@ -162,7 +163,7 @@
     AWAIT(atomic_load(&cluster->daemons[1 - forwarder]->tasks_open) == 1);
     struct http_call read = {.sql = "SELECT 1"};
     g_free(await_done(post(cluster, forwarder, read)));
-    /* The database gives up on a lock after ten seconds. */
+    /* The database's lock time-out is ten seconds. */
     g_assert_false(http_has_ended(waits));
     end(cluster, 1 - forwarder, holder, "rollback");
     g_free(await_done(waits));
--- a/tests/daemon/test_writes.c
+++ b/tests/daemon/test_writes.c
@@ -1,10 +1,10 @@
-/* Answers get lost between a daemon and the primary: a write with a key runs once and is answered,
- * one without is never sent again, and what is told is what happened. */
+/* Answers between a daemon and the primary are lost: a write with a key runs once and is answered,
+ * one without a key is never sent again, and the reported outcome is the real one. */
 #include "cluster_fixture.h"
 
 #include <string.h>
 
-/* A dropped answer is waited for during most of this; enough is left to ask again. */
+/* The wait for a dropped answer takes most of this time; the rest suffices for another attempt. */
 #define DROP_TIMEOUT_MS 2400
 
 #define INSERT_STAY "INSERT INTO stays VALUES ('a', 'guest')"
@@ -15,7 +15,8 @@
     return cluster_start(&options);
 }
 
-/* A statement of a keyed write whose answer is lost: the write is run, or found, again. */
+/* A statement of a keyed write loses its answer: the write is run again, or its outcome is found.
+ */
 static void check_keyed(enum answer_fault fault, const char *match)
 {
     struct cluster *cluster = start();
@@ -64,7 +65,7 @@
     check_keyed(ANSWER_FAULT_DROP, "swiftworks_last_commit");
 }
 
-/* A write without a key whose COMMIT is not answered is unknown and was sent once. */
+/* A write without a key whose COMMIT is not answered has an unknown outcome and was sent once. */
 static void test_unkeyed_commit_closed(void)
 {
     struct cluster *cluster = start();
@@ -78,7 +79,8 @@
     cluster_stop(cluster);
 }
 
-/* Before COMMIT is sent a loss proves that nothing was run: also without a key it may run again. */
+/* A connection lost before COMMIT was sent proves that nothing was committed: even without a key
+ * the write may run again. */
 static void test_unkeyed_insert_closed(void)
 {
     struct cluster *cluster = start();
@@ -91,7 +93,7 @@
     cluster_stop(cluster);
 }
 
-/* The key comes to both daemons at once, many times. */
+/* Both daemons receive the same key at the same time, repeatedly. */
 static void test_same_key_at_two_daemons(void)
 {
     struct cluster *cluster = start();
@@ -116,7 +118,7 @@
     cluster_stop(cluster);
 }
 
-/* The second answer is the first one's, results included. */
+/* The second answer equals the first, results included. */
 static void test_key_asked_again(void)
 {
     struct cluster *cluster = start();
@@ -145,7 +147,7 @@
     http_assert_error(&answer, "refused", "key_reused");
     http_answer_clear(&answer);
     g_assert_cmpint(cluster_count(cluster, 0, "stays"), ==, 1);
-    /* Another tenant's key of the same text is another key. */
+    /* The same key of another tenant is a different key. */
     cluster_call(cluster, 1, &answer,
                  (struct http_call){.tenant = "agency",
                                     .sql = "INSERT INTO stays VALUES ('b', '')",
@@ -166,8 +168,8 @@
     cluster_stop(cluster);
 }
 
-/* The first attempt is lost, the second meets an error of the database: that is told, as nothing of
- * the first can have stayed; and the key may then be used for the corrected request. */
+/* The first attempt is lost and the second gets a database error. That error is reported, as no
+ * effect of the first can remain; the key may then be used for the corrected request. */
 static void test_error_after_lost_attempt(void)
 {
     struct cluster *cluster = start();
@@ -182,7 +184,7 @@
     cluster_stop(cluster);
 }
 
-/* Statements that the open write transaction has run. */
+/* Statements that the open write transaction has executed. */
 static unsigned statements_written(struct cluster *cluster)
 {
     struct database *database = cluster->databases[0]->database;
@@ -193,9 +195,9 @@
     return written;
 }
 
-/* COMMIT is under way in a cut link while its caller is answered, and takes effect after that. The
- * second round trip of a keyed write records its results before COMMIT; cut off during the first
- * statement of that round trip, COMMIT waits in the link. */
+/* COMMIT is delayed in a partitioned link while its caller is answered, and takes effect later. The
+ * second round trip of a keyed write records its results before COMMIT; partitioned during the
+ * first statement of that round trip, COMMIT waits in the link. */
 static void check_late_commit(const char *key)
 {
     struct cluster_options options = {.databases = 1, .daemons = 1, .provokes_failures = true};
@@ -231,7 +233,7 @@
     check_late_commit(NULL);
 }
 
-/* A batch is one transaction: all of it or nothing. */
+/* A batch is one transaction: all of it is executed or nothing. */
 static void test_batch(void)
 {
     struct cluster *cluster = start();
