--- a/src/daemon/configuration_content.c
+++ b/src/daemon/configuration_content.c
@@ -27,7 +27,7 @@
 }
 
 /* Runs a converter over all bytes; NULL if it fails or its output would exceed `most` bytes. */
-static GBytes *convert(GConverter *converter, const uint8_t *octets, gsize length, gsize most)
+static GBytes *convert(GConverter *converter, const uint8_t *bytes, gsize length, gsize most)
 {
     g_autoptr(GByteArray) out = g_byte_array_new();
     g_autofree uint8_t *step = g_malloc(CONVERSION_STEP);
@@ -36,7 +36,7 @@
     while (result != G_CONVERTER_FINISHED) {
         gsize read = 0;
         gsize written = 0;
-        result = g_converter_convert(converter, octets + used, length - used, step, CONVERSION_STEP,
+        result = g_converter_convert(converter, bytes + used, length - used, step, CONVERSION_STEP,
                                      G_CONVERTER_INPUT_AT_END, &read, &written, NULL);
         if (result == G_CONVERTER_ERROR || out->len + written > most) {
             return NULL;
@@ -50,18 +50,18 @@
 GBytes *configuration_compress(GBytes *content)
 {
     gsize length = 0;
-    const uint8_t *octets = g_bytes_get_data(content, &length);
+    const uint8_t *bytes = g_bytes_get_data(content, &length);
     g_autoptr(GZlibCompressor) compressor =
         g_zlib_compressor_new(G_ZLIB_COMPRESSOR_FORMAT_ZLIB, COMPRESSION_LEVEL);
-    return convert(G_CONVERTER(compressor), octets, length, G_MAXUINT);
+    return convert(G_CONVERTER(compressor), bytes, length, G_MAXUINT);
 }
 
-GBytes *configuration_decompress(const uint8_t *octets, gsize length)
+GBytes *configuration_decompress(const uint8_t *bytes, gsize length)
 {
     g_autoptr(GZlibDecompressor) decompressor =
         g_zlib_decompressor_new(G_ZLIB_COMPRESSOR_FORMAT_ZLIB);
     if (length == 0) {
         return NULL;
     }
-    return convert(G_CONVERTER(decompressor), octets, length, CONFIGURATION_BYTES_MAX);
+    return convert(G_CONVERTER(decompressor), bytes, length, CONFIGURATION_BYTES_MAX);
 }
--- a/src/daemon/configuration_content.h
+++ b/src/daemon/configuration_content.h
@@ -15,6 +15,6 @@
 GBytes *configuration_compress(GBytes *content);
 
 /* Decompresses bytes; NULL if they are malformed or the result exceeds CONFIGURATION_BYTES_MAX. */
-GBytes *configuration_decompress(const uint8_t *octets, gsize length);
+GBytes *configuration_decompress(const uint8_t *bytes, gsize length);
 
 #endif
--- a/src/daemon/configuration_difference.c
+++ b/src/daemon/configuration_difference.c
@@ -43,7 +43,7 @@
 {
     gsize before_length = 0;
     gsize packed_length = 0;
-    const uint8_t *octets = g_bytes_get_data(before, &before_length);
+    const uint8_t *bytes = g_bytes_get_data(before, &before_length);
     const uint8_t *packed = g_bytes_get_data(difference->between, &packed_length);
     gsize kept = (gsize)difference->keep_start + difference->keep_end;
     g_autoptr(GBytes) between = configuration_decompress(packed, packed_length);
@@ -51,9 +51,9 @@
         return NULL;
     }
     GByteArray *content = g_byte_array_sized_new((guint)(kept + g_bytes_get_size(between)));
-    g_byte_array_append(content, octets, difference->keep_start);
+    g_byte_array_append(content, bytes, difference->keep_start);
     g_byte_array_append(content, g_bytes_get_data(between, NULL), (guint)g_bytes_get_size(between));
-    g_byte_array_append(content, octets + before_length - difference->keep_end,
+    g_byte_array_append(content, bytes + before_length - difference->keep_end,
                         difference->keep_end);
     return g_byte_array_free_to_bytes(content);
 }
--- a/src/daemon/configuration_fetch.c
+++ b/src/daemon/configuration_fetch.c
@@ -16,18 +16,18 @@
 
 /* State of one fetch, on its thread's stack. */
 struct fetch {
-    const struct fetch_means *means;
-    const struct fetch_order *order;
-    struct published_configuration *have; /* in force when the fetch began; or NULL */
+    const struct fetch_context *context;
+    const struct fetch_request *request;
+    struct published_configuration *current; /* in force when the fetch began; or NULL */
     struct fetch_result *result;
 };
 
-static struct configuration_mark mark_of_have(const struct fetch *fetch)
+static struct configuration_mark mark_of_current(const struct fetch *fetch)
 {
-    if (fetch->have == NULL) {
+    if (fetch->current == NULL) {
         return (struct configuration_mark){0};
     }
-    return published_configuration_mark(fetch->have);
+    return published_configuration_mark(fetch->current);
 }
 
 static void fail(struct fetch *fetch, const char *text)
@@ -65,17 +65,18 @@
     if (configuration == NULL) {
         g_autofree char *first = configuration_problem_text(g_ptr_array_index(problems, 0));
         refuse(fetch, mark, first);
-        fetch->result->unfit = true;
+        fetch->result->unparsable = true;
         return;
     }
     struct configuration_difference difference = {0};
-    if (fetch->have != NULL) {
-        struct configuration *before = published_configuration_content(fetch->have);
+    if (fetch->current != NULL) {
+        struct configuration *before = published_configuration_content(fetch->current);
         configuration_difference_make(configuration_canonical(before), content, &difference);
     }
     fetch->result->outcome = FETCH_OUTCOME_FOUND;
-    fetch->result->published = published_configuration_new(
-        mark.version, configuration, mark_of_have(fetch), fetch->have != NULL ? &difference : NULL);
+    fetch->result->published =
+        published_configuration_new(mark.version, configuration, mark_of_current(fetch),
+                                    fetch->current != NULL ? &difference : NULL);
     configuration_unref(configuration);
 }
 
@@ -86,7 +87,7 @@
     g_autoptr(GBytes) content = NULL;
     g_autoptr(GError) error = NULL;
     enum platform_result result =
-        version_store_get_bundle(fetch->means->store, hash, &content, &error);
+        version_store_get_bundle(fetch->context->store, hash, &content, &error);
     if (result == PLATFORM_RESULT_OK) {
         take_content(fetch, fetch->result->head, content);
     } else if (result == PLATFORM_RESULT_REFUSED) {
@@ -100,12 +101,12 @@
 static bool wants_head(const struct fetch *fetch)
 {
     uint64_t head = fetch->result->head.version;
-    if (head == 0 || head <= mark_of_have(fetch).version) {
+    if (head == 0 || head <= mark_of_current(fetch).version) {
         return false;
     }
-    bool news = head > fetch->order->wanted.version;
-    return news ||
-           (fetch->order->source == FETCH_SOURCE_STORE && head == fetch->order->wanted.version);
+    bool newer = head > fetch->request->wanted.version;
+    return newer ||
+           (fetch->request->source == FETCH_SOURCE_STORE && head == fetch->request->wanted.version);
 }
 
 /* Reads the head into the result. The caller frees `row`, which stays NULL unless a version is
@@ -113,7 +114,7 @@
 static void read_head(struct fetch *fetch, struct version_row **row)
 {
     g_autoptr(GError) error = NULL;
-    enum platform_result result = version_store_read_head(fetch->means->store, row, &error);
+    enum platform_result result = version_store_read_head(fetch->context->store, row, &error);
     fetch->result->head_known = result == PLATFORM_RESULT_OK || result == PLATFORM_RESULT_NOT_FOUND;
     if (*row != NULL) {
         fetch->result->head = configuration_mark_of((*row)->version, (*row)->hash);
@@ -123,7 +124,7 @@
     }
 }
 
-static void ask_store(struct fetch *fetch)
+static void fetch_from_store(struct fetch *fetch)
 {
     struct version_row *row = NULL;
     read_head(fetch, &row);
@@ -142,39 +143,39 @@
 
 /* Processes a handover when the store's head is known: takes the head's content if the head is
  * newer, the handed over content if it is the head, and rejects it otherwise. */
-static void take_handed_by_head(struct fetch *fetch, const char *head_hash)
+static void check_handover_with_head(struct fetch *fetch, const char *head_hash)
 {
-    struct configuration_mark handed = fetch->order->wanted;
-    if (fetch->result->head.version > handed.version) {
+    struct configuration_mark handed_over = fetch->request->wanted;
+    if (fetch->result->head.version > handed_over.version) {
         get_bundle(fetch, head_hash);
-    } else if (is_same(fetch->result->head, handed)) {
-        take_content(fetch, handed, fetch->order->content);
+    } else if (is_same(fetch->result->head, handed_over)) {
+        take_content(fetch, handed_over, fetch->request->content);
     } else {
-        refuse(fetch, handed, "the store's head is not this version");
+        refuse(fetch, handed_over, "the store's head is not this version");
     }
 }
 
 /* Checks the handover without the store: accepts it if the publisher's base is the version in force
  * here. */
-static void take_handed_by_word(struct fetch *fetch)
+static void check_handover_without_head(struct fetch *fetch)
 {
-    struct configuration_mark handed = fetch->order->wanted;
-    struct configuration_mark base = fetch->order->base;
-    if (base.version + 1 == handed.version && is_same(base, mark_of_have(fetch))) {
-        take_content(fetch, handed, fetch->order->content);
+    struct configuration_mark handed_over = fetch->request->wanted;
+    struct configuration_mark base = fetch->request->base;
+    if (base.version + 1 == handed_over.version && is_same(base, mark_of_current(fetch))) {
+        take_content(fetch, handed_over, fetch->request->content);
     } else {
-        refuse(fetch, handed, "its base is not the version in force here");
+        refuse(fetch, handed_over, "its base is not the version in force here");
     }
 }
 
-static void take_handed(struct fetch *fetch)
+static void process_handover(struct fetch *fetch)
 {
     struct version_row *row = NULL;
     read_head(fetch, &row);
     if (fetch->result->head_known) {
-        take_handed_by_head(fetch, row != NULL ? row->hash : "");
+        check_handover_with_head(fetch, row != NULL ? row->hash : "");
     } else {
-        take_handed_by_word(fetch);
+        check_handover_without_head(fetch);
     }
     version_row_free(row);
 }
@@ -187,10 +188,10 @@
     if (reply->base_version == 0) {
         return configuration_decompress(reply->content, reply->content_length);
     }
-    if (fetch->have == NULL || reply->base_version != mark_of_have(fetch).version) {
+    if (fetch->current == NULL || reply->base_version != mark_of_current(fetch).version) {
         return NULL;
     }
-    struct configuration *before = published_configuration_content(fetch->have);
+    struct configuration *before = published_configuration_content(fetch->current);
     g_autoptr(GBytes) between = g_bytes_new_static(reply->content, reply->content_length);
     struct configuration_difference difference = {
         .keep_start = reply->keep_start,
@@ -200,28 +201,28 @@
     return configuration_difference_apply(configuration_canonical(before), &difference);
 }
 
-/* True if the content matches both the reply and the order. */
-static bool is_genuine(const struct fetch *fetch, const struct configuration_reply *reply,
-                       struct configuration_mark mark, const char *hash)
+/* True if the content matches both the reply and the request. */
+static bool matches_hashes(const struct fetch *fetch, const struct configuration_reply *reply,
+                           struct configuration_mark mark, const char *hash)
 {
-    const struct configuration_mark *wanted = &fetch->order->wanted;
+    const struct configuration_mark *wanted = &fetch->request->wanted;
     bool wrong = wanted->version == mark.version && wanted->hash != 0 && wanted->hash != mark.hash;
     return !wrong && g_strcmp0(reply->hash, hash) == 0;
 }
 
-static void take_reply(struct fetch *fetch, const struct configuration_reply *reply)
+static void process_reply(struct fetch *fetch, const struct configuration_reply *reply)
 {
-    struct configuration_mark told =
+    struct configuration_mark received =
         configuration_mark_of(reply->version, reply->hash != NULL ? reply->hash : "");
     g_autoptr(GBytes) content = content_of_reply(fetch, reply);
     if (content == NULL) {
-        refuse(fetch, told, "the content can't be decoded");
+        refuse(fetch, received, "the content can't be decoded");
         return;
     }
     g_autofree char *hash = canonical_hash(content);
     struct configuration_mark mark = configuration_mark_of(reply->version, hash);
-    if (!is_genuine(fetch, reply, mark, hash)) {
-        refuse(fetch, told, "the content does not match its hash");
+    if (!matches_hashes(fetch, reply, mark, hash)) {
+        refuse(fetch, received, "the content does not match its hash");
         return;
     }
     fetch->result->difference = reply->base_version != 0;
@@ -229,18 +230,18 @@
 }
 
 /* Sends one request. `base` is the version that a difference may start from; version 0: none. */
-static void ask_peer(struct fetch *fetch, struct configuration_mark base)
+static void request_from_peer(struct fetch *fetch, struct configuration_mark base)
 {
     struct message request;
     struct message reply;
     g_autoptr(GError) error = NULL;
     time_ns deadline = backend_now() + PEER_TIMEOUT_MS * NANOSECONDS_PER_MILLISECOND;
     message_init(&request, MESSAGE_KIND_CONFIGURATION_REQUEST);
-    request.configuration_request.version = fetch->order->wanted.version;
+    request.configuration_request.version = fetch->request->wanted.version;
     request.configuration_request.have_version = base.version;
     request.configuration_request.have_hash = base.hash;
-    enum peer_call_result result =
-        peer_call(fetch->means->peers, fetch->order->address, &request, &reply, deadline, &error);
+    enum peer_call_result result = peer_call(fetch->context->peers, fetch->request->address,
+                                             &request, &reply, deadline, &error);
     message_clear(&request);
     if (result != PEER_CALL_ANSWERED) {
         fail(fetch, error->message);
@@ -248,63 +249,63 @@
     }
     const struct configuration_reply *content = &reply.configuration_reply;
     bool there = reply.kind == MESSAGE_KIND_CONFIGURATION_REPLY && content->version != 0 &&
-                 content->version >= fetch->order->wanted.version;
+                 content->version >= fetch->request->wanted.version;
     if (there) {
-        take_reply(fetch, content);
+        process_reply(fetch, content);
     }
     message_clear(&reply);
 }
 
 /* Requests a difference if this daemon has a version, and the complete content if the difference
  * can't be used. */
-static void ask_peer_twice(struct fetch *fetch)
+static void fetch_from_daemon(struct fetch *fetch)
 {
-    struct configuration_mark have = mark_of_have(fetch);
-    ask_peer(fetch, have);
-    bool try_whole = fetch->result->outcome == FETCH_OUTCOME_REFUSED && have.version > 0 &&
-                     !fetch->result->unfit;
-    if (try_whole) {
+    struct configuration_mark current = mark_of_current(fetch);
+    request_from_peer(fetch, current);
+    bool try_complete = fetch->result->outcome == FETCH_OUTCOME_REFUSED && current.version > 0 &&
+                        !fetch->result->unparsable;
+    if (try_complete) {
         fetch->result->outcome = FETCH_OUTCOME_NONE;
         fetch->result->difference = false;
-        ask_peer(fetch, (struct configuration_mark){0});
+        request_from_peer(fetch, (struct configuration_mark){0});
     }
 }
 
-/* True if the requested version came into force while the order was queued. */
+/* True if the requested version came into force while the request was queued. */
 static bool is_stale(const struct fetch *fetch)
 {
-    uint64_t wanted = fetch->order->wanted.version;
-    return fetch->order->source != FETCH_SOURCE_HEAD && wanted > 0 &&
-           mark_of_have(fetch).version >= wanted;
+    uint64_t wanted = fetch->request->wanted.version;
+    return fetch->request->source != FETCH_SOURCE_HEAD && wanted > 0 &&
+           mark_of_current(fetch).version >= wanted;
 }
 
-struct fetch_result *configuration_fetch(const struct fetch_means *means,
-                                         const struct fetch_order *order)
+struct fetch_result *configuration_fetch(const struct fetch_context *context,
+                                         const struct fetch_request *request)
 {
     struct fetch fetch = {
-        .means = means,
-        .order = order,
-        .have = configuration_share_take(means->share),
+        .context = context,
+        .request = request,
+        .current = configuration_share_take(context->share),
         .result = g_new0(struct fetch_result, 1),
     };
-    fetch.result->order = *order;
-    fetch.result->asked_at = backend_now();
+    fetch.result->request = *request;
+    fetch.result->requested_at = backend_now();
     if (is_stale(&fetch)) {
         fetch.result->outcome = FETCH_OUTCOME_NONE;
-    } else if (order->source == FETCH_SOURCE_PEER) {
-        ask_peer_twice(&fetch);
-    } else if (order->source == FETCH_SOURCE_PUBLISHER) {
-        take_handed(&fetch);
+    } else if (request->source == FETCH_SOURCE_PEER) {
+        fetch_from_daemon(&fetch);
+    } else if (request->source == FETCH_SOURCE_PUBLISHER) {
+        process_handover(&fetch);
     } else {
-        ask_store(&fetch);
+        fetch_from_store(&fetch);
     }
-    published_configuration_unref(fetch.have);
+    published_configuration_unref(fetch.current);
     return fetch.result;
 }
 
-void fetch_order_clear(struct fetch_order *order)
+void fetch_request_clear(struct fetch_request *request)
 {
-    g_clear_pointer(&order->content, g_bytes_unref);
+    g_clear_pointer(&request->content, g_bytes_unref);
 }
 
 void fetch_result_free(struct fetch_result *result)
@@ -312,7 +313,7 @@
     if (result == NULL) {
         return;
     }
-    fetch_order_clear(&result->order);
+    fetch_request_clear(&result->request);
     published_configuration_unref(result->published);
     g_free(result);
 }
--- a/src/daemon/configuration_fetch.h
+++ b/src/daemon/configuration_fetch.h
@@ -30,7 +30,7 @@
 #define FETCH_SOURCE_COUNT (FETCH_SOURCE_PUBLISHER + 1)
 
 /* What to fetch. */
-struct fetch_order {
+struct fetch_request {
     enum fetch_source source;
     /* HEAD: the newest known. PUBLISHER: the version handed over. Otherwise: this version or a
      * later one; its hash is checked unless 0. */
@@ -49,31 +49,32 @@
 
 /* Result of a fetch. */
 struct fetch_result {
-    struct fetch_order order;
+    struct fetch_request request;
     enum fetch_outcome outcome;
-    time_ns asked_at;               /* the answer was valid at this time or later */
+    time_ns requested_at;           /* the answer was valid at this time or later */
     bool head_known;                /* HEAD, STORE, PUBLISHER: the store answered with its head */
     struct configuration_mark head; /* version 0: nothing is published */
     struct published_configuration *published; /* FOUND: one reference */
     struct configuration_mark refused;         /* REFUSED: the version received */
-    bool unfit;      /* REFUSED: does not parse, so that no other copy will either */
+    bool unparsable; /* REFUSED: does not parse, so that no other copy will either */
     bool difference; /* FOUND: received as a difference */
     char text[FETCH_TEXT_SIZE];
 };
 
 /* The sources of a fetch. Borrowed. */
-struct fetch_means {
+struct fetch_context {
     struct version_store *store; /* HEAD, STORE */
     struct peer_pool *peers;     /* PEER */
     struct configuration_share *share;
 };
 
-/* Carries out an order and takes ownership of what the order owns. The caller frees the result. */
-struct fetch_result *configuration_fetch(const struct fetch_means *means,
-                                         const struct fetch_order *order);
+/* Carries out a request and takes ownership of what the request owns. The caller frees the result.
+ */
+struct fetch_result *configuration_fetch(const struct fetch_context *context,
+                                         const struct fetch_request *request);
 
-/* Frees what an order owns, for an order that is not carried out. */
-void fetch_order_clear(struct fetch_order *order);
+/* Frees what a request owns, for a request that is not carried out. */
+void fetch_request_clear(struct fetch_request *request);
 
 void fetch_result_free(struct fetch_result *result);
 
--- a/src/daemon/configuration_fetcher.c
+++ b/src/daemon/configuration_fetcher.c
@@ -1,4 +1,4 @@
-/* The fetcher's threads and their queued orders; see the header. */
+/* The fetcher's threads and their queued requests; see the header. */
 #define G_LOG_DOMAIN "configuration"
 #include "daemon/configuration_fetcher.h"
 
@@ -13,10 +13,10 @@
 #include "generated/errors.h"
 
 /* Maximum size of a file with a secret, and permission bits that it must not have. */
-#define SECRET_OCTETS_MAX   4096
+#define SECRET_BYTES_MAX    4096
 #define SECRET_MODE_REFUSED 077
 
-/* One thread and its queued orders, one per source. */
+/* One thread and its queued requests, one per source. */
 struct fetch_worker {
     struct configuration_fetcher *fetcher;
     pthread_t thread;
@@ -24,40 +24,40 @@
     pthread_cond_t work;
     bool stopping;
     bool is_pending[FETCH_SOURCE_COUNT];
-    struct fetch_order pending[FETCH_SOURCE_COUNT];
+    struct fetch_request pending[FETCH_SOURCE_COUNT];
 };
 
 struct configuration_fetcher {
-    struct fetch_means means;
+    struct fetch_context context;
     fetch_done_function done;
     void *user;
     struct fetch_worker store_worker;
     struct fetch_worker peer_worker;
 };
 
-/* Takes the queued order of one source; false if there is none. Called with the lock held. */
+/* Takes the queued request of one source; false if there is none. Called with the lock held. */
 static bool take_from(struct fetch_worker *worker, enum fetch_source source,
-                      struct fetch_order *order)
+                      struct fetch_request *request)
 {
     if (!worker->is_pending[source]) {
         return false;
     }
     worker->is_pending[source] = false;
-    *order = worker->pending[source];
+    *request = worker->pending[source];
     return true;
 }
 
-/* Waits for the next order. Orders for contents precede those for heads. Returns false when the
+/* Waits for the next request. Requests for contents precede those for heads. Returns false when the
  * fetcher stops. */
-static bool take_order(struct fetch_worker *worker, struct fetch_order *order)
+static bool take_request(struct fetch_worker *worker, struct fetch_request *request)
 {
     bool taken = false;
     pthread_mutex_lock(&worker->lock);
     while (!worker->stopping && !taken) {
-        taken = take_from(worker, FETCH_SOURCE_PEER, order) ||
-                take_from(worker, FETCH_SOURCE_PUBLISHER, order) ||
-                take_from(worker, FETCH_SOURCE_STORE, order) ||
-                take_from(worker, FETCH_SOURCE_HEAD, order);
+        taken = take_from(worker, FETCH_SOURCE_PEER, request) ||
+                take_from(worker, FETCH_SOURCE_PUBLISHER, request) ||
+                take_from(worker, FETCH_SOURCE_STORE, request) ||
+                take_from(worker, FETCH_SOURCE_HEAD, request);
         if (!taken) {
             pthread_cond_wait(&worker->work, &worker->lock);
         }
@@ -70,9 +70,9 @@
 {
     struct fetch_worker *worker = data;
     struct configuration_fetcher *fetcher = worker->fetcher;
-    struct fetch_order order;
-    while (take_order(worker, &order)) {
-        fetcher->done(fetcher->user, configuration_fetch(&fetcher->means, &order));
+    struct fetch_request request;
+    while (take_request(worker, &request)) {
+        fetcher->done(fetcher->user, configuration_fetch(&fetcher->context, &request));
     }
     return NULL;
 }
@@ -91,9 +91,9 @@
 configuration_fetcher_new(const struct configuration_fetcher_options *options)
 {
     struct configuration_fetcher *fetcher = g_new0(struct configuration_fetcher, 1);
-    fetcher->means.store = version_store_new(&options->platform);
-    fetcher->means.peers = options->peers;
-    fetcher->means.share = options->share;
+    fetcher->context.store = version_store_new(&options->platform);
+    fetcher->context.peers = options->peers;
+    fetcher->context.share = options->share;
     fetcher->done = options->done;
     fetcher->user = options->user;
     start_worker(&fetcher->store_worker, fetcher);
@@ -114,7 +114,7 @@
     pthread_join(worker->thread, NULL);
     for (int source = 0; source < FETCH_SOURCE_COUNT; source++) {
         if (worker->is_pending[source]) {
-            fetch_order_clear(&worker->pending[source]);
+            fetch_request_clear(&worker->pending[source]);
         }
     }
     pthread_cond_destroy(&worker->work);
@@ -127,33 +127,33 @@
     ask_to_stop(&fetcher->peer_worker);
     stop_worker(&fetcher->store_worker);
     stop_worker(&fetcher->peer_worker);
-    version_store_free(fetcher->means.store);
+    version_store_free(fetcher->context.store);
     g_free(fetcher);
 }
 
-/* True if the order must not replace the queued one. */
-static bool is_outdone(const struct fetch_worker *worker, const struct fetch_order *order)
+/* True if the request must not replace the queued one. */
+static bool is_superseded(const struct fetch_worker *worker, const struct fetch_request *request)
 {
-    return order->source == FETCH_SOURCE_PUBLISHER && worker->is_pending[order->source] &&
-           order->wanted.version < worker->pending[order->source].wanted.version;
+    return request->source == FETCH_SOURCE_PUBLISHER && worker->is_pending[request->source] &&
+           request->wanted.version < worker->pending[request->source].wanted.version;
 }
 
 void configuration_fetcher_submit(struct configuration_fetcher *fetcher,
-                                  const struct fetch_order *order)
+                                  const struct fetch_request *request)
 {
-    bool peer = order->source == FETCH_SOURCE_PEER;
+    bool peer = request->source == FETCH_SOURCE_PEER;
     struct fetch_worker *worker = peer ? &fetcher->peer_worker : &fetcher->store_worker;
-    struct fetch_order left_out = *order;
+    struct fetch_request dropped = *request;
     pthread_mutex_lock(&worker->lock);
-    if (!is_outdone(worker, order)) {
-        left_out = worker->is_pending[order->source] ? worker->pending[order->source]
-                                                     : (struct fetch_order){0};
-        worker->pending[order->source] = *order;
-        worker->is_pending[order->source] = true;
+    if (!is_superseded(worker, request)) {
+        dropped = worker->is_pending[request->source] ? worker->pending[request->source]
+                                                      : (struct fetch_request){0};
+        worker->pending[request->source] = *request;
+        worker->is_pending[request->source] = true;
     }
     pthread_cond_signal(&worker->work);
     pthread_mutex_unlock(&worker->lock);
-    fetch_order_clear(&left_out);
+    fetch_request_clear(&dropped);
 }
 
 static void set_keys_error(GError **error, const char *path, const char *fault)
@@ -161,7 +161,7 @@
     g_set_error(error, SW_ERROR, ERROR_KIND_INVALID_CONFIGURATION, "%s: %s", path, fault);
 }
 
-/* Reads an open file with a secret into `text`, a zeroed buffer of SECRET_OCTETS_MAX bytes. */
+/* Reads an open file with a secret into `text`, a zeroed buffer of SECRET_BYTES_MAX bytes. */
 static bool read_secret(int file, const char *path, char *text, GError **error)
 {
     struct stat status;
@@ -173,8 +173,8 @@
         set_keys_error(error, path, "the file must not be open to group or others");
         return false;
     }
-    ssize_t length = read(file, text, SECRET_OCTETS_MAX);
-    if (length < 0 || length == SECRET_OCTETS_MAX) {
+    ssize_t length = read(file, text, SECRET_BYTES_MAX);
+    if (length < 0 || length == SECRET_BYTES_MAX) {
         set_keys_error(error, path, length < 0 ? g_strerror(errno) : "the file is too large");
         return false;
     }
@@ -196,7 +196,7 @@
 bool configuration_fetcher_read_keys(const char *path, char **access_key, char **secret_key,
                                      GError **error)
 {
-    char text[SECRET_OCTETS_MAX] = "";
+    char text[SECRET_BYTES_MAX] = "";
     *access_key = NULL;
     *secret_key = NULL;
     if (path[0] == '\0') {
--- a/src/daemon/configuration_fetcher.h
+++ b/src/daemon/configuration_fetcher.h
@@ -28,11 +28,11 @@
 /* Waits for the calls in progress, which time-outs bound, then frees the fetcher. */
 void configuration_fetcher_free(struct configuration_fetcher *fetcher);
 
-/* Queues an order and takes ownership of what it owns. It replaces a queued order of the same
- * source, which then yields no result; of two orders from publishers, the lower version is dropped.
- * Any thread. */
+/* Queues a request and takes ownership of what it owns. It replaces a queued request of the same
+ * source, which then yields no result; of two requests from publishers, the lower version is
+ * dropped. Any thread. */
 void configuration_fetcher_submit(struct configuration_fetcher *fetcher,
-                                  const struct fetch_order *order);
+                                  const struct fetch_request *request);
 
 /* Reads "ACCESS-KEY-ID SECRET" from a file that must be accessible to its owner only; both are
  * empty if the path is. The caller frees them. Errors do not quote the file's content. */
--- a/src/daemon/configuration_share.c
+++ b/src/daemon/configuration_share.c
@@ -15,7 +15,7 @@
     struct configuration_mark base;      /* base of `difference`; version 0: there is none */
     struct configuration_difference difference;
     pthread_mutex_t lock;
-    GBytes *whole; /* compressed content; created on first use, under the lock */
+    GBytes *complete; /* compressed content; created on first use, under the lock */
 };
 
 struct configuration_share {
@@ -52,7 +52,7 @@
     struct published_configuration *published = data;
     configuration_unref(published->configuration);
     configuration_difference_clear(&published->difference);
-    g_clear_pointer(&published->whole, g_bytes_unref);
+    g_clear_pointer(&published->complete, g_bytes_unref);
     pthread_mutex_destroy(&published->lock);
 }
 
@@ -108,16 +108,16 @@
     return published;
 }
 
-/* The whole content, compressed. Owned by the published configuration. */
-static GBytes *whole_content(struct published_configuration *published)
+/* The complete content, compressed. Owned by the published configuration. */
+static GBytes *complete_content(struct published_configuration *published)
 {
     pthread_mutex_lock(&published->lock);
-    if (published->whole == NULL) {
-        published->whole =
+    if (published->complete == NULL) {
+        published->complete =
             configuration_compress(configuration_canonical(published->configuration));
     }
     pthread_mutex_unlock(&published->lock);
-    return published->whole;
+    return published->complete;
 }
 
 static bool has_difference_for(const struct published_configuration *published,
@@ -131,13 +131,13 @@
                        struct configuration_reply *reply)
 {
     gsize length = 0;
-    const uint8_t *octets = g_bytes_get_data(content, &length);
+    const uint8_t *bytes = g_bytes_get_data(content, &length);
     if (length > WIRE_FRAME_MAX - REPLY_OVERHEAD) {
         return;
     }
     reply->version = published->mark.version;
     reply->hash = g_strdup(configuration_hash(published->configuration));
-    reply->content = g_memdup2(octets, length);
+    reply->content = g_memdup2(bytes, length);
     reply->content_length = length;
 }
 
@@ -159,7 +159,7 @@
         reply->keep_start = published->difference.keep_start;
         reply->keep_end = published->difference.keep_end;
     } else {
-        fill_reply(published, whole_content(published), reply);
+        fill_reply(published, complete_content(published), reply);
     }
     published_configuration_unref(published);
 }
--- a/src/daemon/control_configuration.c
+++ b/src/daemon/control_configuration.c
@@ -20,11 +20,11 @@
 }
 
 /* Name of a source in the journal. */
-static const char *name_of(const struct fetch_order *order)
+static const char *name_of(const struct fetch_request *request)
 {
-    switch (order->source) {
+    switch (request->source) {
     case FETCH_SOURCE_PEER:
-        return order->address;
+        return request->address;
     case FETCH_SOURCE_PUBLISHER:
         return "the publisher";
     default:
@@ -32,9 +32,9 @@
     }
 }
 
-bool configuration_is_from_store(const struct fetch_order *order)
+bool configuration_is_from_store(const struct fetch_request *request)
 {
-    return order->source == FETCH_SOURCE_HEAD || order->source == FETCH_SOURCE_STORE;
+    return request->source == FETCH_SOURCE_HEAD || request->source == FETCH_SOURCE_STORE;
 }
 
 void configuration_note_store(struct control_configuration *self, const struct fetch_result *result)
@@ -55,20 +55,20 @@
 
 /* Actions. */
 
-void configuration_order(struct control_configuration *self, enum fetch_source source,
-                         struct configuration_mark wanted, const char *address)
+void configuration_submit_fetch(struct control_configuration *self, enum fetch_source source,
+                                struct configuration_mark wanted, const char *address)
 {
-    struct fetch_order order = {.source = source, .wanted = wanted};
+    struct fetch_request request = {.source = source, .wanted = wanted};
     if (address != NULL) {
-        g_strlcpy(order.address, address, sizeof(order.address));
+        g_strlcpy(request.address, address, sizeof(request.address));
     }
-    configuration_fetcher_submit(self->fetcher, &order);
+    configuration_fetcher_submit(self->fetcher, &request);
 }
 
-static bool is_unfit(const struct control_configuration *self, struct configuration_mark mark)
+static bool is_unparsable(const struct control_configuration *self, struct configuration_mark mark)
 {
-    return mark.version != 0 && mark.version == self->unfit.version &&
-           mark.hash == self->unfit.hash;
+    return mark.version != 0 && mark.version == self->unparsable.version &&
+           mark.hash == self->unparsable.hash;
 }
 
 /* Fetches from a member or, if none is given, from the store. Fails at once if the version is known
@@ -79,17 +79,17 @@
     struct member member;
     bool from_store = action->kind == CURRENCY_ACTION_FETCH_STORE;
     bool known = from_store || membership_find(self->control->membership, action->peer, &member);
-    if (!known || is_unfit(self, action->mark)) {
+    if (!known || is_unparsable(self, action->mark)) {
         currency_fetch_failed(self->currency, backend_now(), actions);
         return;
     }
     if (from_store) {
-        configuration_order(self, FETCH_SOURCE_STORE, action->mark, NULL);
+        configuration_submit_fetch(self, FETCH_SOURCE_STORE, action->mark, NULL);
         return;
     }
     char address[ADDRESS_TEXT_SIZE];
     control_members_format(&member, address);
-    configuration_order(self, FETCH_SOURCE_PEER, action->mark, address);
+    configuration_submit_fetch(self, FETCH_SOURCE_PEER, action->mark, address);
 }
 
 /* A configuration that lacks this daemon's zone is put in force nevertheless; the daemon keeps the
@@ -125,7 +125,7 @@
     g_autofree char *text = g_strdup_printf(
         "version=%" G_GUINT64_FORMAT " hash=%.16s %s %s",
         published_configuration_mark(origin->published).version, configuration_hash(content),
-        origin->difference ? "as a difference from" : "from", name_of(&origin->order));
+        origin->difference ? "as a difference from" : "from", name_of(&origin->request));
     configuration_note(self, "configuration_applied", text);
 }
 
@@ -175,7 +175,7 @@
             fetch(self, &action, actions);
             break;
         case CURRENCY_ACTION_READ_HEAD:
-            configuration_order(self, FETCH_SOURCE_HEAD, action.mark, NULL);
+            configuration_submit_fetch(self, FETCH_SOURCE_HEAD, action.mark, NULL);
             break;
         case CURRENCY_ACTION_APPLY:
             apply(self);
@@ -240,7 +240,7 @@
                       GArray *actions)
 {
     time_ns now = backend_now();
-    if (configuration_is_from_store(&result->order)) {
+    if (configuration_is_from_store(&result->request)) {
         configuration_note_store(self, result);
     }
     if (!result->head_known) {
@@ -254,7 +254,7 @@
     /* If a newer version became known meanwhile, the answer is outdated and confirms nothing. */
     if (result->head.version >= currency_newest(self->currency).version) {
         membership_announce_configuration(self->control->membership, result->head);
-        membership_record_store_reply(self->control->membership, result->asked_at);
+        membership_record_store_reply(self->control->membership, result->requested_at);
     }
     currency_head_read(self->currency, result->head, now, actions);
 }
@@ -263,10 +263,10 @@
 {
     g_autofree char *text =
         g_strdup_printf("version=%" G_GUINT64_FORMAT " from %s: %s", result->refused.version,
-                        name_of(&result->order), result->text);
+                        name_of(&result->request), result->text);
     configuration_note(self, "configuration_refused", text);
-    if (result->unfit) {
-        self->unfit = result->refused;
+    if (result->unparsable) {
+        self->unparsable = result->refused;
     }
 }
 
@@ -280,11 +280,11 @@
     }
     if (result->outcome == FETCH_OUTCOME_FOUND) {
         struct configuration_mark mark = published_configuration_mark(result->published);
-        note_heard(self, mark, name_of(&result->order));
+        note_heard(self, mark, name_of(&result->request));
         self->origin = result;
         currency_fetched(self->currency, mark, now, actions);
-    } else if (result->order.source == FETCH_SOURCE_PEER ||
-               result->order.source == FETCH_SOURCE_STORE) {
+    } else if (result->request.source == FETCH_SOURCE_PEER ||
+               result->request.source == FETCH_SOURCE_STORE) {
         currency_fetch_failed(self->currency, now, actions);
     }
 }
@@ -296,7 +296,7 @@
     perform(self, actions);
     self->origin = NULL;
     g_array_set_size(actions, 0);
-    if (configuration_is_from_store(&result->order) || result->head_known) {
+    if (configuration_is_from_store(&result->request) || result->head_known) {
         take_head(self, result, actions);
         perform(self, actions);
     }
@@ -382,13 +382,13 @@
     if (self == NULL) {
         return false;
     }
-    struct fetch_order order = {
+    struct fetch_request request = {
         .source = FETCH_SOURCE_PUBLISHER,
         .wanted = configuration_mark_of(handover->version, handover->hash),
         .base = configuration_mark_of(handover->version - 1, handover->base_hash),
         .content = g_bytes_ref(handover->content),
     };
-    configuration_fetcher_submit(self->fetcher, &order);
+    configuration_fetcher_submit(self->fetcher, &request);
     return true;
 }
 
--- a/src/daemon/control_configuration_internal.h
+++ b/src/daemon/control_configuration_internal.h
@@ -23,11 +23,11 @@
     size_t next_seed;
     size_t seeds_left; /* in this round */
 
-    uint64_t heard;                    /* newest version that the journal has recorded */
-    struct configuration_mark unfit;   /* does not parse: it is not fetched again */
-    const struct fetch_result *origin; /* the result that is being processed, or NULL */
-    bool confirmed;                    /* confirmed as the newest at least once */
-    char failure[FETCH_TEXT_SIZE];     /* why the store's content could not be read; or empty */
+    uint64_t heard;                       /* newest version that the journal has recorded */
+    struct configuration_mark unparsable; /* does not parse: it is not fetched again */
+    const struct fetch_result *origin;    /* the result that is being processed, or NULL */
+    bool confirmed;                       /* confirmed as the newest at least once */
+    char failure[FETCH_TEXT_SIZE];        /* why the store's content could not be read; or empty */
     bool contradicted; /* the store has different content under the version in force */
     time_ns next_survey_at;
 
@@ -38,16 +38,16 @@
 /* Adds an entry to the journal. */
 void configuration_note(struct control_configuration *self, const char *kind, const char *text);
 
-/* True for orders that the platform's store answers. */
-bool configuration_is_from_store(const struct fetch_order *order);
+/* True for requests that the platform's store answers. */
+bool configuration_is_from_store(const struct fetch_request *request);
 
 /* Logs the first failure of the store, a change of its error, and its recovery. */
 void configuration_note_store(struct control_configuration *self,
                               const struct fetch_result *result);
 
-/* Submits an order to the fetcher; `address` is that of the daemon to fetch from, or NULL. */
-void configuration_order(struct control_configuration *self, enum fetch_source source,
-                         struct configuration_mark wanted, const char *address);
+/* Submits a request to the fetcher; `address` is that of the daemon to fetch from, or NULL. */
+void configuration_submit_fetch(struct control_configuration *self, enum fetch_source source,
+                                struct configuration_mark wanted, const char *address);
 
 /* Status: control_configuration_status.c. */
 
--- a/src/daemon/control_configuration_search.c
+++ b/src/daemon/control_configuration_search.c
@@ -26,7 +26,7 @@
         self->next_seed = (self->next_seed + 1) % peers->count;
         self->seeds_left--;
         if (!is_own_address(self, address)) {
-            configuration_order(self, FETCH_SOURCE_PEER, wanted, address);
+            configuration_submit_fetch(self, FETCH_SOURCE_PEER, wanted, address);
             return;
         }
     }
@@ -41,7 +41,7 @@
         SEARCH_INTERVAL_MS + (uint32_t)g_random_int_range(-SEARCH_JITTER_MS, SEARCH_JITTER_MS);
     struct configuration_mark wanted = {.version = self->search_from};
     self->next_search_at = now + pause_ms * NANOSECONDS_PER_MILLISECOND;
-    configuration_order(self, FETCH_SOURCE_STORE, wanted, NULL);
+    configuration_submit_fetch(self, FETCH_SOURCE_STORE, wanted, NULL);
     if (self->seeds_left == 0) {
         self->seeds_left = self->control->daemon->settings.daemon.peers.count;
         ask_next_seed(self);
@@ -87,17 +87,17 @@
 
 bool configuration_join_by(struct control_configuration *self, const struct fetch_result *result)
 {
-    if (configuration_is_from_store(&result->order)) {
+    if (configuration_is_from_store(&result->request)) {
         configuration_note_store(self, result);
         configuration_publish_status(self);
     }
     if (result->outcome == FETCH_OUTCOME_FOUND && join_with(self, result)) {
         return true;
     }
-    if (result->outcome == FETCH_OUTCOME_REFUSED && result->unfit) {
+    if (result->outcome == FETCH_OUTCOME_REFUSED && result->unparsable) {
         pass_over(self, result->refused.version, result->text);
     }
-    if (result->order.source == FETCH_SOURCE_PEER) {
+    if (result->request.source == FETCH_SOURCE_PEER) {
         ask_next_seed(self);
     }
     return false;
