--- a/src/daemon/control.c
+++ b/src/daemon/control.c
@@ -62,7 +62,7 @@
         control_members_set_leaving(control, event->leaving, backend_now());
         break;
     case CONTROL_EVENT_CONFIGURATION:
-        control_configuration_take(control, event->fetched);
+        control_configuration_process(control, event->fetched);
         break;
     }
 }
@@ -132,7 +132,7 @@
     control_groups_start(control);
     while (!is_stopping(control)) {
         wait_for_input(control);
-        atomic_store(&control->slots_wanted, false);
+        atomic_store(&control->slot_demand, false);
         handle_inbox(control);
         time_ns now = backend_now();
         control_members_tick(control, now);
@@ -203,9 +203,9 @@
     control_post(control, &event);
 }
 
-void control_slots_wanted(struct control *control)
+void control_report_slot_demand(struct control *control)
 {
-    if (!atomic_exchange(&control->slots_wanted, true)) {
+    if (!atomic_exchange(&control->slot_demand, true)) {
         eventfd_write(control->wake_fd, 1);
     }
 }
--- a/src/daemon/control.h
+++ b/src/daemon/control.h
@@ -68,7 +68,7 @@
 
 /* Reports that a request was queued for a slot, so that slots are requested from the other owners.
  * Any thread. */
-void control_slots_wanted(struct control *control);
+void control_report_slot_demand(struct control *control);
 
 /* Probes a database now, unless that was requested within the last few milliseconds. Any thread. */
 void control_probe_now(struct control *control, struct group_runtime *group, uint32_t database);
--- a/src/daemon/control_budget.c
+++ b/src/daemon/control_budget.c
@@ -22,7 +22,7 @@
     enum release_state state;
     struct group_runtime *runtime; /* one reference */
     struct handover handover;
-    uint32_t told; /* bit per database whose release was announced to the owners */
+    uint32_t announced; /* bit per database whose release was announced to the owners */
 };
 
 struct control_budget {
@@ -113,8 +113,8 @@
 }
 
 /* Asks an owner about the databases for which it has not yet reported to be warm. */
-static void ask_owner(struct control_budget *budget, const struct release *release,
-                      const struct member_entry *owner, time_ns now)
+static void query_owner(struct control_budget *budget, const struct release *release,
+                        const struct member_entry *owner, time_ns now)
 {
     uint32_t databases = handover_databases_to_query(&release->handover, owner->id, now);
     for (uint32_t i = 0; i < release->runtime->database_count; i++) {
@@ -138,7 +138,7 @@
     handover_set_owners(&release->handover, ids, count);
     handover_set_reachable(&release->handover, reachable_databases(release->runtime), now);
     for (uint32_t i = 0; i < count; i++) {
-        ask_owner(budget, release, &owners[i], now);
+        query_owner(budget, release, &owners[i], now);
     }
     return handover_state(&release->handover, now);
 }
@@ -158,8 +158,8 @@
 }
 
 /* Announces to the owners of a database that this daemon's connection numbers are free. */
-static void tell_released(struct control_budget *budget, const struct release *release,
-                          uint32_t database)
+static void announce_released(struct control_budget *budget, const struct release *release,
+                              uint32_t database)
 {
     struct member_entry owners[OWNERS_MAX];
     uint32_t count = other_owners(budget, release->group, owners);
@@ -185,12 +185,13 @@
     }
     for (uint32_t i = 0; i < release->runtime->database_count; i++) {
         uint32_t bit = UINT32_C(1) << i;
-        if ((release->told & bit) == 0 && pool_is_released(release->runtime->databases[i].pool)) {
-            release->told |= bit;
-            tell_released(budget, release, i);
+        if ((release->announced & bit) == 0 &&
+            pool_is_released(release->runtime->databases[i].pool)) {
+            release->announced |= bit;
+            announce_released(budget, release, i);
         }
     }
-    return release->told == all_databases(release->runtime) &&
+    return release->announced == all_databases(release->runtime) &&
            !group_runtime_is_shared(release->runtime);
 }
 
@@ -232,7 +233,7 @@
     }
 }
 
-void control_budget_place(struct control_budget *budget, uint32_t group, int32_t position)
+void control_budget_set_position(struct control_budget *budget, uint32_t group, int32_t position)
 {
     struct release *release = find_handing_over(budget, group);
     struct group_runtime *runtime = control_groups_runtime(budget->control, group);
@@ -267,7 +268,7 @@
     budget->next_step_at = 0;
 }
 
-void control_budget_succeed(struct control_budget *budget, uint32_t group)
+void control_budget_replace_runtime(struct control_budget *budget, uint32_t group)
 {
     struct release *release = find_handing_over(budget, group);
     if (release != NULL) {
@@ -275,27 +276,28 @@
         start_draining(budget, release);
         return;
     }
-    control_budget_place(budget, group, ownership_position(budget->control->ownership, group));
+    control_budget_set_position(budget, group,
+                                ownership_position(budget->control->ownership, group));
 }
 
 /* Answers whether this daemon can serve from a database. */
-static void answer(struct control_budget *budget, const struct budget_notice *asked,
+static void answer(struct control_budget *budget, const struct budget_notice *request,
                    const struct sockaddr_in *from)
 {
-    struct group_runtime *runtime = control_groups_runtime(budget->control, asked->group);
-    if (runtime == NULL || asked->database >= runtime->database_count) {
+    struct group_runtime *runtime = control_groups_runtime(budget->control, request->group);
+    if (runtime == NULL || request->database >= runtime->database_count) {
         return;
     }
     uint32_t reachable = reachable_databases(runtime);
-    bool ready = (reachable & (UINT32_C(1) << asked->database)) != 0 &&
-                 pool_is_warm(runtime->databases[asked->database].pool);
-    struct budget_notice notice = {.group = asked->group, .database = asked->database};
+    bool ready = (reachable & (UINT32_C(1) << request->database)) != 0 &&
+                 pool_is_warm(runtime->databases[request->database].pool);
+    struct budget_notice notice = {.group = request->group, .database = request->database};
     if (ready) {
         send_notice(budget, from, &notice);
     }
 }
 
-static void take_released(struct control_budget *budget, const struct budget_notice *notice)
+static void process_released(struct control_budget *budget, const struct budget_notice *notice)
 {
     struct group_runtime *runtime = control_groups_runtime(budget->control, notice->group);
     if (runtime != NULL && notice->database < runtime->database_count) {
@@ -303,7 +305,7 @@
     }
 }
 
-static void take_warm(struct control_budget *budget, const struct budget_notice *notice)
+static void process_warm(struct control_budget *budget, const struct budget_notice *notice)
 {
     struct release *release = find_handing_over(budget, notice->group);
     if (release != NULL) {
@@ -318,9 +320,9 @@
     if (notice->asks) {
         answer(budget, notice, from);
     } else if (notice->released) {
-        take_released(budget, notice);
+        process_released(budget, notice);
     } else {
-        take_warm(budget, notice);
+        process_warm(budget, notice);
     }
 }
 
--- a/src/daemon/control_budget.h
+++ b/src/daemon/control_budget.h
@@ -16,7 +16,7 @@
 
 /* Sets this daemon's position among the owners of a group that runs here. Cancels a release in
  * progress. */
-void control_budget_place(struct control_budget *budget, uint32_t group, int32_t position);
+void control_budget_set_position(struct control_budget *budget, uint32_t group, int32_t position);
 
 /* Starts the release of a group that this daemon no longer owns. The group is served until the new
  * owners, if there are any, are warm; then control_groups_end ends it, and its connections are
@@ -24,7 +24,7 @@
 void control_budget_release(struct control_budget *budget, uint32_t group);
 
 /* A new configuration has replaced the run time of a group that runs here. */
-void control_budget_succeed(struct control_budget *budget, uint32_t group);
+void control_budget_replace_runtime(struct control_budget *budget, uint32_t group);
 
 /* Handles a notice or request from another daemon. */
 void control_budget_receive(struct control_budget *budget, const struct budget_notice *notice,
--- a/src/daemon/control_configuration.c
+++ b/src/daemon/control_configuration.c
@@ -9,7 +9,7 @@
 #include "daemon/control_configuration_internal.h"
 
 /* Interval at which the members' configurations are checked. */
-#define SURVEY_INTERVAL_MS 1000
+#define STRAGGLER_CHECK_INTERVAL_MS 1000
 
 void configuration_note(struct control_configuration *self, const char *kind, const char *text)
 {
@@ -160,7 +160,7 @@
         configuration_note(self, "configuration_serving", reason);
         return;
     }
-    configuration_explain(self, reason);
+    configuration_write_reason(self, reason);
     configuration_note(self, "configuration_stopped", reason);
 }
 
@@ -193,28 +193,28 @@
 
 /* Events. */
 
-static void note_heard(struct control_configuration *self, struct configuration_mark mark,
-                       const char *from)
+static void record_newest(struct control_configuration *self, struct configuration_mark mark,
+                          const char *from)
 {
-    if (mark.version <= self->heard) {
+    if (mark.version <= self->newest_recorded) {
         return;
     }
-    self->heard = mark.version;
+    self->newest_recorded = mark.version;
     g_autofree char *text =
         g_strdup_printf("version=%" G_GUINT64_FORMAT " hash=%016" G_GINT64_MODIFIER "x from %s",
                         mark.version, mark.hash, from);
     configuration_note(self, "configuration_heard", text);
 }
 
-void control_configuration_hear(struct control *control, struct configuration_mark mark,
-                                uint64_t holder)
+void control_configuration_receive_mark(struct control *control, struct configuration_mark mark,
+                                        uint64_t holder)
 {
     struct control_configuration *self = control->configuration;
     if (self == NULL) {
         return;
     }
     g_autoptr(GArray) actions = g_array_new(FALSE, FALSE, sizeof(struct currency_action));
-    note_heard(self, mark, "gossip");
+    record_newest(self, mark, "gossip");
     currency_announced(self->currency, mark, holder, backend_now(), actions);
     perform(self, actions);
 }
@@ -236,8 +236,8 @@
 }
 
 /* Processes the head that the store reported. */
-static void take_head(struct control_configuration *self, const struct fetch_result *result,
-                      GArray *actions)
+static void process_head(struct control_configuration *self, const struct fetch_result *result,
+                         GArray *actions)
 {
     time_ns now = backend_now();
     if (configuration_is_from_store(&result->request)) {
@@ -250,7 +250,7 @@
     if (contradicts(self, result->head)) {
         return;
     }
-    note_heard(self, result->head, "the store");
+    record_newest(self, result->head, "the store");
     /* If a newer version became known meanwhile, the answer is outdated and confirms nothing. */
     if (result->head.version >= currency_newest(self->currency).version) {
         membership_announce_configuration(self->control->membership, result->head);
@@ -280,7 +280,7 @@
     }
     if (result->outcome == FETCH_OUTCOME_FOUND) {
         struct configuration_mark mark = published_configuration_mark(result->published);
-        note_heard(self, mark, name_of(&result->request));
+        record_newest(self, mark, name_of(&result->request));
         self->origin = result;
         currency_fetched(self->currency, mark, now, actions);
     } else if (result->request.source == FETCH_SOURCE_PEER ||
@@ -289,7 +289,7 @@
     }
 }
 
-static void take_result(struct control_configuration *self, const struct fetch_result *result)
+static void process_result(struct control_configuration *self, const struct fetch_result *result)
 {
     g_autoptr(GArray) actions = g_array_new(FALSE, FALSE, sizeof(struct currency_action));
     take_content(self, result, actions);
@@ -297,7 +297,7 @@
     self->origin = NULL;
     g_array_set_size(actions, 0);
     if (configuration_is_from_store(&result->request) || result->head_known) {
-        take_head(self, result, actions);
+        process_head(self, result, actions);
         perform(self, actions);
     }
 }
@@ -332,17 +332,18 @@
     currency_tick(self->currency, &evidence, now, actions);
     perform(self, actions);
     control_groups_settle(self->control, agreed_at(self, evidence.peers_confirmed_at, now), now);
-    if (now >= self->next_survey_at) {
-        self->next_survey_at = now + SURVEY_INTERVAL_MS * NANOSECONDS_PER_MILLISECOND;
-        configuration_survey(self);
+    if (now >= self->next_straggler_check_at) {
+        self->next_straggler_check_at =
+            now + STRAGGLER_CHECK_INTERVAL_MS * NANOSECONDS_PER_MILLISECOND;
+        configuration_find_stragglers(self);
     }
 }
 
-void control_configuration_take(struct control *control, struct fetch_result *result)
+void control_configuration_process(struct control *control, struct fetch_result *result)
 {
     struct control_configuration *self = control->configuration;
-    if (self->joined || configuration_join_by(self, result)) {
-        take_result(self, result);
+    if (self->joined || configuration_try_join(self, result)) {
+        process_result(self, result);
         tick_currency(self, backend_now());
     }
     fetch_result_free(result);
--- a/src/daemon/control_configuration.h
+++ b/src/daemon/control_configuration.h
@@ -66,10 +66,10 @@
 bool control_configuration_was_confirmed(struct control *control);
 
 /* Gossip reported a version; `holder` is the member that has it in force, or 0. */
-void control_configuration_hear(struct control *control, struct configuration_mark mark,
-                                uint64_t holder);
+void control_configuration_receive_mark(struct control *control, struct configuration_mark mark,
+                                        uint64_t holder);
 
 /* Handles a fetcher's result and frees it. */
-void control_configuration_take(struct control *control, struct fetch_result *result);
+void control_configuration_process(struct control *control, struct fetch_result *result);
 
 #endif
--- a/src/daemon/control_configuration_internal.h
+++ b/src/daemon/control_configuration_internal.h
@@ -23,13 +23,13 @@
     size_t next_seed;
     size_t seeds_left; /* in this round */
 
-    uint64_t heard;                       /* newest version that the journal has recorded */
+    uint64_t newest_recorded;             /* newest version that the journal has recorded */
     struct configuration_mark unparsable; /* does not parse: it is not fetched again */
     const struct fetch_result *origin;    /* the result that is being processed, or NULL */
     bool confirmed;                       /* confirmed as the newest at least once */
     char failure[FETCH_TEXT_SIZE];        /* why the store's content could not be read; or empty */
     bool contradicted; /* the store has different content under the version in force */
-    time_ns next_survey_at;
+    time_ns next_straggler_check_at;
 
     pthread_mutex_t status_lock;
     struct configuration_status status; /* under status_lock */
@@ -52,12 +52,12 @@
 /* Status: control_configuration_status.c. */
 
 /* Writes why the daemon does not serve into `reason` (CONFIGURATION_REASON_SIZE bytes). */
-void configuration_explain(const struct control_configuration *self, char *reason);
+void configuration_write_reason(const struct control_configuration *self, char *reason);
 /* Publishes the currency's state to request threads and operators. */
 void configuration_publish_status(struct control_configuration *self);
 /* Finds members with an older configuration. Covers only this daemon's own zone, as messages from
  * the others are too rare. */
-void configuration_survey(struct control_configuration *self);
+void configuration_find_stragglers(struct control_configuration *self);
 
 /* The search for the first configuration, which maps the name of this daemon's zone to its number:
  * control_configuration_search.c. */
@@ -65,6 +65,6 @@
 /* Requests the configuration from the store and from other daemons when that is due. */
 void configuration_search(struct control_configuration *self, time_ns now);
 /* Handles a result. True if it ends the search: this daemon has joined the membership. */
-bool configuration_join_by(struct control_configuration *self, const struct fetch_result *result);
+bool configuration_try_join(struct control_configuration *self, const struct fetch_result *result);
 
 #endif
--- a/src/daemon/control_configuration_search.c
+++ b/src/daemon/control_configuration_search.c
@@ -17,7 +17,7 @@
 
 /* Sends a request to the next daemon that the settings list as a seed, if any is left in this
  * round. */
-static void ask_next_seed(struct control_configuration *self)
+static void request_from_next_seed(struct control_configuration *self)
 {
     const struct address_list *peers = &self->control->daemon->settings.daemon.peers;
     struct configuration_mark wanted = {.version = self->search_from};
@@ -44,7 +44,7 @@
     configuration_submit_fetch(self, FETCH_SOURCE_STORE, wanted, NULL);
     if (self->seeds_left == 0) {
         self->seeds_left = self->control->daemon->settings.daemon.peers.count;
-        ask_next_seed(self);
+        request_from_next_seed(self);
     }
 }
 
@@ -58,7 +58,7 @@
 }
 
 /* Records that a version is not usable, so that only later ones are requested. */
-static void pass_over(struct control_configuration *self, uint64_t version, const char *why)
+static void reject_version(struct control_configuration *self, uint64_t version, const char *why)
 {
     if (version < self->search_from) {
         return;
@@ -75,8 +75,8 @@
     const struct zone_configuration *zone =
         own_zone(self, published_configuration_content(result->published));
     if (zone == NULL) {
-        pass_over(self, published_configuration_mark(result->published).version,
-                  "does not contain this daemon's zone");
+        reject_version(self, published_configuration_mark(result->published).version,
+                       "does not contain this daemon's zone");
         return false;
     }
     atomic_store(&self->control->daemon->zone, zone->id);
@@ -85,7 +85,7 @@
     return true;
 }
 
-bool configuration_join_by(struct control_configuration *self, const struct fetch_result *result)
+bool configuration_try_join(struct control_configuration *self, const struct fetch_result *result)
 {
     if (configuration_is_from_store(&result->request)) {
         configuration_note_store(self, result);
@@ -95,10 +95,10 @@
         return true;
     }
     if (result->outcome == FETCH_OUTCOME_REFUSED && result->unparsable) {
-        pass_over(self, result->refused.version, result->text);
+        reject_version(self, result->refused.version, result->text);
     }
     if (result->request.source == FETCH_SOURCE_PEER) {
-        ask_next_seed(self);
+        request_from_next_seed(self);
     }
     return false;
 }
--- a/src/daemon/control_configuration_status.c
+++ b/src/daemon/control_configuration_status.c
@@ -3,7 +3,7 @@
 
 #include "daemon/control_configuration_internal.h"
 
-void configuration_explain(const struct control_configuration *self, char *reason)
+void configuration_write_reason(const struct control_configuration *self, char *reason)
 {
     uint64_t applied = currency_applied(self->currency).version;
     uint64_t newest = currency_newest(self->currency).version;
@@ -47,7 +47,7 @@
     status->confirmed_at = confirmed_at;
     status->reason[0] = '\0';
     if (!serving) {
-        configuration_explain(self, status->reason);
+        configuration_write_reason(self, status->reason);
     }
     pthread_mutex_unlock(&self->status_lock);
 }
@@ -73,7 +73,7 @@
            version < newest;
 }
 
-void configuration_survey(struct control_configuration *self)
+void configuration_find_stragglers(struct control_configuration *self)
 {
     struct membership *membership = self->control->membership;
     struct member own = membership_self(membership);
--- a/src/daemon/control_groups.c
+++ b/src/daemon/control_groups.c
@@ -29,7 +29,7 @@
 /* Interval between two removals of expired keys from a group's ledger. */
 #define LEDGER_EXPIRE_INTERVAL_MS 60000
 
-static void make_sure_of_ledger(struct controlled_group *group, const struct group_view *view)
+static void ensure_ledger(struct controlled_group *group, const struct group_view *view)
 {
     if (group->ledger_term == view->term || view->primary < 0) {
         return;
@@ -39,7 +39,7 @@
 }
 
 /* Longest retention time of keys among the tenants of the group, in days. */
-static uint32_t days_to_remember(struct daemon *daemon, uint32_t group)
+static uint32_t key_retention_days(struct daemon *daemon, uint32_t group)
 {
     uint32_t days = 0;
     struct configuration *configuration = daemon_take_configuration(daemon);
@@ -64,7 +64,7 @@
     }
     group->ledger_expire_at = now + LEDGER_EXPIRE_INTERVAL_MS * NANOSECONDS_PER_MILLISECOND;
     const struct group_view *view = group_control_view(group->machine);
-    uint32_t days = days_to_remember(daemon, group->id);
+    uint32_t days = key_retention_days(daemon, group->id);
     if (days > 0 && route_write(view).database >= 0) {
         ledger_upkeep_expire(daemon->workers, group->runtime, view, days);
     }
@@ -156,21 +156,22 @@
 
 /* Computes which databases of the group this daemon uses, and records it here as a report like the
  * other owners'. */
-static uint32_t note_own_uses(struct controlled_group *group, uint64_t watcher)
+static uint32_t record_own_uses(struct controlled_group *group, uint64_t watcher)
 {
     struct group_uses *uses = &group->runtime->uses;
     time_ns now = backend_now();
     uint32_t used = group_uses_own(uses, group_control_view(group->machine),
                                    busy_databases(group->runtime), now);
-    group_uses_note(uses, watcher, used, now);
+    group_uses_record(uses, watcher, used, now);
     return used;
 }
 
-void control_groups_note_uses(struct control *control, uint32_t id, uint64_t watcher, uint32_t used)
+void control_groups_record_uses(struct control *control, uint32_t id, uint64_t watcher,
+                                uint32_t used)
 {
     struct controlled_group *group = find_group(control, id);
     if (group != NULL) {
-        group_uses_note(&group->runtime->uses, watcher, used, backend_now());
+        group_uses_record(&group->runtime->uses, watcher, used, backend_now());
     }
 }
 
@@ -184,7 +185,7 @@
     message.opinion = group_opinion_to_message(opinion, group->id);
     message.opinion.deployment_hash = group->control->daemon->deployment;
     message.opinion.has_uses = true;
-    message.opinion.uses = note_own_uses(group, opinion->watcher);
+    message.opinion.uses = record_own_uses(group, opinion->watcher);
     control_ownership_entries(group->control, group->id, owners, &count);
     for (uint32_t i = 0; i < count; i++) {
         if (!owners[i].self) {
@@ -208,7 +209,7 @@
     daemon_metrics_group_writable(group->control->daemon->metrics, group->id,
                                   route_write(view).database >= 0, backend_now());
     worker_pool_wake(group->control->daemon->workers);
-    make_sure_of_ledger(group, view);
+    ensure_ledger(group, view);
 }
 
 static void record(struct controlled_group *group, const struct group_record *record)
@@ -236,7 +237,7 @@
 }
 
 /* Treats the command as unanswered, so that it is sent again later. */
-static void lose_command(struct controlled_group *group, const struct group_action *action)
+static void drop_command(struct controlled_group *group, const struct group_action *action)
 {
     struct control_event event = {
         .kind = CONTROL_EVENT_RUNTIME,
@@ -253,7 +254,7 @@
 static void perform(struct controlled_group *group, const struct group_action *action)
 {
     if (!may_perform(group, action)) {
-        lose_command(group, action);
+        drop_command(group, action);
         return;
     }
     switch (action->kind) {
@@ -521,10 +522,10 @@
         if (successor != NULL) {
             release_runtime(control, link->data);
             start_group(control, successor);
-            control_budget_succeed(control->budget, successor->group->id);
+            control_budget_replace_runtime(control->budget, successor->group->id);
         }
     }
-    control_slots_place(control);
+    control_slots_set_owners(control);
 }
 
 void control_groups_stop(struct control *control)
--- a/src/daemon/control_internal.h
+++ b/src/daemon/control_internal.h
@@ -104,7 +104,7 @@
     struct control_configuration *configuration; /* NULL if it is static */
 
     struct control_budget *budget; /* control thread only */
-    _Atomic bool slots_wanted;     /* a request was queued since the slots were last processed */
+    _Atomic bool slot_demand;      /* a request was queued since the slots were last processed */
     _Atomic uint32_t groups_held;  /* size of `groups` */
 
     struct prober *prober;
@@ -126,8 +126,8 @@
 void control_groups_stop(struct control *control);
 void control_groups_feed(struct control *control, uint32_t id, const struct group_event *event);
 /* Records another owner's report on which of the group's databases it uses. */
-void control_groups_note_uses(struct control *control, uint32_t id, uint64_t watcher,
-                              uint32_t used);
+void control_groups_record_uses(struct control *control, uint32_t id, uint64_t watcher,
+                                uint32_t used);
 void control_groups_feed_runtime(struct control *control, uint32_t runtime,
                                  const struct group_event *event);
 void control_groups_tick(struct control *control, time_ns now);
--- a/src/daemon/control_members.c
+++ b/src/daemon/control_members.c
@@ -155,8 +155,8 @@
         g_critical("Another daemon runs under this name: this one has stopped sending gossip.");
         break;
     case MEMBERSHIP_ACTION_CONFIGURATION_ANNOUNCED:
-        control_configuration_hear(control, action->configuration,
-                                   action->holder ? action->member.id : 0);
+        control_configuration_receive_mark(control, action->configuration,
+                                           action->holder ? action->member.id : 0);
         break;
     case MEMBERSHIP_ACTION_ZONE_CHANGED:
         break;
@@ -181,7 +181,7 @@
     struct group_event event = group_opinion_event(opinion);
     control_groups_feed(control, opinion->group, &event);
     if (opinion->has_uses) {
-        control_groups_note_uses(control, opinion->group, opinion->watcher, opinion->uses);
+        control_groups_record_uses(control, opinion->group, opinion->watcher, opinion->uses);
     }
 }
 
@@ -206,7 +206,7 @@
                           const struct sockaddr_in *from, time_ns now)
 {
     if (deployment_differs(control->daemon->deployment, deployment_of(message))) {
-        foreign_traffic_note(control->daemon, FOREIGN_TRAFFIC_DATAGRAM, from);
+        foreign_traffic_record(control->daemon, FOREIGN_TRAFFIC_DATAGRAM, from);
     } else if (message->kind == MESSAGE_KIND_GOSSIP && control->membership != NULL) {
         membership_receive(control->membership, &message->gossip, to_member_address(from), now,
                            control->actions);
--- a/src/daemon/control_ownership.c
+++ b/src/daemon/control_ownership.c
@@ -74,12 +74,12 @@
             note_change(control, change->group, "ownership_lost");
         }
         if (position >= 0) {
-            control_budget_place(control->budget, change->group, position);
+            control_budget_set_position(control->budget, change->group, position);
         }
     }
     publish_owners(control);
     control_groups_set_watchers(control, backend_now());
-    control_slots_place(control);
+    control_slots_set_owners(control);
 }
 
 void control_ownership_start(struct control *control, uint64_t self)
--- a/src/daemon/control_slots.c
+++ b/src/daemon/control_slots.c
@@ -109,7 +109,7 @@
     return active ? now + SLOT_SHARE_TICK : UINT64_MAX;
 }
 
-static void place_group(struct controlled_group *group, uint32_t databases, time_ns now)
+static void set_group_owners(struct controlled_group *group, uint32_t databases, time_ns now)
 {
     uint64_t owners[OWNERSHIP_OWNERS_MAX];
     struct control *control = group->control;
@@ -130,7 +130,7 @@
     }
 }
 
-void control_slots_place(struct control *control)
+void control_slots_set_owners(struct control *control)
 {
     GHashTableIter iterator;
     gpointer value;
@@ -138,7 +138,7 @@
     time_ns now = backend_now();
     g_hash_table_iter_init(&iterator, control->groups);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        place_group(value, databases, now);
+        set_group_owners(value, databases, now);
     }
 }
 
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -314,7 +314,7 @@
  * run, so that the sender tries another owner. */
 static void refuse_foreign(const struct message *request, struct message *reply, void *user)
 {
-    foreign_traffic_note(user, FOREIGN_TRAFFIC_CONNECTION, NULL);
+    foreign_traffic_record(user, FOREIGN_TRAFFIC_CONNECTION, NULL);
     if (request->kind == MESSAGE_KIND_CONFIGURATION_REQUEST) {
         message_init(reply, MESSAGE_KIND_CONFIGURATION_REPLY);
     } else if (request->kind == MESSAGE_KIND_REQUEST) {
@@ -515,13 +515,13 @@
 static uint32_t wait_for_end(struct daemon *daemon, time_ns deadline)
 {
     time_ns now = backend_now();
-    time_ns quiet_since = now;
+    time_ns idle_since = now;
     bool ended = everything_ended(daemon);
-    while (now < deadline && (!ended || callers_may_send(daemon, now - quiet_since))) {
+    while (now < deadline && (!ended || callers_may_send(daemon, now - idle_since))) {
         g_usleep(STOP_POLL_US);
         now = backend_now();
         ended = everything_ended(daemon);
-        quiet_since = ended ? quiet_since : now;
+        idle_since = ended ? idle_since : now;
     }
     return atomic_load(&daemon->tasks_open) + transaction_table_count(daemon->transactions);
 }
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -36,11 +36,11 @@
  * the routing table. */
 struct daemon {
     struct settings settings;
-    _Atomic uint32_t zone;              /* id of settings.daemon.zone in the configuration */
-    uint64_t incarnation;               /* wall-clock microseconds at the start */
-    uint32_t deployment;                /* identity, see core/deployment.h */
-    _Atomic uint64_t foreign_messages;  /* counted by daemon/foreign_traffic.h */
-    _Atomic time_ns foreign_told_until; /* see daemon/foreign_traffic.h */
+    _Atomic uint32_t zone;                /* id of settings.daemon.zone in the configuration */
+    uint64_t incarnation;                 /* wall-clock microseconds at the start */
+    uint32_t deployment;                  /* identity, see core/deployment.h */
+    _Atomic uint64_t foreign_messages;    /* counted by daemon/foreign_traffic.h */
+    _Atomic time_ns foreign_logged_until; /* see daemon/foreign_traffic.h */
     struct token_keys *token_keys;
     struct routing_table *table; /* RCU */
     struct worker_pool *workers;
--- a/src/daemon/foreign_traffic.h
+++ b/src/daemon/foreign_traffic.h
@@ -15,7 +15,7 @@
 };
 
 /* Records one message, with its sender's address if that is known. Any thread. */
-void foreign_traffic_note(struct daemon *daemon, enum foreign_traffic traffic,
-                          const struct sockaddr_in *from);
+void foreign_traffic_record(struct daemon *daemon, enum foreign_traffic traffic,
+                            const struct sockaddr_in *from);
 
 #endif
--- a/src/daemon/group_uses.c
+++ b/src/daemon/group_uses.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 /* Time for which a database must not have been busy to count as unused. */
-#define QUIET_MS 500
+#define UNUSED_AFTER_MS 500
 
 void group_uses_init(struct group_uses *uses)
 {
@@ -29,14 +29,14 @@
     for (uint32_t i = 0; i < view->database_count; i++) {
         uint32_t bit = UINT32_C(1) << i;
         if ((busy & bit) != 0 || may_be_used(&view->databases[i])) {
-            uses->quiet_since[i] = 0;
+            uses->unused_since[i] = 0;
             used |= bit;
             continue;
         }
-        if (uses->quiet_since[i] == 0) {
-            uses->quiet_since[i] = now;
+        if (uses->unused_since[i] == 0) {
+            uses->unused_since[i] = now;
         }
-        if (now - uses->quiet_since[i] < QUIET_MS * NANOSECONDS_PER_MILLISECOND) {
+        if (now - uses->unused_since[i] < UNUSED_AFTER_MS * NANOSECONDS_PER_MILLISECOND) {
             used |= bit;
         }
     }
@@ -44,7 +44,7 @@
 }
 
 /* The owner's entry, or else the one with the oldest report. Called with the lock held. */
-static struct owner_uses *place_of(struct group_uses *uses, uint64_t watcher)
+static struct owner_uses *entry_of(struct group_uses *uses, uint64_t watcher)
 {
     struct owner_uses *oldest = &uses->owners[0];
     for (uint32_t i = 0; i < GROUP_USES_OWNERS_MAX; i++) {
@@ -58,10 +58,10 @@
     return oldest;
 }
 
-void group_uses_note(struct group_uses *uses, uint64_t watcher, uint32_t used, time_ns now)
+void group_uses_record(struct group_uses *uses, uint64_t watcher, uint32_t used, time_ns now)
 {
     pthread_mutex_lock(&uses->lock);
-    struct owner_uses *owner = place_of(uses, watcher);
+    struct owner_uses *owner = entry_of(uses, watcher);
     *owner = (struct owner_uses){.watcher = watcher, .used = used, .at = now};
     pthread_mutex_unlock(&uses->lock);
 }
@@ -70,7 +70,7 @@
                           bool *known)
 {
     pthread_mutex_lock(&uses->lock);
-    struct owner_uses owner = *place_of(uses, watcher);
+    struct owner_uses owner = *entry_of(uses, watcher);
     pthread_mutex_unlock(&uses->lock);
     time_ns until = owner.at + GROUP_USES_FRESH_MS * NANOSECONDS_PER_MILLISECOND;
     *known = owner.watcher == watcher && now <= until;
--- a/src/daemon/group_uses.h
+++ b/src/daemon/group_uses.h
@@ -25,7 +25,7 @@
 struct group_uses {
     pthread_mutex_t lock; /* guards `owners` */
     struct owner_uses owners[GROUP_USES_OWNERS_MAX];
-    time_ns quiet_since[GROUP_DATABASES_MAX]; /* own use ended; 0 while used. Control thread */
+    time_ns unused_since[GROUP_DATABASES_MAX]; /* own use ended; 0 while used. Control thread */
 };
 
 void group_uses_init(struct group_uses *uses);
@@ -38,7 +38,7 @@
                         time_ns now);
 
 /* Records an owner's report in place of its previous one. */
-void group_uses_note(struct group_uses *uses, uint64_t watcher, uint32_t used, time_ns now);
+void group_uses_record(struct group_uses *uses, uint64_t watcher, uint32_t used, time_ns now);
 
 /* True if the owner has recently reported that it does not use the database. *known: whether it has
  * reported recently at all. Any thread. */
--- a/src/daemon/task.c
+++ b/src/daemon/task.c
@@ -251,7 +251,7 @@
     pthread_mutex_unlock(&runtime->admission_lock);
     /* Once queued, the task may be run by another thread and must not be accessed here. */
     if (verdict == ADMISSION_QUEUED) {
-        control_slots_wanted(control);
+        control_report_slot_demand(control);
     }
     if (verdict == ADMISSION_REFUSED) {
         *refused = true;
--- a/tests/daemon/test_drain_wait.c
+++ b/tests/daemon/test_drain_wait.c
@@ -149,7 +149,7 @@
     group_uses_init(&uses);
     g_assert_false(group_uses_is_unused(&uses, 7, 1, 1000 * MS, &known));
     g_assert_false(known);
-    group_uses_note(&uses, 7, 1, 1000 * MS);
+    group_uses_record(&uses, 7, 1, 1000 * MS);
     g_assert_true(group_uses_is_unused(&uses, 7, 1, 1000 * MS, &known));
     g_assert_true(known);
     g_assert_false(group_uses_is_unused(&uses, 7, 0, 1000 * MS, &known));
@@ -157,7 +157,7 @@
     g_assert_false(group_uses_is_unused(&uses, 7, 1, (1001 + GROUP_USES_FRESH_MS) * MS, &known));
     g_assert_false(known);
     for (uint64_t watcher = 100; watcher < 100 + GROUP_USES_OWNERS_MAX; watcher++) {
-        group_uses_note(&uses, watcher, 0, 2000 * MS);
+        group_uses_record(&uses, watcher, 0, 2000 * MS);
     }
     g_assert_false(group_uses_is_unused(&uses, 7, 1, 2000 * MS, &known));
     group_uses_clear(&uses);
