--- a/src/daemon/active_calls.c
+++ b/src/daemon/active_calls.c
@@ -45,16 +45,16 @@
     }
 }
 
-static bool is_of_no_use(const struct active_call *call, const struct group_view *view,
-                         int32_t primary)
+static bool must_abort(const struct active_call *call, const struct group_view *view,
+                       int32_t primary)
 {
-    bool out_of_reach = !view->databases[call->database].reachable;
+    bool unreachable = !view->databases[call->database].reachable;
     bool replaced = primary >= 0 && primary != (int32_t)call->database;
     switch (call->kind) {
     case ACTIVE_CALL_READ:
-        return out_of_reach;
+        return unreachable;
     case ACTIVE_CALL_KEYED_WRITE:
-        return out_of_reach || replaced;
+        return unreachable || replaced;
     case ACTIVE_CALL_WRITE:
         break;
     }
@@ -69,7 +69,7 @@
     }
     for (const GList *link = calls->calls.head; link != NULL; link = link->next) {
         const struct active_call *call = link->data;
-        if (is_of_no_use(call, view, calls->primary) && call->socket_fd >= 0) {
+        if (must_abort(call, view, calls->primary) && call->socket_fd >= 0) {
             shutdown(call->socket_fd, SHUT_RDWR);
         }
     }
--- a/src/daemon/admin_api.c
+++ b/src/daemon/admin_api.c
@@ -32,7 +32,7 @@
 }
 
 /* Refuses a request about a group that only other daemons own, and lists their addresses. */
-static void refuse_elsewhere(struct admin_answer *answer, struct daemon *daemon, uint32_t group)
+static void refuse_not_owner(struct admin_answer *answer, struct daemon *daemon, uint32_t group)
 {
     struct owner_list owners;
     g_autoptr(GString) text =
@@ -53,8 +53,8 @@
     return runtime != NULL;
 }
 
-static void mark_database(struct admin_answer *answer, struct daemon *daemon, const char *database,
-                          bool leaving)
+static void set_database_leaving(struct admin_answer *answer, struct daemon *daemon,
+                                 const char *database, bool leaving)
 {
     struct configuration *configuration = daemon_take_configuration(daemon);
     uint32_t index = 0;
@@ -63,7 +63,7 @@
     if (group == NULL) {
         refuse(answer, ERROR_KIND_BAD_REQUEST, "No database has this name.");
     } else if (!owns(daemon, group->id)) {
-        refuse_elsewhere(answer, daemon, group->id);
+        refuse_not_owner(answer, daemon, group->id);
     } else {
         control_drain_database(daemon->control, group->id, index, leaving);
         g_string_append_printf(answer->body,
@@ -74,7 +74,8 @@
 }
 
 /* Writes the progress of a database's drain. */
-static void tell_progress(struct admin_answer *answer, struct daemon *daemon, const char *database)
+static void write_drain_progress(struct admin_answer *answer, struct daemon *daemon,
+                                 const char *database)
 {
     struct configuration *configuration = daemon_take_configuration(daemon);
     uint32_t index = 0;
@@ -84,7 +85,7 @@
     if (group == NULL) {
         refuse(answer, ERROR_KIND_BAD_REQUEST, "No database has this name.");
     } else if (runtime == NULL) {
-        refuse_elsewhere(answer, daemon, group->id);
+        refuse_not_owner(answer, daemon, group->id);
     } else {
         if (!admin_drain_database(daemon, runtime, database, answer->body)) {
             refuse(answer, ERROR_KIND_NOT_READY,
@@ -105,7 +106,7 @@
         g_string_append_printf(answer->body, "{\"daemon\":\"%s\",\"leaving\":%s}",
                                daemon->settings.daemon.name, leaving ? "true" : "false");
     } else if (database != NULL) {
-        mark_database(answer, daemon, database, leaving);
+        set_database_leaving(answer, daemon, database, leaving);
     } else {
         refuse(answer, ERROR_KIND_BAD_REQUEST, "Missing parameter: database, or daemon=self.");
     }
@@ -125,7 +126,7 @@
     if (admin_query_text(request, "daemon") != NULL) {
         admin_drain_daemon(user, answer->body);
     } else if (database != NULL) {
-        tell_progress(answer, user, database);
+        write_drain_progress(answer, user, database);
     } else {
         refuse(answer, ERROR_KIND_BAD_REQUEST, "Missing parameter: database, or daemon=self.");
     }
--- a/src/daemon/admin_explain.c
+++ b/src/daemon/admin_explain.c
@@ -173,9 +173,9 @@
     json_builder_set_member_name(builder, "databases");
     json_builder_begin_array(builder);
     for (int32_t i = 0; i < record->database_count; i++) {
-        bool told = record->forwarded_to[0] == '\0' || i == record->database ||
-                    record->databases[i].reason != ROUTE_REASON_NONE;
-        if (told) {
+        bool known = record->forwarded_to[0] == '\0' || i == record->database ||
+                     record->databases[i].reason != ROUTE_REASON_NONE;
+        if (known) {
             add_seen_database(builder, group, record, i);
         }
     }
@@ -183,7 +183,7 @@
 }
 
 /* Adds where the request was received from and forwarded to. */
-static void add_way(JsonBuilder *builder, const struct decision_record *record)
+static void add_forwarding(JsonBuilder *builder, const struct decision_record *record)
 {
     admin_json_flag(builder, "forwarded_here", record->hops > 0);
     admin_json_text(builder, "forwarded_to", record->forwarded_to);
@@ -225,7 +225,7 @@
     admin_json_text(builder, "group", group_name);
     admin_json_text(builder, "kind", request_kind_name(record->kind));
     admin_json_text(builder, "access", record->read_only ? "read" : "write");
-    add_way(builder, record);
+    add_forwarding(builder, record);
     admin_json_text(builder, "database", database);
     add_result(builder, record);
     admin_json_text(builder, "primary", primary);
@@ -239,7 +239,7 @@
     g_autoptr(JsonBuilder) builder = json_builder_new();
     g_autoptr(GArray) records = decision_log_find(daemon->decisions, request_id);
     struct configuration *configuration = daemon_take_configuration(daemon);
-    int64_t reaches_to = decision_log_reaches_to(daemon->decisions);
+    int64_t reaches_to = decision_log_oldest_at(daemon->decisions);
     json_builder_begin_object(builder);
     admin_json_text(builder, "daemon", daemon->settings.daemon.name);
     admin_json_text(builder, "request", request_id);
--- a/src/daemon/control_members.c
+++ b/src/daemon/control_members.c
@@ -118,9 +118,9 @@
 void control_send(struct control *control, const struct sockaddr_in *to,
                   const struct message *message)
 {
-    size_t octets = 0;
-    if (wire_datagram_send(control->socket, to, message, &octets, NULL)) {
-        daemon_metrics_datagram(control->daemon->metrics, DATAGRAM_SENT, octets);
+    size_t bytes = 0;
+    if (wire_datagram_send(control->socket, to, message, &bytes, NULL)) {
+        daemon_metrics_datagram(control->daemon->metrics, DATAGRAM_SENT, bytes);
     }
 }
 
@@ -224,12 +224,11 @@
     for (int i = 0; i < DATAGRAMS_PER_TURN; i++) {
         struct message message;
         struct sockaddr_in from;
-        size_t octets;
+        size_t bytes;
         g_autoptr(GError) error = NULL;
-        bool decoded =
-            wire_datagram_receive(control->socket, &message, &from, &octets, now, &error);
+        bool decoded = wire_datagram_receive(control->socket, &message, &from, &bytes, now, &error);
         if (decoded || g_error_matches(error, SW_ERROR, ERROR_KIND_BAD_REQUEST)) {
-            daemon_metrics_datagram(control->daemon->metrics, DATAGRAM_RECEIVED, octets);
+            daemon_metrics_datagram(control->daemon->metrics, DATAGRAM_RECEIVED, bytes);
         }
         if (!decoded) {
             if (g_error_matches(error, SW_ERROR, ERROR_KIND_BAD_REQUEST)) {
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -39,9 +39,9 @@
 #define SETTLE_POLL_US    1000
 
 /* A planned stop closes idle connections of callers after this time without a request. */
-#define CALLERS_QUIET_MS 500
+#define CALLERS_IDLE_MS 500
 
-#define OCTETS_PER_KIB 1024
+#define BYTES_PER_KIB 1024
 
 /* Retry delay given by a daemon that is not ready yet. */
 #define NOT_READY_RETRY_AFTER_MS 500
@@ -199,7 +199,7 @@
     return backend_now() <= atomic_load(&daemon->serve_until);
 }
 
-bool daemon_task_begins(struct daemon *daemon, const struct request *request)
+bool daemon_task_started(struct daemon *daemon, const struct request *request)
 {
     atomic_fetch_add(&daemon->tasks_open, 1);
     bool continues = request->transaction_id != NULL && request->transaction_id[0] != '\0';
@@ -475,7 +475,7 @@
     name_deployment(daemon);
     daemon->metrics = daemon_metrics_new();
     daemon->journal = journal_new();
-    daemon->traces = trace_recorder_new((size_t)daemon->settings.trace.memory_kb * OCTETS_PER_KIB);
+    daemon->traces = trace_recorder_new((size_t)daemon->settings.trace.memory_kb * BYTES_PER_KIB);
     daemon->decisions = decision_log_new(settings->daemon.decisions_kept);
     daemon->configuration_share = configuration_share_new();
     daemon->workers = worker_pool_new(daemon->settings.daemon.worker_threads,
@@ -497,7 +497,7 @@
 
 /* Stop. */
 
-static bool everything_ended(struct daemon *daemon)
+static bool all_work_ended(struct daemon *daemon)
 {
     return atomic_load(&daemon->tasks_open) == 0 &&
            transaction_table_count(daemon->transactions) == 0 &&
@@ -505,10 +505,10 @@
 }
 
 /* True if a request that was sent to this daemon may still be on its way. */
-static bool callers_may_send(const struct daemon *daemon, time_ns quiet_for)
+static bool callers_may_send(const struct daemon *daemon, time_ns idle_for)
 {
     return daemon->frontend != NULL && frontend_connections(daemon->frontend) > 0 &&
-           quiet_for < CALLERS_QUIET_MS * NANOSECONDS_PER_MILLISECOND;
+           idle_for < CALLERS_IDLE_MS * NANOSECONDS_PER_MILLISECOND;
 }
 
 /* Waits until all work has ended. Returns what is left at the deadline. */
@@ -516,11 +516,11 @@
 {
     time_ns now = backend_now();
     time_ns idle_since = now;
-    bool ended = everything_ended(daemon);
+    bool ended = all_work_ended(daemon);
     while (now < deadline && (!ended || callers_may_send(daemon, now - idle_since))) {
         g_usleep(STOP_POLL_US);
         now = backend_now();
-        ended = everything_ended(daemon);
+        ended = all_work_ended(daemon);
         idle_since = ended ? idle_since : now;
     }
     return atomic_load(&daemon->tasks_open) + transaction_table_count(daemon->transactions);
@@ -588,12 +588,12 @@
     if (daemon->frontend != NULL) {
         frontend_stop_accepting(daemon->frontend);
     }
-    uint32_t cut = wait_for_end(daemon, deadline);
+    uint32_t aborted = wait_for_end(daemon, deadline);
     if (daemon->peer_server != NULL) {
-        cut += peer_server_stop(daemon->peer_server, deadline);
+        aborted += peer_server_stop(daemon->peer_server, deadline);
     }
     wait_for_tasks(daemon);
     stop_listeners(daemon);
     free_parts(daemon);
-    return cut;
+    return aborted;
 }
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -98,7 +98,7 @@
 
 /* Counts a task as started. Returns false if the daemon is stopping and the request starts new
  * work; the task is then counted too, until daemon_task_ended. */
-bool daemon_task_begins(struct daemon *daemon, const struct request *request);
+bool daemon_task_started(struct daemon *daemon, const struct request *request);
 
 void daemon_task_ended(struct daemon *daemon);
 
--- a/src/daemon/daemon_metrics.c
+++ b/src/daemon/daemon_metrics.c
@@ -35,7 +35,7 @@
     struct metric_counter *routes[ROUTE_REASON_COUNT];
     struct metric_counter *replayed;
     struct metric_counter *datagrams[DATAGRAM_DIRECTION_COUNT];
-    struct metric_counter *octets[DATAGRAM_DIRECTION_COUNT];
+    struct metric_counter *bytes[DATAGRAM_DIRECTION_COUNT];
     struct metric_counter *foreign[FOREIGN_TRAFFIC_COUNT];
     pthread_mutex_t gap_lock; /* guards gap_since */
     GHashTable *gap_since;    /* group as pointer -> time_ns *, of groups without a primary */
@@ -89,7 +89,7 @@
         metrics->datagrams[direction] =
             metrics_counter(metrics->registry, "swiftworks_control_datagrams_total",
                             "Datagrams of the control plane between daemons.", label);
-        metrics->octets[direction] =
+        metrics->bytes[direction] =
             metrics_counter(metrics->registry, "swiftworks_control_octets_total",
                             "Bytes in these datagrams, without UDP and IP headers.", label);
     }
@@ -214,10 +214,10 @@
 }
 
 void daemon_metrics_datagram(struct daemon_metrics *metrics, enum datagram_direction direction,
-                             size_t octets)
+                             size_t bytes)
 {
     metric_counter_add(metrics->datagrams[direction], 1);
-    metric_counter_add(metrics->octets[direction], octets);
+    metric_counter_add(metrics->bytes[direction], bytes);
 }
 
 void daemon_metrics_foreign(struct daemon_metrics *metrics, enum foreign_traffic traffic)
--- a/src/daemon/daemon_metrics.h
+++ b/src/daemon/daemon_metrics.h
@@ -33,7 +33,7 @@
 
 /* Counts the payload of one datagram between daemons, without the UDP and IP headers. */
 void daemon_metrics_datagram(struct daemon_metrics *metrics, enum datagram_direction direction,
-                             size_t octets);
+                             size_t bytes);
 
 /* Counts one message from another deployment. */
 void daemon_metrics_foreign(struct daemon_metrics *metrics, enum foreign_traffic traffic);
--- a/src/daemon/decision_log.c
+++ b/src/daemon/decision_log.c
@@ -9,10 +9,10 @@
 #include "generated/messages.h"
 
 /* Entries that an addition tries before it drops the record. */
-#define PLACES_TRIED_MAX 4
+#define ENTRIES_TRIED_MAX 4
 
 /* One entry of a ring. */
-struct place {
+struct ring_entry {
     atomic_bool busy;         /* a thread copies in or out; guards `record` */
     _Atomic uint64_t id_hash; /* of record.request_id, to search without copying; 0: empty */
     struct decision_record record;
@@ -21,7 +21,7 @@
 struct ring {
     uint32_t size;
     _Atomic uint64_t next; /* additions so far; the next entry's index is this modulo the size */
-    struct place *places;
+    struct ring_entry *entries;
 };
 
 struct decision_log {
@@ -32,7 +32,7 @@
 static void ring_init(struct ring *ring, uint32_t size)
 {
     ring->size = size;
-    ring->places = g_new0(struct place, size);
+    ring->entries = g_new0(struct ring_entry, size);
 }
 
 struct decision_log *decision_log_new(uint32_t entries)
@@ -45,8 +45,8 @@
 
 void decision_log_free(struct decision_log *log)
 {
-    g_free(log->done.places);
-    g_free(log->others.places);
+    g_free(log->done.entries);
+    g_free(log->others.entries);
     g_free(log);
 }
 
@@ -55,26 +55,26 @@
     return XXH3_64bits(request_id, strlen(request_id)) | 1;
 }
 
-static bool take(struct place *place)
+static bool try_acquire(struct ring_entry *entry)
 {
-    return !atomic_exchange_explicit(&place->busy, true, memory_order_acquire);
+    return !atomic_exchange_explicit(&entry->busy, true, memory_order_acquire);
 }
 
-static void give_back(struct place *place)
+static void release(struct ring_entry *entry)
 {
-    atomic_store_explicit(&place->busy, false, memory_order_release);
+    atomic_store_explicit(&entry->busy, false, memory_order_release);
 }
 
 void decision_log_add(struct decision_log *log, const struct decision_record *record)
 {
     struct ring *ring = record->outcome == OUTCOME_DONE ? &log->done : &log->others;
-    for (unsigned tried = 0; tried < PLACES_TRIED_MAX; tried++) {
+    for (unsigned tried = 0; tried < ENTRIES_TRIED_MAX; tried++) {
         uint64_t number = atomic_fetch_add_explicit(&ring->next, 1, memory_order_relaxed);
-        struct place *place = &ring->places[number % ring->size];
-        if (take(place)) {
-            place->record = *record;
-            atomic_store(&place->id_hash, hash_of(record->request_id));
-            give_back(place);
+        struct ring_entry *entry = &ring->entries[number % ring->size];
+        if (try_acquire(entry)) {
+            entry->record = *record;
+            atomic_store(&entry->id_hash, hash_of(record->request_id));
+            release(entry);
             return;
         }
     }
@@ -82,24 +82,24 @@
 
 /* Acquires an entry, yielding the processor while another thread holds it, and copies it. An
  * addition that finds it held uses the next one. */
-static void copy_place(struct place *place, struct decision_record *record)
+static void copy_entry(struct ring_entry *entry, struct decision_record *record)
 {
-    while (!take(place)) {
+    while (!try_acquire(entry)) {
         g_thread_yield();
     }
-    *record = place->record;
-    give_back(place);
+    *record = entry->record;
+    release(entry);
 }
 
 static void find_in(struct ring *ring, const char *request_id, GArray *found)
 {
     uint64_t hash = hash_of(request_id);
     for (uint32_t i = 0; i < ring->size; i++) {
-        if (atomic_load(&ring->places[i].id_hash) != hash) {
+        if (atomic_load(&ring->entries[i].id_hash) != hash) {
             continue;
         }
         struct decision_record record;
-        copy_place(&ring->places[i], &record);
+        copy_entry(&ring->entries[i], &record);
         if (strcmp(record.request_id, request_id) == 0) {
             g_array_append_val(found, record);
         }
@@ -130,11 +130,11 @@
         return 0;
     }
     struct decision_record record;
-    copy_place(&ring->places[next % ring->size], &record);
+    copy_entry(&ring->entries[next % ring->size], &record);
     return record.at_us;
 }
 
-int64_t decision_log_reaches_to(struct decision_log *log)
+int64_t decision_log_oldest_at(struct decision_log *log)
 {
     return MAX(oldest_of(&log->done), oldest_of(&log->others));
 }
--- a/src/daemon/decision_log.h
+++ b/src/daemon/decision_log.h
@@ -81,7 +81,7 @@
 
 /* Wall-clock time in microseconds of the oldest record, in the ring that covers the shorter time; 0
  * while no record has been overwritten. */
-int64_t decision_log_reaches_to(struct decision_log *log);
+int64_t decision_log_oldest_at(struct decision_log *log);
 
 struct group_configuration;
 
--- a/src/daemon/forward.c
+++ b/src/daemon/forward.c
@@ -19,7 +19,7 @@
 #define FORWARD_MARGIN_MS 5
 
 /* Pause before the owners are checked again; a new view ends it earlier. */
-#define OWNER_PAUSE_MS 20
+#define OWNER_RETRY_MS 20
 
 /* Bounds of the retry delay for a tenant that had too many requests in flight. */
 #define TENANT_RETRY_AFTER_MIN_MS 50
@@ -77,13 +77,13 @@
 }
 
 /* True if a request whose answer was lost may be reported as not run and sent again. */
-static bool is_harmless(const struct request *request)
+static bool may_retry_unanswered(const struct request *request)
 {
     return request->read_only && request->kind != REQUEST_KIND_COMMIT;
 }
 
 /* Answers a forwarded request that got no reply, depending on what it may have done. */
-static void answer_lost_hop(struct task *task)
+static void answer_without_reply(struct task *task)
 {
     const struct request *request = task->request;
     if (request->kind == REQUEST_KIND_BEGIN || request->kind == REQUEST_KIND_ROLLBACK) {
@@ -98,7 +98,7 @@
 
 /* True if the other daemon certainly did nothing, for a reason that may not apply to another
  * daemon. */
-static bool was_turned_away(const struct message *message)
+static bool was_rejected(const struct message *message)
 {
     if (message->kind != MESSAGE_KIND_REPLY || message->reply.outcome != OUTCOME_REFUSED) {
         return false;
@@ -155,26 +155,26 @@
         answer_not_forwarded(task, ERROR_KIND_DEADLINE);
         return true;
     }
-    task_note_forward(task, address);
+    task_record_forward(task, address);
     enum peer_call_result result = send_request(task, address, now, &in);
     if (result == PEER_CALL_NOT_SENT) {
         return false;
     }
     if (result == PEER_CALL_SENT_NO_ANSWER) {
-        if (is_harmless(task->request)) {
+        if (may_retry_unanswered(task->request)) {
             return false;
         }
-        answer_lost_hop(task);
+        answer_without_reply(task);
         return true;
     }
-    bool turned_away = was_turned_away(&in);
-    if (!turned_away && in.kind == MESSAGE_KIND_REPLY) {
+    bool rejected = was_rejected(&in);
+    if (!rejected && in.kind == MESSAGE_KIND_REPLY) {
         take_forwarded_reply(task, &in.reply);
-    } else if (!turned_away) {
-        answer_lost_hop(task);
+    } else if (!rejected) {
+        answer_without_reply(task);
     }
     message_clear(&in);
-    return !turned_away;
+    return !rejected;
 }
 
 /* No daemon has accepted the request: owners or their addresses are changing, or they are
@@ -189,7 +189,7 @@
     if (now >= task->unavailable_since + wait || now >= task->deadline) {
         return false;
     }
-    time_ns until = now + OWNER_PAUSE_MS * NANOSECONDS_PER_MILLISECOND;
+    time_ns until = now + OWNER_RETRY_MS * NANOSECONDS_PER_MILLISECOND;
     worker_pool_park(task->daemon->workers, &task->job, until);
     return true;
 }
--- a/src/daemon/log.c
+++ b/src/daemon/log.c
@@ -85,7 +85,7 @@
     return -1;
 }
 
-bool log_wants(const char *part, enum log_level level)
+bool log_is_enabled(const char *part, enum log_level level)
 {
     int index = find_part(part);
     int highest =
@@ -166,7 +166,7 @@
     if (part == NULL) {
         part = "daemon";
     }
-    if (text == NULL || !log_wants(part, level_of(flags))) {
+    if (text == NULL || !log_is_enabled(part, level_of(flags))) {
         return G_LOG_WRITER_HANDLED;
     }
     pthread_mutex_lock(&state.lock);
--- a/src/daemon/log.h
+++ b/src/daemon/log.h
@@ -17,7 +17,7 @@
 bool log_set_level(const char *part, enum log_level level);
 
 /* True if a line of this part and level would be written. Takes no lock. Any thread. */
-bool log_wants(const char *part, enum log_level level);
+bool log_is_enabled(const char *part, enum log_level level);
 
 /* Names of the parts by index from 0; NULL after the last. */
 const char *log_part(size_t index);
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -15,7 +15,7 @@
 #define EXIT_OK       0
 #define EXIT_SETTINGS 2 /* the command line or the settings are wrong */
 #define EXIT_START    3 /* a part could not start */
-#define EXIT_CUT      4 /* the planned stop aborted requests */
+#define EXIT_ABORTED  4 /* the planned stop aborted requests */
 
 /* Command-line options. */
 struct options {
@@ -68,9 +68,9 @@
     sigwait(&signals, &received);
     g_message("Planned stop on signal %d.", received);
     time_ns deadline = backend_now() + stop_timeout_ms * NANOSECONDS_PER_MILLISECOND;
-    uint32_t cut = daemon_stop(daemon, deadline);
-    g_message("Stopped: %u requests or transactions aborted.", cut);
-    return cut == 0 ? EXIT_OK : EXIT_CUT;
+    uint32_t aborted = daemon_stop(daemon, deadline);
+    g_message("Stopped: %u requests or transactions aborted.", aborted);
+    return aborted == 0 ? EXIT_OK : EXIT_ABORTED;
 }
 
 int main(int argc, char **argv)
--- a/src/daemon/refusal_watch.c
+++ b/src/daemon/refusal_watch.c
@@ -28,48 +28,49 @@
     struct refusal_note note = {.change = change, .seconds = watch->seconds};
     for (int kind = 0; kind < ERROR_KIND_COUNT; kind++) {
         note.count += watch->storm[kind];
-        if (watch->storm[kind] > watch->storm[note.foremost]) {
-            note.foremost = (enum error_kind)kind;
+        if (watch->storm[kind] > watch->storm[note.most_frequent]) {
+            note.most_frequent = (enum error_kind)kind;
         }
     }
     return note;
 }
 
-static struct refusal_note begin(struct refusal_watch *watch, const uint64_t *fresh)
+static struct refusal_note begin_storm(struct refusal_watch *watch, const uint64_t *fresh)
 {
     watch->is_storm = true;
     watch->seconds = 1;
-    watch->quiet = 0;
+    watch->seconds_below = 0;
     memcpy(watch->storm, fresh, sizeof(watch->storm));
     return make_note(watch, REFUSAL_CHANGE_BEGAN);
 }
 
-static struct refusal_note go_on(struct refusal_watch *watch, const uint64_t *fresh, uint64_t sum)
+static struct refusal_note continue_storm(struct refusal_watch *watch, const uint64_t *fresh,
+                                          uint64_t sum)
 {
     for (int kind = 0; kind < ERROR_KIND_COUNT; kind++) {
         watch->storm[kind] += fresh[kind];
     }
     watch->seconds++;
-    watch->quiet = sum < REFUSALS_END_PER_SECOND ? watch->quiet + 1 : 0;
-    if (watch->quiet < REFUSALS_QUIET_SECONDS) {
+    watch->seconds_below = sum < REFUSALS_END_PER_SECOND ? watch->seconds_below + 1 : 0;
+    if (watch->seconds_below < REFUSALS_END_SECONDS) {
         return (struct refusal_note){.change = REFUSAL_CHANGE_NONE};
     }
     watch->is_storm = false;
-    watch->seconds -= REFUSALS_QUIET_SECONDS;
+    watch->seconds -= REFUSALS_END_SECONDS;
     return make_note(watch, REFUSAL_CHANGE_ENDED);
 }
 
-struct refusal_note refusal_watch_look(struct refusal_watch *watch, time_ns now)
+struct refusal_note refusal_watch_check(struct refusal_watch *watch, time_ns now)
 {
     struct refusal_note none = {.change = REFUSAL_CHANGE_NONE};
     uint64_t fresh[ERROR_KIND_COUNT];
-    if (now < watch->look_at) {
+    if (now < watch->check_at) {
         return none;
     }
-    watch->look_at = now + NANOSECONDS_PER_SECOND;
+    watch->check_at = now + NANOSECONDS_PER_SECOND;
     uint64_t sum = take_counts(watch, fresh);
     if (watch->is_storm) {
-        return go_on(watch, fresh, sum);
+        return continue_storm(watch, fresh, sum);
     }
-    return sum >= REFUSALS_BEGIN_PER_SECOND ? begin(watch, fresh) : none;
+    return sum >= REFUSALS_BEGIN_PER_SECOND ? begin_storm(watch, fresh) : none;
 }
--- a/src/daemon/task.c
+++ b/src/daemon/task.c
@@ -59,7 +59,7 @@
 
 void task_finish(struct task *task)
 {
-    task_give_slot(task);
+    task_release_slot(task);
     if (task->transaction != NULL) {
         roll_back(task);
     }
@@ -203,7 +203,7 @@
     reply_init(&task->reply);
     execute_answer_init(&task->run);
     execute_answer_init(&task->failure);
-    if (!daemon_task_begins(daemon, request)) {
+    if (!daemon_task_started(daemon, request)) {
         task_refuse(task, OUTCOME_REFUSED, ERROR_KIND_STOPPING, NULL, DAEMON_RETRY_AFTER_MS);
         return;
     }
@@ -297,7 +297,7 @@
     }
 }
 
-void task_give_slot(struct task *task)
+void task_release_slot(struct task *task)
 {
     if (task->slot_database < 0) {
         return;
@@ -335,7 +335,7 @@
     return position;
 }
 
-void task_note_seen(struct task *task, struct log_position position)
+void task_set_seen(struct task *task, struct log_position position)
 {
     if (position.term == 0) {
         return;
@@ -347,7 +347,7 @@
     task->reply.session[0].offset = position.offset;
 }
 
-void task_note_served(struct task *task, int32_t database, const char *role)
+void task_set_served(struct task *task, int32_t database, const char *role)
 {
     if (database < 0) {
         return;
--- a/src/daemon/task.h
+++ b/src/daemon/task.h
@@ -104,7 +104,7 @@
 void task_expire_queued(struct daemon *daemon, struct group_runtime *group, time_ns now);
 
 /* Releases the slot, if one is held, and starts the next queued task. */
-void task_give_slot(struct task *task);
+void task_release_slot(struct task *task);
 
 /* Deadline of one attempt that can be repeated. Part of the remaining time is reserved to find out
  * the attempt's outcome or to try another database. */
@@ -114,10 +114,10 @@
 struct log_position task_session_position(const struct task *task);
 
 /* Sets in the reply the position that the session has now seen. */
-void task_note_seen(struct task *task, struct log_position position);
+void task_set_seen(struct task *task, struct log_position position);
 
 /* Sets in the reply the database that served the request. */
-void task_note_served(struct task *task, int32_t database, const char *role);
+void task_set_served(struct task *task, int32_t database, const char *role);
 
 /* Moves the results of a run into the reply. */
 void task_take_results(struct task *task, struct execute_answer *answer);
--- a/src/daemon/task_begin.c
+++ b/src/daemon/task_begin.c
@@ -114,9 +114,9 @@
     task->reply.reason = (uint32_t)decision->reason;
     task->reply.transaction_id = g_strdup(transaction->id);
     task->reply.outcome = OUTCOME_DONE;
-    task_note_served(task, transaction->database, transaction_role_name(transaction));
+    task_set_served(task, transaction->database, transaction_role_name(transaction));
     if (transaction->options.read_only) {
-        task_note_seen(task, transaction->seen);
+        task_set_seen(task, transaction->seen);
     }
     transaction_table_put(task->daemon->transactions, transaction);
     task_finish(task);
@@ -195,7 +195,7 @@
         task->counts_as_write = group_runtime_begin_write(task->group, &view);
     }
     struct route_decision decision = route_begin(task, &view);
-    task_note_view(task, &view, decision.refused);
+    task_record_view(task, &view, decision.refused);
     task->decision.needed = decision.guard;
     if (decision.database < 0) {
         wait_for_database(task, &decision);
--- a/src/daemon/task_decision.c
+++ b/src/daemon/task_decision.c
@@ -17,8 +17,8 @@
     return (uint32_t)MIN(lag / NANOSECONDS_PER_MILLISECOND, G_MAXUINT32);
 }
 
-void task_note_view(struct task *task, const struct group_view *view,
-                    const enum route_reason *refused)
+void task_record_view(struct task *task, const struct group_view *view,
+                      const enum route_reason *refused)
 {
     struct decision_record *record = &task->decision;
     record->view_term = view->term;
@@ -38,19 +38,19 @@
     }
 }
 
-void task_note_write_view(struct task *task, const struct group_view *view)
+void task_record_write_view(struct task *task, const struct group_view *view)
 {
     struct route_decision decision = route_write(view);
-    task_note_view(task, view, decision.refused);
+    task_record_view(task, view, decision.refused);
 }
 
-void task_note_needed(struct task *task, const struct group_view *view,
-                      const struct route_read_request *route)
+void task_record_needed(struct task *task, const struct group_view *view,
+                        const struct route_read_request *route)
 {
     route_needed_position(view, route, &task->decision.needed);
 }
 
-void task_note_refused(struct task *task)
+void task_copy_refused(struct task *task)
 {
     const struct decision_record *record = &task->decision;
     struct reply *reply = &task->reply;
@@ -69,7 +69,7 @@
     }
 }
 
-void task_note_forward(struct task *task, const char *address)
+void task_record_forward(struct task *task, const char *address)
 {
     struct decision_record *record = &task->decision;
     g_strlcpy(record->forwarded_to, address, sizeof(record->forwarded_to));
@@ -166,7 +166,7 @@
 
 static void log_not_done(const struct decision_record *record)
 {
-    if (record->outcome == OUTCOME_DONE || !log_wants("requests", LOG_LEVEL_INFO)) {
+    if (record->outcome == OUTCOME_DONE || !log_is_enabled("requests", LOG_LEVEL_INFO)) {
         return;
     }
     g_info("%s of %s: %s, %s, route %s.", record->request_id, record->tenant,
--- a/src/daemon/task_read.c
+++ b/src/daemon/task_read.c
@@ -55,8 +55,8 @@
     const struct read_step *step = &task->read_step;
     bool refused = step->kind == READ_STEP_ANSWER && step->outcome == OUTCOME_REFUSED;
     if (step->kind == READ_STEP_READ || refused) {
-        task_note_view(task, view, task->read_flow.refused);
-        task_note_needed(task, view, &task->read_flow.options.route);
+        task_record_view(task, view, task->read_flow.refused);
+        task_record_needed(task, view, &task->read_flow.options.route);
     }
 }
 
@@ -138,7 +138,7 @@
         return true;
     }
     enum execute_result result = read_at(task);
-    task_give_slot(task);
+    task_release_slot(task);
     event.kind = event_of(result);
     event.now = backend_now();
     event.status = task->run.status;
@@ -154,7 +154,7 @@
 {
     const struct read_step *step = &task->read_step;
     task->reply.reason = (uint32_t)step->reason;
-    task_note_refused(task);
+    task_copy_refused(task);
     if (step->outcome == OUTCOME_REFUSED) {
         /* A read that found no fresh replica counts too. The primary's share is relative to the
          * requested reads; if only reads served by replicas counted, it could never be earned
@@ -166,7 +166,7 @@
         return;
     }
     bool primary = task->run.status.role == DATABASE_ROLE_PRIMARY;
-    task_note_served(task, step->database, primary ? "primary" : "replica");
+    task_set_served(task, step->database, primary ? "primary" : "replica");
     if (step->outcome == OUTCOME_FAILED) {
         task->reply.error_position = task->run.error_position;
         task->reply.sqlstate = g_strdup(task->run.sqlstate);
@@ -174,7 +174,7 @@
         return;
     }
     count_read(task, step->reason);
-    task_note_seen(task, task->run.position);
+    task_set_seen(task, task->run.position);
     task_take_results(task, &task->run);
     task->reply.outcome = OUTCOME_DONE;
     task_finish(task);
--- a/src/daemon/task_transaction.c
+++ b/src/daemon/task_transaction.c
@@ -50,10 +50,10 @@
     enum execute_result result =
         transaction_run(transaction, task->request->statements, task->request->statements_count,
                         task->deadline, daemon_result_limits(), &task->run);
-    task_note_served(task, transaction->database, transaction_role_name(transaction));
+    task_set_served(task, transaction->database, transaction_role_name(transaction));
     if (result == EXECUTE_DONE) {
         transaction->seen = task->run.position;
-        task_note_seen(task, transaction->seen);
+        task_set_seen(task, transaction->seen);
         transaction_table_put(task->daemon->transactions, transaction);
         task_take_results(task, &task->run);
         task->reply.outcome = OUTCOME_DONE;
@@ -82,7 +82,7 @@
     struct log_position seen = transaction->seen;
     transaction_rollback(transaction, task->deadline);
     transaction_table_end(task->daemon->transactions, transaction);
-    task_note_seen(task, seen);
+    task_set_seen(task, seen);
     task->reply.outcome = OUTCOME_DONE;
     task_finish(task);
 }
--- a/src/daemon/task_write.c
+++ b/src/daemon/task_write.c
@@ -25,7 +25,7 @@
     bool routed = step->kind == WRITE_STEP_EXECUTE || step->kind == WRITE_STEP_CLOSE_KEY ||
                   step->kind == WRITE_STEP_WAIT;
     if (routed || refused) {
-        task_note_write_view(task, view);
+        task_record_write_view(task, view);
     }
 }
 
@@ -216,7 +216,7 @@
         return refused;
     }
     enum execute_result result = run_at(task);
-    task_give_slot(task);
+    task_release_slot(task);
     keep_failure(task, result);
     feed(task, event_of(result));
     return true;
@@ -273,13 +273,13 @@
 {
     const struct write_step *step = &task->write_step;
     task->reply.reason = (uint32_t)step->reason;
-    task_note_refused(task);
+    task_copy_refused(task);
     if (step->outcome != OUTCOME_DONE) {
         answer_failed(task);
         return;
     }
-    task_note_served(task, task->run_database, "primary");
-    task_note_seen(task, step->position);
+    task_set_served(task, task->run_database, "primary");
+    task_set_seen(task, step->position);
     task_take_results(task, &task->run);
     task->reply.replayed = task->write_flow.replayed;
     task->reply.outcome = OUTCOME_DONE;
--- a/tests/daemon/test_decision_log.c
+++ b/tests/daemon/test_decision_log.c
@@ -32,13 +32,13 @@
         g_autofree char *id = g_strdup_printf("done-%d", i);
         add(log, id, OUTCOME_DONE, 2 + i);
     }
-    g_assert_cmpint(decision_log_reaches_to(log), ==, 0);
+    g_assert_cmpint(decision_log_oldest_at(log), ==, 0);
     g_assert_cmpuint(count(log, "done-0"), ==, 1);
     add(log, "later", OUTCOME_DONE, 1000);
     g_assert_cmpuint(count(log, "done-0"), ==, 0);
     g_assert_cmpuint(count(log, "done-1"), ==, 1);
     g_assert_cmpuint(count(log, "refused"), ==, 1);
-    g_assert_cmpint(decision_log_reaches_to(log), ==, 3);
+    g_assert_cmpint(decision_log_oldest_at(log), ==, 3);
     decision_log_free(log);
 }
 
--- a/tests/daemon/test_log.c
+++ b/tests/daemon/test_log.c
@@ -13,16 +13,16 @@
 static void test_levels(void)
 {
     log_set_level(NULL, LOG_LEVEL_MESSAGE);
-    g_assert_true(log_wants("control", LOG_LEVEL_MESSAGE));
-    g_assert_false(log_wants("control", LOG_LEVEL_INFO));
+    g_assert_true(log_is_enabled("control", LOG_LEVEL_MESSAGE));
+    g_assert_false(log_is_enabled("control", LOG_LEVEL_INFO));
     g_assert_true(log_set_level("control", LOG_LEVEL_DEBUG));
-    g_assert_true(log_wants("control", LOG_LEVEL_DEBUG));
-    g_assert_false(log_wants("members", LOG_LEVEL_INFO));
+    g_assert_true(log_is_enabled("control", LOG_LEVEL_DEBUG));
+    g_assert_false(log_is_enabled("members", LOG_LEVEL_INFO));
     g_assert_false(log_set_level("frobnicator", LOG_LEVEL_DEBUG));
     log_set_level(NULL, LOG_LEVEL_WARNING);
-    g_assert_false(log_wants("control", LOG_LEVEL_MESSAGE));
-    g_assert_false(log_wants("some library", LOG_LEVEL_MESSAGE));
-    g_assert_true(log_wants("some library", LOG_LEVEL_WARNING));
+    g_assert_false(log_is_enabled("control", LOG_LEVEL_MESSAGE));
+    g_assert_false(log_is_enabled("some library", LOG_LEVEL_MESSAGE));
+    g_assert_true(log_is_enabled("some library", LOG_LEVEL_WARNING));
 }
 
 /* In a child process, since the writer can be set only once. */
--- a/tests/daemon/test_refusal_watch.c
+++ b/tests/daemon/test_refusal_watch.c
@@ -13,7 +13,7 @@
 /* Checks at a second of virtual time. */
 static struct refusal_note look(struct refusal_watch *watch, uint64_t second)
 {
-    return refusal_watch_look(watch, second * NANOSECONDS_PER_SECOND);
+    return refusal_watch_check(watch, second * NANOSECONDS_PER_SECOND);
 }
 
 static void test_storm(void)
@@ -26,18 +26,18 @@
     struct refusal_note note = look(&watch, 2);
     g_assert_cmpint(note.change, ==, REFUSAL_CHANGE_BEGAN);
     g_assert_cmpuint(note.count, ==, 50);
-    g_assert_cmpint(note.foremost, ==, ERROR_KIND_NO_PRIMARY);
+    g_assert_cmpint(note.most_frequent, ==, ERROR_KIND_NO_PRIMARY);
     refuse(&watch, ERROR_KIND_OVERLOADED, REFUSALS_END_PER_SECOND);
     g_assert_cmpint(look(&watch, 3).change, ==, REFUSAL_CHANGE_NONE);
     refuse(&watch, ERROR_KIND_OVERLOADED, REFUSALS_END_PER_SECOND + 5);
-    for (uint64_t second = 4; second < 4 + REFUSALS_QUIET_SECONDS; second++) {
+    for (uint64_t second = 4; second < 4 + REFUSALS_END_SECONDS; second++) {
         g_assert_cmpint(look(&watch, second).change, ==, REFUSAL_CHANGE_NONE);
     }
-    note = look(&watch, 4 + REFUSALS_QUIET_SECONDS);
+    note = look(&watch, 4 + REFUSALS_END_SECONDS);
     g_assert_cmpint(note.change, ==, REFUSAL_CHANGE_ENDED);
     g_assert_cmpuint(note.count, ==, 75);
     g_assert_cmpuint(note.seconds, ==, 3);
-    g_assert_cmpint(note.foremost, ==, ERROR_KIND_OVERLOADED);
+    g_assert_cmpint(note.most_frequent, ==, ERROR_KIND_OVERLOADED);
     g_assert_cmpint(look(&watch, 30).change, ==, REFUSAL_CHANGE_NONE);
 }
 
