--- a/tests/daemon/budget_plan_test.c
+++ b/tests/daemon/budget_plan_test.c
@@ -29,7 +29,7 @@
 }
 
 /* Limits of 35 and 65 connections with three owners. */
-static void test_sizes_of_today(void)
+static void test_typical_limits(void)
 {
     struct budget_plan plan;
     budget_plan_make(&plan, 35, 3);
@@ -97,7 +97,7 @@
 {
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/daemon/budget-plan/adds-up", test_adds_up);
-    g_test_add_func("/daemon/budget-plan/sizes-of-today", test_sizes_of_today);
+    g_test_add_func("/daemon/budget-plan/typical-limits", test_typical_limits);
     g_test_add_func("/daemon/budget-plan/grows-with-connections", test_grows_with_connections);
     g_test_add_func("/daemon/budget-plan/refuses-too-few", test_refuses_too_few);
     g_test_add_func("/daemon/budget-plan/accepts-enough", test_accepts_enough);
--- a/tests/daemon/callers.c
+++ b/tests/daemon/callers.c
@@ -40,12 +40,12 @@
 }
 
 /* Sends the call until it is accepted. Returns true if it is done; the caller clears the answer. */
-static bool send_until_taken(struct caller *caller, unsigned turn, const struct http_call *call,
-                             struct http_answer *answer)
+static bool send_until_accepted(struct caller *caller, unsigned turn, const struct http_call *call,
+                                struct http_answer *answer)
 {
     struct callers *callers = caller->callers;
     http_post(port_of_turn(callers, turn), call, answer);
-    while (atomic_load(&callers->refused_is_fine) && may_send_again(answer)) {
+    while (atomic_load(&callers->retry_refused) && may_send_again(answer)) {
         http_answer_clear(answer);
         turn++;
         http_post(port_of_turn(callers, turn), call, answer);
@@ -61,7 +61,7 @@
 static bool send_plain(struct caller *caller, unsigned turn, const struct http_call *call)
 {
     struct http_answer answer;
-    bool done = send_until_taken(caller, turn, call, &answer);
+    bool done = send_until_accepted(caller, turn, call, &answer);
     http_answer_clear(&answer);
     return done;
 }
@@ -87,7 +87,7 @@
     g_autofree char *text = g_strdup_printf("caller %u round %u", caller->number, round);
     g_autofree char *sql = g_strdup_printf("SELECT '%s'", text);
     struct http_call call = {.sql = sql};
-    if (send_until_taken(caller, caller->number + round, &call, &answer)) {
+    if (send_until_accepted(caller, caller->number + round, &call, &answer)) {
         g_autofree char *cell = http_cell(&answer, 0, 0);
         g_assert_cmpstr(cell, ==, text);
     }
@@ -101,7 +101,7 @@
     g_autofree char *key = g_strdup_printf("caller-%u-%u", caller->number, round);
     g_autofree char *sql = insert_of(caller, round);
     struct http_call call = {.path = "transactions", .body = "{\"begin\": true}", .key = key};
-    bool begun = send_until_taken(caller, turn, &call, &answer);
+    bool begun = send_until_accepted(caller, turn, &call, &answer);
     g_autofree char *id = g_steal_pointer(&answer.transaction);
     http_answer_clear(&answer);
     if (!begun) {
--- a/tests/daemon/callers.h
+++ b/tests/daemon/callers.h
@@ -33,8 +33,8 @@
     unsigned count;
     struct caller items[CALLERS_MAX];
     atomic_bool stop;
-    atomic_uint failures;        /* answers other than done, and calls without a complete answer */
-    atomic_bool refused_is_fine; /* a call that was not run is sent again to another daemon */
+    atomic_uint failures;      /* answers other than done, and calls without a complete answer */
+    atomic_bool retry_refused; /* a call that was not run is sent again to another daemon */
     pthread_mutex_t lock; /* a pthread mutex, since the thread sanitizer does not support GLib's */
     unsigned port_count;  /* this and all below are under the lock */
     unsigned ports[CLUSTER_DAEMONS_MAX];
--- a/tests/daemon/cluster_fixture.c
+++ b/tests/daemon/cluster_fixture.c
@@ -13,10 +13,10 @@
 #include "wire/peer_server.h"
 
 /* A condition that does not hold within this time fails the test. */
-#define PATIENCE_US (30 * G_USEC_PER_SEC)
-#define PAUSE_US    2000
+#define AWAIT_TIMEOUT_US (30 * G_USEC_PER_SEC)
+#define PAUSE_US         2000
 
-#define STOP_PATIENCE_NS (30 * NANOSECONDS_PER_SECOND)
+#define STOP_TIMEOUT_NS (30 * NANOSECONDS_PER_SECOND)
 
 const char *const cluster_zones[3] = {"imlil", "marrakech", "ouarzazate"};
 
@@ -30,12 +30,12 @@
         g_autofree char *state = cluster_state_describe(g_ptr_array_index(deployments, i));
         g_string_append_printf(states, "\n%s", state);
     }
-    g_error("%s: in vain waited for: %s%s", place, condition, states->str);
+    g_error("%s: timed out waiting for: %s%s", place, condition, states->str);
 }
 
 void cluster_await_pause(gint64 since, const char *condition, const char *place)
 {
-    if (g_get_monotonic_time() - since > PATIENCE_US) {
+    if (g_get_monotonic_time() - since > AWAIT_TIMEOUT_US) {
         give_up(condition, place);
     }
     g_usleep(PAUSE_US);
@@ -185,7 +185,7 @@
 
 /* For tests that provoke no failure of a database: time-outs so long that a database that stalls on
  * a busy machine is not taken for failed. */
-static const char *const patience_settings[] = {
+static const char *const long_timeout_settings[] = {
     "backend.probe_timeout_ms=10000",
     "failover.suspect_after_ms=60000",
     NULL,
@@ -212,7 +212,7 @@
                     g_strdup_printf("session.token_keys_file=%s/token-keys", cluster->directory));
     g_ptr_array_add(settings, g_strdup("backend.open_rate_per_second=1000"));
     if (!cluster->options.provokes_failures) {
-        add_all(settings, patience_settings);
+        add_all(settings, long_timeout_settings);
     }
     add_all(settings, cluster->options.overrides);
     g_ptr_array_add(settings, NULL);
@@ -233,7 +233,7 @@
 
 static gpointer run_stop(gpointer data)
 {
-    return GUINT_TO_POINTER(daemon_stop(data, backend_now() + STOP_PATIENCE_NS));
+    return GUINT_TO_POINTER(daemon_stop(data, backend_now() + STOP_TIMEOUT_NS));
 }
 
 uint32_t cluster_stop_daemon(struct cluster *cluster, unsigned index)
@@ -401,7 +401,7 @@
 
 void cluster_stop(struct cluster *cluster)
 {
-    cluster_heal(cluster);
+    cluster_clear_faults(cluster);
     for (unsigned i = 0; i < CLUSTER_DAEMONS_MAX; i++) {
         if (cluster->daemons[i] != NULL) {
             g_assert_cmpuint(cluster_stop_daemon(cluster, i), ==, 0);
@@ -529,12 +529,12 @@
     }
 }
 
-void cluster_cut(struct cluster *cluster, unsigned database)
+void cluster_partition(struct cluster *cluster, unsigned database)
 {
     faults_cut_zone(&cluster->databases[database]->faults, "*");
 }
 
-void cluster_heal(struct cluster *cluster)
+void cluster_clear_faults(struct cluster *cluster)
 {
     for (unsigned i = 0; i < cluster->options.databases; i++) {
         faults_heal(&cluster->databases[i]->faults);
--- a/tests/daemon/cluster_fixture.h
+++ b/tests/daemon/cluster_fixture.h
@@ -112,10 +112,10 @@
 void cluster_isolate(struct cluster *cluster, unsigned database);
 
 /* Partitions a database from all zones. */
-void cluster_cut(struct cluster *cluster, unsigned database);
+void cluster_partition(struct cluster *cluster, unsigned database);
 
 /* Ends all faults at all databases. */
-void cluster_heal(struct cluster *cluster);
+void cluster_clear_faults(struct cluster *cluster);
 
 /* The next `count` statements that contain `match` get no complete answer. */
 void cluster_lose_answers(struct cluster *cluster, unsigned database, enum answer_fault fault,
--- a/tests/daemon/cluster_state.c
+++ b/tests/daemon/cluster_state.c
@@ -42,7 +42,7 @@
         const struct database_view *database = &view.databases[i];
         g_string_append_printf(text, "      database %u: %s of term %" G_GUINT64_FORMAT "%s%s,", i,
                                role_name(database->status.role), database->status.term,
-                               database->reachable ? "" : ", out of reach",
+                               database->reachable ? "" : ", unreachable",
                                database->status.leaving ? ", leaving" : "");
         add_position(text, "held", database->status.held);
         add_position(text, "applied", database->status.applied);
@@ -72,7 +72,7 @@
         text,
         "  %s:%s%s, knows %u owners, tasks open %u, transactions open %u, calls in flight %u, "
         "callers' connections %u\n",
-        daemon->settings.daemon.name, owns ? " owns the group" : " owns nothing",
+        daemon->settings.daemon.name, owns ? " owns the group" : " does not own the group",
         control_is_settled(daemon->control) ? "" : ", not settled", owners.count + owners.self,
         atomic_load(&daemon->tasks_open), daemon_open_transactions(daemon),
         frontend_in_flight(daemon->frontend), frontend_connections(daemon->frontend));
--- a/tests/daemon/fake_peer.c
+++ b/tests/daemon/fake_peer.c
@@ -11,8 +11,8 @@
 #include "wire/datagram.h"
 #include "wire/peer_server.h"
 
-#define ANSWER_PATIENCE_NS (100 * NANOSECONDS_PER_MILLISECOND)
-#define ATTEMPTS_MAX       100
+#define ANSWER_TIMEOUT_NS (100 * NANOSECONDS_PER_MILLISECOND)
+#define ATTEMPTS_MAX      100
 
 struct fake_peer {
     struct peer_server *server;
@@ -30,16 +30,16 @@
     if (answer == NULL || answer->version == 0) {
         return;
     }
-    g_autoptr(GBytes) packed =
-        answer->spoilt ? g_bytes_ref(answer->content) : configuration_compress(answer->content);
+    g_autoptr(GBytes) packed = answer->undecodable ? g_bytes_ref(answer->content)
+                                                   : configuration_compress(answer->content);
     gsize length = 0;
-    const uint8_t *octets = g_bytes_get_data(packed, &length);
+    const uint8_t *bytes = g_bytes_get_data(packed, &length);
     reply->version = answer->version;
     reply->hash = g_strdup(answer->hash);
     reply->base_version = answer->base_version;
     reply->keep_start = answer->keep_start;
     reply->keep_end = answer->keep_end;
-    reply->content = g_memdup2(octets, length);
+    reply->content = g_memdup2(bytes, length);
     reply->content_length = length;
 }
 
@@ -87,7 +87,7 @@
     pthread_mutex_unlock(&peer->lock);
 }
 
-unsigned fake_peer_questions(struct fake_peer *peer)
+unsigned fake_peer_request_count(struct fake_peer *peer)
 {
     pthread_mutex_lock(&peer->lock);
     unsigned questions = peer->questions;
@@ -118,7 +118,7 @@
 /* Waits briefly for the answer to the last ping; other datagrams are dropped. */
 static bool was_answered(struct fake_peer *peer)
 {
-    time_ns deadline = wire_clock_now() + ANSWER_PATIENCE_NS;
+    time_ns deadline = wire_clock_now() + ANSWER_TIMEOUT_NS;
     bool answered = false;
     struct message message;
     struct sockaddr_in from;
--- a/tests/daemon/fake_peer.h
+++ b/tests/daemon/fake_peer.h
@@ -20,8 +20,8 @@
     uint64_t base_version;
     uint32_t keep_start;
     uint32_t keep_end;
-    GBytes *content; /* before compression */
-    bool spoilt;     /* sent uncompressed, so that it can't be decoded */
+    GBytes *content;  /* before compression */
+    bool undecodable; /* sent uncompressed, so that it can't be decoded */
 };
 
 /* Listens on a free port. */
@@ -33,7 +33,7 @@
                            const struct fake_answer *difference);
 
 /* Number of requests for configurations so far. */
-unsigned fake_peer_questions(struct fake_peer *peer);
+unsigned fake_peer_request_count(struct fake_peer *peer);
 
 /* Sends gossip to a daemon that this peer has a version in force and knows another, and waits until
  * it was processed. */
--- a/tests/daemon/http_call.c
+++ b/tests/daemon/http_call.c
@@ -8,7 +8,7 @@
 #include <unistd.h>
 
 /* Longer than any request's deadline: an answer that is later than this was never sent. */
-#define PATIENCE_MS 60000L
+#define HTTP_TIMEOUT_MS 60000L
 
 const char *http_loopback(void)
 {
@@ -155,7 +155,7 @@
     curl_easy_setopt(client, CURLOPT_WRITEDATA, received);
     curl_easy_setopt(client, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(client, CURLOPT_TIMEOUT_MS,
-                     call->give_up_ms > 0 ? (long)call->give_up_ms : PATIENCE_MS);
+                     call->give_up_ms > 0 ? (long)call->give_up_ms : HTTP_TIMEOUT_MS);
     CURLcode result = curl_easy_perform(client);
     answer->unconnected = result == CURLE_COULDNT_CONNECT;
     if (result == CURLE_OK) {
--- a/tests/daemon/published_fixture.c
+++ b/tests/daemon/published_fixture.c
@@ -32,7 +32,7 @@
 }
 
 /* A URL without a listener: of a port that was free just before. */
-static char *nobodys_url(void)
+static char *unused_url(void)
 {
     struct wire_listener *listener = wire_listener_open("127.0.0.1:0", NULL);
     char *url = g_strdup_printf("http://%s", listener->address);
@@ -43,8 +43,8 @@
 /* The cluster borrows the settings, which tests may change between two starts of daemons. */
 static void set_overrides(struct published_cluster *test)
 {
-    g_autofree char *nobody = nobodys_url();
-    const char *url = test->daemons_lack_store ? nobody : publisher_url(test->publisher);
+    g_autofree char *unused = unused_url();
+    const char *url = test->daemons_lack_store ? unused : publisher_url(test->publisher);
     g_clear_pointer(&test->overrides, g_ptr_array_unref);
     test->overrides = g_ptr_array_new_with_free_func(g_free);
     g_ptr_array_add(test->overrides, g_strdup("configuration.file="));
@@ -120,7 +120,7 @@
 }
 
 /* True once a write at a daemon succeeds, which means that it knows owners and primary. */
-static bool lands(struct published_cluster *test, unsigned daemon)
+static bool write_succeeds(struct published_cluster *test, unsigned daemon)
 {
     static unsigned last_key;
     struct http_answer answer;
@@ -139,7 +139,7 @@
     AWAIT(published_all_serve(test, version));
     for (unsigned i = 0; i < CLUSTER_DAEMONS_MAX; i++) {
         if (test->cluster->daemons[i] != NULL) {
-            AWAIT(lands(test, i));
+            AWAIT(write_succeeds(test, i));
         }
     }
 }
@@ -158,7 +158,7 @@
     http_answer_clear(&answer);
 }
 
-static size_t on_octets(char *data, size_t size, size_t count, void *user)
+static size_t append_bytes(char *data, size_t size, size_t count, void *user)
 {
     g_string_append_len(user, data, (gssize)(size * count));
     return size * count;
@@ -183,7 +183,7 @@
         curl_easy_setopt(curl, CURLOPT_POSTFIELDSIZE_LARGE, (curl_off_t)g_bytes_get_size(sent));
         curl_easy_setopt(curl, CURLOPT_POSTFIELDS, g_bytes_get_data(sent, NULL));
     }
-    curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_octets);
+    curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, append_bytes);
     curl_easy_setopt(curl, CURLOPT_WRITEDATA, body);
     CURLcode code = curl_easy_perform(curl);
     g_assert_cmpint(code, ==, CURLE_OK);
--- a/tests/daemon/test_answers.c
+++ b/tests/daemon/test_answers.c
@@ -11,11 +11,11 @@
 /* Complete answers that every caller must get, and how often the faults change meanwhile. */
 #define ANSWERS 12
 
-struct asker {
+struct requester {
     struct cluster *cluster;
     unsigned number;
     unsigned seed;
-    atomic_uint whole;
+    atomic_uint complete;
     atomic_bool *stop;
     GThread *thread;
 };
@@ -32,10 +32,10 @@
     }
 }
 
-static void ask(struct asker *asker, GRand *random, unsigned round)
+static void send_request(struct requester *requester, GRand *random, unsigned round)
 {
     struct http_answer answer;
-    g_autofree char *text = g_strdup_printf("caller %u round %u", asker->number, round);
+    g_autofree char *text = g_strdup_printf("caller %u round %u", requester->number, round);
     g_autofree char *sql =
         g_strdup_printf("WITH RECURSIVE n(i) AS (SELECT 1 UNION ALL SELECT i + 1 FROM n WHERE i < "
                         "%d) SELECT i, '%s' FROM n",
@@ -45,10 +45,10 @@
         call.give_up_ms = (unsigned)g_rand_int_range(random, 1, 12);
     }
     unsigned daemon = (unsigned)g_rand_int_range(random, 0, 3);
-    http_post(cluster_port(asker->cluster, daemon), &call, &answer);
+    http_post(cluster_port(requester->cluster, daemon), &call, &answer);
     if (g_strcmp0(answer.outcome, "done") == 0) {
         check_answer(&answer, text);
-        atomic_fetch_add(&asker->whole, 1);
+        atomic_fetch_add(&requester->complete, 1);
     } else if (answer.outcome != NULL) {
         g_assert_cmpstr(answer.outcome, ==, "refused");
         g_assert_nonnull(answer.retry_after);
@@ -58,21 +58,21 @@
     http_answer_clear(&answer);
 }
 
-static gpointer run_asker(gpointer data)
+static gpointer run_requester(gpointer data)
 {
-    struct asker *asker = data;
-    GRand *random = g_rand_new_with_seed(asker->seed);
-    for (unsigned round = 0; !atomic_load(asker->stop); round++) {
-        ask(asker, random, round);
+    struct requester *requester = data;
+    GRand *random = g_rand_new_with_seed(requester->seed);
+    for (unsigned round = 0; !atomic_load(requester->stop); round++) {
+        send_request(requester, random, round);
     }
     g_rand_free(random);
     return NULL;
 }
 
-static bool all_have(struct asker *askers, unsigned whole)
+static bool all_have(struct requester *requesters, unsigned complete)
 {
     for (unsigned i = 0; i < CALLERS; i++) {
-        if (atomic_load(&askers[i].whole) < whole) {
+        if (atomic_load(&requesters[i].complete) < complete) {
             return false;
         }
     }
@@ -91,20 +91,20 @@
 static void test_never_mix(void)
 {
     struct cluster *cluster = cluster_start(NULL);
-    struct asker askers[CALLERS];
+    struct requester requesters[CALLERS];
     atomic_bool stop = false;
     for (unsigned i = 0; i < CALLERS; i++) {
-        askers[i] = (struct asker){
+        requesters[i] = (struct requester){
             .cluster = cluster, .number = i, .seed = (unsigned)g_test_rand_int(), .stop = &stop};
-        askers[i].thread = g_thread_new("asker", run_asker, &askers[i]);
+        requesters[i].thread = g_thread_new("requester", run_requester, &requesters[i]);
     }
-    for (unsigned whole = 1; whole <= ANSWERS; whole++) {
+    for (unsigned complete = 1; complete <= ANSWERS; complete++) {
         change_faults(cluster);
-        AWAIT(all_have(askers, whole));
+        AWAIT(all_have(requesters, complete));
     }
     atomic_store(&stop, true);
     for (unsigned i = 0; i < CALLERS; i++) {
-        g_thread_join(askers[i].thread);
+        g_thread_join(requesters[i].thread);
     }
     cluster_stop(cluster);
 }
--- a/tests/daemon/test_await.c
+++ b/tests/daemon/test_await.c
@@ -19,7 +19,7 @@
     }
     g_test_trap_subprocess(NULL, 0, G_TEST_SUBPROCESS_DEFAULT);
     g_test_trap_assert_failed();
-    g_test_trap_assert_stderr("*sty.c:1: in vain waited for: pigs fly\n"
+    g_test_trap_assert_stderr("*sty.c:1: timed out waiting for: pigs fly\n"
                               "*refuge-1: primary of term 1, promised 1*held=1/*"
                               "*refuge-2: replica of term 1*"
                               "*daemon-1: owns the group, knows 2 owners, tasks open 0*"
--- a/tests/daemon/test_configuration.c
+++ b/tests/daemon/test_configuration.c
@@ -34,14 +34,15 @@
     g_autofree char *body = published_admin_get(test, daemon, "/v1/status", &status);
     g_autoptr(JsonNode) root = json_from_string(body, NULL);
     g_assert_nonnull(root);
-    JsonObject *told = json_object_get_object_member(json_node_get_object(root), "configuration");
-    g_assert_cmpstr(json_object_get_string_member(told, "source"), ==, "published");
-    g_assert_cmpstr(json_object_get_string_member(told, "hash"), ==, hash);
-    g_assert_cmpint(json_object_get_int_member(told, "version"), ==, version);
-    g_assert_cmpint(json_object_get_int_member(told, "newest_version"), ==, version);
-    g_assert_cmpint(json_object_get_int_member(told, "straggler_count"), ==, 0);
-    g_assert_true(json_object_get_boolean_member(told, "serving"));
-    g_assert_cmpint(json_object_get_int_member(told, "confirmed_age_ms"), <, BOUND_LONG_MS);
+    JsonObject *status_json =
+        json_object_get_object_member(json_node_get_object(root), "configuration");
+    g_assert_cmpstr(json_object_get_string_member(status_json, "source"), ==, "published");
+    g_assert_cmpstr(json_object_get_string_member(status_json, "hash"), ==, hash);
+    g_assert_cmpint(json_object_get_int_member(status_json, "version"), ==, version);
+    g_assert_cmpint(json_object_get_int_member(status_json, "newest_version"), ==, version);
+    g_assert_cmpint(json_object_get_int_member(status_json, "straggler_count"), ==, 0);
+    g_assert_true(json_object_get_boolean_member(status_json, "serving"));
+    g_assert_cmpint(json_object_get_int_member(status_json, "confirmed_age_ms"), <, BOUND_LONG_MS);
 }
 
 /* Starts a deployment that serves version 1. */
@@ -210,7 +211,7 @@
     g_autofree char *bundle = published_edit(test, "\"id\": 7", "\"id\": 8");
     g_free(published_publish(test, bundle, 2));
     AWAIT(!control_holds_groups(control));
-    cluster_heal(test->cluster);
+    cluster_clear_faults(test->cluster);
     AWAIT(published_all_serve(test, 2));
     published_check_read(test, 1, "refuge", NULL);
     published_stop(test);
@@ -244,7 +245,7 @@
 
 /* Without store and peers a daemon stops serving, reports why, and serves again once the store is
  * back. */
-static void test_cut_off(void)
+static void test_no_store_no_peers(void)
 {
     struct published_cluster *test = start_serving(BOUND_SHORT_MS, DAEMONS);
     publisher_set_down(test->publisher, true);
@@ -274,7 +275,7 @@
 
 /* A daemon whose configuration may have been replaced might count a majority of databases that the
  * group no longer has. It must change no primary until it is confirmed again. */
-static void test_cut_off_deposes_nobody(void)
+static void test_unconfirmed_deposes_no_primary(void)
 {
     struct published_cluster *test = published_start(BOUND_SHORT_MS);
     test->cluster->options.provokes_failures = true;
@@ -284,7 +285,7 @@
     cluster_stop_daemon(test->cluster, 2);
     AWAIT(!published_status(test, 0).serving);
     uint64_t promised = promised_term(test, 1);
-    cluster_cut(test->cluster, 0);
+    cluster_partition(test->cluster, 0);
     /* The second attempt starts after the first one's commands were answered or timed out. */
     AWAIT(published_count_events(test, 0, "fence_started", "") >= 2);
     for (uint32_t i = 1; i < 3; i++) {
@@ -318,7 +319,7 @@
 
 /* A version that no daemon can parse is not put in force anywhere, until it is replaced by a valid
  * one. All daemons stop serving meanwhile. */
-static void test_unfit_bundle(void)
+static void test_unparsable_bundle(void)
 {
     struct published_cluster *test = start_serving(BOUND_SHORT_MS, DAEMONS);
     g_autofree char *first = published_hash(test, 0);
@@ -405,10 +406,11 @@
     g_test_add_func("/daemon/configuration/slow_store", test_slow_store);
     g_test_add_func("/daemon/configuration/restart_with_hanging_store",
                     test_restart_with_hanging_store);
-    g_test_add_func("/daemon/configuration/cut_off", test_cut_off);
-    g_test_add_func("/daemon/configuration/cut_off_deposes_nobody", test_cut_off_deposes_nobody);
+    g_test_add_func("/daemon/configuration/no_store_no_peers", test_no_store_no_peers);
+    g_test_add_func("/daemon/configuration/unconfirmed_deposes_no_primary",
+                    test_unconfirmed_deposes_no_primary);
     g_test_add_func("/daemon/configuration/change_of_databases", test_change_of_databases);
-    g_test_add_func("/daemon/configuration/unfit_bundle", test_unfit_bundle);
+    g_test_add_func("/daemon/configuration/unparsable_bundle", test_unparsable_bundle);
     g_test_add_func("/daemon/configuration/group_change", test_group_change);
     return g_test_run();
 }
--- a/tests/daemon/test_configuration_peers.c
+++ b/tests/daemon/test_configuration_peers.c
@@ -68,7 +68,7 @@
     fake_peer_set_answers(test->peer, answer, answer);
     fake_peer_gossip(test->peer, daemon_of(test), test->second_mark, test->second_mark);
     AWAIT(published_status(test->deployment, 0).newest == 2);
-    AWAIT(fake_peer_questions(test->peer) > 0);
+    AWAIT(fake_peer_request_count(test->peer) > 0);
     if (reason != NULL) {
         AWAIT(count_events(test, "configuration_refused", reason) > 0);
     }
@@ -92,10 +92,10 @@
     check_refused(test, &answer, "does not match its hash");
 }
 
-static void test_spoilt_content(struct peers_test *test, gconstpointer unused)
+static void test_undecodable_content(struct peers_test *test, gconstpointer unused)
 {
     struct fake_answer answer = {
-        .version = 2, .hash = test->second_hash, .content = test->second, .spoilt = true};
+        .version = 2, .hash = test->second_hash, .content = test->second, .undecodable = true};
     check_refused(test, &answer, "can't be decoded");
 }
 
@@ -114,7 +114,7 @@
     fake_peer_gossip(test->peer, daemon_of(test), test->second_mark, test->second_mark);
     AWAIT(published_status(test->deployment, 0).version == 2);
     published_check_all_have(test->deployment, test->second_hash);
-    g_assert_cmpuint(fake_peer_questions(test->peer), ==, 2);
+    g_assert_cmpuint(fake_peer_request_count(test->peer), ==, 2);
     g_assert_cmpuint(count_events(test, "configuration_refused", ""), ==, 0);
 }
 
@@ -162,7 +162,7 @@
     fake_peer_gossip(test->peer, daemon_of(test), wrong_mark, (struct configuration_mark){0});
     fake_peer_gossip(test->peer, daemon_of(test), (struct configuration_mark){0}, first_mark);
     g_assert_cmpuint(published_status(test->deployment, 0).newest, ==, 2);
-    g_assert_cmpuint(fake_peer_questions(test->peer), ==, 0);
+    g_assert_cmpuint(fake_peer_request_count(test->peer), ==, 0);
     published_check_all_have(test->deployment, test->second_hash);
     /* The delayed gossip does not block the next version either. */
     g_autofree char *third = published_with_tenant(test->deployment, "porter");
@@ -195,7 +195,7 @@
     cluster_test_init(&argc, &argv);
     ADD("wrong_hash", test_wrong_hash);
     ADD("other_content", test_other_content);
-    ADD("spoilt_content", test_spoilt_content);
+    ADD("undecodable_content", test_undecodable_content);
     ADD("older_content", test_older_content);
     ADD("wrong_difference", test_wrong_difference);
     ADD("difference_too_long", test_difference_too_long);
--- a/tests/daemon/test_decision_log.c
+++ b/tests/daemon/test_decision_log.c
@@ -79,7 +79,7 @@
     return NULL;
 }
 
-static void check_whole(const struct decision_record *record)
+static void check_consistent(const struct decision_record *record)
 {
     for (size_t i = 0; i < sizeof(record->tenant) - 1; i++) {
         g_assert_cmpuint((guchar)record->tenant[i], ==, record->shown.offset);
@@ -87,7 +87,7 @@
     g_assert_cmpuint(record->databases[GROUP_DATABASES_MAX - 1].term, ==, record->shown.offset);
 }
 
-static void test_whole_copies(void)
+static void test_consistent_copies(void)
 {
     struct decision_log *log = decision_log_new(16);
     struct adder adders[4];
@@ -99,7 +99,7 @@
     do {
         g_autoptr(GArray) records = decision_log_find(log, "shared");
         for (guint i = 0; i < records->len; i++) {
-            check_whole(&g_array_index(records, struct decision_record, i));
+            check_consistent(&g_array_index(records, struct decision_record, i));
         }
     } while (atomic_load(&running) > 0);
     for (size_t i = 0; i < G_N_ELEMENTS(adders); i++) {
@@ -114,6 +114,6 @@
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/daemon/decision_log/bound", test_bound);
     g_test_add_func("/daemon/decision_log/repeated_id", test_repeated_id);
-    g_test_add_func("/daemon/decision_log/whole_copies", test_whole_copies);
+    g_test_add_func("/daemon/decision_log/consistent_copies", test_consistent_copies);
     return g_test_run();
 }
--- a/tests/daemon/test_drain.c
+++ b/tests/daemon/test_drain.c
@@ -85,14 +85,14 @@
 
 /* The last request takes effect, whichever daemon received it, even if both reach the database at
  * the same time. */
-static void test_taken_back_while_out_of_reach(void)
+static void test_undrained_while_unreachable(void)
 {
     struct cluster *cluster = cluster_start(NULL);
-    cluster_cut(cluster, 1);
+    cluster_partition(cluster, 1);
     drain(cluster, 0, 1, true);
     AWAIT(cluster_view(cluster, 0).databases[1].status.leaving);
     drain(cluster, 2, 1, false);
-    cluster_heal(cluster);
+    cluster_clear_faults(cluster);
     AWAIT(leaving_order(cluster, 1) > 0 && !is_leaving(cluster, 1) &&
           all_see_leaving(cluster, 1, false));
     cluster_stop(cluster);
@@ -197,7 +197,7 @@
     struct cluster *cluster = cluster_start(NULL);
     struct callers callers;
     callers_start(&callers, cluster, CALLERS);
-    atomic_store(&callers.refused_is_fine, true);
+    atomic_store(&callers.retry_refused, true);
     for (unsigned i = 0; i < 3; i++) {
         callers_await(&callers, ROUNDS);
         GThread *stop = cluster_start_stop(cluster, i);
@@ -243,8 +243,7 @@
 {
     cluster_test_init(&argc, &argv);
     g_test_add_func("/daemon/drain/replica", test_replica);
-    g_test_add_func("/daemon/drain/taken_back_while_out_of_reach",
-                    test_taken_back_while_out_of_reach);
+    g_test_add_func("/daemon/drain/undrained_while_unreachable", test_undrained_while_unreachable);
     g_test_add_func("/daemon/drain/primary", test_primary);
     g_test_add_func("/daemon/drain/two_databases", test_two_databases);
     g_test_add_func("/daemon/drain/open_transaction", test_primary_with_open_transaction);
--- a/tests/daemon/test_drain_wait.c
+++ b/tests/daemon/test_drain_wait.c
@@ -142,7 +142,7 @@
 }
 
 /* An owner without a recent report may use all databases. */
-static void test_told_uses(void)
+static void test_reported_uses(void)
 {
     struct group_uses uses;
     bool known = true;
@@ -167,7 +167,7 @@
 {
     cluster_test_init(&argc, &argv);
     g_test_add_func("/daemon/drain_wait/own_uses", test_own_uses);
-    g_test_add_func("/daemon/drain_wait/told_uses", test_told_uses);
+    g_test_add_func("/daemon/drain_wait/reported_uses", test_reported_uses);
     g_test_add_func("/daemon/drain_wait/database", test_database);
     g_test_add_func("/daemon/drain_wait/primary", test_primary);
     g_test_add_func("/daemon/drain_wait/daemon", test_daemon);
--- a/tests/daemon/test_explain.c
+++ b/tests/daemon/test_explain.c
@@ -27,8 +27,8 @@
 }
 
 /* Sends a request to a daemon and returns the id in its answer; the caller frees it. */
-static char *ask(struct cluster *cluster, unsigned daemon, struct http_call call,
-                 const char *outcome)
+static char *send_request(struct cluster *cluster, unsigned daemon, struct http_call call,
+                          const char *outcome)
 {
     struct http_answer answer;
     cluster_call(cluster, daemon, &answer, call);
@@ -86,11 +86,11 @@
     g_autofree char *session =
         cluster_write(cluster, 0, "stay", "INSERT INTO stays VALUES ('a', '')");
     cluster_await_replicated(cluster);
-    g_autofree char *id =
-        ask(cluster, 0,
-            (struct http_call){
-                .sql = "SELECT * FROM stays", .session = session, .request_id = "stay-8841"},
-            "done");
+    g_autofree char *id = send_request(cluster, 0,
+                                       (struct http_call){.sql = "SELECT * FROM stays",
+                                                          .session = session,
+                                                          .request_id = "stay-8841"},
+                                       "done");
     g_assert_cmpstr(id, ==, "stay-8841");
     struct decision_record record = record_of(cluster, 0, id);
     g_assert_cmpstr(record.tenant, ==, "refuge");
@@ -124,7 +124,7 @@
     }
     g_autofree char *session =
         cluster_write(cluster, 0, "stay", "INSERT INTO stays VALUES ('a', '')");
-    g_autofree char *id = ask(
+    g_autofree char *id = send_request(
         cluster, 0, (struct http_call){.sql = "SELECT * FROM stays", .session = session}, "done");
     struct decision_record record = record_of(cluster, 0, id);
     g_assert_cmpint(record.database, ==, primary);
@@ -149,7 +149,8 @@
     struct cluster *cluster = start(2);
     unsigned owner = owner_of(cluster);
     unsigned other = 1 - owner;
-    g_autofree char *id = ask(cluster, other, (struct http_call){.sql = "SELECT 1"}, "done");
+    g_autofree char *id =
+        send_request(cluster, other, (struct http_call){.sql = "SELECT 1"}, "done");
     struct decision_record ran = record_of(cluster, owner, id);
     struct decision_record sent = record_of(cluster, other, id);
     g_assert_cmpuint(ran.hops, ==, 1);
@@ -175,20 +176,20 @@
 {
     struct cluster *cluster = start(1);
     for (unsigned i = 0; i < 3; i++) {
-        cluster_cut(cluster, i);
+        cluster_partition(cluster, i);
     }
     for (unsigned i = 0; i < 3; i++) {
         AWAIT(!cluster_view(cluster, 0).databases[i].reachable);
     }
-    g_autofree char *id =
-        ask(cluster, 0, (struct http_call){.sql = "INSERT INTO stays VALUES ('a', '')"}, "refused");
+    g_autofree char *id = send_request(
+        cluster, 0, (struct http_call){.sql = "INSERT INTO stays VALUES ('a', '')"}, "refused");
     struct decision_record record = record_of(cluster, 0, id);
     g_assert_cmpint(record.outcome, ==, OUTCOME_REFUSED);
     g_assert_cmpint(record.error, ==, ERROR_KIND_NO_PRIMARY);
     g_assert_cmpint(record.database, ==, -1);
     g_assert_cmpuint(record.database_count, ==, 3);
     g_assert_false(record.databases[0].reachable);
-    cluster_heal(cluster);
+    cluster_clear_faults(cluster);
     cluster_await_ready(cluster);
     cluster_stop(cluster);
 }
@@ -198,10 +199,10 @@
 static void test_ids(void)
 {
     struct cluster *cluster = start(1);
-    g_autofree char *made = ask(cluster, 0, (struct http_call){.sql = "SELECT 1"}, "done");
+    g_autofree char *made = send_request(cluster, 0, (struct http_call){.sql = "SELECT 1"}, "done");
     g_assert_cmpuint(strlen(made), ==, 16);
     record_of(cluster, 0, made);
-    g_autofree char *replaced = ask(
+    g_autofree char *replaced = send_request(
         cluster, 0, (struct http_call){.sql = "SELECT 1", .request_id = "not an id"}, "refused");
     g_assert_cmpuint(strlen(replaced), ==, 16);
     expect_none(cluster, 0, replaced);
--- a/tests/daemon/test_failover.c
+++ b/tests/daemon/test_failover.c
@@ -12,10 +12,10 @@
 #define WRITES_AFTER  30
 
 /* Final outcome of one write, as reported to its caller. */
-enum write_fate {
-    WRITE_FATE_DONE,
-    WRITE_FATE_NOT_DONE, /* refused or rolled back */
-    WRITE_FATE_UNKNOWN,
+enum write_outcome {
+    WRITE_OUTCOME_DONE,
+    WRITE_OUTCOME_NOT_DONE, /* refused or rolled back */
+    WRITE_OUTCOME_UNKNOWN,
 };
 
 /* One caller that writes continuously at one daemon, each row under its own key. */
@@ -26,20 +26,20 @@
     bool keyed;
     atomic_bool stop;
     atomic_uint done; /* writes acknowledged */
-    GArray *fates;    /* of enum write_fate, by row */
+    GArray *outcomes; /* of enum write_outcome, by row */
     GThread *thread;
 };
 
-static enum write_fate fate_of(const struct http_answer *answer)
+static enum write_outcome outcome_of(const struct http_answer *answer)
 {
     if (g_strcmp0(answer->outcome, "done") == 0) {
-        return WRITE_FATE_DONE;
+        return WRITE_OUTCOME_DONE;
     }
     bool unknown = answer->outcome == NULL || strcmp(answer->outcome, "unknown") == 0;
-    return unknown ? WRITE_FATE_UNKNOWN : WRITE_FATE_NOT_DONE;
+    return unknown ? WRITE_OUTCOME_UNKNOWN : WRITE_OUTCOME_NOT_DONE;
 }
 
-static enum write_fate write_row(struct writer *writer, unsigned row)
+static enum write_outcome write_row(struct writer *writer, unsigned row)
 {
     g_autofree char *key = g_strdup_printf("writer-%u-%u", writer->number, row);
     g_autofree char *sql =
@@ -47,21 +47,21 @@
     struct http_call call = {.sql = sql, .key = writer->keyed ? key : NULL, .timeout_ms = 3000};
     struct http_answer answer;
     http_post(writer->port, &call, &answer);
-    enum write_fate fate = fate_of(&answer);
-    if (fate == WRITE_FATE_NOT_DONE) {
+    enum write_outcome outcome = outcome_of(&answer);
+    if (outcome == WRITE_OUTCOME_NOT_DONE) {
         g_assert_nonnull(answer.retry_after);
     }
     http_answer_clear(&answer);
-    return fate;
+    return outcome;
 }
 
 static gpointer run_writer(gpointer data)
 {
     struct writer *writer = data;
     for (unsigned row = 0; !atomic_load(&writer->stop); row++) {
-        enum write_fate fate = write_row(writer, row);
-        g_array_append_val(writer->fates, fate);
-        if (fate == WRITE_FATE_DONE) {
+        enum write_outcome outcome = write_row(writer, row);
+        g_array_append_val(writer->outcomes, outcome);
+        if (outcome == WRITE_OUTCOME_DONE) {
             atomic_fetch_add(&writer->done, 1);
         }
     }
@@ -77,7 +77,7 @@
         writer->number = i;
         writer->port = cluster_port(cluster, i % 3);
         writer->keyed = i < 3;
-        writer->fates = g_array_new(FALSE, FALSE, sizeof(enum write_fate));
+        writer->outcomes = g_array_new(FALSE, FALSE, sizeof(enum write_outcome));
         writer->thread = g_thread_new("writer", run_writer, writer);
     }
 }
@@ -105,18 +105,18 @@
 /* Compares the reported outcomes with the rows in the new primary. */
 static void check_writer(struct cluster *cluster, unsigned primary, struct writer *writer)
 {
-    for (unsigned row = 0; row < writer->fates->len; row++) {
-        enum write_fate fate = g_array_index(writer->fates, enum write_fate, row);
+    for (unsigned row = 0; row < writer->outcomes->len; row++) {
+        enum write_outcome outcome = g_array_index(writer->outcomes, enum write_outcome, row);
         int64_t held = count_row(cluster, primary, writer->number, row);
-        if (fate == WRITE_FATE_UNKNOWN && writer->keyed) {
+        if (outcome == WRITE_OUTCOME_UNKNOWN && writer->keyed) {
             /* Sent again under its key, the outcome is known. */
-            fate = write_row(writer, row);
+            outcome = write_row(writer, row);
             held = count_row(cluster, primary, writer->number, row);
-            g_assert_cmpint(fate, !=, WRITE_FATE_UNKNOWN);
+            g_assert_cmpint(outcome, !=, WRITE_OUTCOME_UNKNOWN);
         }
-        if (fate == WRITE_FATE_DONE) {
+        if (outcome == WRITE_OUTCOME_DONE) {
             g_assert_cmpint(held, ==, 1);
-        } else if (fate == WRITE_FATE_NOT_DONE) {
+        } else if (outcome == WRITE_OUTCOME_NOT_DONE) {
             g_assert_cmpint(held, ==, 0);
         }
     }
@@ -138,7 +138,7 @@
     cluster_await_replicated(cluster);
     for (unsigned i = 0; i < WRITERS; i++) {
         check_writer(cluster, (unsigned)cluster_primary(cluster), &writers[i]);
-        g_array_unref(writers[i].fates);
+        g_array_unref(writers[i].outcomes);
     }
 }
 
@@ -153,7 +153,7 @@
     cluster_isolate(cluster, 0);
     AWAIT(cluster_primary(cluster) > 0);
     await_writes(writers, 1, WRITES_AFTER);
-    cluster_heal(cluster);
+    cluster_clear_faults(cluster);
     await_writes(writers, 0, WRITES_AFTER);
     stop_writers(writers);
     check_writers(cluster, writers);
@@ -168,13 +168,13 @@
     struct writer writers[WRITERS];
     start_writers(cluster, writers);
     await_writes(writers, 0, WRITES_BEFORE);
-    cluster_cut(cluster, 0);
+    cluster_partition(cluster, 0);
     AWAIT(cluster_primary(cluster) > 0);
     unsigned second = (unsigned)cluster_primary(cluster);
-    cluster_cut(cluster, second);
+    cluster_partition(cluster, second);
     AWAIT(cluster_primary(cluster) != (int)second);
     await_writes(writers, 0, WRITES_AFTER);
-    cluster_heal(cluster);
+    cluster_clear_faults(cluster);
     await_writes(writers, 0, WRITES_AFTER);
     stop_writers(writers);
     check_writers(cluster, writers);
@@ -195,7 +195,8 @@
 }
 
 /* Sends a request, partitions the database while it runs the request, then waits for the answer. */
-static void cut_under(struct cluster *cluster, struct http_call call, struct http_answer *answer)
+static void partition_during(struct cluster *cluster, struct http_call call,
+                             struct http_answer *answer)
 {
     for (unsigned i = 0; i < 3; i++) {
         cluster_set_service_time(cluster, i, 300000);
@@ -207,7 +208,7 @@
             busy = cluster_slots_used(cluster, i) > 0 ? (int)i : busy;
         }
     }
-    cluster_cut(cluster, (unsigned)busy);
+    cluster_partition(cluster, (unsigned)busy);
     for (unsigned i = 0; i < 3; i++) {
         cluster_set_service_time(cluster, i, 0);
     }
@@ -215,13 +216,13 @@
     http_join(poster, answer);
 }
 
-static void test_keyed_write_under_way(void)
+static void test_keyed_write_in_progress(void)
 {
     struct cluster *cluster = start_with_long_deadlines();
     struct http_answer answer;
-    cut_under(cluster,
-              (struct http_call){.sql = "INSERT INTO stays VALUES ('a', '')", .key = "key"},
-              &answer);
+    partition_during(cluster,
+                     (struct http_call){.sql = "INSERT INTO stays VALUES ('a', '')", .key = "key"},
+                     &answer);
     http_assert_done(&answer);
     http_answer_clear(&answer);
     int primary = cluster_primary(cluster);
@@ -232,11 +233,12 @@
 
 /* Nothing was committed. Without a key the write may be run again, or its real outcome is reported.
  */
-static void test_unkeyed_write_under_way(void)
+static void test_unkeyed_write_in_progress(void)
 {
     struct cluster *cluster = start_with_long_deadlines();
     struct http_answer answer;
-    cut_under(cluster, (struct http_call){.sql = "INSERT INTO stays VALUES ('a', '')"}, &answer);
+    partition_during(cluster, (struct http_call){.sql = "INSERT INTO stays VALUES ('a', '')"},
+                     &answer);
     g_assert_cmpstr(answer.outcome, !=, "refused");
     bool done = strcmp(answer.outcome, "done") == 0;
     http_answer_clear(&answer);
@@ -247,12 +249,12 @@
     cluster_stop(cluster);
 }
 
-static void test_read_under_way(void)
+static void test_read_in_progress(void)
 {
     struct cluster *cluster = start_with_long_deadlines();
     struct http_answer answer;
     cluster_await_replicated(cluster);
-    cut_under(cluster, (struct http_call){.sql = "SELECT count(*) FROM stays"}, &answer);
+    partition_during(cluster, (struct http_call){.sql = "SELECT count(*) FROM stays"}, &answer);
     http_assert_done(&answer);
     http_answer_clear(&answer);
     cluster_stop(cluster);
@@ -273,7 +275,7 @@
         http_answer_clear(&answer);
     }
     struct http_call insert = {.transaction = ids[0], .sql = "INSERT INTO stays VALUES ('a', '')"};
-    cut_under(cluster, insert, &answer);
+    partition_during(cluster, insert, &answer);
     http_assert_error(&answer, "failed", "transaction_aborted");
     http_answer_clear(&answer);
     AWAIT(cluster_view(cluster, 0).primary > 0);
@@ -294,9 +296,9 @@
     cluster_test_init(&argc, &argv);
     g_test_add_func("/daemon/failover/isolated_with_callers", test_primary_isolated_with_callers);
     g_test_add_func("/daemon/failover/twice", test_two_failovers);
-    g_test_add_func("/daemon/failover/keyed_write_under_way", test_keyed_write_under_way);
-    g_test_add_func("/daemon/failover/unkeyed_write_under_way", test_unkeyed_write_under_way);
-    g_test_add_func("/daemon/failover/read_under_way", test_read_under_way);
+    g_test_add_func("/daemon/failover/keyed_write_in_progress", test_keyed_write_in_progress);
+    g_test_add_func("/daemon/failover/unkeyed_write_in_progress", test_unkeyed_write_in_progress);
+    g_test_add_func("/daemon/failover/read_in_progress", test_read_in_progress);
     g_test_add_func("/daemon/failover/transaction", test_transaction_at_replaced_primary);
     return g_test_run();
 }
--- a/tests/daemon/test_forward.c
+++ b/tests/daemon/test_forward.c
@@ -21,7 +21,7 @@
             return i;
         }
     }
-    g_error("Nobody owns the group.");
+    g_error("No daemon owns the group.");
 }
 
 static struct cluster *start(unsigned daemons)
@@ -132,7 +132,7 @@
 
 /* Replaces the owner's peer server: reads each request and closes the connection without a reply.
  */
-struct mute_peer {
+struct closing_peer {
     struct wire_listener *listener;
     int stop_descriptor;
     pthread_t thread;
@@ -148,9 +148,9 @@
     wire_close(connection);
 }
 
-static void *run_mute_peer(void *data)
+static void *run_closing_peer(void *data)
 {
-    struct mute_peer *peer = data;
+    struct closing_peer *peer = data;
     struct wire_connection *connection =
         wire_listener_accept(peer->listener, peer->stop_descriptor, NULL);
     while (connection != NULL) {
@@ -168,17 +168,17 @@
     return address;
 }
 
-static void mute_peer_start(struct mute_peer *peer, struct daemon *owner)
+static void closing_peer_start(struct closing_peer *peer, struct daemon *owner)
 {
     g_autoptr(GError) error = NULL;
     g_autofree char *address = end_peer_server(owner);
     peer->listener = wire_listener_open(address, &error);
     g_assert_no_error(error);
     peer->stop_descriptor = eventfd(0, EFD_CLOEXEC);
-    g_assert_cmpint(pthread_create(&peer->thread, NULL, run_mute_peer, peer), ==, 0);
+    g_assert_cmpint(pthread_create(&peer->thread, NULL, run_closing_peer, peer), ==, 0);
 }
 
-static void mute_peer_stop(struct mute_peer *peer)
+static void closing_peer_stop(struct closing_peer *peer)
 {
     eventfd_write(peer->stop_descriptor, 1);
     pthread_join(peer->thread, NULL);
@@ -197,10 +197,10 @@
 
 /* The request was sent and no reply came: only requests without effect may be reported as not run.
  */
-static void test_hop_cut_after_request(void)
+static void test_no_reply_after_request(void)
 {
     struct cluster *cluster = start(2);
-    struct mute_peer peer;
+    struct closing_peer peer;
     struct http_answer answer;
     unsigned owner = owner_of(cluster);
     unsigned other = 1 - owner;
@@ -209,7 +209,7 @@
     http_assert_done(&answer);
     g_autofree char *id = g_steal_pointer(&answer.transaction);
     http_answer_clear(&answer);
-    mute_peer_start(&peer, cluster->daemons[owner]);
+    closing_peer_start(&peer, cluster->daemons[owner]);
     struct http_call write = {.sql = "INSERT INTO stays VALUES ('a', '')"};
     expect(cluster, other, write, "unknown", "outcome_unknown");
     write.key = "key";
@@ -226,12 +226,12 @@
     call(cluster, owner, &answer, (struct http_call){.transaction = id, .path = "commit"});
     http_assert_done(&answer);
     http_answer_clear(&answer);
-    mute_peer_stop(&peer);
+    closing_peer_stop(&peer);
     cluster_stop(cluster);
 }
 
 /* The request was never sent: it is reported as not run, with a retry delay. */
-static void test_owner_out_of_reach(void)
+static void test_owner_unreachable(void)
 {
     struct cluster *cluster = start(2);
     struct http_answer answer;
@@ -271,8 +271,8 @@
 {
     cluster_test_init(&argc, &argv);
     g_test_add_func("/daemon/forward/owner_serves", test_owner_serves);
-    g_test_add_func("/daemon/forward/hop_cut_after_request", test_hop_cut_after_request);
-    g_test_add_func("/daemon/forward/owner_out_of_reach", test_owner_out_of_reach);
+    g_test_add_func("/daemon/forward/no_reply_after_request", test_no_reply_after_request);
+    g_test_add_func("/daemon/forward/owner_unreachable", test_owner_unreachable);
     g_test_add_func("/daemon/forward/closed_connections_end", test_closed_connections_end);
     g_test_add_func("/daemon/forward/owner_not_ready", test_owner_not_ready);
     g_test_add_func("/daemon/forward/nearest_owner_serves", test_nearest_owner_serves);
--- a/tests/daemon/test_group_metrics.c
+++ b/tests/daemon/test_group_metrics.c
@@ -52,9 +52,9 @@
     g_assert_cmpfloat(
         value_of(cluster, 0, "swiftworks_pool_connections" DATABASE(1) ",state=\"in_use\"}"), ==,
         0);
-    cluster_cut(cluster, 2);
+    cluster_partition(cluster, 2);
     AWAIT(value_of(cluster, 0, "swiftworks_database_reachable" DATABASE(3) "}") == 0);
-    cluster_heal(cluster);
+    cluster_clear_faults(cluster);
     cluster_await_ready(cluster);
     cluster_stop(cluster);
 }
--- a/tests/daemon/test_log.c
+++ b/tests/daemon/test_log.c
@@ -31,8 +31,8 @@
     if (g_test_subprocess()) {
         log_start(LOG_FORMAT_PLAIN, LOG_LEVEL_MESSAGE);
         log_set_level("members", LOG_LEVEL_INFO);
-        g_log_structured("members", G_LOG_LEVEL_INFO, "MESSAGE", "told");
-        g_log_structured("owners", G_LOG_LEVEL_INFO, "MESSAGE", "untold");
+        g_log_structured("members", G_LOG_LEVEL_INFO, "MESSAGE", "written");
+        g_log_structured("owners", G_LOG_LEVEL_INFO, "MESSAGE", "suppressed");
         for (int i = 0; i < 3; i++) {
             g_log_structured("owners", G_LOG_LEVEL_MESSAGE, "MESSAGE", "again");
         }
@@ -42,9 +42,9 @@
     g_test_trap_subprocess(NULL, 0, 0);
     g_test_trap_assert_passed();
     g_test_trap_assert_stderr(
-        "*members: told\n*owners: again\n*log: (last message repeated 2 times)\n"
+        "*members: written\n*owners: again\n*log: (last message repeated 2 times)\n"
         "*owners: end\n*");
-    g_test_trap_assert_stderr_unmatched("*untold*");
+    g_test_trap_assert_stderr_unmatched("*suppressed*");
 }
 
 static void expect_refused(struct daemon *daemon, const char *part, const char *level)
--- a/tests/daemon/test_refusals.c
+++ b/tests/daemon/test_refusals.c
@@ -39,7 +39,7 @@
                                       .overrides = overrides};
     struct cluster *cluster = cluster_start(&options);
     for (unsigned i = 0; i < 3; i++) {
-        cluster_cut(cluster, i);
+        cluster_partition(cluster, i);
     }
     for (unsigned i = 0; i < 3; i++) {
         AWAIT(!cluster_view(cluster, 0).databases[i].reachable);
@@ -50,14 +50,14 @@
     expect(cluster, (struct http_call){.sql = "SELECT 1"}, "refused", "no_fresh_replica", true);
     expect(cluster, (struct http_call){.path = "transactions", .body = "{\"begin\": true}"},
            "refused", "no_primary", true);
-    cluster_heal(cluster);
+    cluster_clear_faults(cluster);
     cluster_await_ready(cluster);
     g_assert_cmpint(cluster_count(cluster, 0, "stays"), ==, 0);
     cluster_stop(cluster);
 }
 
 /* Opens a transaction that has written and so blocks all other writers at the stand-in database. */
-static char *hold_writers(struct cluster *cluster)
+static char *block_writers(struct cluster *cluster)
 {
     struct http_answer answer;
     cluster_call(cluster, 0, &answer,
@@ -71,7 +71,7 @@
     return id;
 }
 
-static void let_writers_go(struct cluster *cluster, const char *id)
+static void unblock_writers(struct cluster *cluster, const char *id)
 {
     struct http_answer answer;
     cluster_call(cluster, 0, &answer, (struct http_call){.transaction = id, .path = "commit"});
@@ -95,7 +95,7 @@
     struct cluster_options options = {.daemons = 1, .slots = 1, .overrides = overrides};
     struct cluster *cluster = cluster_start(&options);
     struct http_poster *posters[WRITERS];
-    g_autofree char *id = hold_writers(cluster);
+    g_autofree char *id = block_writers(cluster);
     for (unsigned i = 0; i < WRITERS; i++) {
         g_autofree char *sql = g_strdup_printf("INSERT INTO stays VALUES ('w%u', '')", i);
         struct http_call call = {.sql = sql};
@@ -110,7 +110,7 @@
         g_usleep(1000);
     }
     g_assert_cmpuint(ended, ==, WRITERS - TAKEN);
-    let_writers_go(cluster, id);
+    unblock_writers(cluster, id);
     unsigned done = 0;
     for (unsigned i = 0; i < WRITERS; i++) {
         struct http_answer answer;
@@ -134,7 +134,7 @@
     struct cluster_options options = {.daemons = 1, .slots = 1};
     struct cluster *cluster = cluster_start(&options);
     struct http_answer answer;
-    g_autofree char *id = hold_writers(cluster);
+    g_autofree char *id = block_writers(cluster);
     struct http_call first = {.sql = "INSERT INTO stays VALUES ('b', '')"};
     struct http_call second = {.sql = "INSERT INTO stays VALUES ('c', '')", .timeout_ms = 200};
     struct http_poster *holder = http_post_start(cluster_port(cluster, 0), &first);
@@ -146,7 +146,7 @@
     http_assert_error(&answer, "refused", "overloaded");
     g_assert_nonnull(answer.retry_after);
     http_answer_clear(&answer);
-    let_writers_go(cluster, id);
+    unblock_writers(cluster, id);
     http_join(holder, &answer);
     http_assert_done(&answer);
     http_answer_clear(&answer);
--- a/tests/daemon/test_sessions.c
+++ b/tests/daemon/test_sessions.c
@@ -145,13 +145,13 @@
     g_autofree char *session = NULL;
     cluster_await_replicated(cluster);
     cluster_set_lag(cluster, 2, LONG_LAG_MS);
-    cluster_cut(cluster, 2);
+    cluster_partition(cluster, 2);
     await_reachable(cluster, 2, false);
     unsigned count = count_in_transaction(cluster, begin, 0, &session);
     g_assert_cmpuint(count, ==, 1);
     faults_heal(&cluster->databases[2]->faults);
     await_reachable(cluster, 2, true);
-    cluster_cut(cluster, 1);
+    cluster_partition(cluster, 1);
     await_reachable(cluster, 1, false);
     for (unsigned i = 0; i < 6; i++) {
         g_assert_cmpuint(count_stays(cluster, i % 3, &session, NULL), ==, 1);
@@ -185,7 +185,7 @@
     struct cluster *cluster = cluster_start(&options);
     g_autofree char *session = NULL;
     insert_stay(cluster, 0, 0, &session);
-    cluster_cut(cluster, 0);
+    cluster_partition(cluster, 0);
     await_failover(cluster, 0);
     for (unsigned i = 0; i < 3; i++) {
         g_assert_cmpuint(count_stays(cluster, i, &session, NULL), ==, 1);
--- a/tests/daemon/test_slots.c
+++ b/tests/daemon/test_slots.c
@@ -87,7 +87,7 @@
     return limit;
 }
 
-static uint32_t limits_in_all(const struct cluster *cluster, unsigned database)
+static uint32_t total_limit(const struct cluster *cluster, unsigned database)
 {
     uint32_t limits = 0;
     for (unsigned i = 0; i < cluster->options.daemons; i++) {
@@ -97,10 +97,10 @@
 }
 
 /* Waits until each owner has its share and no slot is lent. */
-static void await_division(const struct cluster *cluster)
+static void await_even_shares(const struct cluster *cluster)
 {
     for (unsigned i = 0; i < cluster->options.databases; i++) {
-        AWAIT(limits_in_all(cluster, i) == SLOTS);
+        AWAIT(total_limit(cluster, i) == SLOTS);
         for (unsigned j = 0; j < cluster->options.daemons; j++) {
             AWAIT(limit_of(cluster, j, i) >= SLOTS / cluster->options.daemons);
         }
@@ -112,7 +112,7 @@
     return &cluster->databases[database]->slots;
 }
 
-static void forget_peaks(const struct cluster *cluster)
+static void reset_peaks(const struct cluster *cluster)
 {
     for (unsigned i = 0; i < cluster->options.databases; i++) {
         struct slots *slots = slots_of(cluster, i);
@@ -130,8 +130,8 @@
     for (unsigned i = 0; i < cluster->options.databases; i++) {
         cluster_set_service_time(cluster, i, 3000);
     }
-    await_division(cluster);
-    forget_peaks(cluster);
+    await_even_shares(cluster);
+    reset_peaks(cluster);
     return cluster;
 }
 
@@ -159,7 +159,7 @@
     senders_await(&senders);
     senders_stop(&senders);
     g_assert_cmpuint(slots_peak(slots_of(cluster, primary)), <=, SLOTS);
-    await_division(cluster);
+    await_even_shares(cluster);
     cluster_stop(cluster);
 }
 
--- a/tests/daemon/test_traces.c
+++ b/tests/daemon/test_traces.c
@@ -67,7 +67,7 @@
     int primary = cluster_primary(cluster);
     cluster_isolate(cluster, (unsigned)primary);
     AWAIT(cluster_primary(cluster) != primary);
-    cluster_heal(cluster);
+    cluster_clear_faults(cluster);
     cluster_await_ready(cluster);
     for (unsigned i = 0; i < 3; i++) {
         expect_replayed(cluster, i);
--- a/tests/daemon/test_traffic.c
+++ b/tests/daemon/test_traffic.c
@@ -10,7 +10,7 @@
 /* One reading of a daemon's counters in one direction. */
 struct traffic {
     uint64_t datagrams;
-    uint64_t octets;
+    uint64_t bytes;
 };
 
 /* The value of a metric in the scraped text. */
@@ -29,7 +29,7 @@
     metrics_render(daemon_metrics_registry(cluster->daemons[daemon]->metrics), text);
     struct traffic traffic = {
         .datagrams = scrape(text, "swiftworks_control_datagrams_total", direction),
-        .octets = scrape(text, "swiftworks_control_octets_total", direction),
+        .bytes = scrape(text, "swiftworks_control_octets_total", direction),
     };
     return traffic;
 }
@@ -38,12 +38,12 @@
  * so that a single reading may not include those of the newest. */
 static void check_pair(const struct cluster *cluster, unsigned receiver, unsigned sender)
 {
-    AWAIT(read_traffic(cluster, receiver, "received").octets > 0);
+    AWAIT(read_traffic(cluster, receiver, "received").bytes > 0);
     struct traffic received = read_traffic(cluster, receiver, "received");
     g_assert_cmpuint(received.datagrams, >, 0);
-    g_assert_cmpuint(received.octets, <=, received.datagrams * WIRE_DATAGRAM_MAX);
+    g_assert_cmpuint(received.bytes, <=, received.datagrams * WIRE_DATAGRAM_MAX);
     AWAIT(read_traffic(cluster, sender, "sent").datagrams >= received.datagrams);
-    AWAIT(read_traffic(cluster, sender, "sent").octets >= received.octets);
+    AWAIT(read_traffic(cluster, sender, "sent").bytes >= received.bytes);
 }
 
 static void test_datagrams_are_counted(void)
@@ -56,7 +56,7 @@
 }
 
 /* A daemon that knows no other sends nothing. */
-static void test_lone_daemon_is_silent(void)
+static void test_lone_daemon_sends_nothing(void)
 {
     struct cluster_options options = {.daemons = 1};
     struct cluster *cluster = cluster_start(&options);
@@ -69,6 +69,6 @@
 {
     cluster_test_init(&argc, &argv);
     g_test_add_func("/daemon/traffic/datagrams_are_counted", test_datagrams_are_counted);
-    g_test_add_func("/daemon/traffic/lone_daemon_is_silent", test_lone_daemon_is_silent);
+    g_test_add_func("/daemon/traffic/lone_daemon_sends_nothing", test_lone_daemon_sends_nothing);
     return g_test_run();
 }
--- a/tests/daemon/test_transactions.c
+++ b/tests/daemon/test_transactions.c
@@ -307,7 +307,7 @@
 
 /* Checks the answer to a commit that was executed before. It is done or unknown, unless the
  * request's deadline expired before the request had arrived completely. */
-static void expect_done_or_not_looked_at(const struct http_answer *answer)
+static void expect_done_or_late(const struct http_answer *answer)
 {
     g_autofree char *body = answer->body != NULL ? json_to_string(answer->body, FALSE) : NULL;
     bool late = body != NULL && strstr(body, "took longer to arrive") != NULL;
@@ -318,7 +318,7 @@
 
 /* A commit that was executed is never reported as not run when it is repeated, however short the
  * deadline. */
-static void test_commit_asked_again_in_haste(void)
+static void test_repeated_commit_short_deadline(void)
 {
     enum { TIMES = 50 };
     struct cluster *cluster = start(0);
@@ -330,14 +330,14 @@
         struct http_call commit = {
             .transaction = id, .path = "commit", .key = "key", .timeout_ms = 1 + i % 2};
         cluster_call(cluster, i % 3, &answer, commit);
-        expect_done_or_not_looked_at(&answer);
+        expect_done_or_late(&answer);
         http_answer_clear(&answer);
     }
     cluster_stop(cluster);
 }
 
 /* Begins, writes, and makes the database end the transaction as idle for too long. */
-static char *begin_and_lose(struct cluster *cluster, const char *key)
+static char *begin_and_expire(struct cluster *cluster, const char *key)
 {
     char *id = begin(cluster, 0, key, "write");
     g_free(statement(cluster, 0, id, "INSERT INTO stays VALUES ('a', '')"));
@@ -351,14 +351,14 @@
 static void test_ended_by_database(void)
 {
     struct cluster *cluster = start(0);
-    g_autofree char *unkeyed = begin_and_lose(cluster, NULL);
+    g_autofree char *unkeyed = begin_and_expire(cluster, NULL);
     expect_error(cluster, 1, (struct http_call){.transaction = unkeyed, .path = "commit"}, "failed",
                  "transaction_aborted");
-    g_autofree char *keyed = begin_and_lose(cluster, "key");
+    g_autofree char *keyed = begin_and_expire(cluster, "key");
     expect_error(cluster, 1,
                  (struct http_call){.transaction = keyed, .path = "commit", .key = "key"}, "failed",
                  "transaction_aborted");
-    g_autofree char *continued = begin_and_lose(cluster, NULL);
+    g_autofree char *continued = begin_and_expire(cluster, NULL);
     expect_error(cluster, 1, (struct http_call){.transaction = continued, .sql = "SELECT 1"},
                  "failed", "transaction_aborted");
     AWAIT(open_transactions(cluster, 0) == 0);
@@ -424,8 +424,8 @@
     g_test_add_func("/daemon/transactions/busy", test_busy);
     g_test_add_func("/daemon/transactions/read_only", test_read_only);
     g_test_add_func("/daemon/transactions/owner_stops", test_owner_stops);
-    g_test_add_func("/daemon/transactions/commit_asked_again_in_haste",
-                    test_commit_asked_again_in_haste);
+    g_test_add_func("/daemon/transactions/repeated_commit_short_deadline",
+                    test_repeated_commit_short_deadline);
     g_test_add_func("/daemon/transactions/ended_by_database", test_ended_by_database);
     g_test_add_func("/daemon/transactions/commit_after_deadline", test_commit_after_deadline);
     return g_test_run();
--- a/tests/daemon/test_writes.c
+++ b/tests/daemon/test_writes.c
@@ -119,7 +119,7 @@
 }
 
 /* The second answer equals the first, results included. */
-static void test_key_asked_again(void)
+static void test_key_repeated(void)
 {
     struct cluster *cluster = start();
     struct http_answer answer;
@@ -209,11 +209,11 @@
     struct http_poster *poster = http_post_start(cluster_port(cluster, 0), &call);
     AWAIT(statements_written(cluster) == first_round_trip);
     AWAIT(cluster_slots_used(cluster, 0) == 1);
-    cluster_cut(cluster, 0);
+    cluster_partition(cluster, 0);
     http_join(poster, &answer);
     http_assert_error(&answer, "unknown", "outcome_unknown");
     http_answer_clear(&answer);
-    cluster_heal(cluster);
+    cluster_clear_faults(cluster);
     cluster_await_ready(cluster);
     AWAIT(cluster_count(cluster, 0, "stays") == 1);
     if (key != NULL) {
@@ -289,7 +289,7 @@
     g_test_add_func("/daemon/writes/unkeyed/commit_closed", test_unkeyed_commit_closed);
     g_test_add_func("/daemon/writes/unkeyed/insert_closed", test_unkeyed_insert_closed);
     g_test_add_func("/daemon/writes/key/two_daemons", test_same_key_at_two_daemons);
-    g_test_add_func("/daemon/writes/key/asked_again", test_key_asked_again);
+    g_test_add_func("/daemon/writes/key/repeated", test_key_repeated);
     g_test_add_func("/daemon/writes/key/reused", test_key_reused);
     g_test_add_func("/daemon/writes/key/required", test_key_required);
     g_test_add_func("/daemon/writes/error_after_lost_attempt", test_error_after_lost_attempt);
