--- a/src/daemon/active_calls.c
+++ b/src/daemon/active_calls.c
@@ -61,7 +61,7 @@
     return replaced;
 }
 
-void active_calls_take_view(struct active_calls *calls, const struct group_view *view)
+void active_calls_apply_view(struct active_calls *calls, const struct group_view *view)
 {
     pthread_mutex_lock(&calls->lock);
     if (view->primary >= 0) {
--- a/src/daemon/active_calls.h
+++ b/src/daemon/active_calls.h
@@ -51,6 +51,6 @@
 
 /* Aborts the calls whose answers can no longer be used under a new view: shuts their sockets down,
  * so that their threads see a broken connection. */
-void active_calls_take_view(struct active_calls *calls, const struct group_view *view);
+void active_calls_apply_view(struct active_calls *calls, const struct group_view *view);
 
 #endif
--- a/src/daemon/admin_api.c
+++ b/src/daemon/admin_api.c
@@ -97,8 +97,8 @@
 }
 
 /* Sets or clears the leaving mark of the named database or of this daemon. */
-static void mark(const struct admin_request *request, struct admin_answer *answer,
-                 struct daemon *daemon, bool leaving)
+static void set_leaving(const struct admin_request *request, struct admin_answer *answer,
+                        struct daemon *daemon, bool leaving)
 {
     const char *database = admin_query_text(request, "database");
     if (admin_query_text(request, "daemon") != NULL) {
@@ -115,7 +115,7 @@
 static void handle_drain(const struct admin_request *request, struct admin_answer *answer,
                          void *user)
 {
-    mark(request, answer, user, true);
+    set_leaving(request, answer, user, true);
 }
 
 /* Progress of a drain, of a database of an owned group or of this daemon. */
@@ -135,7 +135,7 @@
 static void handle_undrain(const struct admin_request *request, struct admin_answer *answer,
                            void *user)
 {
-    mark(request, answer, user, false);
+    set_leaving(request, answer, user, false);
 }
 
 /* Starts a planned stop by sending this process SIGTERM. */
--- a/src/daemon/admin_log.c
+++ b/src/daemon/admin_log.c
@@ -60,7 +60,7 @@
     return true;
 }
 
-static void note_change(struct daemon *daemon, const char *part, const char *level)
+static void record_change(struct daemon *daemon, const char *part, const char *level)
 {
     struct journal_entry entry = {.database = -1};
     g_strlcpy(entry.kind, "log_level", sizeof(entry.kind));
@@ -82,7 +82,7 @@
         return false;
     }
     /* Before the change, so that the log line is still written if the new level excludes it. */
-    note_change(daemon, part, level);
+    record_change(daemon, part, level);
     log_set_level(is_all(part) ? NULL : part, value);
     return admin_log_write(part, out, error);
 }
--- a/src/daemon/configuration_fetch.c
+++ b/src/daemon/configuration_fetch.c
@@ -58,7 +58,7 @@
 
 /* Parses a complete content whose hash was checked, and computes its difference from the version in
  * force here, to serve it to daemons that have the same version. */
-static void take_content(struct fetch *fetch, struct configuration_mark mark, GBytes *content)
+static void accept_content(struct fetch *fetch, struct configuration_mark mark, GBytes *content)
 {
     g_autoptr(GPtrArray) problems = configuration_problems_new();
     struct configuration *configuration = parse(content, problems);
@@ -89,7 +89,7 @@
     enum platform_result result =
         version_store_get_bundle(fetch->context->store, hash, &content, &error);
     if (result == PLATFORM_RESULT_OK) {
-        take_content(fetch, fetch->result->head, content);
+        accept_content(fetch, fetch->result->head, content);
     } else if (result == PLATFORM_RESULT_REFUSED) {
         refuse(fetch, fetch->result->head, error->message);
     } else {
@@ -149,7 +149,7 @@
     if (fetch->result->head.version > handed_over.version) {
         get_bundle(fetch, head_hash);
     } else if (is_same(fetch->result->head, handed_over)) {
-        take_content(fetch, handed_over, fetch->request->content);
+        accept_content(fetch, handed_over, fetch->request->content);
     } else {
         refuse(fetch, handed_over, "the store's head is not this version");
     }
@@ -162,7 +162,7 @@
     struct configuration_mark handed_over = fetch->request->wanted;
     struct configuration_mark base = fetch->request->base;
     if (base.version + 1 == handed_over.version && is_same(base, mark_of_current(fetch))) {
-        take_content(fetch, handed_over, fetch->request->content);
+        accept_content(fetch, handed_over, fetch->request->content);
     } else {
         refuse(fetch, handed_over, "its base is not the version in force here");
     }
@@ -226,7 +226,7 @@
         return;
     }
     fetch->result->difference = reply->base_version != 0;
-    take_content(fetch, mark, content);
+    accept_content(fetch, mark, content);
 }
 
 /* Sends one request. `base` is the version that a difference may start from; version 0: none. */
--- a/src/daemon/configuration_fetcher.c
+++ b/src/daemon/configuration_fetcher.c
@@ -101,7 +101,7 @@
     return fetcher;
 }
 
-static void ask_to_stop(struct fetch_worker *worker)
+static void request_stop(struct fetch_worker *worker)
 {
     pthread_mutex_lock(&worker->lock);
     worker->stopping = true;
@@ -123,8 +123,8 @@
 
 void configuration_fetcher_free(struct configuration_fetcher *fetcher)
 {
-    ask_to_stop(&fetcher->store_worker);
-    ask_to_stop(&fetcher->peer_worker);
+    request_stop(&fetcher->store_worker);
+    request_stop(&fetcher->peer_worker);
     stop_worker(&fetcher->store_worker);
     stop_worker(&fetcher->peer_worker);
     version_store_free(fetcher->context.store);
--- a/src/daemon/control.c
+++ b/src/daemon/control.c
@@ -113,15 +113,15 @@
 /* Records the begin and the end of a refusal storm in the journal. */
 static void refusals_tick(struct control *control, time_ns now)
 {
-    struct refusal_note note = refusal_watch_check(&control->daemon->refusals, now);
-    if (note.change == REFUSAL_CHANGE_NONE) {
+    struct refusal_event event = refusal_watch_check(&control->daemon->refusals, now);
+    if (event.change == REFUSAL_CHANGE_NONE) {
         return;
     }
     struct journal_entry entry = {.database = -1};
-    bool began = note.change == REFUSAL_CHANGE_BEGAN;
+    bool began = event.change == REFUSAL_CHANGE_BEGAN;
     g_strlcpy(entry.kind, began ? "refusals_began" : "refusals_ended", sizeof(entry.kind));
-    g_snprintf(entry.text, sizeof(entry.text), "%" G_GUINT64_FORMAT " in %u s, most %s", note.count,
-               note.seconds, error_entry_of(note.most_frequent)->name);
+    g_snprintf(entry.text, sizeof(entry.text), "%" G_GUINT64_FORMAT " in %u s, most %s",
+               event.count, event.seconds, error_entry_of(event.most_frequent)->name);
     journal_add(control->journal, &entry);
 }
 
--- a/src/daemon/control_budget.c
+++ b/src/daemon/control_budget.c
@@ -169,7 +169,7 @@
     }
 }
 
-static void note_released(struct control_budget *budget, const struct release *release)
+static void record_released(struct control_budget *budget, const struct release *release)
 {
     struct journal_entry entry = {.group = release->group, .database = -1};
     g_strlcpy(entry.kind, "connections_released", sizeof(entry.kind));
@@ -217,7 +217,7 @@
     for (guint i = budget->releases->len; i > 0; i--) {
         struct release *release = g_ptr_array_index(budget->releases, i - 1);
         if (step(budget, release, now)) {
-            note_released(budget, release);
+            record_released(budget, release);
             g_ptr_array_remove_index_fast(budget->releases, i - 1);
         }
     }
--- a/src/daemon/control_configuration.c
+++ b/src/daemon/control_configuration.c
@@ -11,7 +11,7 @@
 /* Interval at which the members' configurations are checked. */
 #define STRAGGLER_CHECK_INTERVAL_MS 1000
 
-void configuration_note(struct control_configuration *self, const char *kind, const char *text)
+void configuration_record(struct control_configuration *self, const char *kind, const char *text)
 {
     struct journal_entry entry = {.database = -1};
     g_strlcpy(entry.kind, kind, sizeof(entry.kind));
@@ -37,7 +37,7 @@
     return request->source == FETCH_SOURCE_HEAD || request->source == FETCH_SOURCE_STORE;
 }
 
-void configuration_note_store(struct control_configuration *self, const struct fetch_result *result)
+void configuration_log_store(struct control_configuration *self, const struct fetch_result *result)
 {
     bool failed =
         result->outcome == FETCH_OUTCOME_FAILED || result->outcome == FETCH_OUTCOME_REFUSED;
@@ -119,14 +119,14 @@
     }
 }
 
-static void note_applied(struct control_configuration *self, const struct fetch_result *origin)
+static void record_applied(struct control_configuration *self, const struct fetch_result *origin)
 {
     struct configuration *content = published_configuration_content(origin->published);
     g_autofree char *text = g_strdup_printf(
         "version=%" G_GUINT64_FORMAT " hash=%.16s %s %s",
         published_configuration_mark(origin->published).version, configuration_hash(content),
         origin->difference ? "as a difference from" : "from", name_of(&origin->request));
-    configuration_note(self, "configuration_applied", text);
+    configuration_record(self, "configuration_applied", text);
 }
 
 /* Puts the fetched configuration in force. */
@@ -140,12 +140,12 @@
     check_zone(self, content);
     check_budgets(self, content);
     daemon_set_configuration(control->daemon, content);
-    control_groups_take_successors(control);
+    control_groups_switch_runtimes(control);
     if (control_is_settled(control)) {
         control_ownership_set_groups(control);
     }
     configuration_share_set(control->daemon->configuration_share, origin->published);
-    note_applied(self, origin);
+    record_applied(self, origin);
     membership_set_configuration(control->membership, mark, backend_now(), control->actions);
     control_members_perform(control);
 }
@@ -157,11 +157,11 @@
     if (serving) {
         g_snprintf(reason, sizeof(reason), "version=%" G_GUINT64_FORMAT,
                    currency_applied(self->currency).version);
-        configuration_note(self, "configuration_serving", reason);
+        configuration_record(self, "configuration_serving", reason);
         return;
     }
     configuration_write_reason(self, reason);
-    configuration_note(self, "configuration_stopped", reason);
+    configuration_record(self, "configuration_stopped", reason);
 }
 
 /* Performs actions, including those that are appended while they run. */
@@ -203,7 +203,7 @@
     g_autofree char *text =
         g_strdup_printf("version=%" G_GUINT64_FORMAT " hash=%016" G_GINT64_MODIFIER "x from %s",
                         mark.version, mark.hash, from);
-    configuration_note(self, "configuration_heard", text);
+    configuration_record(self, "configuration_heard", text);
 }
 
 void control_configuration_receive_mark(struct control *control, struct configuration_mark mark,
@@ -229,7 +229,7 @@
         g_autofree char *text = g_strdup_printf(
             "version=%" G_GUINT64_FORMAT " the store has different content under this version",
             head.version);
-        configuration_note(self, "configuration_refused", text);
+        configuration_record(self, "configuration_refused", text);
     }
     self->contradicted = contradicted;
     return contradicted;
@@ -241,7 +241,7 @@
 {
     time_ns now = backend_now();
     if (configuration_is_from_store(&result->request)) {
-        configuration_note_store(self, result);
+        configuration_log_store(self, result);
     }
     if (!result->head_known) {
         currency_head_failed(self->currency, now);
@@ -259,24 +259,24 @@
     currency_head_read(self->currency, result->head, now, actions);
 }
 
-static void note_refused(struct control_configuration *self, const struct fetch_result *result)
+static void record_refused(struct control_configuration *self, const struct fetch_result *result)
 {
     g_autofree char *text =
         g_strdup_printf("version=%" G_GUINT64_FORMAT " from %s: %s", result->refused.version,
                         name_of(&result->request), result->text);
-    configuration_note(self, "configuration_refused", text);
+    configuration_record(self, "configuration_refused", text);
     if (result->unparsable) {
         self->unparsable = result->refused;
     }
 }
 
 /* Processes the content that a source returned. */
-static void take_content(struct control_configuration *self, const struct fetch_result *result,
-                         GArray *actions)
+static void process_content(struct control_configuration *self, const struct fetch_result *result,
+                            GArray *actions)
 {
     time_ns now = backend_now();
     if (result->outcome == FETCH_OUTCOME_REFUSED) {
-        note_refused(self, result);
+        record_refused(self, result);
     }
     if (result->outcome == FETCH_OUTCOME_FOUND) {
         struct configuration_mark mark = published_configuration_mark(result->published);
@@ -292,7 +292,7 @@
 static void process_result(struct control_configuration *self, const struct fetch_result *result)
 {
     g_autoptr(GArray) actions = g_array_new(FALSE, FALSE, sizeof(struct currency_action));
-    take_content(self, result, actions);
+    process_content(self, result, actions);
     perform(self, actions);
     self->origin = NULL;
     g_array_set_size(actions, 0);
--- a/src/daemon/control_configuration_internal.h
+++ b/src/daemon/control_configuration_internal.h
@@ -36,14 +36,13 @@
 };
 
 /* Adds an entry to the journal. */
-void configuration_note(struct control_configuration *self, const char *kind, const char *text);
+void configuration_record(struct control_configuration *self, const char *kind, const char *text);
 
 /* True for requests that the platform's store answers. */
 bool configuration_is_from_store(const struct fetch_request *request);
 
 /* Logs the first failure of the store, a change of its error, and its recovery. */
-void configuration_note_store(struct control_configuration *self,
-                              const struct fetch_result *result);
+void configuration_log_store(struct control_configuration *self, const struct fetch_result *result);
 
 /* Submits a request to the fetcher; `address` is that of the daemon to fetch from, or NULL. */
 void configuration_submit_fetch(struct control_configuration *self, enum fetch_source source,
--- a/src/daemon/control_configuration_search.c
+++ b/src/daemon/control_configuration_search.c
@@ -64,7 +64,7 @@
         return;
     }
     g_autofree char *text = g_strdup_printf("version=%" G_GUINT64_FORMAT " %s", version, why);
-    configuration_note(self, "configuration_refused", text);
+    configuration_record(self, "configuration_refused", text);
     self->search_from = version + 1;
     configuration_publish_status(self);
 }
@@ -88,7 +88,7 @@
 bool configuration_try_join(struct control_configuration *self, const struct fetch_result *result)
 {
     if (configuration_is_from_store(&result->request)) {
-        configuration_note_store(self, result);
+        configuration_log_store(self, result);
         configuration_publish_status(self);
     }
     if (result->outcome == FETCH_OUTCOME_FOUND && join_with(self, result)) {
--- a/src/daemon/control_groups.c
+++ b/src/daemon/control_groups.c
@@ -514,7 +514,7 @@
     return runtime;
 }
 
-void control_groups_take_successors(struct control *control)
+void control_groups_switch_runtimes(struct control *control)
 {
     g_autoptr(GList) groups = g_hash_table_get_values(control->groups);
     for (GList *link = groups; link != NULL; link = link->next) {
--- a/src/daemon/control_internal.h
+++ b/src/daemon/control_internal.h
@@ -113,7 +113,7 @@
     struct member_table *members; /* RCU */
     struct ownership *ownership;  /* control thread only */
     _Atomic bool owners_settled;  /* membership is complete enough to claim groups */
-    bool view_reliable;           /* see control_ownership_tick */
+    bool members_reliable;        /* see control_ownership_tick */
     time_ns owners_settle_at;
     struct owner_table *owners; /* RCU */
 };
@@ -140,7 +140,7 @@
 void control_groups_begin(struct control *control, uint32_t group);
 void control_groups_end(struct control *control, uint32_t id);
 /* Replaces run times by the successors that a new configuration brought. */
-void control_groups_take_successors(struct control *control);
+void control_groups_switch_runtimes(struct control *control);
 /* Checks whether the last change of each group's databases is complete. `agreed_at` is when a
  * majority of the daemons was last known to have the configuration in force here; 0 if it does not.
  */
--- a/src/daemon/control_members.c
+++ b/src/daemon/control_members.c
@@ -22,7 +22,7 @@
 #include "wire/datagram.h"
 
 /* Datagrams received in one pass, so that other work is not delayed. */
-#define DATAGRAMS_PER_TURN 64
+#define DATAGRAMS_PER_PASS 64
 
 /* Watcher id of an incarnation of a daemon. */
 static uint64_t watcher_id(uint64_t member, uint64_t start)
@@ -100,7 +100,7 @@
     g_free(previous);
 }
 
-static void note_change(struct control *control, const struct member *member, const char *what)
+static void record_change(struct control *control, const struct member *member, const char *what)
 {
     struct journal_entry entry = {.database = -1};
     struct sockaddr_in address = to_socket_address(member->address);
@@ -139,16 +139,16 @@
         send_gossip(control, action);
         break;
     case MEMBERSHIP_ACTION_MEMBER_JOINED:
-        note_change(control, &action->member, "member_joined");
+        record_change(control, &action->member, "member_joined");
         break;
     case MEMBERSHIP_ACTION_MEMBER_RESTARTED:
-        note_change(control, &action->member, "member_restarted");
+        record_change(control, &action->member, "member_restarted");
         break;
     case MEMBERSHIP_ACTION_MEMBER_CHANGED:
-        note_change(control, &action->member, "member_changed");
+        record_change(control, &action->member, "member_changed");
         break;
     case MEMBERSHIP_ACTION_MEMBER_REMOVED:
-        note_change(control, &action->member, "member_gone");
+        record_change(control, &action->member, "member_gone");
         control_ownership_forget(control, action->member.id);
         break;
     case MEMBERSHIP_ACTION_SUPERSEDED:
@@ -221,7 +221,7 @@
 
 void control_members_receive(struct control *control, time_ns now)
 {
-    for (int i = 0; i < DATAGRAMS_PER_TURN; i++) {
+    for (int i = 0; i < DATAGRAMS_PER_PASS; i++) {
         struct message message;
         struct sockaddr_in from;
         size_t bytes;
--- a/src/daemon/control_ownership.c
+++ b/src/daemon/control_ownership.c
@@ -51,7 +51,7 @@
     g_free(previous);
 }
 
-static void note_change(struct control *control, uint32_t group, const char *kind)
+static void record_change(struct control *control, uint32_t group, const char *kind)
 {
     struct journal_entry entry = {.group = group, .database = -1};
     g_strlcpy(entry.kind, kind, sizeof(entry.kind));
@@ -68,10 +68,10 @@
         bool runs = control_groups_runs(control, change->group);
         if (position >= 0 && !runs) {
             control_groups_begin(control, change->group);
-            note_change(control, change->group, "ownership_gained");
+            record_change(control, change->group, "ownership_gained");
         } else if (position < 0 && runs) {
             control_budget_release(control->budget, change->group);
-            note_change(control, change->group, "ownership_lost");
+            record_change(control, change->group, "ownership_lost");
         }
         if (position >= 0) {
             control_budget_set_position(control->budget, change->group, position);
@@ -147,7 +147,7 @@
 }
 
 /* True if the member list is complete and more than half of the members are reachable. */
-static bool view_is_reliable(struct control *control, time_ns now)
+static bool members_are_reliable(struct control *control, time_ns now)
 {
     if (control->daemon->settings.daemon.peers.count == 0) {
         return true;
@@ -165,12 +165,12 @@
     if (control->membership == NULL || !control_configuration_was_confirmed(control)) {
         return;
     }
-    bool reliable = view_is_reliable(control, now);
-    if (reliable == control->view_reliable) {
+    bool reliable = members_are_reliable(control, now);
+    if (reliable == control->members_reliable) {
         return;
     }
     g_autoptr(GArray) changes = g_array_new(FALSE, FALSE, sizeof(struct ownership_change));
-    control->view_reliable = reliable;
+    control->members_reliable = reliable;
     g_message("The member list is %s.",
               reliable ? "complete, and a majority is reachable" : "not reliable");
     ownership_set_settled(control->ownership, reliable, changes);
--- a/src/daemon/group_runtime.c
+++ b/src/daemon/group_runtime.c
@@ -352,7 +352,7 @@
     runtime->drain_armed = change != 0;
     report_if_drained(runtime);
     pthread_mutex_unlock(&runtime->writes_lock);
-    active_calls_take_view(&runtime->calls, view);
+    active_calls_apply_view(&runtime->calls, view);
     call_rcu(&previous->head, free_published_view);
 }
 
--- a/src/daemon/group_uses.c
+++ b/src/daemon/group_uses.c
@@ -72,7 +72,7 @@
     pthread_mutex_lock(&uses->lock);
     struct owner_uses owner = *entry_of(uses, watcher);
     pthread_mutex_unlock(&uses->lock);
-    time_ns until = owner.at + GROUP_USES_FRESH_MS * NANOSECONDS_PER_MILLISECOND;
+    time_ns until = owner.at + GROUP_USES_VALID_MS * NANOSECONDS_PER_MILLISECOND;
     *known = owner.watcher == watcher && now <= until;
     return *known && (owner.used & (UINT32_C(1) << database)) == 0;
 }
--- a/src/daemon/group_uses.h
+++ b/src/daemon/group_uses.h
@@ -13,7 +13,7 @@
 #define GROUP_USES_OWNERS_MAX 16
 
 /* Reports older than this are ignored. Owners send one every second. */
-#define GROUP_USES_FRESH_MS 4000
+#define GROUP_USES_VALID_MS 4000
 
 /* Last report of one owner. */
 struct owner_uses {
--- a/src/daemon/refusal_watch.c
+++ b/src/daemon/refusal_watch.c
@@ -23,29 +23,30 @@
     return sum;
 }
 
-static struct refusal_note make_note(const struct refusal_watch *watch, enum refusal_change change)
+static struct refusal_event make_event(const struct refusal_watch *watch,
+                                       enum refusal_change change)
 {
-    struct refusal_note note = {.change = change, .seconds = watch->seconds};
+    struct refusal_event event = {.change = change, .seconds = watch->seconds};
     for (int kind = 0; kind < ERROR_KIND_COUNT; kind++) {
-        note.count += watch->storm[kind];
-        if (watch->storm[kind] > watch->storm[note.most_frequent]) {
-            note.most_frequent = (enum error_kind)kind;
+        event.count += watch->storm[kind];
+        if (watch->storm[kind] > watch->storm[event.most_frequent]) {
+            event.most_frequent = (enum error_kind)kind;
         }
     }
-    return note;
+    return event;
 }
 
-static struct refusal_note begin_storm(struct refusal_watch *watch, const uint64_t *fresh)
+static struct refusal_event begin_storm(struct refusal_watch *watch, const uint64_t *fresh)
 {
     watch->is_storm = true;
     watch->seconds = 1;
     watch->seconds_below = 0;
     memcpy(watch->storm, fresh, sizeof(watch->storm));
-    return make_note(watch, REFUSAL_CHANGE_BEGAN);
+    return make_event(watch, REFUSAL_CHANGE_BEGAN);
 }
 
-static struct refusal_note continue_storm(struct refusal_watch *watch, const uint64_t *fresh,
-                                          uint64_t sum)
+static struct refusal_event continue_storm(struct refusal_watch *watch, const uint64_t *fresh,
+                                           uint64_t sum)
 {
     for (int kind = 0; kind < ERROR_KIND_COUNT; kind++) {
         watch->storm[kind] += fresh[kind];
@@ -53,16 +54,16 @@
     watch->seconds++;
     watch->seconds_below = sum < REFUSALS_END_PER_SECOND ? watch->seconds_below + 1 : 0;
     if (watch->seconds_below < REFUSALS_END_SECONDS) {
-        return (struct refusal_note){.change = REFUSAL_CHANGE_NONE};
+        return (struct refusal_event){.change = REFUSAL_CHANGE_NONE};
     }
     watch->is_storm = false;
     watch->seconds -= REFUSALS_END_SECONDS;
-    return make_note(watch, REFUSAL_CHANGE_ENDED);
+    return make_event(watch, REFUSAL_CHANGE_ENDED);
 }
 
-struct refusal_note refusal_watch_check(struct refusal_watch *watch, time_ns now)
+struct refusal_event refusal_watch_check(struct refusal_watch *watch, time_ns now)
 {
-    struct refusal_note none = {.change = REFUSAL_CHANGE_NONE};
+    struct refusal_event none = {.change = REFUSAL_CHANGE_NONE};
     uint64_t fresh[ERROR_KIND_COUNT];
     if (now < watch->check_at) {
         return none;
--- a/src/daemon/refusal_watch.h
+++ b/src/daemon/refusal_watch.h
@@ -24,7 +24,7 @@
 };
 
 /* A change, as reported in the event. */
-struct refusal_note {
+struct refusal_event {
     enum refusal_change change;
     uint64_t count;                /* refusals in the first second, or in the whole storm */
     uint32_t seconds;              /* duration of the storm; 1 at its begin */
@@ -46,6 +46,6 @@
 void refusal_watch_count(struct refusal_watch *watch, enum error_kind kind);
 
 /* Checks once a second. */
-struct refusal_note refusal_watch_check(struct refusal_watch *watch, time_ns now);
+struct refusal_event refusal_watch_check(struct refusal_watch *watch, time_ns now);
 
 #endif
--- a/src/daemon/task.c
+++ b/src/daemon/task.c
@@ -49,7 +49,7 @@
 }
 
 /* Lets the forwarding daemon show operators where this daemon's record is. */
-static void note_admin_port(struct task *task)
+static void set_admin_port(struct task *task)
 {
     if (task->request->hops > 0 && task->daemon->admin != NULL) {
         task->reply.has_admin_port = true;
@@ -82,7 +82,7 @@
     time_ns now = backend_now();
     daemon_metrics_count(task->daemon->metrics, task, now);
     task_record_decision(task, now);
-    note_admin_port(task);
+    set_admin_port(task);
     task->answer(task->origin, reply);
     daemon_task_ended(task->daemon);
     free_task(task);
@@ -102,7 +102,7 @@
 }
 
 /* Adds jitter, so that refused callers do not retry at the same time. */
-static uint32_t spread(uint32_t retry_after_ms)
+static uint32_t add_jitter(uint32_t retry_after_ms)
 {
     uint32_t width = retry_after_ms * RETRY_AFTER_JITTER_PERCENT / 100 + 1;
     return retry_after_ms + (uint32_t)g_random_int_range(0, (gint32)width);
@@ -216,7 +216,7 @@
     task->job.lane = lane_of(task);
     if (!worker_pool_submit(daemon->workers, &task->job)) {
         task_refuse(task, OUTCOME_REFUSED, ERROR_KIND_OVERLOADED, NULL,
-                    spread(DAEMON_RETRY_AFTER_MS));
+                    add_jitter(DAEMON_RETRY_AFTER_MS));
     }
 }
 
@@ -232,7 +232,7 @@
     if (task->ticket_expired) {
         task->ticket_expired = false;
         pthread_mutex_lock(&runtime->admission_lock);
-        *retry_after_ms = spread(admission_drain_ms(&runtime->admission));
+        *retry_after_ms = add_jitter(admission_drain_ms(&runtime->admission));
         pthread_mutex_unlock(&runtime->admission_lock);
         *refused = true;
         return false;
@@ -255,7 +255,7 @@
     }
     if (verdict == ADMISSION_REFUSED) {
         *refused = true;
-        *retry_after_ms = spread(*retry_after_ms);
+        *retry_after_ms = add_jitter(*retry_after_ms);
     }
     return verdict == ADMISSION_ADMITTED;
 }
--- a/src/daemon/task_read.c
+++ b/src/daemon/task_read.c
@@ -50,7 +50,7 @@
 }
 
 /* Records a step routed under the view: where to read, or why no database is eligible. */
-static void note_decision(struct task *task, const struct group_view *view)
+static void record_decision(struct task *task, const struct group_view *view)
 {
     const struct read_step *step = &task->read_step;
     bool refused = step->kind == READ_STEP_ANSWER && step->outcome == OUTCOME_REFUSED;
@@ -66,7 +66,7 @@
     group_runtime_read_view(task->group, &view);
     refresh_route(task);
     task->read_step = read_flow_next(&task->read_flow, event, &view);
-    note_decision(task, &view);
+    record_decision(task, &view);
 }
 
 static enum read_event_kind event_of(enum execute_result result)
--- a/src/daemon/task_write.c
+++ b/src/daemon/task_write.c
@@ -18,7 +18,7 @@
 
 /* Records a step routed under the view: where to run, or why no database is eligible now or at all.
  */
-static void note_decision(struct task *task, const struct group_view *view)
+static void record_decision(struct task *task, const struct group_view *view)
 {
     const struct write_step *step = &task->write_step;
     bool refused = step->kind == WRITE_STEP_ANSWER && step->outcome == OUTCOME_REFUSED;
@@ -40,7 +40,7 @@
     }
     task->write_step = write_flow_next(&task->write_flow, event, &view);
     write_trace_note(task->write_trace, event, &view, &task->write_step);
-    note_decision(task, &view);
+    record_decision(task, &view);
     if (task->write_step.kind == WRITE_STEP_WAIT && task->counts_as_write) {
         group_runtime_end_write(task->group);
         task->counts_as_write = false;
@@ -59,7 +59,7 @@
     next_step(task, &event);
 }
 
-static void give_up(struct task *task, enum error_kind error, uint32_t retry_after_ms)
+static void feed_give_up(struct task *task, enum error_kind error, uint32_t retry_after_ms)
 {
     struct write_event event = {
         .kind = WRITE_EVENT_GIVE_UP,
@@ -203,7 +203,7 @@
     uint32_t retry_after_ms = 0;
     bool closing = task->write_step.kind == WRITE_STEP_CLOSE_KEY;
     if (!closing && !retry_allowed(task)) {
-        give_up(task, ERROR_KIND_OVERLOADED, RETRY_BUDGET_RETRY_AFTER_MS);
+        feed_give_up(task, ERROR_KIND_OVERLOADED, RETRY_BUDGET_RETRY_AFTER_MS);
         return true;
     }
     enum admission_class rank = task->ledger_key == NULL || closing ? ADMISSION_CLASS_UNREPEATABLE
@@ -211,7 +211,7 @@
     if (!task_take_slot(task, (uint32_t)task->write_step.database, rank, &refused,
                         &retry_after_ms)) {
         if (refused) {
-            give_up(task, ERROR_KIND_OVERLOADED, retry_after_ms);
+            feed_give_up(task, ERROR_KIND_OVERLOADED, retry_after_ms);
         }
         return refused;
     }
--- a/tests/daemon/budget_plan_test.c
+++ b/tests/daemon/budget_plan_test.c
@@ -5,15 +5,15 @@
 
 #include "configuration/problem.h"
 
-#define OWNERS_MOST      9
-#define CONNECTIONS_MOST 200
+#define OWNERS_UP_TO      9
+#define CONNECTIONS_UP_TO 200
 
 /* A plan that holds by its own check fits the connections, with one number for each owner and one
  * for handover. */
 static void test_adds_up(void)
 {
-    for (uint32_t connections = 0; connections <= CONNECTIONS_MOST; connections++) {
-        for (uint32_t owners = 1; owners <= OWNERS_MOST; owners++) {
+    for (uint32_t connections = 0; connections <= CONNECTIONS_UP_TO; connections++) {
+        for (uint32_t owners = 1; owners <= OWNERS_UP_TO; owners++) {
             struct budget_plan plan;
             budget_plan_make(&plan, connections, owners);
             if (!budget_plan_holds(&plan)) {
@@ -43,9 +43,9 @@
 /* A plan that holds also holds with more connections. */
 static void test_grows_with_connections(void)
 {
-    for (uint32_t owners = 1; owners <= OWNERS_MOST; owners++) {
+    for (uint32_t owners = 1; owners <= OWNERS_UP_TO; owners++) {
         bool held = false;
-        for (uint32_t connections = 0; connections <= CONNECTIONS_MOST; connections++) {
+        for (uint32_t connections = 0; connections <= CONNECTIONS_UP_TO; connections++) {
             struct budget_plan plan;
             budget_plan_make(&plan, connections, owners);
             bool holds = budget_plan_holds(&plan);
--- a/tests/daemon/callers.c
+++ b/tests/daemon/callers.c
@@ -3,8 +3,8 @@
 
 #include <string.h>
 
-static void note_failure(struct caller *caller, const struct http_call *call,
-                         const struct http_answer *answer)
+static void record_failure(struct caller *caller, const struct http_call *call,
+                           const struct http_answer *answer)
 {
     struct callers *callers = caller->callers;
     atomic_fetch_add(&callers->failures, 1);
@@ -23,7 +23,7 @@
     pthread_mutex_unlock(&callers->lock);
 }
 
-static unsigned port_of_turn(struct callers *callers, unsigned turn)
+static unsigned port_for_turn(struct callers *callers, unsigned turn)
 {
     pthread_mutex_lock(&callers->lock);
     unsigned port = callers->ports[turn % callers->port_count];
@@ -36,7 +36,7 @@
 static bool may_send_again(const struct http_answer *answer)
 {
     bool refused = g_strcmp0(answer->outcome, "refused") == 0 && answer->retry_after != NULL;
-    return refused || answer->unconnected;
+    return refused || answer->not_connected;
 }
 
 /* Sends the call until it is accepted. Returns true if it is done; the caller clears the answer. */
@@ -44,15 +44,15 @@
                                 struct http_answer *answer)
 {
     struct callers *callers = caller->callers;
-    http_post(port_of_turn(callers, turn), call, answer);
+    http_post(port_for_turn(callers, turn), call, answer);
     while (atomic_load(&callers->retry_refused) && may_send_again(answer)) {
         http_answer_clear(answer);
         turn++;
-        http_post(port_of_turn(callers, turn), call, answer);
+        http_post(port_for_turn(callers, turn), call, answer);
     }
     bool done = g_strcmp0(answer->outcome, "done") == 0;
     if (!done) {
-        note_failure(caller, call, answer);
+        record_failure(caller, call, answer);
     }
     return done;
 }
--- a/tests/daemon/cluster_fixture.c
+++ b/tests/daemon/cluster_fixture.c
@@ -23,7 +23,7 @@
 /* The running deployments, of struct cluster. Used by the test's main thread. */
 static GPtrArray *deployments;
 
-static void give_up(const char *condition, const char *place)
+static void fail_wait(const char *condition, const char *place)
 {
     g_autoptr(GString) states = g_string_new(NULL);
     for (guint i = 0; deployments != NULL && i < deployments->len; i++) {
@@ -36,7 +36,7 @@
 void cluster_await_pause(gint64 since, const char *condition, const char *place)
 {
     if (g_get_monotonic_time() - since > AWAIT_TIMEOUT_US) {
-        give_up(condition, place);
+        fail_wait(condition, place);
     }
     g_usleep(PAUSE_US);
 }
--- a/tests/daemon/http_call.c
+++ b/tests/daemon/http_call.c
@@ -155,9 +155,10 @@
     curl_easy_setopt(client, CURLOPT_WRITEDATA, received);
     curl_easy_setopt(client, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(client, CURLOPT_TIMEOUT_MS,
-                     call->give_up_ms > 0 ? (long)call->give_up_ms : HTTP_TIMEOUT_MS);
+                     call->disconnect_after_ms > 0 ? (long)call->disconnect_after_ms
+                                                   : HTTP_TIMEOUT_MS);
     CURLcode result = curl_easy_perform(client);
-    answer->unconnected = result == CURLE_COULDNT_CONNECT;
+    answer->not_connected = result == CURLE_COULDNT_CONNECT;
     if (result == CURLE_OK) {
         read_answer(client, received->str, answer);
     } else {
--- a/tests/daemon/http_call.h
+++ b/tests/daemon/http_call.h
@@ -8,23 +8,23 @@
 
 /* One request; members that are not set have their defaults. Strings belong to the caller. */
 struct http_call {
-    const char *tenant;      /* "refuge" */
-    const char *transaction; /* id; the path is then relative to it */
-    const char *path;        /* last segment: "statements" */
-    const char *sql;         /* one statement as the body */
-    const char *body;        /* complete body, instead of `sql` */
-    const char *key;         /* Idempotency-Key */
-    const char *session;     /* Swiftworks-Session */
-    const char *request_id;  /* Request-Id */
-    unsigned timeout_ms;     /* Request-Timeout-Ms; 0: none given */
-    unsigned give_up_ms;     /* the client disconnects after this; 0: never */
+    const char *tenant;           /* "refuge" */
+    const char *transaction;      /* id; the path is then relative to it */
+    const char *path;             /* last segment: "statements" */
+    const char *sql;              /* one statement as the body */
+    const char *body;             /* complete body, instead of `sql` */
+    const char *key;              /* Idempotency-Key */
+    const char *session;          /* Swiftworks-Session */
+    const char *request_id;       /* Request-Id */
+    unsigned timeout_ms;          /* Request-Timeout-Ms; 0: none given */
+    unsigned disconnect_after_ms; /* the client disconnects after this; 0: never */
 };
 
 /* The answer. Cleared by http_answer_clear. */
 struct http_answer {
-    long status;      /* 0 if no complete answer was received */
-    char *failure;    /* why no answer was received, or NULL */
-    bool unconnected; /* connection refused: nothing was sent */
+    long status;        /* 0 if no complete answer was received */
+    char *failure;      /* why no answer was received, or NULL */
+    bool not_connected; /* connection refused: nothing was sent */
     char *outcome;
     char *error_kind;  /* NULL if the outcome is done */
     char *sqlstate;    /* or NULL */
--- a/tests/daemon/published_fixture.c
+++ b/tests/daemon/published_fixture.c
@@ -44,7 +44,7 @@
 static void set_overrides(struct published_cluster *test)
 {
     g_autofree char *unused = unused_url();
-    const char *url = test->daemons_lack_store ? unused : publisher_url(test->publisher);
+    const char *url = test->store_unreachable ? unused : publisher_url(test->publisher);
     g_clear_pointer(&test->overrides, g_ptr_array_unref);
     test->overrides = g_ptr_array_new_with_free_func(g_free);
     g_ptr_array_add(test->overrides, g_strdup("configuration.file="));
--- a/tests/daemon/published_fixture.h
+++ b/tests/daemon/published_fixture.h
@@ -16,7 +16,7 @@
     GPtrArray *overrides;     /* settings of the daemons started last */
     uint32_t bound_ms;        /* configuration.currency_bound_ms of the daemons started next */
     uint32_t handover_max_ms; /* ownership.handover_max_ms of the same; 0: the default */
-    bool daemons_lack_store;  /* the daemons started next can't reach the platform */
+    bool store_unreachable;   /* the daemons started next can't reach the platform */
 };
 
 /* Starts databases and platform, but no daemon, and publishes nothing. */
--- a/tests/daemon/test_answers.c
+++ b/tests/daemon/test_answers.c
@@ -42,7 +42,7 @@
                         ANSWER_ROWS, text);
     struct http_call call = {.sql = sql};
     if (g_rand_int_range(random, 0, 3) == 0) {
-        call.give_up_ms = (unsigned)g_rand_int_range(random, 1, 12);
+        call.disconnect_after_ms = (unsigned)g_rand_int_range(random, 1, 12);
     }
     unsigned daemon = (unsigned)g_rand_int_range(random, 0, 3);
     http_post(cluster_port(requester->cluster, daemon), &call, &answer);
@@ -53,7 +53,7 @@
         g_assert_cmpstr(answer.outcome, ==, "refused");
         g_assert_nonnull(answer.retry_after);
     } else {
-        g_assert_cmpuint(call.give_up_ms, >, 0);
+        g_assert_cmpuint(call.disconnect_after_ms, >, 0);
     }
     http_answer_clear(&answer);
 }
--- a/tests/daemon/test_configuration.c
+++ b/tests/daemon/test_configuration.c
@@ -134,7 +134,7 @@
     struct published_cluster *test = published_start(BOUND_SHORT_MS);
     g_free(published_publish(test, test->bundle, 1));
     published_start_daemons(test, 1);
-    test->daemons_lack_store = true;
+    test->store_unreachable = true;
     published_start_daemons(test, DAEMONS);
     published_await(test, 1);
     g_autofree char *bundle = published_with_tenant(test, "guide");
--- a/tests/daemon/test_configuration_handover.c
+++ b/tests/daemon/test_configuration_handover.c
@@ -13,7 +13,7 @@
 static struct published_cluster *start_without_store(void)
 {
     struct published_cluster *test = published_start(BOUND_MS);
-    test->daemons_lack_store = true;
+    test->store_unreachable = true;
     published_start_daemons(test, DAEMONS);
     return test;
 }
--- a/tests/daemon/test_drain_wait.c
+++ b/tests/daemon/test_drain_wait.c
@@ -154,7 +154,7 @@
     g_assert_true(known);
     g_assert_false(group_uses_is_unused(&uses, 7, 0, 1000 * MS, &known));
     g_assert_false(group_uses_is_unused(&uses, 8, 1, 1000 * MS, &known));
-    g_assert_false(group_uses_is_unused(&uses, 7, 1, (1001 + GROUP_USES_FRESH_MS) * MS, &known));
+    g_assert_false(group_uses_is_unused(&uses, 7, 1, (1001 + GROUP_USES_VALID_MS) * MS, &known));
     g_assert_false(known);
     for (uint64_t watcher = 100; watcher < 100 + GROUP_USES_OWNERS_MAX; watcher++) {
         group_uses_record(&uses, watcher, 0, 2000 * MS);
--- a/tests/daemon/test_refusal_watch.c
+++ b/tests/daemon/test_refusal_watch.c
@@ -11,7 +11,7 @@
 }
 
 /* Checks at a second of virtual time. */
-static struct refusal_note check(struct refusal_watch *watch, uint64_t second)
+static struct refusal_event check(struct refusal_watch *watch, uint64_t second)
 {
     return refusal_watch_check(watch, second * NANOSECONDS_PER_SECOND);
 }
@@ -23,21 +23,21 @@
     g_assert_cmpint(check(&watch, 1).change, ==, REFUSAL_CHANGE_NONE);
     refuse(&watch, ERROR_KIND_OVERLOADED, 20);
     refuse(&watch, ERROR_KIND_NO_PRIMARY, 30);
-    struct refusal_note note = check(&watch, 2);
-    g_assert_cmpint(note.change, ==, REFUSAL_CHANGE_BEGAN);
-    g_assert_cmpuint(note.count, ==, 50);
-    g_assert_cmpint(note.most_frequent, ==, ERROR_KIND_NO_PRIMARY);
+    struct refusal_event event = check(&watch, 2);
+    g_assert_cmpint(event.change, ==, REFUSAL_CHANGE_BEGAN);
+    g_assert_cmpuint(event.count, ==, 50);
+    g_assert_cmpint(event.most_frequent, ==, ERROR_KIND_NO_PRIMARY);
     refuse(&watch, ERROR_KIND_OVERLOADED, REFUSALS_END_PER_SECOND);
     g_assert_cmpint(check(&watch, 3).change, ==, REFUSAL_CHANGE_NONE);
     refuse(&watch, ERROR_KIND_OVERLOADED, REFUSALS_END_PER_SECOND + 5);
     for (uint64_t second = 4; second < 4 + REFUSALS_END_SECONDS; second++) {
         g_assert_cmpint(check(&watch, second).change, ==, REFUSAL_CHANGE_NONE);
     }
-    note = check(&watch, 4 + REFUSALS_END_SECONDS);
-    g_assert_cmpint(note.change, ==, REFUSAL_CHANGE_ENDED);
-    g_assert_cmpuint(note.count, ==, 75);
-    g_assert_cmpuint(note.seconds, ==, 3);
-    g_assert_cmpint(note.most_frequent, ==, ERROR_KIND_OVERLOADED);
+    event = check(&watch, 4 + REFUSALS_END_SECONDS);
+    g_assert_cmpint(event.change, ==, REFUSAL_CHANGE_ENDED);
+    g_assert_cmpuint(event.count, ==, 75);
+    g_assert_cmpuint(event.seconds, ==, 3);
+    g_assert_cmpint(event.most_frequent, ==, ERROR_KIND_OVERLOADED);
     g_assert_cmpint(check(&watch, 30).change, ==, REFUSAL_CHANGE_NONE);
 }
 
