--- a/src/daemon/budget_plan.h
+++ b/src/daemon/budget_plan.h
@@ -1,7 +1,8 @@
 /* How the connections that a database accepts are divided among its owners: those reserved for
- * probes and evidence, those that may be opening and have no number yet, and the numbered rest
- * (core/budget.h). The arithmetic is kept in one place, so that a configuration can be checked
- * before it is put in force. */
+ * probes and for evidence (the queries that confirm that a majority of the group's members holds a
+ * commit), those that may be opening and have no number yet, and the rest, each of which holds a
+ * numbered lock of the database (core/budget.h). The arithmetic is kept in one place, so that a
+ * configuration can be checked before it is put in force. */
 #ifndef SW_DAEMON_BUDGET_PLAN_H
 #define SW_DAEMON_BUDGET_PLAN_H
 
--- a/src/daemon/control_configuration.c
+++ b/src/daemon/control_configuration.c
@@ -1,4 +1,4 @@
-/* Drives the core's currency state machine on the control thread; see the header. */
+/* Drives core/config_currency on the control thread; see the header. */
 #define G_LOG_DOMAIN "configuration"
 #include <string.h>
 
--- a/src/daemon/control_configuration.h
+++ b/src/daemon/control_configuration.h
@@ -1,6 +1,7 @@
-/* The configuration in the control thread. Feeds the core's currency state machine with what
- * gossip, the store and other daemons report, puts newer versions in force, and decides whether
- * this daemon may serve. Without a platform the configuration is static, and none of this runs. */
+/* The configuration in the control thread. Feeds core/config_currency, which decides which version
+ * to apply and whether this daemon may serve, with what gossip, the store and other daemons report,
+ * and puts newer versions in force. Without a platform the configuration is static, and none of
+ * this runs. */
 #ifndef SW_DAEMON_CONTROL_CONFIGURATION_H
 #define SW_DAEMON_CONTROL_CONFIGURATION_H
 
--- a/src/daemon/control_configuration_internal.h
+++ b/src/daemon/control_configuration_internal.h
@@ -52,7 +52,7 @@
 
 /* Writes why the daemon does not serve into `reason` (CONFIGURATION_REASON_SIZE bytes). */
 void configuration_write_reason(const struct control_configuration *self, char *reason);
-/* Publishes the currency's state to request threads and operators. */
+/* Publishes the state of `currency` to request threads and operators. */
 void configuration_publish_status(struct control_configuration *self);
 /* Finds members with an older configuration. Covers only this daemon's own zone, as messages from
  * the others are too rare. */
--- a/src/daemon/control_slots.h
+++ b/src/daemon/control_slots.h
@@ -1,6 +1,7 @@
-/* The share of each database's slots that this daemon may use. Sets the owners in core/slot_share,
- * carries its messages to the other owners, and starts queued requests as slots become available.
- * Control thread only, except control_report_slot_demand. */
+/* The share of each database's slots that this daemon may use; a database runs one statement per
+ * slot. Sets the owners in core/slot_share, carries its messages to the other owners, and starts
+ * queued requests as slots become available. Control thread only, except
+ * control_report_slot_demand. */
 #ifndef SW_DAEMON_CONTROL_SLOTS_H
 #define SW_DAEMON_CONTROL_SLOTS_H
 
--- a/src/daemon/group_runtime.h
+++ b/src/daemon/group_runtime.h
@@ -1,6 +1,6 @@
 /* One database group at run time on this daemon: the published routing view, the connection pools,
- * the slots, and the state that its requests share. Created by the control thread; read by request
- * threads. */
+ * the slots (permissions to run one statement at a database), and the state that its requests
+ * share. Created by the control thread; read by request threads. */
 #ifndef SW_DAEMON_GROUP_RUNTIME_H
 #define SW_DAEMON_GROUP_RUNTIME_H
 
--- a/src/daemon/group_uses.h
+++ b/src/daemon/group_uses.h
@@ -1,5 +1,6 @@
 /* Which databases of a group each owner still uses. Owners report this to each other in their
- * opinions, so that any owner can tell when a drained database may be removed. */
+ * opinions (the periodic messages about a group's databases), so that any owner can tell when a
+ * drained database may be removed. */
 #ifndef SW_DAEMON_GROUP_USES_H
 #define SW_DAEMON_GROUP_USES_H
 
