--- a/src/daemon/control_internal.h
+++ b/src/daemon/control_internal.h
@@ -41,8 +41,7 @@
     struct group_control *machine;
     struct trace_group *trace; /* of `machine`; NULL if it is not recorded */
     time_ns started_at;
-    struct quorum_settling
-        settling; /* settling of the group's set of databases, see core/quorum_settling.h */
+    struct quorum_settling settling; /* of its present set of databases */
     time_ns wake_at;
     uint64_t ledger_term;     /* last term for which the ledger table was requested */
     time_ns ledger_expire_at; /* next removal of old keys */
