--- a/src/daemon/admin_api.c
+++ b/src/daemon/admin_api.c
@@ -1,4 +1,4 @@
-/* The operators' calls: starting, draining, stopping, health; see the header. */
+/* The admin listener's routes and handlers; see the header. */
 #define G_LOG_DOMAIN "admin"
 #include "daemon/admin_api.h"
 
@@ -31,11 +31,12 @@
     admin_answer_error(answer, error);
 }
 
-/* Refuses a question about a group that other daemons own, and names them. */
-static void refuse_elsewhere(struct admin_answer *answer, struct daemon *daemon, uint32_t group)
+/* Refuses a request about a group that only other daemons own, and lists their addresses. */
+static void refuse_not_owner(struct admin_answer *answer, struct daemon *daemon, uint32_t group)
 {
     struct owner_list owners;
-    g_autoptr(GString) text = g_string_new("This daemon does not own the group; ask an owner:");
+    g_autoptr(GString) text =
+        g_string_new("This daemon does not own the group; send the request to an owner:");
     control_owners_of(daemon->control, group, &owners);
     for (uint32_t i = 0; i < owners.count; i++) {
         g_string_append_printf(text, " %s", owners.addresses[i]);
@@ -52,8 +53,8 @@
     return runtime != NULL;
 }
 
-static void mark_database(struct admin_answer *answer, struct daemon *daemon, const char *database,
-                          bool leaving)
+static void set_database_leaving(struct admin_answer *answer, struct daemon *daemon,
+                                 const char *database, bool leaving)
 {
     struct configuration *configuration = daemon_take_configuration(daemon);
     uint32_t index = 0;
@@ -62,7 +63,7 @@
     if (group == NULL) {
         refuse(answer, ERROR_KIND_BAD_REQUEST, "No database has this name.");
     } else if (!owns(daemon, group->id)) {
-        refuse_elsewhere(answer, daemon, group->id);
+        refuse_not_owner(answer, daemon, group->id);
     } else {
         control_drain_database(daemon->control, group->id, index, leaving);
         g_string_append_printf(answer->body,
@@ -72,8 +73,9 @@
     configuration_unref(configuration);
 }
 
-/* Tells how far the drain of a database is. */
-static void tell_progress(struct admin_answer *answer, struct daemon *daemon, const char *database)
+/* Writes the progress of a database's drain. */
+static void write_drain_progress(struct admin_answer *answer, struct daemon *daemon,
+                                 const char *database)
 {
     struct configuration *configuration = daemon_take_configuration(daemon);
     uint32_t index = 0;
@@ -83,19 +85,20 @@
     if (group == NULL) {
         refuse(answer, ERROR_KIND_BAD_REQUEST, "No database has this name.");
     } else if (runtime == NULL) {
-        refuse_elsewhere(answer, daemon, group->id);
+        refuse_not_owner(answer, daemon, group->id);
     } else {
         if (!admin_drain_database(daemon, runtime, database, answer->body)) {
-            refuse(answer, ERROR_KIND_NOT_READY, "The database is not in the group here yet.");
+            refuse(answer, ERROR_KIND_NOT_READY,
+                   "The group does not have the database yet in this daemon's configuration.");
         }
         group_runtime_unref(runtime);
     }
     configuration_unref(configuration);
 }
 
-/* Marks the named database, or this daemon, as leaving or not. */
-static void mark(const struct admin_request *request, struct admin_answer *answer,
-                 struct daemon *daemon, bool leaving)
+/* Sets or clears the leaving mark of the named database or of this daemon. */
+static void set_leaving(const struct admin_request *request, struct admin_answer *answer,
+                        struct daemon *daemon, bool leaving)
 {
     const char *database = admin_query_text(request, "database");
     if (admin_query_text(request, "daemon") != NULL) {
@@ -103,19 +106,19 @@
         g_string_append_printf(answer->body, "{\"daemon\":\"%s\",\"leaving\":%s}",
                                daemon->settings.daemon.name, leaving ? "true" : "false");
     } else if (database != NULL) {
-        mark_database(answer, daemon, database, leaving);
+        set_database_leaving(answer, daemon, database, leaving);
     } else {
-        refuse(answer, ERROR_KIND_BAD_REQUEST, "Name a database, or daemon=self.");
+        refuse(answer, ERROR_KIND_BAD_REQUEST, "Missing parameter: database, or daemon=self.");
     }
 }
 
 static void handle_drain(const struct admin_request *request, struct admin_answer *answer,
                          void *user)
 {
-    mark(request, answer, user, true);
+    set_leaving(request, answer, user, true);
 }
 
-/* How far a drain is, of a database of an owned group or of this daemon. */
+/* Progress of a drain, of a database of an owned group or of this daemon. */
 static void handle_drain_progress(const struct admin_request *request, struct admin_answer *answer,
                                   void *user)
 {
@@ -123,19 +126,19 @@
     if (admin_query_text(request, "daemon") != NULL) {
         admin_drain_daemon(user, answer->body);
     } else if (database != NULL) {
-        tell_progress(answer, user, database);
+        write_drain_progress(answer, user, database);
     } else {
-        refuse(answer, ERROR_KIND_BAD_REQUEST, "Name a database, or daemon=self.");
+        refuse(answer, ERROR_KIND_BAD_REQUEST, "Missing parameter: database, or daemon=self.");
     }
 }
 
 static void handle_undrain(const struct admin_request *request, struct admin_answer *answer,
                            void *user)
 {
-    mark(request, answer, user, false);
+    set_leaving(request, answer, user, false);
 }
 
-/* A planned stop is what SIGTERM does. */
+/* Starts a planned stop by sending this process SIGTERM. */
 static void handle_stop(const struct admin_request *request, struct admin_answer *answer,
                         void *user)
 {
@@ -161,8 +164,8 @@
     admin_events_write(user, since, answer->body);
 }
 
-/* Takes in what a publisher hands over after it has moved the head; it comes into force after the
- * answer. */
+/* Accepts a version that a publisher hands over after it has moved the store's head. The version is
+ * put in force after the answer. */
 static void handle_configuration(const struct admin_request *request, struct admin_answer *answer,
                                  void *user)
 {
@@ -181,11 +184,12 @@
     if (!admin_query_number(request, "version", INT64_MAX, &handover.version, &error)) {
         admin_answer_error(answer, error);
     } else if (handover.version == 0) {
-        refuse(answer, ERROR_KIND_BAD_REQUEST, "Name the version.");
+        refuse(answer, ERROR_KIND_BAD_REQUEST, "Missing parameter: version.");
     } else if (g_strcmp0(admin_query_text(request, "hash"), hash) != 0) {
-        refuse(answer, ERROR_KIND_BAD_REQUEST, "The content has another hash.");
+        refuse(answer, ERROR_KIND_BAD_REQUEST, "The content does not match the hash.");
     } else if (!control_configuration_hand_over(daemon->control, &handover)) {
-        refuse(answer, ERROR_KIND_BAD_REQUEST, "This daemon's configuration is a file.");
+        refuse(answer, ERROR_KIND_BAD_REQUEST,
+               "This daemon's configuration is static, read from a file.");
     } else {
         g_string_append_printf(answer->body, "{\"version\":%" G_GUINT64_FORMAT "}",
                                handover.version);
@@ -203,13 +207,13 @@
     if (request_id != NULL) {
         admin_explain_request(user, request_id, answer->body);
     } else if (tenant == NULL) {
-        refuse(answer, ERROR_KIND_BAD_REQUEST, "Name a tenant or a request.");
+        refuse(answer, ERROR_KIND_BAD_REQUEST, "Missing parameter: tenant or request.");
     } else if (!admin_explain_write(user, tenant, write, answer->body, &error)) {
         admin_answer_error(answer, error);
     }
 }
 
-/* What this daemon recorded of a group, also of one that it owns no more. */
+/* The trace that this daemon has recorded of a group, even if it no longer owns the group. */
 static void handle_trace(const struct admin_request *request, struct admin_answer *answer,
                          void *user)
 {
@@ -264,7 +268,7 @@
         return false;
     }
     if (!control_is_settled(daemon->control)) {
-        g_string_append(reason, "the other daemons are not known yet");
+        g_string_append(reason, "the membership is not known yet");
         return false;
     }
     return true;
@@ -304,7 +308,7 @@
     if (!admin_start(daemon->admin, error)) {
         return false;
     }
-    g_message("Operators at port %u.", admin_port(daemon->admin));
+    g_message("Admin listener on port %u.", admin_port(daemon->admin));
     return true;
 }
 
--- a/src/daemon/admin_explain.c
+++ b/src/daemon/admin_explain.c
@@ -1,4 +1,4 @@
-/* What the operators' explain tells; see the header. */
+/* JSON of `swiftctl explain`; see the header. */
 #include "daemon/admin_explain.h"
 
 #include <json-glib/json-glib.h>
@@ -13,7 +13,7 @@
 #include "generated/errors.h"
 #include "generated/messages.h"
 
-/* The decision that a request without a session would get now. */
+/* The routing decision for a request without a session, as of now. */
 static struct route_decision decide(struct daemon *daemon, const struct tenant_route *route,
                                     struct group_runtime *group, const struct group_view *view,
                                     bool write)
@@ -36,7 +36,8 @@
     return route_read(view, &request);
 }
 
-/* Why a database was chosen or passed over. Routing looks at no others once it has found one. */
+/* Why a database was chosen or rejected. Routing does not consider the rest once it has chosen one.
+ */
 static const char *verdict_text(bool chosen, enum route_reason chosen_for,
                                 enum route_reason passed_over_for)
 {
@@ -101,9 +102,10 @@
         write_explanation(daemon, route, group, write, out);
         group_runtime_unref(group);
     } else if (route != NULL) {
-        g_set_error(error, SW_ERROR, ERROR_KIND_BAD_REQUEST,
-                    "This daemon does not own group %u of the tenant; ask one that does.",
-                    route->group);
+        g_set_error(
+            error, SW_ERROR, ERROR_KIND_BAD_REQUEST,
+            "This daemon does not own group %u of the tenant; send the request to an owner.",
+            route->group);
     } else {
         g_set_error_literal(error, SW_ERROR, ERROR_KIND_UNKNOWN_TENANT,
                             error_entry_of(ERROR_KIND_UNKNOWN_TENANT)->text);
@@ -112,7 +114,7 @@
     return group != NULL;
 }
 
-/* The group of a record, if its databases are still those that the record counts; else NULL. */
+/* The group of a record, if its databases are still those of the record; otherwise NULL. */
 static const struct group_configuration *group_of(const struct configuration *configuration,
                                                   const struct decision_record *record)
 {
@@ -122,7 +124,7 @@
     return same ? group : NULL;
 }
 
-/* The group's name, or its number where it is gone; "" for none. The caller frees it. */
+/* The group's name; its number if it no longer exists; "" for none. The caller frees it. */
 static char *group_text(const struct configuration *configuration, uint32_t id)
 {
     const struct group_configuration *group =
@@ -133,7 +135,8 @@
     return id != 0 ? g_strdup_printf("#%u", id) : g_strdup("");
 }
 
-/* The name, or the index where the names have changed since; "" for none. The caller frees it. */
+/* The database's name; its index if the names have changed since; "" for none. The caller frees it.
+ */
 static char *database_text(const struct group_configuration *group, int32_t index)
 {
     if (index < 0) {
@@ -142,7 +145,7 @@
     return group != NULL ? g_strdup(group->databases[index].name) : g_strdup_printf("#%d", index);
 }
 
-/* A forwarded request's record has only what the other daemon told: no view of its own. */
+/* The record of a forwarded request has no view of its own, only what the other daemon reported. */
 static void add_seen_database(JsonBuilder *builder, const struct group_configuration *group,
                               const struct decision_record *record, int32_t index)
 {
@@ -170,17 +173,17 @@
     json_builder_set_member_name(builder, "databases");
     json_builder_begin_array(builder);
     for (int32_t i = 0; i < record->database_count; i++) {
-        bool told = record->forwarded_to[0] == '\0' || i == record->database ||
-                    record->databases[i].reason != ROUTE_REASON_NONE;
-        if (told) {
+        bool known = record->forwarded_to[0] == '\0' || i == record->database ||
+                     record->databases[i].reason != ROUTE_REASON_NONE;
+        if (known) {
             add_seen_database(builder, group, record, i);
         }
     }
     json_builder_end_array(builder);
 }
 
-/* How it came here and where it went. */
-static void add_way(JsonBuilder *builder, const struct decision_record *record)
+/* Adds where the request was received from and forwarded to. */
+static void add_forwarding(JsonBuilder *builder, const struct decision_record *record)
 {
     admin_json_flag(builder, "forwarded_here", record->hops > 0);
     admin_json_text(builder, "forwarded_to", record->forwarded_to);
@@ -222,7 +225,7 @@
     admin_json_text(builder, "group", group_name);
     admin_json_text(builder, "kind", request_kind_name(record->kind));
     admin_json_text(builder, "access", record->read_only ? "read" : "write");
-    add_way(builder, record);
+    add_forwarding(builder, record);
     admin_json_text(builder, "database", database);
     add_result(builder, record);
     admin_json_text(builder, "primary", primary);
@@ -236,7 +239,7 @@
     g_autoptr(JsonBuilder) builder = json_builder_new();
     g_autoptr(GArray) records = decision_log_find(daemon->decisions, request_id);
     struct configuration *configuration = daemon_take_configuration(daemon);
-    int64_t reaches_to = decision_log_reaches_to(daemon->decisions);
+    int64_t reaches_to = decision_log_oldest_at(daemon->decisions);
     json_builder_begin_object(builder);
     admin_json_text(builder, "daemon", daemon->settings.daemon.name);
     admin_json_text(builder, "request", request_id);
--- a/src/daemon/control.c
+++ b/src/daemon/control.c
@@ -16,10 +16,10 @@
 #include "daemon/transaction.h"
 #include "generated/errors.h"
 
-/* The loop looks at everything at least this often. */
+/* Longest time between two passes of the loop. */
 #define CONTROL_PERIOD_MS 100
 
-/* Time between two looks for idle connections to other daemons. */
+/* Interval at which idle connections to other daemons are closed. */
 #define PEERS_SWEEP_MS 2000
 
 void control_post(struct control *control, const struct control_event *event)
@@ -62,7 +62,7 @@
         control_members_set_leaving(control, event->leaving, backend_now());
         break;
     case CONTROL_EVENT_CONFIGURATION:
-        control_configuration_take(control, event->fetched);
+        control_configuration_process(control, event->fetched);
         break;
     }
 }
@@ -99,7 +99,7 @@
     }
 }
 
-/* Closes connections to other daemons that nobody uses any more. */
+/* Closes idle connections to other daemons. */
 static void peers_tick(struct control *control, time_ns now)
 {
     if (now < control->peers_sweep_at) {
@@ -110,18 +110,18 @@
     peer_pool_close_idle(control->daemon->peers, idle_since);
 }
 
-/* Notes the begin and the end of a refusal storm. */
+/* Records the begin and the end of a refusal storm in the journal. */
 static void refusals_tick(struct control *control, time_ns now)
 {
-    struct refusal_note note = refusal_watch_look(&control->daemon->refusals, now);
-    if (note.change == REFUSAL_CHANGE_NONE) {
+    struct refusal_event event = refusal_watch_check(&control->daemon->refusals, now);
+    if (event.change == REFUSAL_CHANGE_NONE) {
         return;
     }
     struct journal_entry entry = {.database = -1};
-    bool began = note.change == REFUSAL_CHANGE_BEGAN;
+    bool began = event.change == REFUSAL_CHANGE_BEGAN;
     g_strlcpy(entry.kind, began ? "refusals_began" : "refusals_ended", sizeof(entry.kind));
-    g_snprintf(entry.text, sizeof(entry.text), "%" G_GUINT64_FORMAT " in %u s, most %s", note.count,
-               note.seconds, error_entry_of(note.foremost)->name);
+    g_snprintf(entry.text, sizeof(entry.text), "%" G_GUINT64_FORMAT " in %u s, most %s",
+               event.count, event.seconds, error_entry_of(event.most_frequent)->name);
     journal_add(control->journal, &entry);
 }
 
@@ -132,7 +132,7 @@
     control_groups_start(control);
     while (!is_stopping(control)) {
         wait_for_input(control);
-        atomic_store(&control->slots_wanted, false);
+        atomic_store(&control->slot_demand, false);
         handle_inbox(control);
         time_ns now = backend_now();
         control_members_tick(control, now);
@@ -203,9 +203,9 @@
     control_post(control, &event);
 }
 
-void control_slots_wanted(struct control *control)
+void control_report_slot_demand(struct control *control)
 {
-    if (!atomic_exchange(&control->slots_wanted, true)) {
+    if (!atomic_exchange(&control->slot_demand, true)) {
         eventfd_write(control->wake_fd, 1);
     }
 }
--- a/src/daemon/control_configuration.c
+++ b/src/daemon/control_configuration.c
@@ -1,4 +1,4 @@
-/* Currency's shell on the control thread; see the header. */
+/* Drives core/config_currency on the control thread; see the header. */
 #define G_LOG_DOMAIN "configuration"
 #include <string.h>
 
@@ -8,10 +8,10 @@
 #include "daemon/configuration_content.h"
 #include "daemon/control_configuration_internal.h"
 
-/* How often the members' configurations are looked through. */
-#define SURVEY_INTERVAL_MS 1000
+/* Interval at which the members' configurations are checked. */
+#define STRAGGLER_CHECK_INTERVAL_MS 1000
 
-void configuration_note(struct control_configuration *self, const char *kind, const char *text)
+void configuration_record(struct control_configuration *self, const char *kind, const char *text)
 {
     struct journal_entry entry = {.database = -1};
     g_strlcpy(entry.kind, kind, sizeof(entry.kind));
@@ -19,12 +19,12 @@
     journal_add(self->control->journal, &entry);
 }
 
-/* What the journal calls a source. */
-static const char *name_of(const struct fetch_order *order)
+/* Name of a source in the journal. */
+static const char *name_of(const struct fetch_request *request)
 {
-    switch (order->source) {
+    switch (request->source) {
     case FETCH_SOURCE_PEER:
-        return order->address;
+        return request->address;
     case FETCH_SOURCE_PUBLISHER:
         return "the publisher";
     default:
@@ -32,12 +32,12 @@
     }
 }
 
-bool configuration_is_from_store(const struct fetch_order *order)
+bool configuration_is_from_store(const struct fetch_request *request)
 {
-    return order->source == FETCH_SOURCE_HEAD || order->source == FETCH_SOURCE_STORE;
+    return request->source == FETCH_SOURCE_HEAD || request->source == FETCH_SOURCE_STORE;
 }
 
-void configuration_note_store(struct control_configuration *self, const struct fetch_result *result)
+void configuration_log_store(struct control_configuration *self, const struct fetch_result *result)
 {
     bool failed =
         result->outcome == FETCH_OUTCOME_FAILED || result->outcome == FETCH_OUTCOME_REFUSED;
@@ -47,52 +47,53 @@
     }
     g_strlcpy(self->failure, failure, sizeof(self->failure));
     if (failed) {
-        g_warning("The store does not give the configuration: %s.", failure);
+        g_warning("Reading the configuration from the store failed: %s.", failure);
     } else {
-        g_message("The store answers.");
+        g_message("Reading the configuration from the store succeeds again.");
     }
 }
 
 /* Actions. */
 
-void configuration_order(struct control_configuration *self, enum fetch_source source,
-                         struct configuration_mark wanted, const char *address)
+void configuration_submit_fetch(struct control_configuration *self, enum fetch_source source,
+                                struct configuration_mark wanted, const char *address)
 {
-    struct fetch_order order = {.source = source, .wanted = wanted};
+    struct fetch_request request = {.source = source, .wanted = wanted};
     if (address != NULL) {
-        g_strlcpy(order.address, address, sizeof(order.address));
+        g_strlcpy(request.address, address, sizeof(request.address));
     }
-    configuration_fetcher_submit(self->fetcher, &order);
+    configuration_fetcher_submit(self->fetcher, &request);
 }
 
-static bool is_unfit(const struct control_configuration *self, struct configuration_mark mark)
+static bool is_unparsable(const struct control_configuration *self, struct configuration_mark mark)
 {
-    return mark.version != 0 && mark.version == self->unfit.version &&
-           mark.hash == self->unfit.hash;
+    return mark.version != 0 && mark.version == self->unparsable.version &&
+           mark.hash == self->unparsable.hash;
 }
 
-/* Asks a member or, without one, the store; fails at once where that is in vain. */
+/* Fetches from a member or, if none is given, from the store. Fails at once if the version is known
+ * not to parse, or the member is unknown. */
 static void fetch(struct control_configuration *self, const struct currency_action *action,
                   GArray *actions)
 {
     struct member member;
     bool from_store = action->kind == CURRENCY_ACTION_FETCH_STORE;
     bool known = from_store || membership_find(self->control->membership, action->peer, &member);
-    if (!known || is_unfit(self, action->mark)) {
+    if (!known || is_unparsable(self, action->mark)) {
         currency_fetch_failed(self->currency, backend_now(), actions);
         return;
     }
     if (from_store) {
-        configuration_order(self, FETCH_SOURCE_STORE, action->mark, NULL);
+        configuration_submit_fetch(self, FETCH_SOURCE_STORE, action->mark, NULL);
         return;
     }
     char address[ADDRESS_TEXT_SIZE];
     control_members_format(&member, address);
-    configuration_order(self, FETCH_SOURCE_PEER, action->mark, address);
+    configuration_submit_fetch(self, FETCH_SOURCE_PEER, action->mark, address);
 }
 
-/* A configuration without this daemon's zone is in force all the same; the daemon keeps the zone
- * number that it joined with. */
+/* A configuration that lacks this daemon's zone is put in force nevertheless; the daemon keeps the
+ * zone number with which it joined. */
 static void check_zone(struct control_configuration *self,
                        const struct configuration *configuration)
 {
@@ -100,34 +101,35 @@
     const struct zone_configuration *zone =
         configuration_find_zone_by_name(configuration, daemon->settings.daemon.zone);
     if (zone == NULL || zone->id != atomic_load(&daemon->zone)) {
-        g_warning("Zone \"%s\" is gone from the configuration or has another id: restart this "
-                  "daemon with a zone that is there.",
+        g_warning("Zone \"%s\" is missing from the configuration or has another id: restart "
+                  "this daemon with a configured zone.",
                   daemon->settings.daemon.zone);
     }
 }
 
-/* What was accepted comes into force; a database without room for its owners is not served. */
+/* An accepted configuration is put in force even if a database has too few connections for its
+ * owners; that database is not served. */
 static void check_budgets(struct control_configuration *self,
                           const struct configuration *configuration)
 {
     g_autoptr(GError) error = NULL;
     uint32_t owners = self->control->daemon->settings.ownership.owners_per_group;
     if (!budget_plan_check(configuration, owners, &error)) {
-        g_critical("Not served: %s.", error->message);
+        g_critical("A database is not served for lack of connections: %s.", error->message);
     }
 }
 
-static void note_applied(struct control_configuration *self, const struct fetch_result *origin)
+static void record_applied(struct control_configuration *self, const struct fetch_result *origin)
 {
     struct configuration *content = published_configuration_content(origin->published);
     g_autofree char *text = g_strdup_printf(
         "version=%" G_GUINT64_FORMAT " hash=%.16s %s %s",
         published_configuration_mark(origin->published).version, configuration_hash(content),
-        origin->difference ? "as a difference from" : "from", name_of(&origin->order));
-    configuration_note(self, "configuration_applied", text);
+        origin->difference ? "as a difference from" : "from", name_of(&origin->request));
+    configuration_record(self, "configuration_applied", text);
 }
 
-/* Puts in force what was just fetched. */
+/* Puts the fetched configuration in force. */
 static void apply(struct control_configuration *self)
 {
     struct control *control = self->control;
@@ -138,12 +140,12 @@
     check_zone(self, content);
     check_budgets(self, content);
     daemon_set_configuration(control->daemon, content);
-    control_groups_take_successors(control);
+    control_groups_switch_runtimes(control);
     if (control_is_settled(control)) {
         control_ownership_set_groups(control);
     }
     configuration_share_set(control->daemon->configuration_share, origin->published);
-    note_applied(self, origin);
+    record_applied(self, origin);
     membership_set_configuration(control->membership, mark, backend_now(), control->actions);
     control_members_perform(control);
 }
@@ -155,14 +157,14 @@
     if (serving) {
         g_snprintf(reason, sizeof(reason), "version=%" G_GUINT64_FORMAT,
                    currency_applied(self->currency).version);
-        configuration_note(self, "configuration_serving", reason);
+        configuration_record(self, "configuration_serving", reason);
         return;
     }
-    configuration_explain(self, reason);
-    configuration_note(self, "configuration_stopped", reason);
+    configuration_write_reason(self, reason);
+    configuration_record(self, "configuration_stopped", reason);
 }
 
-/* Performs actions; those that follow from them are appended meanwhile. */
+/* Performs actions, including those that are appended while they run. */
 static void perform(struct control_configuration *self, GArray *actions)
 {
     for (guint i = 0; i < actions->len; i++) {
@@ -173,7 +175,7 @@
             fetch(self, &action, actions);
             break;
         case CURRENCY_ACTION_READ_HEAD:
-            configuration_order(self, FETCH_SOURCE_HEAD, action.mark, NULL);
+            configuration_submit_fetch(self, FETCH_SOURCE_HEAD, action.mark, NULL);
             break;
         case CURRENCY_ACTION_APPLY:
             apply(self);
@@ -191,55 +193,55 @@
 
 /* Events. */
 
-static void note_heard(struct control_configuration *self, struct configuration_mark mark,
-                       const char *from)
+static void record_newest(struct control_configuration *self, struct configuration_mark mark,
+                          const char *from)
 {
-    if (mark.version <= self->heard) {
+    if (mark.version <= self->newest_recorded) {
         return;
     }
-    self->heard = mark.version;
+    self->newest_recorded = mark.version;
     g_autofree char *text =
         g_strdup_printf("version=%" G_GUINT64_FORMAT " hash=%016" G_GINT64_MODIFIER "x from %s",
                         mark.version, mark.hash, from);
-    configuration_note(self, "configuration_heard", text);
+    configuration_record(self, "configuration_heard", text);
 }
 
-void control_configuration_hear(struct control *control, struct configuration_mark mark,
-                                uint64_t holder)
+void control_configuration_receive_mark(struct control *control, struct configuration_mark mark,
+                                        uint64_t holder)
 {
     struct control_configuration *self = control->configuration;
     if (self == NULL) {
         return;
     }
     g_autoptr(GArray) actions = g_array_new(FALSE, FALSE, sizeof(struct currency_action));
-    note_heard(self, mark, "gossip");
+    record_newest(self, mark, "gossip");
     currency_announced(self->currency, mark, holder, backend_now(), actions);
     perform(self, actions);
 }
 
-/* The store names another content for the version in force. */
+/* The store has different content under the version in force. */
 static bool contradicts(struct control_configuration *self, struct configuration_mark head)
 {
     struct configuration_mark applied = currency_applied(self->currency);
     bool contradicted =
         head.version == applied.version && head.version != 0 && head.hash != applied.hash;
     if (contradicted && !self->contradicted) {
-        g_autofree char *text = g_strdup_printf("version=%" G_GUINT64_FORMAT
-                                                " the store has another content under this version",
-                                                head.version);
-        configuration_note(self, "configuration_refused", text);
+        g_autofree char *text = g_strdup_printf(
+            "version=%" G_GUINT64_FORMAT " the store has different content under this version",
+            head.version);
+        configuration_record(self, "configuration_refused", text);
     }
     self->contradicted = contradicted;
     return contradicted;
 }
 
-/* Takes in what the store told of its head. */
-static void take_head(struct control_configuration *self, const struct fetch_result *result,
-                      GArray *actions)
+/* Processes the head that the store reported. */
+static void process_head(struct control_configuration *self, const struct fetch_result *result,
+                         GArray *actions)
 {
     time_ns now = backend_now();
-    if (configuration_is_from_store(&result->order)) {
-        configuration_note_store(self, result);
+    if (configuration_is_from_store(&result->request)) {
+        configuration_log_store(self, result);
     }
     if (!result->head_known) {
         currency_head_failed(self->currency, now);
@@ -248,59 +250,60 @@
     if (contradicts(self, result->head)) {
         return;
     }
-    note_heard(self, result->head, "the store");
-    /* An answer that was overtaken by news confirms nothing. */
+    record_newest(self, result->head, "the store");
+    /* If a newer version became known meanwhile, the answer is outdated and confirms nothing. */
     if (result->head.version >= currency_newest(self->currency).version) {
         membership_announce_configuration(self->control->membership, result->head);
-        membership_record_store_reply(self->control->membership, result->asked_at);
+        membership_record_store_reply(self->control->membership, result->requested_at);
     }
     currency_head_read(self->currency, result->head, now, actions);
 }
 
-static void note_refused(struct control_configuration *self, const struct fetch_result *result)
+static void record_refused(struct control_configuration *self, const struct fetch_result *result)
 {
     g_autofree char *text =
         g_strdup_printf("version=%" G_GUINT64_FORMAT " from %s: %s", result->refused.version,
-                        name_of(&result->order), result->text);
-    configuration_note(self, "configuration_refused", text);
-    if (result->unfit) {
-        self->unfit = result->refused;
+                        name_of(&result->request), result->text);
+    configuration_record(self, "configuration_refused", text);
+    if (result->unparsable) {
+        self->unparsable = result->refused;
     }
 }
 
-/* Takes in what a source gave. */
-static void take_content(struct control_configuration *self, const struct fetch_result *result,
-                         GArray *actions)
+/* Processes the content that a source returned. */
+static void process_content(struct control_configuration *self, const struct fetch_result *result,
+                            GArray *actions)
 {
     time_ns now = backend_now();
     if (result->outcome == FETCH_OUTCOME_REFUSED) {
-        note_refused(self, result);
+        record_refused(self, result);
     }
     if (result->outcome == FETCH_OUTCOME_FOUND) {
         struct configuration_mark mark = published_configuration_mark(result->published);
-        note_heard(self, mark, name_of(&result->order));
+        record_newest(self, mark, name_of(&result->request));
         self->origin = result;
         currency_fetched(self->currency, mark, now, actions);
-    } else if (result->order.source == FETCH_SOURCE_PEER ||
-               result->order.source == FETCH_SOURCE_STORE) {
+    } else if (result->request.source == FETCH_SOURCE_PEER ||
+               result->request.source == FETCH_SOURCE_STORE) {
         currency_fetch_failed(self->currency, now, actions);
     }
 }
 
-static void take_result(struct control_configuration *self, const struct fetch_result *result)
+static void process_result(struct control_configuration *self, const struct fetch_result *result)
 {
     g_autoptr(GArray) actions = g_array_new(FALSE, FALSE, sizeof(struct currency_action));
-    take_content(self, result, actions);
+    process_content(self, result, actions);
     perform(self, actions);
     self->origin = NULL;
     g_array_set_size(actions, 0);
-    if (configuration_is_from_store(&result->order) || result->head_known) {
-        take_head(self, result, actions);
+    if (configuration_is_from_store(&result->request) || result->head_known) {
+        process_head(self, result, actions);
         perform(self, actions);
     }
 }
 
-/* When most daemons were last known to have what is in force here. */
+/* Time at which a majority of the daemons was last known to have the configuration in force here.
+ */
 static time_ns agreed_at(const struct control_configuration *self, time_ns peers_confirmed_at,
                          time_ns now)
 {
@@ -329,17 +332,18 @@
     currency_tick(self->currency, &evidence, now, actions);
     perform(self, actions);
     control_groups_settle(self->control, agreed_at(self, evidence.peers_confirmed_at, now), now);
-    if (now >= self->next_survey_at) {
-        self->next_survey_at = now + SURVEY_INTERVAL_MS * NANOSECONDS_PER_MILLISECOND;
-        configuration_survey(self);
+    if (now >= self->next_straggler_check_at) {
+        self->next_straggler_check_at =
+            now + STRAGGLER_CHECK_INTERVAL_MS * NANOSECONDS_PER_MILLISECOND;
+        configuration_find_stragglers(self);
     }
 }
 
-void control_configuration_take(struct control *control, struct fetch_result *result)
+void control_configuration_process(struct control *control, struct fetch_result *result)
 {
     struct control_configuration *self = control->configuration;
-    if (self->joined || configuration_join_by(self, result)) {
-        take_result(self, result);
+    if (self->joined || configuration_try_join(self, result)) {
+        process_result(self, result);
         tick_currency(self, backend_now());
     }
     fetch_result_free(result);
@@ -379,13 +383,13 @@
     if (self == NULL) {
         return false;
     }
-    struct fetch_order order = {
+    struct fetch_request request = {
         .source = FETCH_SOURCE_PUBLISHER,
         .wanted = configuration_mark_of(handover->version, handover->hash),
         .base = configuration_mark_of(handover->version - 1, handover->base_hash),
         .content = g_bytes_ref(handover->content),
     };
-    configuration_fetcher_submit(self->fetcher, &order);
+    configuration_fetcher_submit(self->fetcher, &request);
     return true;
 }
 
@@ -398,7 +402,7 @@
     control_post(user, &event);
 }
 
-/* The object store's URL, without a slash at its end; the table service's if none is set. */
+/* URL of the object store without trailing slashes; that of the table service if none is set. */
 static char *object_endpoint(const struct settings *settings)
 {
     const char *own = settings->platform.object_endpoint;
--- a/src/daemon/control_configuration_status.c
+++ b/src/daemon/control_configuration_status.c
@@ -1,9 +1,9 @@
-/* What operators and request threads see of the configuration; see the headers. */
+/* State of the configuration for operators and request threads; see the headers. */
 #include <string.h>
 
 #include "daemon/control_configuration_internal.h"
 
-void configuration_explain(const struct control_configuration *self, char *reason)
+void configuration_write_reason(const struct control_configuration *self, char *reason)
 {
     uint64_t applied = currency_applied(self->currency).version;
     uint64_t newest = currency_newest(self->currency).version;
@@ -14,17 +14,17 @@
                    self->search_from - 1, self->control->daemon->settings.daemon.zone);
     } else if (!self->joined) {
         g_snprintf(reason, CONFIGURATION_REASON_SIZE,
-                   "no configuration: no other daemon gave one, nor did the store%s%s",
+                   "no configuration: neither other daemons nor the store returned one%s%s",
                    self->failure[0] != '\0' ? ": " : "", self->failure);
     } else if (newest > applied) {
         g_snprintf(reason, CONFIGURATION_REASON_SIZE,
-                   "version %" G_GUINT64_FORMAT " is accepted, and only version %" G_GUINT64_FORMAT
-                   " could be had",
+                   "version %" G_GUINT64_FORMAT
+                   " is the newest, but only version %" G_GUINT64_FORMAT " could be fetched",
                    newest, applied);
     } else {
         g_snprintf(reason, CONFIGURATION_REASON_SIZE,
-                   "neither the store nor most daemons confirm that version %" G_GUINT64_FORMAT
-                   " is the newest",
+                   "neither the store nor a majority of the daemons confirms that version "
+                   "%" G_GUINT64_FORMAT " is the newest",
                    applied);
     }
 }
@@ -35,7 +35,8 @@
     time_ns bound = daemon->settings.configuration.currency_bound_ms * NANOSECONDS_PER_MILLISECOND;
     bool serving = currency_serving(self->currency);
     time_ns confirmed_at = currency_confirmed_at(self->currency);
-    /* Request threads go by the clock, as the control thread may be paused with its process. */
+    /* Request threads compare with the clock, as the control thread may have been paused with its
+     * process. */
     atomic_store(&daemon->serve_until, serving ? confirmed_at + bound : 0);
     pthread_mutex_lock(&self->status_lock);
     struct configuration_status *status = &self->status;
@@ -46,7 +47,7 @@
     status->confirmed_at = confirmed_at;
     status->reason[0] = '\0';
     if (!serving) {
-        configuration_explain(self, status->reason);
+        configuration_write_reason(self, status->reason);
     }
     pthread_mutex_unlock(&self->status_lock);
 }
@@ -63,7 +64,7 @@
     pthread_mutex_unlock(&self->status_lock);
 }
 
-/* True if a member of this zone was last heard of with an older configuration. */
+/* True if the last message of a member of this zone reported an older configuration. */
 static bool is_straggler(const struct member *member, const struct member *self, uint64_t newest)
 {
     bool alive = member->state == MEMBER_STATE_ALIVE || member->state == MEMBER_STATE_SUSPECT;
@@ -72,7 +73,7 @@
            version < newest;
 }
 
-void configuration_survey(struct control_configuration *self)
+void configuration_find_stragglers(struct control_configuration *self)
 {
     struct membership *membership = self->control->membership;
     struct member own = membership_self(membership);
--- a/src/daemon/control_groups.c
+++ b/src/daemon/control_groups.c
@@ -16,19 +16,20 @@
 #include "daemon/ledger_upkeep.h"
 #include "daemon/task.h"
 
-/* A fence, promotion or follow without an answer for so long is lost. */
+/* Time after which a fence, promotion or follow command without an answer counts as failed. */
 #define COMMAND_TIMEOUT_MS 300
 
-/* After the databases of a group changed and most daemons know: time for the news to reach the last
- * daemon of a zone, and for what was begun under the databases of before to end: the longest
- * transaction that a template allows, and its last statement. */
+/* Waiting times after the databases of a group changed and a majority of the daemons has the
+ * change: for the change to reach the last daemon of a zone, and for work begun under the previous
+ * databases to end, that is the longest transaction that a template allows and its last statement.
+ */
 #define SETTLING_SPREAD_MS 60000
 #define SETTLING_WORK_MS   360000
 
-/* Between two removals of old keys from a group's ledger. */
+/* Interval between two removals of expired keys from a group's ledger. */
 #define LEDGER_EXPIRE_INTERVAL_MS 60000
 
-static void make_sure_of_ledger(struct controlled_group *group, const struct group_view *view)
+static void ensure_ledger(struct controlled_group *group, const struct group_view *view)
 {
     if (group->ledger_term == view->term || view->primary < 0) {
         return;
@@ -37,8 +38,8 @@
     ledger_upkeep_create(group->control->daemon->workers, group->runtime, view);
 }
 
-/* Longest time that a tenant of the group wants keys remembered, in days. */
-static uint32_t days_to_remember(struct daemon *daemon, uint32_t group)
+/* Longest retention time of keys among the tenants of the group, in days. */
+static uint32_t key_retention_days(struct daemon *daemon, uint32_t group)
 {
     uint32_t days = 0;
     struct configuration *configuration = daemon_take_configuration(daemon);
@@ -52,8 +53,8 @@
     return days;
 }
 
-/* Ends old keys now and then, at one owner of the group. A key lives as long as the group's longest
- * bound: longer than its tenant asked for, never shorter. */
+/* Removes expired keys periodically, at one owner of the group. Keys are kept for the longest
+ * retention time in the group: some longer than their tenant's setting, never shorter. */
 static void expire_ledger(struct controlled_group *group, time_ns now)
 {
     struct daemon *daemon = group->control->daemon;
@@ -63,7 +64,7 @@
     }
     group->ledger_expire_at = now + LEDGER_EXPIRE_INTERVAL_MS * NANOSECONDS_PER_MILLISECOND;
     const struct group_view *view = group_control_view(group->machine);
-    uint32_t days = days_to_remember(daemon, group->id);
+    uint32_t days = key_retention_days(daemon, group->id);
     if (days > 0 && route_write(view).database >= 0) {
         ledger_upkeep_expire(daemon->workers, group->runtime, view, days);
     }
@@ -74,13 +75,13 @@
     return g_hash_table_lookup(control->groups, GUINT_TO_POINTER(id));
 }
 
-/* A command under way at the prober. */
+/* A command in progress at the prober. */
 struct pending_command {
     struct control *control;
     uint64_t id; /* of the core's action */
 };
 
-/* Called on the prober's thread, which knows groups by the number of their run time. */
+/* Called on the prober's thread, which identifies a group by the number of its run time. */
 static void on_command_done(void *user, uint32_t runtime, uint32_t database,
                             const struct channel_reply *reply)
 {
@@ -136,7 +137,7 @@
                   on_command_done, pending);
 }
 
-/* Bit per database that has requests or connections in use here. */
+/* Bit per database with requests or connections in use here. */
 static uint32_t busy_databases(struct group_runtime *runtime)
 {
     uint32_t busy = 0;
@@ -153,22 +154,24 @@
     return busy;
 }
 
-/* What this daemon uses of the group now; kept here as well as told. */
-static uint32_t note_own_uses(struct controlled_group *group, uint64_t watcher)
+/* Computes which databases of the group this daemon uses, and records it here as a report like the
+ * other owners'. */
+static uint32_t record_own_uses(struct controlled_group *group, uint64_t watcher)
 {
     struct group_uses *uses = &group->runtime->uses;
     time_ns now = backend_now();
     uint32_t used = group_uses_own(uses, group_control_view(group->machine),
                                    busy_databases(group->runtime), now);
-    group_uses_note(uses, watcher, used, now);
+    group_uses_record(uses, watcher, used, now);
     return used;
 }
 
-void control_groups_note_uses(struct control *control, uint32_t id, uint64_t watcher, uint32_t used)
+void control_groups_record_uses(struct control *control, uint32_t id, uint64_t watcher,
+                                uint32_t used)
 {
     struct controlled_group *group = find_group(control, id);
     if (group != NULL) {
-        group_uses_note(&group->runtime->uses, watcher, used, backend_now());
+        group_uses_record(&group->runtime->uses, watcher, used, backend_now());
     }
 }
 
@@ -182,7 +185,7 @@
     message.opinion = group_opinion_to_message(opinion, group->id);
     message.opinion.deployment_hash = group->control->daemon->deployment;
     message.opinion.has_uses = true;
-    message.opinion.uses = note_own_uses(group, opinion->watcher);
+    message.opinion.uses = record_own_uses(group, opinion->watcher);
     control_ownership_entries(group->control, group->id, owners, &count);
     for (uint32_t i = 0; i < count; i++) {
         if (!owners[i].self) {
@@ -196,8 +199,8 @@
 {
     const struct group_view *view = group_control_view(group->machine);
     for (uint32_t i = 0; i < view->database_count; i++) {
-        /* Of a database not probed yet nothing is known: its pool may be a predecessor's, in use.
-         */
+        /* A database that was not probed yet has no known state, and its pool may be in use, shared
+         * with a predecessor. */
         if (view->databases[i].observed_at > 0 || view->databases[i].reachable) {
             pool_set_reachable(group->runtime->databases[i].pool, view->databases[i].reachable);
         }
@@ -206,7 +209,7 @@
     daemon_metrics_group_writable(group->control->daemon->metrics, group->id,
                                   route_write(view).database >= 0, backend_now());
     worker_pool_wake(group->control->daemon->workers);
-    make_sure_of_ledger(group, view);
+    ensure_ledger(group, view);
 }
 
 static void record(struct controlled_group *group, const struct group_record *record)
@@ -222,8 +225,9 @@
     journal_add(group->control->journal, &entry);
 }
 
-/* Whose configuration may have been replaced must not change a group's primary: it might count a
- * majority of databases that the group no longer has. The clock decides, as for requests. */
+/* A daemon whose configuration may have been replaced must not change a group's primary: it might
+ * count a majority of databases that the group no longer has. The clock decides, as for requests.
+ */
 static bool may_perform(const struct controlled_group *group, const struct group_action *action)
 {
     bool changes_primary = action->kind == GROUP_ACTION_FENCE ||
@@ -232,8 +236,8 @@
     return !changes_primary || daemon_may_serve(group->control->daemon);
 }
 
-/* As if the command had got no answer: it is sent again later. */
-static void lose_command(struct controlled_group *group, const struct group_action *action)
+/* Treats the command as unanswered, so that it is sent again later. */
+static void drop_command(struct controlled_group *group, const struct group_action *action)
 {
     struct control_event event = {
         .kind = CONTROL_EVENT_RUNTIME,
@@ -250,7 +254,7 @@
 static void perform(struct controlled_group *group, const struct group_action *action)
 {
     if (!may_perform(group, action)) {
-        lose_command(group, action);
+        drop_command(group, action);
         return;
     }
     switch (action->kind) {
@@ -363,7 +367,7 @@
     }
 }
 
-/* Called under the group's writes lock, on any thread. */
+/* Called under the group's writes_lock, on any thread. */
 static void on_drained(void *user, uint32_t runtime, uint64_t change)
 {
     struct control_event event = {
@@ -476,7 +480,8 @@
     }
 }
 
-/* Ends the control of a group's run time: its view stays as it is for what is in flight. */
+/* Ends the control of a group's run time. Its last view stays published for requests in progress.
+ */
 static void release_runtime(struct control *control, struct controlled_group *group)
 {
     uint32_t number = group->runtime->number;
@@ -496,8 +501,8 @@
     atomic_store(&control->groups_held, g_hash_table_size(control->groups));
 }
 
-/* The group's run time in the routing table, with one reference, if it is another than the one that
- * is controlled; else NULL. */
+/* The group's run time in the routing table, with one reference, if it differs from the one under
+ * control; otherwise NULL. */
 static struct group_runtime *take_successor(struct control *control,
                                             const struct controlled_group *group)
 {
@@ -509,7 +514,7 @@
     return runtime;
 }
 
-void control_groups_take_successors(struct control *control)
+void control_groups_switch_runtimes(struct control *control)
 {
     g_autoptr(GList) groups = g_hash_table_get_values(control->groups);
     for (GList *link = groups; link != NULL; link = link->next) {
@@ -517,10 +522,10 @@
         if (successor != NULL) {
             release_runtime(control, link->data);
             start_group(control, successor);
-            control_budget_succeed(control->budget, successor->group->id);
+            control_budget_replace_runtime(control->budget, successor->group->id);
         }
     }
-    control_slots_place(control);
+    control_slots_set_owners(control);
 }
 
 void control_groups_stop(struct control *control)
--- a/src/daemon/control_members.c
+++ b/src/daemon/control_members.c
@@ -1,5 +1,5 @@
-/* The control thread's members: drives membership over the datagram socket, and publishes the
- * member table from which owners are derived. */
+/* The control thread's membership: drives it over the datagram socket, and publishes the member
+ * table from which owners are derived. */
 #define G_LOG_DOMAIN "members"
 #include <arpa/inet.h>
 #include <string.h>
@@ -21,10 +21,10 @@
 #include "wire/address.h"
 #include "wire/datagram.h"
 
-/* Datagrams taken in one go before other work gets its turn. */
-#define DATAGRAMS_PER_TURN 64
+/* Datagrams received in one pass, so that other work is not delayed. */
+#define DATAGRAMS_PER_PASS 64
 
-/* Names an incarnation of a daemon as a watcher. */
+/* Watcher id of an incarnation of a daemon. */
 static uint64_t watcher_id(uint64_t member, uint64_t start)
 {
     return XXH3_64bits_withSeed(&member, sizeof(member), start);
@@ -100,7 +100,7 @@
     g_free(previous);
 }
 
-static void note_change(struct control *control, const struct member *member, const char *what)
+static void record_change(struct control *control, const struct member *member, const char *what)
 {
     struct journal_entry entry = {.database = -1};
     struct sockaddr_in address = to_socket_address(member->address);
@@ -118,16 +118,16 @@
 void control_send(struct control *control, const struct sockaddr_in *to,
                   const struct message *message)
 {
-    size_t octets = 0;
-    if (wire_datagram_send(control->socket, to, message, &octets, NULL)) {
-        daemon_metrics_datagram(control->daemon->metrics, DATAGRAM_SENT, octets);
+    size_t bytes = 0;
+    if (wire_datagram_send(control->socket, to, message, &bytes, NULL)) {
+        daemon_metrics_datagram(control->daemon->metrics, DATAGRAM_SENT, bytes);
     }
 }
 
 static void send_gossip(struct control *control, const struct membership_action *action)
 {
     struct sockaddr_in to = to_socket_address(action->to);
-    /* The encoder only reads: the union borrows the list's message. */
+    /* The encoder only reads, so that the message may borrow from the list. */
     struct message message = {.kind = MESSAGE_KIND_GOSSIP, .gossip = action->message};
     control_send(control, &to, &message);
 }
@@ -139,24 +139,24 @@
         send_gossip(control, action);
         break;
     case MEMBERSHIP_ACTION_MEMBER_JOINED:
-        note_change(control, &action->member, "member_joined");
+        record_change(control, &action->member, "member_joined");
         break;
     case MEMBERSHIP_ACTION_MEMBER_RESTARTED:
-        note_change(control, &action->member, "member_restarted");
+        record_change(control, &action->member, "member_restarted");
         break;
     case MEMBERSHIP_ACTION_MEMBER_CHANGED:
-        note_change(control, &action->member, "member_changed");
+        record_change(control, &action->member, "member_changed");
         break;
     case MEMBERSHIP_ACTION_MEMBER_REMOVED:
-        note_change(control, &action->member, "member_gone");
+        record_change(control, &action->member, "member_gone");
         control_ownership_forget(control, action->member.id);
         break;
     case MEMBERSHIP_ACTION_SUPERSEDED:
-        g_critical("Another daemon runs under this name: this one is silent.");
+        g_critical("Another daemon runs under this name: this one has stopped sending gossip.");
         break;
     case MEMBERSHIP_ACTION_CONFIGURATION_ANNOUNCED:
-        control_configuration_hear(control, action->configuration,
-                                   action->holder ? action->member.id : 0);
+        control_configuration_receive_mark(control, action->configuration,
+                                           action->holder ? action->member.id : 0);
         break;
     case MEMBERSHIP_ACTION_ZONE_CHANGED:
         break;
@@ -181,11 +181,11 @@
     struct group_event event = group_opinion_event(opinion);
     control_groups_feed(control, opinion->group, &event);
     if (opinion->has_uses) {
-        control_groups_note_uses(control, opinion->group, opinion->watcher, opinion->uses);
+        control_groups_record_uses(control, opinion->group, opinion->watcher, opinion->uses);
     }
 }
 
-/* Identity of the deployment that a datagram says to be of. */
+/* Deployment that a datagram claims to belong to. */
 static uint32_t deployment_of(const struct message *message)
 {
     switch (message->kind) {
@@ -206,7 +206,7 @@
                           const struct sockaddr_in *from, time_ns now)
 {
     if (deployment_differs(control->daemon->deployment, deployment_of(message))) {
-        foreign_traffic_note(control->daemon, FOREIGN_TRAFFIC_DATAGRAM, from);
+        foreign_traffic_record(control->daemon, FOREIGN_TRAFFIC_DATAGRAM, from);
     } else if (message->kind == MESSAGE_KIND_GOSSIP && control->membership != NULL) {
         membership_receive(control->membership, &message->gossip, to_member_address(from), now,
                            control->actions);
@@ -221,15 +221,14 @@
 
 void control_members_receive(struct control *control, time_ns now)
 {
-    for (int i = 0; i < DATAGRAMS_PER_TURN; i++) {
+    for (int i = 0; i < DATAGRAMS_PER_PASS; i++) {
         struct message message;
         struct sockaddr_in from;
-        size_t octets;
+        size_t bytes;
         g_autoptr(GError) error = NULL;
-        bool decoded =
-            wire_datagram_receive(control->socket, &message, &from, &octets, now, &error);
+        bool decoded = wire_datagram_receive(control->socket, &message, &from, &bytes, now, &error);
         if (decoded || g_error_matches(error, SW_ERROR, ERROR_KIND_BAD_REQUEST)) {
-            daemon_metrics_datagram(control->daemon->metrics, DATAGRAM_RECEIVED, octets);
+            daemon_metrics_datagram(control->daemon->metrics, DATAGRAM_RECEIVED, bytes);
         }
         if (!decoded) {
             if (g_error_matches(error, SW_ERROR, ERROR_KIND_BAD_REQUEST)) {
--- a/src/daemon/control_ownership.c
+++ b/src/daemon/control_ownership.c
@@ -1,5 +1,5 @@
-/* Which groups this daemon owns: feeds ownership with members and groups, starts and ends the
- * groups gained and lost, and publishes the owners that request threads forward to. */
+/* The groups that this daemon owns: feeds ownership with members and groups, starts gained groups
+ * and releases lost ones, and publishes the owners that request threads forward to. */
 #define G_LOG_DOMAIN "owners"
 #include <stdlib.h>
 #include <string.h>
@@ -11,10 +11,10 @@
 #include "daemon/control_slots.h"
 #include "daemon/daemon.h"
 
-/* A daemon that finds no other claims its groups after this long. */
+/* Time after which a daemon that finds no other claims its groups. */
 #define OWNERSHIP_SETTLE_MS 1000
 
-/* A zone counts as in reach if it was heard of within this time. */
+/* A zone counts as reachable if a message from it was received within this time. */
 #define MAJORITY_WITHIN_MS 5000
 
 static void fill_group(struct ownership_group *out, const struct group_configuration *group)
@@ -32,7 +32,7 @@
     out->count = (uint32_t)ownership_owners(control->ownership, group, out->owners);
 }
 
-/* Replaces the owners that request threads read; groups are in the order of their ids. */
+/* Replaces the table of owners that request threads read; groups are ordered by id. */
 static void publish_owners(struct control *control)
 {
     struct configuration *configuration = daemon_take_configuration(control->daemon);
@@ -51,7 +51,7 @@
     g_free(previous);
 }
 
-static void note_change(struct control *control, uint32_t group, const char *kind)
+static void record_change(struct control *control, uint32_t group, const char *kind)
 {
     struct journal_entry entry = {.group = group, .database = -1};
     g_strlcpy(entry.kind, kind, sizeof(entry.kind));
@@ -59,7 +59,7 @@
     journal_add(control->journal, &entry);
 }
 
-/* Starts the groups gained, hands over those lost. */
+/* Starts gained groups and hands over lost ones. */
 static void apply_changes(struct control *control, const GArray *changes)
 {
     for (guint i = 0; i < changes->len; i++) {
@@ -68,18 +68,18 @@
         bool runs = control_groups_runs(control, change->group);
         if (position >= 0 && !runs) {
             control_groups_begin(control, change->group);
-            note_change(control, change->group, "ownership_gained");
+            record_change(control, change->group, "ownership_gained");
         } else if (position < 0 && runs) {
             control_budget_release(control->budget, change->group);
-            note_change(control, change->group, "ownership_lost");
+            record_change(control, change->group, "ownership_lost");
         }
         if (position >= 0) {
-            control_budget_place(control->budget, change->group, position);
+            control_budget_set_position(control->budget, change->group, position);
         }
     }
     publish_owners(control);
     control_groups_set_watchers(control, backend_now());
-    control_slots_place(control);
+    control_slots_set_owners(control);
 }
 
 void control_ownership_start(struct control *control, uint64_t self)
@@ -116,7 +116,7 @@
     apply_changes(control, changes);
 }
 
-/* Takes in what membership holds now. */
+/* Copies the current members into ownership. */
 static void take_members(struct control *control, GArray *changes)
 {
     for (size_t i = 0; i < membership_count(control->membership); i++) {
@@ -146,8 +146,8 @@
     }
 }
 
-/* True if the member list can be relied on: it is whole, and more than half of it is in reach. */
-static bool view_is_reliable(struct control *control, time_ns now)
+/* True if the member list is complete and more than half of the members are reachable. */
+static bool members_are_reliable(struct control *control, time_ns now)
 {
     if (control->daemon->settings.daemon.peers.count == 0) {
         return true;
@@ -165,13 +165,14 @@
     if (control->membership == NULL || !control_configuration_was_confirmed(control)) {
         return;
     }
-    bool reliable = view_is_reliable(control, now);
-    if (reliable == control->view_reliable) {
+    bool reliable = members_are_reliable(control, now);
+    if (reliable == control->members_reliable) {
         return;
     }
     g_autoptr(GArray) changes = g_array_new(FALSE, FALSE, sizeof(struct ownership_change));
-    control->view_reliable = reliable;
-    g_message("Members are %s.", reliable ? "known, and most are in reach" : "not to be relied on");
+    control->members_reliable = reliable;
+    g_message("The member list is %s.",
+              reliable ? "complete, and a majority is reachable" : "not reliable");
     ownership_set_settled(control->ownership, reliable, changes);
     if (atomic_load(&control->owners_settled)) {
         apply_changes(control, changes);
--- a/src/daemon/daemon_metrics.c
+++ b/src/daemon/daemon_metrics.c
@@ -1,4 +1,4 @@
-/* What the daemon measures; see the header. */
+/* Metrics of the daemon; see the header. */
 #include "daemon/daemon_metrics.h"
 
 #include <math.h>
@@ -12,11 +12,11 @@
 #include "daemon/task.h"
 #include "daemon/transaction.h"
 
-/* Upper bounds of request times, seconds. */
+/* Upper bounds of request times, in seconds. */
 static const double request_bounds[] = {0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1,
                                         0.2,   0.5,   1,     2,    5,    10};
 
-/* Upper bounds of write gaps, seconds. */
+/* Upper bounds of write gaps, in seconds. */
 static const double gap_bounds[] = {0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 8, 30, 120};
 
 enum task_use {
@@ -35,7 +35,7 @@
     struct metric_counter *routes[ROUTE_REASON_COUNT];
     struct metric_counter *replayed;
     struct metric_counter *datagrams[DATAGRAM_DIRECTION_COUNT];
-    struct metric_counter *octets[DATAGRAM_DIRECTION_COUNT];
+    struct metric_counter *bytes[DATAGRAM_DIRECTION_COUNT];
     struct metric_counter *foreign[FOREIGN_TRAFFIC_COUNT];
     pthread_mutex_t gap_lock; /* guards gap_since */
     GHashTable *gap_since;    /* group as pointer -> time_ns *, of groups without a primary */
@@ -51,7 +51,7 @@
     metrics->reads_by_primary = metrics_counter(metrics->registry, name, help, primary);
     metrics->write_gap = metrics_histogram(
         metrics->registry, "swiftworks_write_gap_seconds",
-        "Times for which this daemon knew no primary that takes writes of a group.", NULL,
+        "Times for which this daemon knew no primary that accepts writes of a group.", NULL,
         gap_bounds, G_N_ELEMENTS(gap_bounds));
 }
 
@@ -89,16 +89,16 @@
         metrics->datagrams[direction] =
             metrics_counter(metrics->registry, "swiftworks_control_datagrams_total",
                             "Datagrams of the control plane between daemons.", label);
-        metrics->octets[direction] =
+        metrics->bytes[direction] =
             metrics_counter(metrics->registry, "swiftworks_control_octets_total",
-                            "Octets in these datagrams, without headers of UDP and IP.", label);
+                            "Bytes in these datagrams, without UDP and IP headers.", label);
     }
     static const char *const ways[] = {"datagram", "connection"};
     for (int way = 0; way < FOREIGN_TRAFFIC_COUNT; way++) {
         const struct metric_label label[] = {{"over", ways[way]}, {NULL, NULL}};
         metrics->foreign[way] =
             metrics_counter(metrics->registry, "swiftworks_foreign_messages_total",
-                            "Messages of another deployment, dropped or refused.", label);
+                            "Messages from another deployment, dropped or refused.", label);
     }
 }
 
@@ -153,7 +153,7 @@
     return (double)status.version;
 }
 
-/* Not a number while the configuration in force was never confirmed, or is static. */
+/* NaN while the configuration in force was never confirmed, or if it is static. */
 static double read_confirmed_age(void *user)
 {
     struct daemon *daemon = user;
@@ -170,10 +170,10 @@
 {
     metrics_collector(metrics->registry, group_metrics_collect, daemon);
     metrics_gauge_function(metrics->registry, "swiftworks_tasks_open",
-                           "Requests begun and not answered.", NULL, read_tasks_open, daemon);
+                           "Requests started and not answered.", NULL, read_tasks_open, daemon);
     metrics_gauge_function(metrics->registry, "swiftworks_worker_backlog",
-                           "Requests that wait for a worker thread or for a moment.", NULL,
-                           read_backlog, daemon);
+                           "Requests queued for a worker thread or parked until a given time.",
+                           NULL, read_backlog, daemon);
     metrics_gauge_function(metrics->registry, "swiftworks_transactions_open",
                            "Interactive transactions open here.", NULL, read_transactions, daemon);
     metrics_gauge_function(metrics->registry, "swiftworks_configuration_version",
@@ -214,10 +214,10 @@
 }
 
 void daemon_metrics_datagram(struct daemon_metrics *metrics, enum datagram_direction direction,
-                             size_t octets)
+                             size_t bytes)
 {
     metric_counter_add(metrics->datagrams[direction], 1);
-    metric_counter_add(metrics->octets[direction], octets);
+    metric_counter_add(metrics->bytes[direction], bytes);
 }
 
 void daemon_metrics_foreign(struct daemon_metrics *metrics, enum foreign_traffic traffic)
--- a/src/daemon/foreign_traffic.c
+++ b/src/daemon/foreign_traffic.c
@@ -1,4 +1,4 @@
-/* What other deployments send to this daemon; see the header. */
+/* Messages from other deployments; see the header. */
 #define G_LOG_DOMAIN "members"
 #include "daemon/foreign_traffic.h"
 
@@ -9,28 +9,28 @@
 #include "daemon/daemon_metrics.h"
 #include "wire/address.h"
 
-/* Between two lines in the log, at least. */
-#define TOLD_INTERVAL_MS 60000
+/* Minimum time between two log lines. */
+#define LOG_INTERVAL_MS 60000
 
-/* True for one caller at a time, no more often than the interval. */
-static bool may_tell(struct daemon *daemon)
+/* True for one thread at a time, at most once per interval. */
+static bool may_log(struct daemon *daemon)
 {
     time_ns now = backend_now();
-    time_ns until = atomic_load(&daemon->foreign_told_until);
-    time_ns next = now + TOLD_INTERVAL_MS * NANOSECONDS_PER_MILLISECOND;
+    time_ns until = atomic_load(&daemon->foreign_logged_until);
+    time_ns next = now + LOG_INTERVAL_MS * NANOSECONDS_PER_MILLISECOND;
     return now >= until &&
-           atomic_compare_exchange_strong(&daemon->foreign_told_until, &until, next);
+           atomic_compare_exchange_strong(&daemon->foreign_logged_until, &until, next);
 }
 
-void foreign_traffic_note(struct daemon *daemon, enum foreign_traffic traffic,
-                          const struct sockaddr_in *from)
+void foreign_traffic_record(struct daemon *daemon, enum foreign_traffic traffic,
+                            const struct sockaddr_in *from)
 {
     atomic_fetch_add(&daemon->foreign_messages, 1);
     daemon_metrics_foreign(daemon->metrics, traffic);
-    if (!may_tell(daemon)) {
+    if (!may_log(daemon)) {
         return;
     }
     g_autofree char *address = from != NULL ? format_address(from) : NULL;
-    g_warning("Messages of another deployment are dropped%s%s.",
+    g_warning("Dropped messages from another deployment%s%s.",
               address != NULL ? ", the last from " : "", address != NULL ? address : "");
 }
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -1,4 +1,4 @@
-/* swiftworksd: reads its settings, starts the daemon, and stops it in a planned way on SIGTERM or
+/* swiftworksd: reads its settings, starts the daemon, and performs a planned stop on SIGTERM or
  * SIGINT. */
 #define G_LOG_DOMAIN "daemon"
 #include <glib.h>
@@ -15,9 +15,9 @@
 #define EXIT_OK       0
 #define EXIT_SETTINGS 2 /* the command line or the settings are wrong */
 #define EXIT_START    3 /* a part could not start */
-#define EXIT_CUT      4 /* the planned stop cut requests */
+#define EXIT_ABORTED  4 /* the planned stop aborted requests */
 
-/* The command line. */
+/* Command-line options. */
 struct options {
     char *settings_file;
     char **overrides;
@@ -64,13 +64,13 @@
         g_critical("Start failed: %s.", error->message);
         return EXIT_START;
     }
-    g_message("Ready: callers at port %u.", frontend_port(daemon->frontend));
+    g_message("Ready: listening for callers on port %u.", frontend_port(daemon->frontend));
     sigwait(&signals, &received);
-    g_message("Planned stop by signal %d.", received);
+    g_message("Planned stop on signal %d.", received);
     time_ns deadline = backend_now() + stop_timeout_ms * NANOSECONDS_PER_MILLISECOND;
-    uint32_t cut = daemon_stop(daemon, deadline);
-    g_message("Stopped: %u requests or transactions cut.", cut);
-    return cut == 0 ? EXIT_OK : EXIT_CUT;
+    uint32_t aborted = daemon_stop(daemon, deadline);
+    g_message("Stopped: %u requests or transactions aborted.", aborted);
+    return aborted == 0 ? EXIT_OK : EXIT_ABORTED;
 }
 
 int main(int argc, char **argv)
--- a/src/daemon/task_read.c
+++ b/src/daemon/task_read.c
@@ -1,4 +1,4 @@
-/* The read path: drives read_flow, one guarded round trip per step. */
+/* The read path: drives read_flow with one guarded round trip per step. */
 #include "daemon/task.h"
 
 #include <glib.h>
@@ -8,13 +8,13 @@
 #include "daemon/daemon.h"
 #include "daemon/task_decision.h"
 
-/* Databases that one read may try, at most. */
+/* Maximum number of databases that one read tries. */
 #define READ_ATTEMPTS_MAX 4
 
-/* Reads are counted in a sliding way: both counters are halved at this many. */
+/* The counters of reads form a decaying window: both are halved at this count. */
 #define READ_COUNT_WINDOW 10000
 
-/* True while the tenant's reads at the primary stay within its share. */
+/* True while the tenant's reads at the primary are within its limit. */
 static bool primary_read_allowed(const struct task *task)
 {
     uint32_t percent = task->route->read_primary_share_percent;
@@ -36,7 +36,7 @@
     }
 }
 
-/* Fills in what routing needs to know now. */
+/* Fills in the current inputs of routing. */
 static void refresh_route(struct task *task)
 {
     struct route_read_request *route = &task->read_flow.options.route;
@@ -49,14 +49,14 @@
     route->random = g_random_int();
 }
 
-/* Notes a step that was routed under the view: where to read, or why nowhere. */
-static void note_decision(struct task *task, const struct group_view *view)
+/* Records a step routed under the view: where to read, or why no database is eligible. */
+static void record_decision(struct task *task, const struct group_view *view)
 {
     const struct read_step *step = &task->read_step;
     bool refused = step->kind == READ_STEP_ANSWER && step->outcome == OUTCOME_REFUSED;
     if (step->kind == READ_STEP_READ || refused) {
-        task_note_view(task, view, task->read_flow.refused);
-        task_note_needed(task, view, &task->read_flow.options.route);
+        task_record_view(task, view, task->read_flow.refused);
+        task_record_needed(task, view, &task->read_flow.options.route);
     }
 }
 
@@ -66,7 +66,7 @@
     group_runtime_read_view(task->group, &view);
     refresh_route(task);
     task->read_step = read_flow_next(&task->read_flow, event, &view);
-    note_decision(task, &view);
+    record_decision(task, &view);
 }
 
 static enum read_event_kind event_of(enum execute_result result)
@@ -85,7 +85,7 @@
     }
 }
 
-/* Performs a READ step on a connection of its database; the slot is held. */
+/* Performs a READ step on a connection of its database. Requires that the slot is held. */
 static enum execute_result read_at(struct task *task)
 {
     const struct read_step *step = &task->read_step;
@@ -107,7 +107,7 @@
     return result;
 }
 
-/* Takes a slot of the database. False: the task was queued, or *event is GIVE_UP. */
+/* Takes a slot of the database. Returns false if the task was queued, or if *event is GIVE_UP. */
 static bool take_read_slot(struct task *task, struct read_event *event)
 {
     bool refused = false;
@@ -124,7 +124,8 @@
     return false;
 }
 
-/* Performs the READ step. False if the task was queued for a slot and must not be touched. */
+/* Performs the READ step. Returns false if the task was queued for a slot and must not be accessed.
+ */
 static bool perform_read(struct task *task)
 {
     struct read_event event = {.kind = READ_EVENT_START};
@@ -137,7 +138,7 @@
         return true;
     }
     enum execute_result result = read_at(task);
-    task_give_slot(task);
+    task_release_slot(task);
     event.kind = event_of(result);
     event.now = backend_now();
     event.status = task->run.status;
@@ -153,10 +154,11 @@
 {
     const struct read_step *step = &task->read_step;
     task->reply.reason = (uint32_t)step->reason;
-    task_note_refused(task);
+    task_copy_refused(task);
     if (step->outcome == OUTCOME_REFUSED) {
-        /* A read that found no fresh replica counts too: the primary's share is one of what is
-         * asked, and would never be earned again if only what replicas serve counted. */
+        /* A read that found no fresh replica counts too. The primary's share is relative to the
+         * requested reads; if only reads served by replicas counted, it could never be earned
+         * again. */
         if (step->error == ERROR_KIND_NO_FRESH_REPLICA) {
             count_read(task, step->reason);
         }
@@ -164,7 +166,7 @@
         return;
     }
     bool primary = task->run.status.role == DATABASE_ROLE_PRIMARY;
-    task_note_served(task, step->database, primary ? "primary" : "replica");
+    task_set_served(task, step->database, primary ? "primary" : "replica");
     if (step->outcome == OUTCOME_FAILED) {
         task->reply.error_position = task->run.error_position;
         task->reply.sqlstate = g_strdup(task->run.sqlstate);
@@ -172,7 +174,7 @@
         return;
     }
     count_read(task, step->reason);
-    task_note_seen(task, task->run.position);
+    task_set_seen(task, task->run.position);
     task_take_results(task, &task->run);
     task->reply.outcome = OUTCOME_DONE;
     task_finish(task);
--- a/src/daemon/task_write.c
+++ b/src/daemon/task_write.c
@@ -1,4 +1,4 @@
-/* The write path: drives write_flow. A write holds a slot while it runs at the primary, and none
+/* The write path: drives write_flow. A write holds a slot while it runs at the primary, but not
  * while evidence is gathered or while it waits. */
 #include "daemon/task.h"
 
@@ -10,25 +10,26 @@
 #include "daemon/task_ledger.h"
 #include "daemon/transaction.h"
 
-/* Times that one write may be run under its key, at most. */
+/* Maximum number of runs of one write under its key. */
 #define WRITE_ATTEMPTS_MAX 4
 
-/* When a caller should come back after the retry budget was spent. */
+/* Retry delay if the retry budget is exhausted. */
 #define RETRY_BUDGET_RETRY_AFTER_MS 500
 
-/* Notes a step that was routed under the view: where to run, or why nowhere yet or at all. */
-static void note_decision(struct task *task, const struct group_view *view)
+/* Records a step routed under the view: where to run, or why no database is eligible now or at all.
+ */
+static void record_decision(struct task *task, const struct group_view *view)
 {
     const struct write_step *step = &task->write_step;
     bool refused = step->kind == WRITE_STEP_ANSWER && step->outcome == OUTCOME_REFUSED;
     bool routed = step->kind == WRITE_STEP_EXECUTE || step->kind == WRITE_STEP_CLOSE_KEY ||
                   step->kind == WRITE_STEP_WAIT;
     if (routed || refused) {
-        task_note_write_view(task, view);
+        task_record_write_view(task, view);
     }
 }
 
-/* Feeds an event under the newest view, counting the write while it may run. */
+/* Feeds an event under the newest view, and counts the write as running while it may run. */
 static void next_step(struct task *task, const struct write_event *event)
 {
     struct group_view view;
@@ -39,7 +40,7 @@
     }
     task->write_step = write_flow_next(&task->write_flow, event, &view);
     write_trace_note(task->write_trace, event, &view, &task->write_step);
-    note_decision(task, &view);
+    record_decision(task, &view);
     if (task->write_step.kind == WRITE_STEP_WAIT && task->counts_as_write) {
         group_runtime_end_write(task->group);
         task->counts_as_write = false;
@@ -58,7 +59,7 @@
     next_step(task, &event);
 }
 
-static void give_up(struct task *task, enum error_kind error, uint32_t retry_after_ms)
+static void feed_give_up(struct task *task, enum error_kind error, uint32_t retry_after_ms)
 {
     struct write_event event = {
         .kind = WRITE_EVENT_GIVE_UP,
@@ -106,8 +107,9 @@
     return key;
 }
 
-/* Runs the transaction, or closes its key, on a connection. With a key an attempt ends while there
- * is time to ask the ledger; without one there is nothing to ask, and the answer is waited for. */
+/* Runs the transaction, or closes its key, on a connection. An attempt with a key ends while there
+ * is time left to query the ledger. Without a key there is nothing to query, so that the answer is
+ * awaited until the deadline. */
 static enum execute_result run_on(struct task *task, struct backend_connection *connection)
 {
     struct adapter_key key = key_of(task);
@@ -132,7 +134,7 @@
     return task->ledger_key != NULL ? ACTIVE_CALL_KEYED_WRITE : ACTIVE_CALL_WRITE;
 }
 
-/* The same at the step's database; the slot is held. */
+/* The same at the step's database. Requires that the slot is held. */
 static enum execute_result run_at(struct task *task)
 {
     struct active_call call;
@@ -153,7 +155,7 @@
     return result;
 }
 
-/* Keeps the database's error: it is told once the key is closed. */
+/* Keeps the database's error for the answer after the key is closed. */
 static void keep_failure(struct task *task, enum execute_result result)
 {
     if (result != EXECUTE_FAILED && result != EXECUTE_CONFLICT &&
@@ -171,7 +173,7 @@
 static bool retry_allowed(struct task *task)
 {
     if (task->slot_database >= 0) {
-        return true; /* asked before it was queued for the slot */
+        return true; /* checked before the task was queued for the slot */
     }
     if (task->write_flow.attempts <= 1) {
         retry_budget_earn(&task->group->retry_budget);
@@ -187,21 +189,21 @@
     task->run_database = task->transaction->database;
     time_ns deadline = task->ledger_key != NULL ? task_attempt_deadline(task) : task->deadline;
     enum execute_result result = transaction_commit(task->transaction, deadline, &task->run);
-    /* Whatever came of it, the transaction has ended: only its key may be asked for now. */
+    /* The transaction has ended with any result; only its key can be queried now. */
     transaction_table_end(task->daemon->transactions, task->transaction);
     task->transaction = NULL;
     keep_failure(task, result);
     feed(task, event_of(result));
 }
 
-/* Performs EXECUTE or CLOSE_KEY. False if the task was queued and must not be touched. */
+/* Performs EXECUTE or CLOSE_KEY. Returns false if the task was queued and must not be accessed. */
 static bool perform_run(struct task *task)
 {
     bool refused = false;
     uint32_t retry_after_ms = 0;
     bool closing = task->write_step.kind == WRITE_STEP_CLOSE_KEY;
     if (!closing && !retry_allowed(task)) {
-        give_up(task, ERROR_KIND_OVERLOADED, RETRY_BUDGET_RETRY_AFTER_MS);
+        feed_give_up(task, ERROR_KIND_OVERLOADED, RETRY_BUDGET_RETRY_AFTER_MS);
         return true;
     }
     enum admission_class rank = task->ledger_key == NULL || closing ? ADMISSION_CLASS_UNREPEATABLE
@@ -209,18 +211,18 @@
     if (!task_take_slot(task, (uint32_t)task->write_step.database, rank, &refused,
                         &retry_after_ms)) {
         if (refused) {
-            give_up(task, ERROR_KIND_OVERLOADED, retry_after_ms);
+            feed_give_up(task, ERROR_KIND_OVERLOADED, retry_after_ms);
         }
         return refused;
     }
     enum execute_result result = run_at(task);
-    task_give_slot(task);
+    task_release_slot(task);
     keep_failure(task, result);
     feed(task, event_of(result));
     return true;
 }
 
-/* Feeds one member's part of the evidence. */
+/* Feeds one member's evidence. */
 static void feed_member(struct task *task, uint32_t database, bool holds)
 {
     struct log_position position = task->write_step.position;
@@ -271,13 +273,13 @@
 {
     const struct write_step *step = &task->write_step;
     task->reply.reason = (uint32_t)step->reason;
-    task_note_refused(task);
+    task_copy_refused(task);
     if (step->outcome != OUTCOME_DONE) {
         answer_failed(task);
         return;
     }
-    task_note_served(task, task->run_database, "primary");
-    task_note_seen(task, step->position);
+    task_set_served(task, task->run_database, "primary");
+    task_set_seen(task, step->position);
     task_take_results(task, &task->run);
     task->reply.replayed = task->write_flow.replayed;
     task->reply.outcome = OUTCOME_DONE;
@@ -301,7 +303,7 @@
     feed(task, WRITE_EVENT_START);
 }
 
-/* Performs steps until the task waits or is to be answered. False if it was queued. */
+/* Performs steps until the task waits or is to be answered. Returns false if it was queued. */
 static bool perform_steps(struct task *task)
 {
     for (;;) {
--- a/tests/daemon/budget_plan_test.c
+++ b/tests/daemon/budget_plan_test.c
@@ -1,19 +1,19 @@
-/* The arithmetic of a database's connections, and the refusal of a configuration where it can't
- * hold. */
+/* Division of a database's connections, and rejection of a configuration with too few. */
 #include "daemon/budget_plan.h"
 
 #include <string.h>
 
 #include "configuration/problem.h"
 
-#define OWNERS_MOST      9
-#define CONNECTIONS_MOST 200
+#define OWNERS_UP_TO      9
+#define CONNECTIONS_UP_TO 200
 
-/* Whatever holds by its own account adds up, with one number for each owner and for hand-over. */
+/* A plan that holds by its own check fits the connections, with one number for each owner and one
+ * for handover. */
 static void test_adds_up(void)
 {
-    for (uint32_t connections = 0; connections <= CONNECTIONS_MOST; connections++) {
-        for (uint32_t owners = 1; owners <= OWNERS_MOST; owners++) {
+    for (uint32_t connections = 0; connections <= CONNECTIONS_UP_TO; connections++) {
+        for (uint32_t owners = 1; owners <= OWNERS_UP_TO; owners++) {
             struct budget_plan plan;
             budget_plan_make(&plan, connections, owners);
             if (!budget_plan_holds(&plan)) {
@@ -28,8 +28,8 @@
     }
 }
 
-/* Sizes of today, by three owners. */
-static void test_sizes_of_today(void)
+/* Limits of 35 and 65 connections with three owners. */
+static void test_typical_limits(void)
 {
     struct budget_plan plan;
     budget_plan_make(&plan, 35, 3);
@@ -40,12 +40,12 @@
     g_assert_cmpuint(budget_share(&plan.options), ==, 13);
 }
 
-/* More connections never make it fail. */
+/* A plan that holds also holds with more connections. */
 static void test_grows_with_connections(void)
 {
-    for (uint32_t owners = 1; owners <= OWNERS_MOST; owners++) {
+    for (uint32_t owners = 1; owners <= OWNERS_UP_TO; owners++) {
         bool held = false;
-        for (uint32_t connections = 0; connections <= CONNECTIONS_MOST; connections++) {
+        for (uint32_t connections = 0; connections <= CONNECTIONS_UP_TO; connections++) {
             struct budget_plan plan;
             budget_plan_make(&plan, connections, owners);
             bool holds = budget_plan_holds(&plan);
@@ -97,7 +97,7 @@
 {
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/daemon/budget-plan/adds-up", test_adds_up);
-    g_test_add_func("/daemon/budget-plan/sizes-of-today", test_sizes_of_today);
+    g_test_add_func("/daemon/budget-plan/typical-limits", test_typical_limits);
     g_test_add_func("/daemon/budget-plan/grows-with-connections", test_grows_with_connections);
     g_test_add_func("/daemon/budget-plan/refuses-too-few", test_refuses_too_few);
     g_test_add_func("/daemon/budget-plan/accepts-enough", test_accepts_enough);
--- a/tests/daemon/callers.c
+++ b/tests/daemon/callers.c
@@ -1,10 +1,10 @@
-/* Callers without pause; see the header. */
+/* Callers that send continuously; see the header. */
 #include "callers.h"
 
 #include <string.h>
 
-static void note_failure(struct caller *caller, const struct http_call *call,
-                         const struct http_answer *answer)
+static void record_failure(struct caller *caller, const struct http_call *call,
+                           const struct http_answer *answer)
 {
     struct callers *callers = caller->callers;
     atomic_fetch_add(&callers->failures, 1);
@@ -14,7 +14,8 @@
         caller->kind, atomic_load(&caller->rounds), call->path != NULL ? call->path : "statements",
         call->transaction != NULL ? call->transaction : "", answer->served_by, answer->status,
         body != NULL ? body : answer->failure);
-    g_message("A call failed: %s", text); /* now, in its place among the daemons' own lines */
+    /* Logged at once, to appear in order among the daemons' own lines. */
+    g_message("A call failed: %s", text);
     pthread_mutex_lock(&callers->lock);
     if (callers->first_failure->len == 0) {
         g_string_assign(callers->first_failure, text);
@@ -22,7 +23,7 @@
     pthread_mutex_unlock(&callers->lock);
 }
 
-static unsigned port_of_turn(struct callers *callers, unsigned turn)
+static unsigned port_for_turn(struct callers *callers, unsigned turn)
 {
     pthread_mutex_lock(&callers->lock);
     unsigned port = callers->ports[turn % callers->port_count];
@@ -30,36 +31,37 @@
     return port;
 }
 
-/* True if the call was certainly not run and may be sent again, by the answer or without one. */
+/* True if the call was certainly not run and may be sent again, according to the answer or because
+ * no connection was made. */
 static bool may_send_again(const struct http_answer *answer)
 {
     bool refused = g_strcmp0(answer->outcome, "refused") == 0 && answer->retry_after != NULL;
-    return refused || answer->unconnected;
+    return refused || answer->not_connected;
 }
 
-/* Sends until it is taken. True if done; the caller clears the answer. */
-static bool send_until_taken(struct caller *caller, unsigned turn, const struct http_call *call,
-                             struct http_answer *answer)
+/* Sends the call until it is accepted. Returns true if it is done; the caller clears the answer. */
+static bool send_until_accepted(struct caller *caller, unsigned turn, const struct http_call *call,
+                                struct http_answer *answer)
 {
     struct callers *callers = caller->callers;
-    http_post(port_of_turn(callers, turn), call, answer);
-    while (atomic_load(&callers->refused_is_fine) && may_send_again(answer)) {
+    http_post(port_for_turn(callers, turn), call, answer);
+    while (atomic_load(&callers->retry_refused) && may_send_again(answer)) {
         http_answer_clear(answer);
         turn++;
-        http_post(port_of_turn(callers, turn), call, answer);
+        http_post(port_for_turn(callers, turn), call, answer);
     }
     bool done = g_strcmp0(answer->outcome, "done") == 0;
     if (!done) {
-        note_failure(caller, call, answer);
+        record_failure(caller, call, answer);
     }
     return done;
 }
 
-/* The same for a request whose answer's content is of no interest. */
+/* The same for a request whose answer's content is not checked. */
 static bool send_plain(struct caller *caller, unsigned turn, const struct http_call *call)
 {
     struct http_answer answer;
-    bool done = send_until_taken(caller, turn, call, &answer);
+    bool done = send_until_accepted(caller, turn, call, &answer);
     http_answer_clear(&answer);
     return done;
 }
@@ -78,14 +80,14 @@
     caller->rows += send_plain(caller, caller->number + round, &call);
 }
 
-/* Reads a text that no other caller and no other round has. */
+/* Reads a text that is unique to this caller and round. */
 static void read_once(struct caller *caller, unsigned round)
 {
     struct http_answer answer;
     g_autofree char *text = g_strdup_printf("caller %u round %u", caller->number, round);
     g_autofree char *sql = g_strdup_printf("SELECT '%s'", text);
     struct http_call call = {.sql = sql};
-    if (send_until_taken(caller, caller->number + round, &call, &answer)) {
+    if (send_until_accepted(caller, caller->number + round, &call, &answer)) {
         g_autofree char *cell = http_cell(&answer, 0, 0);
         g_assert_cmpstr(cell, ==, text);
     }
@@ -99,7 +101,7 @@
     g_autofree char *key = g_strdup_printf("caller-%u-%u", caller->number, round);
     g_autofree char *sql = insert_of(caller, round);
     struct http_call call = {.path = "transactions", .body = "{\"begin\": true}", .key = key};
-    bool begun = send_until_taken(caller, turn, &call, &answer);
+    bool begun = send_until_accepted(caller, turn, &call, &answer);
     g_autofree char *id = g_steal_pointer(&answer.transaction);
     http_answer_clear(&answer);
     if (!begun) {
--- a/tests/daemon/test_decision_log.c
+++ b/tests/daemon/test_decision_log.c
@@ -1,4 +1,5 @@
-/* The bounded record of decisions: what pushes out what, and whole copies beside additions. */
+/* The bounded record of decisions: which records are overwritten, and consistent copies during
+ * concurrent additions. */
 #include "daemon/decision_log.h"
 
 #include <stdatomic.h>
@@ -21,7 +22,8 @@
     return records->len;
 }
 
-/* The oldest of a kind goes first; requests that were done push out none that were not. */
+/* The oldest record of a ring is overwritten first; requests that were done overwrite none that
+ * were not. */
 static void test_bound(void)
 {
     struct decision_log *log = decision_log_new(ENTRIES);
@@ -30,17 +32,17 @@
         g_autofree char *id = g_strdup_printf("done-%d", i);
         add(log, id, OUTCOME_DONE, 2 + i);
     }
-    g_assert_cmpint(decision_log_reaches_to(log), ==, 0);
+    g_assert_cmpint(decision_log_oldest_at(log), ==, 0);
     g_assert_cmpuint(count(log, "done-0"), ==, 1);
     add(log, "later", OUTCOME_DONE, 1000);
     g_assert_cmpuint(count(log, "done-0"), ==, 0);
     g_assert_cmpuint(count(log, "done-1"), ==, 1);
     g_assert_cmpuint(count(log, "refused"), ==, 1);
-    g_assert_cmpint(decision_log_reaches_to(log), ==, 3);
+    g_assert_cmpint(decision_log_oldest_at(log), ==, 3);
     decision_log_free(log);
 }
 
-/* One id sent twice: both, oldest first, whatever became of them. */
+/* An id that was sent twice yields both records, oldest first, from both rings. */
 static void test_repeated_id(void)
 {
     struct decision_log *log = decision_log_new(ENTRIES);
@@ -59,7 +61,8 @@
     GThread *thread;
 };
 
-/* Records whose every octet of text and whose numbers tell the same letter. */
+/* Adds records in which every byte of text and every number derives from the same letter, so that a
+ * mixed copy is detected. */
 static gpointer run_adder(gpointer data)
 {
     struct adder *adder = data;
@@ -76,7 +79,7 @@
     return NULL;
 }
 
-static void check_whole(const struct decision_record *record)
+static void check_consistent(const struct decision_record *record)
 {
     for (size_t i = 0; i < sizeof(record->tenant) - 1; i++) {
         g_assert_cmpuint((guchar)record->tenant[i], ==, record->shown.offset);
@@ -84,7 +87,7 @@
     g_assert_cmpuint(record->databases[GROUP_DATABASES_MAX - 1].term, ==, record->shown.offset);
 }
 
-static void test_whole_copies(void)
+static void test_consistent_copies(void)
 {
     struct decision_log *log = decision_log_new(16);
     struct adder adders[4];
@@ -96,7 +99,7 @@
     do {
         g_autoptr(GArray) records = decision_log_find(log, "shared");
         for (guint i = 0; i < records->len; i++) {
-            check_whole(&g_array_index(records, struct decision_record, i));
+            check_consistent(&g_array_index(records, struct decision_record, i));
         }
     } while (atomic_load(&running) > 0);
     for (size_t i = 0; i < G_N_ELEMENTS(adders); i++) {
@@ -111,6 +114,6 @@
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/daemon/decision_log/bound", test_bound);
     g_test_add_func("/daemon/decision_log/repeated_id", test_repeated_id);
-    g_test_add_func("/daemon/decision_log/whole_copies", test_whole_copies);
+    g_test_add_func("/daemon/decision_log/consistent_copies", test_consistent_copies);
     return g_test_run();
 }
--- a/tests/daemon/test_forward.c
+++ b/tests/daemon/test_forward.c
@@ -1,5 +1,5 @@
-/* Requests at daemons that don't own the group: the owner serves them; where the way to it is cut,
- * what is told of a request is what can be known of it. */
+/* Requests at daemons that don't own the group: the owner serves them. If the connection to the
+ * owner breaks, the reported outcome claims no more than is known. */
 #include "cluster_fixture.h"
 
 #include <pthread.h>
@@ -21,7 +21,7 @@
             return i;
         }
     }
-    g_error("Nobody owns the group.");
+    g_error("No daemon owns the group.");
 }
 
 static struct cluster *start(unsigned daemons)
@@ -72,7 +72,7 @@
     cluster_stop(cluster);
 }
 
-/* A connection that the other daemon has closed does not stay open here. */
+/* A connection that the other daemon has closed is closed here too. */
 static void test_closed_connections_end(void)
 {
     struct cluster *cluster = start(2);
@@ -89,8 +89,8 @@
     cluster_stop(cluster);
 }
 
-/* The other daemons hear of an owner that starts before it is ready: it says that it ran nothing,
- * so that the write it gets is done once it is, and never unknown. */
+/* Other daemons learn of an owner that starts before it is ready. It replies that it ran nothing,
+ * so that a write sent to it is done once it is ready, and its outcome is never unknown. */
 static void test_owner_not_ready(void)
 {
     struct cluster *cluster = start(2);
@@ -109,7 +109,8 @@
     cluster_stop(cluster);
 }
 
-/* Each zone has an owner and a daemon that owns nothing: what that is asked stays in its zone. */
+/* Each zone has an owner and a daemon that owns nothing, whose requests are served within the zone.
+ */
 static void test_nearest_owner_serves(void)
 {
     static const char *const three_owners[] = {"ownership.owners_per_group=3", NULL};
@@ -129,8 +130,9 @@
     cluster_stop(cluster);
 }
 
-/* Stands where the owner's peer server stood: reads each request and closes without an answer. */
-struct mute_peer {
+/* Replaces the owner's peer server: reads each request and closes the connection without a reply.
+ */
+struct closing_peer {
     struct wire_listener *listener;
     int stop_descriptor;
     pthread_t thread;
@@ -146,9 +148,9 @@
     wire_close(connection);
 }
 
-static void *run_mute_peer(void *data)
+static void *run_closing_peer(void *data)
 {
-    struct mute_peer *peer = data;
+    struct closing_peer *peer = data;
     struct wire_connection *connection =
         wire_listener_accept(peer->listener, peer->stop_descriptor, NULL);
     while (connection != NULL) {
@@ -158,7 +160,7 @@
     return NULL;
 }
 
-/* Ends the owner's peer server; its other parts go on. The caller frees the address. */
+/* Stops the owner's peer server; its other parts keep running. The caller frees the address. */
 static char *end_peer_server(struct daemon *daemon)
 {
     char *address = g_strdup(peer_server_address(daemon->peer_server));
@@ -166,17 +168,17 @@
     return address;
 }
 
-static void mute_peer_start(struct mute_peer *peer, struct daemon *owner)
+static void closing_peer_start(struct closing_peer *peer, struct daemon *owner)
 {
     g_autoptr(GError) error = NULL;
     g_autofree char *address = end_peer_server(owner);
     peer->listener = wire_listener_open(address, &error);
     g_assert_no_error(error);
     peer->stop_descriptor = eventfd(0, EFD_CLOEXEC);
-    g_assert_cmpint(pthread_create(&peer->thread, NULL, run_mute_peer, peer), ==, 0);
+    g_assert_cmpint(pthread_create(&peer->thread, NULL, run_closing_peer, peer), ==, 0);
 }
 
-static void mute_peer_stop(struct mute_peer *peer)
+static void closing_peer_stop(struct closing_peer *peer)
 {
     eventfd_write(peer->stop_descriptor, 1);
     pthread_join(peer->thread, NULL);
@@ -193,11 +195,12 @@
     http_answer_clear(&answer);
 }
 
-/* The request left and no answer came: only what has no effect may be told as not run. */
-static void test_hop_cut_after_request(void)
+/* The request was sent and no reply came: only requests without effect may be reported as not run.
+ */
+static void test_no_reply_after_request(void)
 {
     struct cluster *cluster = start(2);
-    struct mute_peer peer;
+    struct closing_peer peer;
     struct http_answer answer;
     unsigned owner = owner_of(cluster);
     unsigned other = 1 - owner;
@@ -206,7 +209,7 @@
     http_assert_done(&answer);
     g_autofree char *id = g_steal_pointer(&answer.transaction);
     http_answer_clear(&answer);
-    mute_peer_start(&peer, cluster->daemons[owner]);
+    closing_peer_start(&peer, cluster->daemons[owner]);
     struct http_call write = {.sql = "INSERT INTO stays VALUES ('a', '')"};
     expect(cluster, other, write, "unknown", "outcome_unknown");
     write.key = "key";
@@ -214,7 +217,7 @@
     expect(cluster, other, (struct http_call){.sql = "SELECT 1"}, "refused", "peer_unreachable");
     expect(cluster, other, (struct http_call){.path = "transactions", .body = "{\"begin\": true}"},
            "failed", "transaction_aborted");
-    /* The statement may have run, and the transaction may yet be committed. */
+    /* The statement may have run, and the transaction may still be committed. */
     write.key = NULL;
     write.transaction = id;
     expect(cluster, other, write, "unknown", "outcome_unknown");
@@ -223,12 +226,12 @@
     call(cluster, owner, &answer, (struct http_call){.transaction = id, .path = "commit"});
     http_assert_done(&answer);
     http_answer_clear(&answer);
-    mute_peer_stop(&peer);
+    closing_peer_stop(&peer);
     cluster_stop(cluster);
 }
 
-/* The request never left: it was not run, and the caller learns when to come back. */
-static void test_owner_out_of_reach(void)
+/* The request was never sent: it is reported as not run, with a retry delay. */
+static void test_owner_unreachable(void)
 {
     struct cluster *cluster = start(2);
     struct http_answer answer;
@@ -254,7 +257,7 @@
         g_assert_nonnull(answer.retry_after);
         http_answer_clear(&answer);
     }
-    /* An earlier commit may have been run. */
+    /* An earlier commit may have been executed. */
     expect(cluster, other, (struct http_call){.transaction = id, .path = "commit"}, "unknown",
            "outcome_unknown");
     call(cluster, owner, &answer, (struct http_call){.transaction = id, .path = "rollback"});
@@ -268,8 +271,8 @@
 {
     cluster_test_init(&argc, &argv);
     g_test_add_func("/daemon/forward/owner_serves", test_owner_serves);
-    g_test_add_func("/daemon/forward/hop_cut_after_request", test_hop_cut_after_request);
-    g_test_add_func("/daemon/forward/owner_out_of_reach", test_owner_out_of_reach);
+    g_test_add_func("/daemon/forward/no_reply_after_request", test_no_reply_after_request);
+    g_test_add_func("/daemon/forward/owner_unreachable", test_owner_unreachable);
     g_test_add_func("/daemon/forward/closed_connections_end", test_closed_connections_end);
     g_test_add_func("/daemon/forward/owner_not_ready", test_owner_not_ready);
     g_test_add_func("/daemon/forward/nearest_owner_serves", test_nearest_owner_serves);
--- a/tests/daemon/test_refusals.c
+++ b/tests/daemon/test_refusals.c
@@ -1,4 +1,5 @@
-/* Requests that can't be served get their final answer at once, true and with when to come back. */
+/* Requests that can't be served get their final answer at once, with a correct reason and a retry
+ * delay. */
 #include "cluster_fixture.h"
 
 #include <string.h>
@@ -26,7 +27,7 @@
     cluster_stop(cluster);
 }
 
-/* The deadlines lie beyond the test's patience: answers don't wait for them. */
+/* The deadlines exceed the test's time-out: answers must not wait for them. */
 static void test_no_database(void)
 {
     static const char *const overrides[] = {"routing.unavailable_wait_ms=300",
@@ -38,7 +39,7 @@
                                       .overrides = overrides};
     struct cluster *cluster = cluster_start(&options);
     for (unsigned i = 0; i < 3; i++) {
-        cluster_cut(cluster, i);
+        cluster_partition(cluster, i);
     }
     for (unsigned i = 0; i < 3; i++) {
         AWAIT(!cluster_view(cluster, 0).databases[i].reachable);
@@ -49,14 +50,14 @@
     expect(cluster, (struct http_call){.sql = "SELECT 1"}, "refused", "no_fresh_replica", true);
     expect(cluster, (struct http_call){.path = "transactions", .body = "{\"begin\": true}"},
            "refused", "no_primary", true);
-    cluster_heal(cluster);
+    cluster_clear_faults(cluster);
     cluster_await_ready(cluster);
     g_assert_cmpint(cluster_count(cluster, 0, "stays"), ==, 0);
     cluster_stop(cluster);
 }
 
-/* An open transaction that has written holds back all writers at the stand-in database. */
-static char *hold_writers(struct cluster *cluster)
+/* Opens a transaction that has written and so blocks all other writers at the stand-in database. */
+static char *block_writers(struct cluster *cluster)
 {
     struct http_answer answer;
     cluster_call(cluster, 0, &answer,
@@ -70,7 +71,7 @@
     return id;
 }
 
-static void let_writers_go(struct cluster *cluster, const char *id)
+static void unblock_writers(struct cluster *cluster, const char *id)
 {
     struct http_answer answer;
     cluster_call(cluster, 0, &answer, (struct http_call){.transaction = id, .path = "commit"});
@@ -86,7 +87,7 @@
     return count;
 }
 
-/* One slot, room for one in the queue: all others are refused while both still wait. */
+/* One slot and a queue of length one: all other requests are refused while these two still wait. */
 static void test_overload(void)
 {
     enum { WRITERS = 10, TAKEN = 2 };
@@ -94,7 +95,7 @@
     struct cluster_options options = {.daemons = 1, .slots = 1, .overrides = overrides};
     struct cluster *cluster = cluster_start(&options);
     struct http_poster *posters[WRITERS];
-    g_autofree char *id = hold_writers(cluster);
+    g_autofree char *id = block_writers(cluster);
     for (unsigned i = 0; i < WRITERS; i++) {
         g_autofree char *sql = g_strdup_printf("INSERT INTO stays VALUES ('w%u', '')", i);
         struct http_call call = {.sql = sql};
@@ -109,7 +110,7 @@
         g_usleep(1000);
     }
     g_assert_cmpuint(ended, ==, WRITERS - TAKEN);
-    let_writers_go(cluster, id);
+    unblock_writers(cluster, id);
     unsigned done = 0;
     for (unsigned i = 0; i < WRITERS; i++) {
         struct http_answer answer;
@@ -127,13 +128,13 @@
     cluster_stop(cluster);
 }
 
-/* Queued behind one that waits longer than its deadline, it is told at its deadline. */
+/* A request queued behind one that waits longer than its deadline is answered at its deadline. */
 static void test_deadline_in_queue(void)
 {
     struct cluster_options options = {.daemons = 1, .slots = 1};
     struct cluster *cluster = cluster_start(&options);
     struct http_answer answer;
-    g_autofree char *id = hold_writers(cluster);
+    g_autofree char *id = block_writers(cluster);
     struct http_call first = {.sql = "INSERT INTO stays VALUES ('b', '')"};
     struct http_call second = {.sql = "INSERT INTO stays VALUES ('c', '')", .timeout_ms = 200};
     struct http_poster *holder = http_post_start(cluster_port(cluster, 0), &first);
@@ -145,7 +146,7 @@
     http_assert_error(&answer, "refused", "overloaded");
     g_assert_nonnull(answer.retry_after);
     http_answer_clear(&answer);
-    let_writers_go(cluster, id);
+    unblock_writers(cluster, id);
     http_join(holder, &answer);
     http_assert_done(&answer);
     http_answer_clear(&answer);
@@ -159,8 +160,8 @@
     return cluster_count(cluster, 0, from);
 }
 
-/* Deadlines that pass anywhere on the way: what is told as not run is not there, and never comes.
- */
+/* Deadlines that expire at any stage: a write reported as not run is not present, and does not
+ * appear later. */
 static void test_short_deadlines(void)
 {
     enum { WRITES = 24 };
--- a/tests/daemon/test_slots.c
+++ b/tests/daemon/test_slots.c
@@ -1,16 +1,16 @@
-/* The owners of a group share its databases' slots: together they send no database more statements
- * at once than it has slots, and the slots that one does not need serve another. */
+/* The owners of a group share its databases' slots: together they run no more statements at a
+ * database than it has slots, and slots that one owner does not need are used by another. */
 #include "callers.h"
 
 #define SLOTS   5
 #define SENDERS 12
 #define ROUNDS  10
 
-/* Threads that send without pause, three writers to a reader. */
+/* Threads that send continuously, three writers to one reader. */
 struct sender {
     struct cluster *cluster;
     unsigned number;
-    unsigned daemon; /* CLUSTER_DAEMONS_MAX: each in turn */
+    unsigned daemon; /* CLUSTER_DAEMONS_MAX: all, round robin */
     atomic_uint rounds;
     atomic_bool *stop;
     GThread *thread;
@@ -76,7 +76,7 @@
     }
 }
 
-/* Slots that a daemon may use at a database now. */
+/* Slots that a daemon may currently use at a database. */
 static uint32_t limit_of(const struct cluster *cluster, unsigned daemon, unsigned database)
 {
     struct group_runtime *group = daemon_take_group(cluster->daemons[daemon], CLUSTER_GROUP);
@@ -87,7 +87,7 @@
     return limit;
 }
 
-static uint32_t limits_in_all(const struct cluster *cluster, unsigned database)
+static uint32_t total_limit(const struct cluster *cluster, unsigned database)
 {
     uint32_t limits = 0;
     for (unsigned i = 0; i < cluster->options.daemons; i++) {
@@ -96,11 +96,11 @@
     return limits;
 }
 
-/* Each owner has its part, and nothing is lent. */
-static void await_division(const struct cluster *cluster)
+/* Waits until each owner has its share and no slot is lent. */
+static void await_even_shares(const struct cluster *cluster)
 {
     for (unsigned i = 0; i < cluster->options.databases; i++) {
-        AWAIT(limits_in_all(cluster, i) == SLOTS);
+        AWAIT(total_limit(cluster, i) == SLOTS);
         for (unsigned j = 0; j < cluster->options.daemons; j++) {
             AWAIT(limit_of(cluster, j, i) >= SLOTS / cluster->options.daemons);
         }
@@ -112,7 +112,7 @@
     return &cluster->databases[database]->slots;
 }
 
-static void forget_peaks(const struct cluster *cluster)
+static void reset_peaks(const struct cluster *cluster)
 {
     for (unsigned i = 0; i < cluster->options.databases; i++) {
         struct slots *slots = slots_of(cluster, i);
@@ -122,7 +122,7 @@
     }
 }
 
-/* The databases themselves would run any number. */
+/* The databases themselves accept any number of statements. */
 static struct cluster *start_cluster(void)
 {
     struct cluster_options options = {.slots = SLOTS, .database_slots = 8 * SLOTS};
@@ -130,8 +130,8 @@
     for (unsigned i = 0; i < cluster->options.databases; i++) {
         cluster_set_service_time(cluster, i, 3000);
     }
-    await_division(cluster);
-    forget_peaks(cluster);
+    await_even_shares(cluster);
+    reset_peaks(cluster);
     return cluster;
 }
 
@@ -159,7 +159,7 @@
     senders_await(&senders);
     senders_stop(&senders);
     g_assert_cmpuint(slots_peak(slots_of(cluster, primary)), <=, SLOTS);
-    await_division(cluster);
+    await_even_shares(cluster);
     cluster_stop(cluster);
 }
 
