--- a/src/daemon/daemon_metrics.c
+++ b/src/daemon/daemon_metrics.c
@@ -51,7 +51,7 @@
     metrics->reads_by_primary = metrics_counter(metrics->registry, name, help, primary);
     metrics->write_gap = metrics_histogram(
         metrics->registry, "swiftworks_write_gap_seconds",
-        "Times for which this daemon knew no primary that accepts writes of a group.", NULL,
+        "Times for which this daemon knew no primary that takes writes of a group.", NULL,
         gap_bounds, G_N_ELEMENTS(gap_bounds));
 }
 
@@ -91,14 +91,14 @@
                             "Datagrams of the control plane between daemons.", label);
         metrics->bytes[direction] =
             metrics_counter(metrics->registry, "swiftworks_control_octets_total",
-                            "Bytes in these datagrams, without UDP and IP headers.", label);
+                            "Octets in these datagrams, without headers of UDP and IP.", label);
     }
     static const char *const ways[] = {"datagram", "connection"};
     for (int way = 0; way < FOREIGN_TRAFFIC_COUNT; way++) {
         const struct metric_label label[] = {{"over", ways[way]}, {NULL, NULL}};
         metrics->foreign[way] =
             metrics_counter(metrics->registry, "swiftworks_foreign_messages_total",
-                            "Messages from another deployment, dropped or refused.", label);
+                            "Messages of another deployment, dropped or refused.", label);
     }
 }
 
@@ -170,10 +170,10 @@
 {
     metrics_collector(metrics->registry, group_metrics_collect, daemon);
     metrics_gauge_function(metrics->registry, "swiftworks_tasks_open",
-                           "Requests started and not answered.", NULL, read_tasks_open, daemon);
+                           "Requests begun and not answered.", NULL, read_tasks_open, daemon);
     metrics_gauge_function(metrics->registry, "swiftworks_worker_backlog",
-                           "Requests queued for a worker thread or parked until a given time.",
-                           NULL, read_backlog, daemon);
+                           "Requests that wait for a worker thread or for a moment.", NULL,
+                           read_backlog, daemon);
     metrics_gauge_function(metrics->registry, "swiftworks_transactions_open",
                            "Interactive transactions open here.", NULL, read_transactions, daemon);
     metrics_gauge_function(metrics->registry, "swiftworks_configuration_version",
--- a/src/daemon/group_metrics.c
+++ b/src/daemon/group_metrics.c
@@ -144,7 +144,7 @@
      METRIC_FAMILY_GAUGE, reachable},
     {"swiftworks_database_leaving", "1 if the database is marked as leaving.", METRIC_FAMILY_GAUGE,
      leaving},
-    {"swiftworks_database_term", "Term in which the database is primary or follows one.",
+    {"swiftworks_database_term", "Term in which the database leads or follows.",
      METRIC_FAMILY_GAUGE, term},
     {"swiftworks_database_held_offset", "Offset of the last entry in the database's log.",
      METRIC_FAMILY_GAUGE, held_offset},
@@ -154,15 +154,15 @@
      "Entries that the primary holds and reads here do not see; absent where the terms differ.",
      METRIC_FAMILY_GAUGE, lag_entries},
     {"swiftworks_database_lag_seconds",
-     "Time by which reads here are behind the primary; limited to the time range of its samples.",
+     "Time by which reads here are behind the primary; at most the reach of its samples.",
      METRIC_FAMILY_GAUGE, lag_seconds},
     {"swiftworks_database_round_trip_seconds", "Smoothed round trip of probes.",
      METRIC_FAMILY_GAUGE, round_trip},
-    {"swiftworks_database_connections_accepted", "Connections that the database accepts in total.",
+    {"swiftworks_database_connections_accepted", "Connections that the database accepts in all.",
      METRIC_FAMILY_GAUGE, connections_accepted},
     {"swiftworks_pool_connections_limit", "Connections to the database that this daemon may hold.",
      METRIC_FAMILY_GAUGE, connections_limit},
-    {"swiftworks_pool_waiting", "Requests waiting for a connection.", METRIC_FAMILY_GAUGE,
+    {"swiftworks_pool_waiting", "Requests that wait for a connection.", METRIC_FAMILY_GAUGE,
      connections_waiting},
     {"swiftworks_pool_opened_total", "Connections opened.", METRIC_FAMILY_COUNTER,
      connections_opened},
@@ -170,14 +170,14 @@
      METRIC_FAMILY_COUNTER, connections_failed},
     {"swiftworks_pool_refused_total", "Requests that got no connection in time.",
      METRIC_FAMILY_COUNTER, connections_refused},
-    {"swiftworks_pool_broken_total", "Connections closed because they could not be reused.",
+    {"swiftworks_pool_broken_total", "Connections closed since they could not be used again.",
      METRIC_FAMILY_COUNTER, connections_broken},
     {"swiftworks_slots_used", "Statements of this daemon that run at the database.",
      METRIC_FAMILY_GAUGE, slots_used},
     {"swiftworks_slots", "Statements that the database can run at the same time.",
      METRIC_FAMILY_GAUGE, slots},
-    {"swiftworks_queue_length", "Requests waiting for a slot of the database.", METRIC_FAMILY_GAUGE,
-     queued},
+    {"swiftworks_queue_length", "Requests that wait for a slot of the database.",
+     METRIC_FAMILY_GAUGE, queued},
 };
 
 static double group_term(const struct group_sample *sample)
@@ -198,7 +198,7 @@
 static const struct group_family group_families[] = {
     {"swiftworks_group_term", "Highest term with a known primary.", group_term},
     {"swiftworks_group_primary_known", "1 if a primary is known, else 0.", group_has_primary},
-    {"swiftworks_group_writes_paused", "1 while a planned change of primary is in progress.",
+    {"swiftworks_group_writes_paused", "1 while a planned change of primary is under way.",
      group_paused},
 };
 
@@ -265,8 +265,7 @@
 static void append_roles(GString *out, const struct group_sample *samples, guint count)
 {
     static const char name[] = "swiftworks_database_role";
-    metrics_append_head(out, name, "1 for the role that the database reports.",
-                        METRIC_FAMILY_GAUGE);
+    metrics_append_head(out, name, "1 with the role that the database tells.", METRIC_FAMILY_GAUGE);
     for (guint i = 0; i < count; i++) {
         for (uint32_t j = 0; j < samples[i].view.database_count; j++) {
             enum database_role role = samples[i].view.databases[j].status.role;
--- a/src/frontend/frontend_metrics.c
+++ b/src/frontend/frontend_metrics.c
@@ -26,8 +26,8 @@
             registry, NAME_ERRORS, "Answers that are not done, by kind of error.", labels);
     }
     handles->seconds = metrics_histogram(registry, NAME_SECONDS,
-                                         "Seconds from a request's first byte to its answer.", NULL,
-                                         second_bounds, G_N_ELEMENTS(second_bounds));
+                                         "Seconds from a request's first octet to its answer.",
+                                         NULL, second_bounds, G_N_ELEMENTS(second_bounds));
     handles->in_flight = metrics_gauge(registry, NAME_IN_FLIGHT,
                                        "Requests that arrive or await their answer.", NULL);
     handles->connections =
