--- a/standins/session_platform/commands.c
+++ b/standins/session_platform/commands.c
@@ -14,7 +14,7 @@
 static const struct store_word store_words[] = {
     {"well", {0}},
     {"refuse", {.refuse = true}},
-    {"silent", {.silent = true}},
+    {"silent", {.unresponsive = true}},
     {"lose", {.lose_writes = true}},
 };
 
@@ -27,12 +27,12 @@
 static const struct database_word database_words[] = {
     {"well", {0}},
     {"down", {.down = true}},
-    {"silent", {.silent = true}},
+    {"silent", {.unresponsive = true}},
     {"busy", {.busy = true}},
-    {"deaf", {.deaf = true}},
+    {"deaf", {.no_replication = true}},
     {"lagging", {.lagging = true}},
     {"lose", {.lose_answers = true}},
-    {"cut", {.deaf = true, .unrecorded = true}},
+    {"cut", {.no_replication = true, .unrecorded = true}},
     {"draining", {.draining = true}},
     {"gone", {.down = true, .gone = true}},
 };
@@ -41,7 +41,7 @@
 fault_store(struct platform *platform, const char *word)
 {
     if (strcmp(word, "forget") == 0) {
-        row_store_forget(platform->store);
+        row_store_discard_history(platform->store);
         return NULL;
     }
     unsigned ms_ago = 0;
--- a/standins/session_platform/line_group.c
+++ b/standins/session_platform/line_group.c
@@ -169,9 +169,9 @@
 static bool
 receive(struct database *replica, const struct database *primary)
 {
-    bool able = replica != primary && !replica->leads && !replica->faults.deaf &&
+    bool able = replica != primary && !replica->leads && !replica->faults.no_replication &&
                 !replica->faults.down && replica->paused == 0 && replica->term <= primary->term &&
-                !primary->faults.deaf;
+                !primary->faults.no_replication;
     if (!able) {
         return false;
     }
@@ -503,7 +503,7 @@
 {
     const struct database *database = connection->database;
     g_auto(GStrv) words = g_strsplit(line, " ", 4);
-    if (database->faults.silent) {
+    if (database->faults.unresponsive) {
         return;
     }
     if (!connection->started) {
@@ -561,7 +561,8 @@
 {
     struct database *database = user;
     g_mutex_lock(&database->group->lock);
-    bool full = database->faults.room != 0 && database->connections->len >= database->faults.room;
+    bool full = database->faults.connection_limit != 0 &&
+                database->connections->len >= database->faults.connection_limit;
     if (database->faults.down || full) {
         evutil_closesocket(socket);
         g_mutex_unlock(&database->group->lock);
--- a/standins/session_platform/line_group.h
+++ b/standins/session_platform/line_group.h
@@ -17,17 +17,17 @@
 
 /* What a database does wrong at the moment. */
 struct line_faults {
-    bool down;         /* refuses connections and has closed those it had */
-    bool silent;       /* takes what is sent and answers nothing */
-    bool lose_answers; /* runs statements, and never answers on that connection again */
-    bool deaf;         /* receives nothing from the primary */
-    bool lagging;      /* receives, but does not apply */
-    unsigned slow_ms;  /* each statement takes so long, one after the other */
-    bool busy;         /* refuses statements for want of slots */
-    bool unrecorded;   /* its record in the store is not renewed */
-    bool draining;     /* its record says that it will leave */
-    bool gone;         /* its record is taken away */
-    unsigned room;     /* resets connections beyond so many; 0: takes any number */
+    bool down;                 /* refuses connections and has closed those it had */
+    bool unresponsive;         /* takes what is sent and answers nothing */
+    bool lose_answers;         /* runs statements, and never answers on that connection again */
+    bool no_replication;       /* receives nothing from the primary */
+    bool lagging;              /* receives, but does not apply */
+    unsigned slow_ms;          /* each statement takes so long, one after the other */
+    bool busy;                 /* refuses statements for want of slots */
+    bool unrecorded;           /* its record in the store is not renewed */
+    bool draining;             /* its record says that it will leave */
+    bool gone;                 /* its record is taken away */
+    unsigned connection_limit; /* resets connections beyond so many; 0: takes any number */
 };
 
 /* One statement that a database ran. */
--- a/standins/session_platform/row_store.c
+++ b/standins/session_platform/row_store.c
@@ -203,7 +203,7 @@
     if (store->faults.refuse) {
         reply(store, request, 503, NULL);
     }
-    return store->faults.refuse || store->faults.silent;
+    return store->faults.refuse || store->faults.unresponsive;
 }
 
 static int
@@ -523,7 +523,7 @@
 }
 
 void
-row_store_forget(struct row_store *store)
+row_store_discard_history(struct row_store *store)
 {
     g_mutex_lock(&store->lock);
     store->forgotten = store->version;
--- a/standins/session_platform/row_store.h
+++ b/standins/session_platform/row_store.h
@@ -10,7 +10,7 @@
 /* What the store does wrong at the moment. */
 struct row_store_faults {
     bool refuse;                  /* every call gets 503 */
-    bool silent;                  /* no call is answered, and nothing is done */
+    bool unresponsive;            /* no call is answered, and nothing is done */
     bool lose_writes;             /* writes are done and not answered */
     bool empty;                   /* listings are answered without a body */
     bool no_history;              /* every question for changes gets 410 */
@@ -27,7 +27,7 @@
 void row_store_stop(struct row_store *store);
 uint16_t row_store_port(const struct row_store *store);
 /* Forgets its history: questions for changes since before now get 410. */
-void row_store_forget(struct row_store *store);
+void row_store_discard_history(struct row_store *store);
 /* The store's version so many milliseconds ago. */
 uint64_t row_store_version(struct row_store *store, unsigned ms_ago);
 /* How often it was restored. */
--- a/tests/pooler/test_access.c
+++ b/tests/pooler/test_access.c
@@ -691,7 +691,7 @@
     fixture->timeout_ms = 900;
     publish(fixture);
     for (unsigned i = 1; i < DATABASES; i++) {
-        line_group_set_faults(fixture->group, i, &(struct line_faults){.silent = true});
+        line_group_set_faults(fixture->group, i, &(struct line_faults){.unresponsive = true});
     }
     struct client *client = client_open_as(fixture, "strict", "key-t");
     time_ns start = backend_now();
--- a/tests/pooler/test_fleet.c
+++ b/tests/pooler/test_fleet.c
@@ -402,7 +402,7 @@
     for (unsigned i = 0; i < POOLERS; i++) {
         write_until_done(fixture, i);
     }
-    row_store_set_faults(fixture->store, &(struct row_store_faults){.silent = true});
+    row_store_set_faults(fixture->store, &(struct row_store_faults){.unresponsive = true});
     gint64 end = g_get_monotonic_time() + PATIENCE_US;
     while (find_coordinator(fixture) != POOLERS && g_get_monotonic_time() < end) {
         g_usleep(LOOK_US);
@@ -428,7 +428,7 @@
     for (unsigned i = 0; i < POOLERS; i++) {
         write_until_done(fixture, i);
     }
-    row_store_set_faults(fixture->store, &(struct row_store_faults){.silent = true});
+    row_store_set_faults(fixture->store, &(struct row_store_faults){.unresponsive = true});
     kill_pooler(fixture, 2);
     start_pooler(fixture, 2);
     write_until_done(fixture, 2);
--- a/tests/pooler/test_worker.c
+++ b/tests/pooler/test_worker.c
@@ -194,7 +194,7 @@
     struct client *writer = client_open(fixture, "strict");
     good(writer, "WRITE hut 4", 'I');
     good(client, "READ hut", 'I');
-    line_group_set_faults(fixture->group, 1, &(struct line_faults){.silent = true});
+    line_group_set_faults(fixture->group, 1, &(struct line_faults){.unresponsive = true});
     for (int i = 0; i < 4; i++) {
         good(client, "READ hut", 'I');
         g_assert_cmpstr(client->row, ==, "4");
@@ -329,7 +329,7 @@
     permit(fixture, 0);
     fixture->timeout_ms = 600;
     publish(fixture);
-    line_group_set_faults(fixture->group, 0, &(struct line_faults){.deaf = true});
+    line_group_set_faults(fixture->group, 0, &(struct line_faults){.no_replication = true});
     g_assert_true(line_group_promote(fixture->group, line_group_id(fixture->group, 1)));
     bad(client, "READ hut", "BUSY", 'I');
     client_close(client);
@@ -352,7 +352,7 @@
     good(client, "BEGIN", 'T');
     good(client, "READ hut", 'T');
     permit(fixture, 0);
-    line_group_set_faults(fixture->group, 0, &(struct line_faults){.deaf = true});
+    line_group_set_faults(fixture->group, 0, &(struct line_faults){.no_replication = true});
     g_assert_true(line_group_promote(fixture->group, line_group_id(fixture->group, 1)));
     g_usleep(300000); /* longer than the staleness bound: earlier samples are too old */
     good(client, "COMMIT", 'I');
@@ -459,7 +459,7 @@
     publish(fixture);
     wait_until_applied(fixture);
     good(client, "WRITE hut 4", 'I');
-    const struct line_faults deaf = {.deaf = true};
+    const struct line_faults deaf = {.no_replication = true};
     line_group_set_faults(fixture->group, 1, &deaf);
     line_group_set_faults(fixture->group, 2, &deaf);
     line_group_lose_log(fixture->group, 0);
@@ -698,7 +698,8 @@
     struct client *clients[6];
     fixture->connections = 10;
     for (unsigned i = 0; i < DATABASES; i++) {
-        line_group_set_faults(fixture->group, i, &(struct line_faults){.slow_ms = 5, .room = 1});
+        line_group_set_faults(fixture->group, i,
+                              &(struct line_faults){.slow_ms = 5, .connection_limit = 1});
     }
     publish(fixture);
     for (size_t i = 0; i < G_N_ELEMENTS(clients); i++) {
