--- a/standins/session_platform/commands.c
+++ b/standins/session_platform/commands.c
@@ -1,30 +1,29 @@
-/* Commands of a tester; see the header. */
 #include "standins/session_platform/commands.h"
 
 #include <inttypes.h>
 #include <stdio.h>
 #include <string.h>
 
-/* A fault of the store by its word. */
-struct store_word {
+/* An injected fault of the store, by its name in commands. */
+struct store_fault {
     const char *word;
     struct row_store_faults faults;
 };
 
-static const struct store_word store_words[] = {
+static const struct store_fault store_faults[] = {
     {"well", {0}},
     {"refuse", {.refuse = true}},
     {"silent", {.unresponsive = true}},
     {"lose", {.lose_writes = true}},
 };
 
-/* A fault of a database by its word. */
-struct database_word {
+/* An injected fault of a database, by its name in commands. */
+struct database_fault {
     const char *word;
     struct line_faults faults;
 };
 
-static const struct database_word database_words[] = {
+static const struct database_fault database_faults[] = {
     {"well", {0}},
     {"down", {.down = true}},
     {"silent", {.unresponsive = true}},
@@ -38,7 +37,7 @@
 };
 
 static const char *
-fault_store(struct platform *platform, const char *word)
+inject_store_fault(struct platform *platform, const char *word)
 {
     if (strcmp(word, "forget") == 0) {
         row_store_discard_history(platform->store);
@@ -49,50 +48,50 @@
         row_store_restore(platform->store, row_store_version(platform->store, ms_ago));
         return NULL;
     }
-    for (size_t i = 0; i < G_N_ELEMENTS(store_words); i++) {
-        if (strcmp(store_words[i].word, word) == 0) {
-            row_store_set_faults(platform->store, &store_words[i].faults);
+    for (size_t i = 0; i < G_N_ELEMENTS(store_faults); i++) {
+        if (strcmp(store_faults[i].word, word) == 0) {
+            row_store_set_faults(platform->store, &store_faults[i].faults);
             return NULL;
         }
     }
-    return "no such fault of the store";
+    return "unknown fault of the store";
 }
 
 static const struct line_faults *
 find_faults(const char *word)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(database_words); i++) {
-        if (strcmp(database_words[i].word, word) == 0) {
-            return &database_words[i].faults;
+    for (size_t i = 0; i < G_N_ELEMENTS(database_faults); i++) {
+        if (strcmp(database_faults[i].word, word) == 0) {
+            return &database_faults[i].faults;
         }
     }
     return NULL;
 }
 
 static const char *
-fault_database(struct platform *platform, const char *id, const char *word)
+inject_database_fault(struct platform *platform, const char *id, const char *word)
 {
     const struct line_faults *faults = find_faults(word);
     unsigned slots = 0;
-    unsigned pace = 0;
-    bool sets_slots = sscanf(word, "slots %u %u", &slots, &pace) == 2;
+    unsigned time_factor = 0;
+    bool sets_slots = sscanf(word, "slots %u %u", &slots, &time_factor) == 2;
     if (faults == NULL && !sets_slots) {
-        return "no such fault of a database";
+        return "unknown fault of a database";
     }
     for (unsigned i = 0; i < platform->count; i++) {
-        for (unsigned database = 0; database < DATABASES_EACH; database++) {
+        for (unsigned database = 0; database < DATABASES_PER_SERVICE; database++) {
             if (strcmp(line_group_id(platform->groups[i], database), id) != 0) {
                 continue;
             }
             if (sets_slots) {
-                platform_set_slots(platform, i, database, slots, pace);
+                platform_set_slots(platform, i, database, slots, time_factor);
             } else {
                 platform_set_faults(platform, i, database, faults);
             }
             return NULL;
         }
     }
-    return "no such database";
+    return "unknown database";
 }
 
 static const char *
@@ -100,7 +99,7 @@
 {
     FILE *out = fopen(path, "w");
     if (out == NULL) {
-        return "the file can't be written";
+        return "can't write the file";
     }
     for (unsigned i = 0; i < platform->count; i++) {
         line_group_dump(platform->groups[i], out);
@@ -113,12 +112,12 @@
             "{\"promotions\":{\"count\":%u,\"token\":%" PRIu64
             ",\"token_fell\":%s,\"token_shared\":%s}}\n",
             count, token, fell ? "true" : "false", shared ? "true" : "false");
-    return fclose(out) == 0 ? NULL : "the file can't be written";
+    return fclose(out) == 0 ? NULL : "can't write the file";
 }
 
-/* Prints who led which service last, and who holds the lease. */
+/* Prints each service's current leader and the lease record. */
 static const char *
-look(struct platform *platform)
+print_roles(struct platform *platform)
 {
     uint64_t era = row_store_era(platform->store);
     g_autofree char *key = era == 0 ? g_strdup("lease") : g_strdup_printf("lease/%" PRIu64, era);
@@ -130,27 +129,27 @@
     return NULL;
 }
 
-/* NULL, or what is wrong. */
+/* NULL on success, else the error. */
 static const char *
 run(struct platform *platform, char **words)
 {
     if (g_strcmp0(words[0], "look") == 0) {
-        return look(platform);
+        return print_roles(platform);
     }
     if (words[0] == NULL || words[1] == NULL) {
-        return "a command and what it is for are expected";
+        return "expected a command and its arguments";
     }
     if (strcmp(words[0], "store") == 0) {
         g_autofree char *fault = g_strjoinv(" ", words + 1);
-        return fault_store(platform, fault);
+        return inject_store_fault(platform, fault);
     }
     if (strcmp(words[0], "database") == 0 && words[2] != NULL) {
-        return fault_database(platform, words[1], words[2]);
+        return inject_database_fault(platform, words[1], words[2]);
     }
     if (strcmp(words[0], "dump") == 0) {
         return dump(platform, words[1]);
     }
-    return "no such command";
+    return "unknown command";
 }
 
 void
@@ -159,8 +158,8 @@
     static const char configure[] = "configure ";
     const char *fault = NULL;
     if (g_str_has_prefix(line, configure)) {
-        bool good = platform_configure(platform, line + strlen(configure)) >= 0;
-        fault = good ? NULL : "the configuration can't be read";
+        bool stored = platform_configure(platform, line + strlen(configure)) >= 0;
+        fault = stored ? NULL : "the configuration is not valid JSON";
     } else {
         g_auto(GStrv) words = g_strsplit(line, " ", 3);
         fault = run(platform, words);
--- a/standins/session_platform/line_group.c
+++ b/standins/session_platform/line_group.c
@@ -1,5 +1,5 @@
-/* Databases of the line format; see the header. One event loop thread serves them all; one lock
- * guards everything. */
+/* Databases of the line format. One event loop thread serves all of them; the group's lock guards
+ * all state. */
 #include "standins/session_platform/line_group.h"
 
 #include <errno.h>
@@ -13,7 +13,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define WAIT_MAX_US 100000 /* a statement that would wait longer for a slot is answered BUSY */
+#define SLOT_WAIT_MAX_US 100000 /* a statement that would wait longer for a slot gets BUSY */
 
 /* One committed write. */
 struct entry {
@@ -36,8 +36,8 @@
     struct line_faults faults;
     GPtrArray *connections;
     unsigned slots;
-    gint64 free_at_us[LINE_GROUP_SLOTS_MAX]; /* when each slot is free */
-    unsigned pace;
+    gint64 free_at_us[LINE_GROUP_SLOTS_MAX]; /* when each slot becomes free */
+    unsigned time_factor;
 };
 
 struct connection {
@@ -45,14 +45,14 @@
     unsigned number;
     struct bufferevent *events;
     bool started;
-    bool mute;
+    bool suppress_replies;
     char state;        /* I, T or E */
-    bool plain;        /* the open transaction may write */
+    bool read_write;   /* the open transaction may write */
     GPtrArray *writes; /* of struct entry, of the open transaction */
     GHashTable *values;
-    GHashTable *prepared;  /* name -> "MODE shape" */
-    char *tenant;          /* as named at the start */
-    struct event *working; /* until the statement in work has had its time; NULL: none is */
+    GHashTable *prepared;     /* name -> "MODE shape" */
+    char *tenant;             /* from the first line of the connection */
+    struct event *work_timer; /* runs until the current statement ends; NULL: no statement runs */
     char *work_id;
     char *work_text;
 };
@@ -60,7 +60,8 @@
 struct line_group {
     GMutex lock;
     GThread *thread;
-    gint serving; /* atomic: the loop runs, so that a stop is not lost */
+    gint serving; /* atomic: set once the loop runs, because a stop before that would have no effect
+                   */
     struct event_base *base;
     char *service;
     unsigned count;
@@ -101,11 +102,12 @@
     return entry;
 }
 
-/* Forgets the statement in work. Its slot stays taken for its whole time, client or not. */
+/* Drops the current statement. Its slot stays taken for the full time, also if the client has
+ * disconnected. */
 static void
-end_work(struct connection *connection)
+clear_work(struct connection *connection)
 {
-    g_clear_pointer(&connection->working, event_free);
+    g_clear_pointer(&connection->work_timer, event_free);
     g_clear_pointer(&connection->work_id, g_free);
     g_clear_pointer(&connection->work_text, g_free);
 }
@@ -113,7 +115,7 @@
 static void
 free_connection(struct connection *connection)
 {
-    end_work(connection);
+    clear_work(connection);
     g_ptr_array_remove(connection->database->connections, connection);
     bufferevent_free(connection->events);
     g_ptr_array_unref(connection->writes);
@@ -123,12 +125,12 @@
     g_free(connection);
 }
 
-static void say(struct connection *connection, const char *format, ...) G_GNUC_PRINTF(2, 3);
+static void send_reply(struct connection *connection, const char *format, ...) G_GNUC_PRINTF(2, 3);
 
 static void
-say(struct connection *connection, const char *format, ...)
+send_reply(struct connection *connection, const char *format, ...)
 {
-    if (connection->mute) {
+    if (connection->suppress_replies) {
         return;
     }
     va_list arguments;
@@ -147,32 +149,33 @@
 }
 
 static void
-ready(struct connection *connection)
+send_ready(struct connection *connection)
 {
     const struct database *database = connection->database;
     guint length = database->leads ? database->log->len : database->applied;
-    say(connection, "READY %c %" PRIu64 ".%u\r\n", connection->state,
-        position_term(database, length), length);
+    send_reply(connection, "READY %c %" PRIu64 ".%u\r\n", connection->state,
+               position_term(database, length), length);
 }
 
 static void
-refuse(struct connection *connection, const char *code)
+send_error(struct connection *connection, const char *code)
 {
-    say(connection, "ERROR %s %s\r\n", code, connection->database->id);
+    send_reply(connection, "ERROR %s %s\r\n", code, connection->database->id);
     if (connection->state == 'T') {
         connection->state = 'E';
     }
-    ready(connection);
+    send_ready(connection);
 }
 
-/* A replica takes the primary's log unless a fault or a pause keeps it from that. */
+/* Copies the primary's log to a replica, unless a fault or a pause prevents it. True if it was
+ * copied. */
 static bool
-receive(struct database *replica, const struct database *primary)
+copy_log(struct database *replica, const struct database *primary)
 {
-    bool able = replica != primary && !replica->leads && !replica->faults.no_replication &&
-                !replica->faults.down && replica->paused == 0 && replica->term <= primary->term &&
-                !primary->faults.no_replication;
-    if (!able) {
+    bool receives = replica != primary && !replica->leads && !replica->faults.no_replication &&
+                    !replica->faults.down && replica->paused == 0 &&
+                    replica->term <= primary->term && !primary->faults.no_replication;
+    if (!receives) {
         return false;
     }
     g_ptr_array_set_size(replica->log, 0);
@@ -192,13 +195,13 @@
 {
     unsigned received = 0;
     for (unsigned i = 0; i < primary->group->count; i++) {
-        received += receive(&primary->group->databases[i], primary);
+        received += copy_log(&primary->group->databases[i], primary);
     }
     return received;
 }
 
-/* Commits what the connection wrote. False if too few replicas received it: then no answer comes.
- */
+/* Commits the connection's writes. False if fewer replicas than required received them: then the
+ * client must get no reply. */
 static bool
 commit(struct connection *connection)
 {
@@ -250,7 +253,7 @@
 }
 
 static void
-note_run(struct connection *connection, const char *id, const char *text, const char *shape)
+record_run(struct connection *connection, const char *id, const char *text, const char *shape)
 {
     struct line_run *run = g_new0(struct line_run, 1);
     run->database = connection->database->index;
@@ -265,22 +268,22 @@
 }
 
 static void
-answer_done(struct connection *connection, const char *id)
+finish_statement(struct connection *connection, const char *id)
 {
     if (connection->database->faults.lose_answers) {
-        connection->mute = true;
+        connection->suppress_replies = true;
     }
-    say(connection, "COMPLETE signature-%s\r\n", id);
-    ready(connection);
+    send_reply(connection, "COMPLETE signature-%s\r\n", id);
+    send_ready(connection);
 }
 
 static void
 run_read(struct connection *connection, const char *id, const char *text, const char *shape,
          const char *thing)
 {
-    note_run(connection, id, text, shape);
-    say(connection, "ROW %s\r\n", find_value(connection->database, thing));
-    answer_done(connection, id);
+    record_run(connection, id, text, shape);
+    send_reply(connection, "ROW %s\r\n", find_value(connection->database, thing));
+    finish_statement(connection, id);
 }
 
 static void
@@ -288,15 +291,15 @@
           const char *thing, const char *data)
 {
     if (!connection->database->leads) {
-        refuse(connection, "READONLY");
+        send_error(connection, "READONLY");
         return;
     }
-    note_run(connection, id, text, shape);
+    record_run(connection, id, text, shape);
     g_ptr_array_add(connection->writes, entry_new(0, thing, data));
     if (connection->state == 'I' && !commit(connection)) {
-        connection->mute = true;
+        connection->suppress_replies = true;
     }
-    answer_done(connection, id);
+    finish_statement(connection, id);
 }
 
 static void
@@ -305,7 +308,7 @@
     const char *shape =
         words[1] == NULL ? NULL : g_hash_table_lookup(connection->prepared, words[1]);
     if (shape == NULL) {
-        refuse(connection, "NOSTMT");
+        send_error(connection, "NOSTMT");
     } else if (g_str_has_prefix(shape, "WRITE")) {
         run_write(connection, id, text, shape, words[2], words[3] == NULL ? "" : words[3]);
     } else {
@@ -317,13 +320,13 @@
 run_begin(struct connection *connection, bool read_only)
 {
     if (!read_only && !connection->database->leads) {
-        refuse(connection, "READONLY");
+        send_error(connection, "READONLY");
         return;
     }
     connection->state = 'T';
-    connection->plain = !read_only;
-    say(connection, "COMPLETE -\r\n");
-    ready(connection);
+    connection->read_write = !read_only;
+    send_reply(connection, "COMPLETE -\r\n");
+    send_ready(connection);
 }
 
 static void
@@ -333,26 +336,27 @@
     connection->state = 'I';
     if (!commits || failed) {
         g_ptr_array_set_size(connection->writes, 0);
-        say(connection, "COMPLETE -\r\n");
-        ready(connection);
+        send_reply(connection, "COMPLETE -\r\n");
+        send_ready(connection);
         return;
     }
-    note_run(connection, id, text, "");
+    record_run(connection, id, text, "");
     if (!commit(connection)) {
-        connection->mute = true;
+        connection->suppress_replies = true;
     }
-    answer_done(connection, id);
+    finish_statement(connection, id);
 }
 
 static void
-tell_status(struct connection *connection)
+send_status(struct connection *connection)
 {
     const struct database *database = connection->database;
     guint length = database->log->len;
-    say(connection, "ROW %s %" PRIu64 " %" PRIu64 ".%u %" PRIu64 " 0 0 %u\r\nCOMPLETE -\r\n",
-        database->leads ? "primary" : "replica", database->term, position_term(database, length),
-        length, database->paused, database->connections->len);
-    ready(connection);
+    send_reply(connection, "ROW %s %" PRIu64 " %" PRIu64 ".%u %" PRIu64 " 0 0 %u\r\nCOMPLETE -\r\n",
+               database->leads ? "primary" : "replica", database->term,
+               position_term(database, length), length, database->paused,
+               database->connections->len);
+    send_ready(connection);
 }
 
 static void
@@ -368,18 +372,18 @@
     } else if (strcmp(word, "STEPDOWN") == 0 && database->term < term) {
         database->leads = false;
     }
-    tell_status(connection);
+    send_status(connection);
 }
 
 static void
-done(struct connection *connection)
+send_complete(struct connection *connection)
 {
-    say(connection, "COMPLETE -\r\n");
-    ready(connection);
+    send_reply(connection, "COMPLETE -\r\n");
+    send_ready(connection);
 }
 
 static bool
-lacks(const struct database *database, const char *position)
+is_behind(const struct database *database, const char *position)
 {
     char *rest = NULL;
     uint64_t term = g_ascii_strtoull(position, &rest, 10);
@@ -390,20 +394,20 @@
 }
 
 static void
-run(struct connection *connection, const char *id, const char *text)
+run_statement(struct connection *connection, const char *id, const char *text)
 {
     g_auto(GStrv) words = g_strsplit(text, " ", 5);
     const char *word = words[0] == NULL ? "" : words[0];
     if (strcmp(word, "AFTER") == 0) {
         const char *rest = strchr(strchr(text, ' ') + 1, ' ') + 1;
-        if (lacks(connection->database, words[1])) {
-            refuse(connection, "LAGGING");
+        if (is_behind(connection->database, words[1])) {
+            send_error(connection, "LAGGING");
         } else {
-            run(connection, id, rest);
+            run_statement(connection, id, rest);
         }
     } else if (connection->state == 'E' && strcmp(word, "ROLLBACK") != 0 &&
                strcmp(word, "COMMIT") != 0) {
-        refuse(connection, "MALFORMED");
+        send_error(connection, "MALFORMED");
     } else if (strcmp(word, "READ") == 0) {
         run_read(connection, id, text, "", words[1]);
     } else if (strcmp(word, "WRITE") == 0) {
@@ -416,17 +420,17 @@
         run_end(connection, id, text, word[0] == 'C');
     } else if (strcmp(word, "SET") == 0) {
         g_hash_table_replace(connection->values, g_strdup(words[1]), g_strdup(words[2]));
-        done(connection);
+        send_complete(connection);
     } else if (strcmp(word, "PREPARE") == 0) {
         char *shape = g_strdup_printf("%s %s", words[2], words[3]);
         g_hash_table_replace(connection->prepared, g_strdup(words[1]), shape);
-        done(connection);
+        send_complete(connection);
     } else if (strcmp(word, "RESET") == 0) {
         g_hash_table_remove_all(connection->values);
         g_hash_table_remove_all(connection->prepared);
-        done(connection);
+        send_complete(connection);
     } else if (strcmp(word, "STATUS") == 0) {
-        tell_status(connection);
+        send_status(connection);
     } else {
         run_control(connection, words);
     }
@@ -436,70 +440,72 @@
 start(struct connection *connection, char **words)
 {
     struct database *database = connection->database;
-    bool right = words[1] != NULL && strcmp(words[1], database->group->service) == 0 &&
+    bool valid = words[1] != NULL && strcmp(words[1], database->group->service) == 0 &&
                  (words[2] == NULL || words[3] == NULL || strcmp(words[3], database->id) == 0);
-    connection->started = right;
+    connection->started = valid;
     connection->tenant = g_strdup(words[1] == NULL ? NULL : words[2]);
-    if (right) {
-        ready(connection);
+    if (valid) {
+        send_ready(connection);
     } else {
-        say(connection, "ERROR MISROUTED %s\r\n", database->id);
+        send_reply(connection, "ERROR MISROUTED %s\r\n", database->id);
     }
 }
 
-static void take_lines(struct connection *connection);
+static void handle_lines(struct connection *connection);
 
 static void
-on_worked(evutil_socket_t socket, short events, void *user)
+on_work_timer(evutil_socket_t socket, short events, void *user)
 {
     struct connection *connection = user;
     struct line_group *group = connection->database->group;
     g_mutex_lock(&group->lock);
     g_autofree char *id = g_steal_pointer(&connection->work_id);
     g_autofree char *text = g_steal_pointer(&connection->work_text);
-    end_work(connection);
-    run(connection, id, text);
-    take_lines(connection);
+    clear_work(connection);
+    run_statement(connection, id, text);
+    handle_lines(connection);
     g_mutex_unlock(&group->lock);
 }
 
-/* The slot that is free first. */
+/* The slot that becomes free earliest. */
 static gint64 *
 find_slot(struct database *database)
 {
-    gint64 *first = &database->free_at_us[0];
+    gint64 *earliest = &database->free_at_us[0];
     for (unsigned i = 1; i < database->slots; i++) {
-        first = database->free_at_us[i] < *first ? &database->free_at_us[i] : first;
+        earliest = database->free_at_us[i] < *earliest ? &database->free_at_us[i] : earliest;
     }
-    return first;
+    return earliest;
 }
 
-/* Runs a statement, at once or after a slot has been free for the time that it names. */
+/* Runs a statement: at once, or, if its text names a duration, after it has held a slot for that
+ * time. */
 static void
-work(struct connection *connection, const char *id, const char *text)
+schedule_statement(struct connection *connection, const char *id, const char *text)
 {
     struct database *database = connection->database;
-    const char *named = strchr(text, '@');
-    gint64 work_us = named == NULL ? 0 : (gint64)atoi(named + 1) * 1000 * database->pace;
+    const char *duration = strchr(text, '@');
+    gint64 work_us =
+        duration == NULL ? 0 : (gint64)atoi(duration + 1) * 1000 * database->time_factor;
     gint64 now = g_get_monotonic_time();
     gint64 *slot = find_slot(database);
     if (work_us == 0) {
-        run(connection, id, text);
-    } else if (*slot > now + WAIT_MAX_US) {
-        refuse(connection, "BUSY");
+        run_statement(connection, id, text);
+    } else if (*slot > now + SLOT_WAIT_MAX_US) {
+        send_error(connection, "BUSY");
     } else {
         *slot = MAX(*slot, now) + work_us;
-        const struct timeval time = {(*slot - now) / G_USEC_PER_SEC,
-                                     (*slot - now) % G_USEC_PER_SEC};
+        const struct timeval delay = {(*slot - now) / G_USEC_PER_SEC,
+                                      (*slot - now) % G_USEC_PER_SEC};
         connection->work_id = g_strdup(id);
         connection->work_text = g_strdup(text);
-        connection->working = evtimer_new(database->group->base, on_worked, connection);
-        evtimer_add(connection->working, &time);
+        connection->work_timer = evtimer_new(database->group->base, on_work_timer, connection);
+        evtimer_add(connection->work_timer, &delay);
     }
 }
 
 static void
-take_line(struct connection *connection, const char *line)
+handle_line(struct connection *connection, const char *line)
 {
     const struct database *database = connection->database;
     g_auto(GStrv) words = g_strsplit(line, " ", 4);
@@ -510,27 +516,28 @@
         start(connection, words);
     } else if (strcmp(words[0], "QUERY") == 0 && words[1] != NULL) {
         const char *text = strchr(line + strlen("QUERY "), ' ') + 1;
-        bool own = strcmp(words[1], "-") == 0;
-        if (!own) {
+        bool internal = strcmp(words[1], "-") == 0;
+        if (!internal) {
             g_usleep(database->faults.slow_ms * 1000);
         }
-        if (database->faults.busy && !own) {
-            refuse(connection, "BUSY");
+        if (database->faults.busy && !internal) {
+            send_error(connection, "BUSY");
         } else {
-            work(connection, words[1], text);
+            schedule_statement(connection, words[1], text);
         }
     }
 }
 
-/* Takes what has come, but for what waits behind a statement in work. */
+/* Handles the lines received so far. Lines behind a statement that still runs stay in the buffer.
+ */
 static void
-take_lines(struct connection *connection)
+handle_lines(struct connection *connection)
 {
     struct evbuffer *input = bufferevent_get_input(connection->events);
     char *line = NULL;
-    while (connection->working == NULL &&
+    while (connection->work_timer == NULL &&
            (line = evbuffer_readln(input, NULL, EVBUFFER_EOL_CRLF)) != NULL) {
-        take_line(connection, line);
+        handle_line(connection, line);
         free(line);
     }
 }
@@ -541,7 +548,7 @@
     struct connection *connection = user;
     struct line_group *group = connection->database->group;
     g_mutex_lock(&group->lock);
-    take_lines(connection);
+    handle_lines(connection);
     g_mutex_unlock(&group->lock);
 }
 
@@ -605,7 +612,7 @@
     g_atomic_int_set(&group->serving, 1);
 }
 
-/* Waits until the loop runs: a stop that comes before is lost. */
+/* Waits until the loop runs: a stop before that would have no effect. */
 static void
 wait_until_serving(struct line_group *group)
 {
@@ -642,7 +649,7 @@
         database->term = 1;
         database->leads = i == 0;
         database->slots = LINE_GROUP_SLOTS;
-        database->pace = 1;
+        database->time_factor = 1;
         database->log = g_ptr_array_new_with_free_func(free_entry);
         database->connections = g_ptr_array_new();
         g_snprintf(database->id, sizeof database->id, "%s-%u", service, i);
@@ -691,9 +698,9 @@
     return group->databases[database].port;
 }
 
-/* What a test's thread has the loop's thread do. A connection's own lock is held around its
- * callbacks, which take the group's: whoever holds the group's lock elsewhere must not touch a
- * connection, or both threads wait for each other. */
+/* A call that a test's thread has the loop's thread run. libevent holds a connection's own lock
+ * around the connection's callbacks, and these take the group's lock. A thread that held the
+ * group's lock while it touched a connection would deadlock with them. */
 typedef struct loop_call {
     struct line_group *group;
     void (*action)(struct line_group *group, void *user);
@@ -723,15 +730,15 @@
     }
 }
 
-typedef struct change_of_faults {
+typedef struct fault_change {
     unsigned database;
     const struct line_faults *faults;
-} change_of_faults_t;
+} fault_change_t;
 
 static void
 change_faults(struct line_group *group, void *user)
 {
-    const change_of_faults_t *change = user;
+    const fault_change_t *change = user;
     struct database *changed = &group->databases[change->database];
     changed->faults = *change->faults;
     if (changed->faults.down) {
@@ -747,7 +754,7 @@
 void
 line_group_set_faults(struct line_group *group, unsigned database, const struct line_faults *faults)
 {
-    change_of_faults_t change = {database, faults};
+    fault_change_t change = {database, faults};
     call_in_loop(group, change_faults, &change);
 }
 
@@ -768,11 +775,12 @@
 }
 
 void
-line_group_set_slots(struct line_group *group, unsigned database, unsigned slots, unsigned pace)
+line_group_set_slots(struct line_group *group, unsigned database, unsigned slots,
+                     unsigned time_factor)
 {
     g_mutex_lock(&group->lock);
     group->databases[database].slots = CLAMP(slots, 1, LINE_GROUP_SLOTS_MAX);
-    group->databases[database].pace = pace;
+    group->databases[database].time_factor = time_factor;
     g_mutex_unlock(&group->lock);
 }
 
@@ -805,7 +813,7 @@
 
 typedef struct promotion {
     const char *id;
-    bool good;
+    bool succeeded;
 } promotion_t;
 
 static void
@@ -821,7 +829,7 @@
         if (strcmp(database->id, promotion->id) != 0 || database->faults.down) {
             continue;
         }
-        promotion->good = true;
+        promotion->succeeded = true;
         if (!database->leads) {
             database->leads = true;
             database->term = newest + 1;
@@ -837,7 +845,7 @@
 {
     promotion_t promotion = {id, false};
     call_in_loop(group, promote, &promotion);
-    return promotion.good;
+    return promotion.succeeded;
 }
 
 void
@@ -874,7 +882,7 @@
     return copy;
 }
 
-/* The database that leads the newest term. Called with the lock held. */
+/* The database that leads the newest term. The caller holds the lock. */
 static const struct database *
 find_leader(const struct line_group *group)
 {
--- a/standins/session_platform/line_group.h
+++ b/standins/session_platform/line_group.h
@@ -1,7 +1,7 @@
-/* Stand-in for one group of databases that speak the platform's line format: a primary and replicas
- * in one thread, with terms, positions, pauses, promotion and faults. Replication is instant unless
- * a fault says otherwise. A read of the thing "service" tells the group's name. All functions may
- * be called by the test's thread. */
+/* Stand-in for one group of databases that speak the platform's line format: a primary and
+ * replicas, served by one thread, with terms, positions, pauses, promotion and injected faults.
+ * Replication is instant unless a fault prevents it. A read of the thing "service" returns the
+ * group's name. All functions may be called from the test's thread. */
 #ifndef SW_STANDINS_LINE_GROUP_H
 #define SW_STANDINS_LINE_GROUP_H
 
@@ -15,36 +15,38 @@
 #define LINE_GROUP_SLOTS     6 /* unless line_group_set_slots() sets others */
 #define LINE_GROUP_SLOTS_MAX 16
 
-/* What a database does wrong at the moment. */
+/* Faults injected into a database. */
 struct line_faults {
-    bool down;                 /* refuses connections and has closed those it had */
-    bool unresponsive;         /* takes what is sent and answers nothing */
-    bool lose_answers;         /* runs statements, and never answers on that connection again */
-    bool no_replication;       /* receives nothing from the primary */
-    bool lagging;              /* receives, but does not apply */
-    unsigned slow_ms;          /* each statement takes so long, one after the other */
-    bool busy;                 /* refuses statements for want of slots */
-    bool unrecorded;           /* its record in the store is not renewed */
-    bool draining;             /* its record says that it will leave */
-    bool gone;                 /* its record is taken away */
-    unsigned connection_limit; /* resets connections beyond so many; 0: takes any number */
+    bool down;           /* refuses connections; open ones were closed */
+    bool unresponsive;   /* reads requests and answers none */
+    bool lose_answers;   /* runs statements and does not answer them, nor any later one on that
+                            connection */
+    bool no_replication; /* copies no log from the primary; as a primary, it is not copied from */
+    bool lagging;        /* receives the log but does not apply it */
+    unsigned slow_ms;    /* each statement takes this long, one after the other */
+    bool busy;           /* refuses statements with BUSY, as without a free slot */
+    bool unrecorded;     /* its record in the store is not renewed */
+    bool draining;       /* its record announces that it will leave */
+    bool gone;           /* its record is deleted */
+    unsigned connection_limit; /* closes connections above this number; 0: no limit */
 };
 
 /* One statement that a database ran. */
 struct line_run {
     unsigned database;
-    unsigned connection; /* counts connections of the group */
+    unsigned connection; /* number of the connection, counted over the group */
     char *id;
     char *text;
     char *tenant; /* as named at the connection's start */
-    char *values; /* "name=value;" sorted by name, as they were in force */
+    char *values; /* "name=value;" sorted by name, as set when the statement ran */
     char *shape;  /* of a prepared statement, else "" */
-    gint64 at_us; /* of the monotonic clock */
+    gint64 at_us; /* monotonic clock */
 };
 
 struct line_group;
 
-/* Starts `count` databases at free ports of 127.0.0.1; the first one leads term 1. */
+/* Starts `count` databases at free ports of 127.0.0.1. The first one is primary of term 1. A write
+ * is answered once `sync_replicas` replicas have received it. */
 struct line_group *line_group_start(const char *service, unsigned count, unsigned sync_replicas);
 void line_group_stop(struct line_group *group);
 
@@ -52,32 +54,33 @@
 uint16_t line_group_port(const struct line_group *group, unsigned database);
 void line_group_set_faults(struct line_group *group, unsigned database,
                            const struct line_faults *faults);
-/* Sets how many statements a database runs at once and how fast. Only statements that name a time
- * for their work ("thing@15": 15 ms) take a slot, for `pace` times that time. More wait for a slot
- * for a while, then are answered BUSY. */
+/* Sets how many statements a database runs at once, and the factor by which their durations are
+ * multiplied. Only statements that name a duration ("thing@15": 15 ms) take a slot. A statement
+ * waits for a slot for up to 100 ms, then it gets BUSY. */
 void line_group_set_slots(struct line_group *group, unsigned database, unsigned slots,
-                          unsigned pace);
-/* True if that database leads, as it sees itself. */
+                          unsigned time_factor);
+/* True if the database takes itself for the primary. */
 bool line_group_leads(struct line_group *group, unsigned database);
-/* The one that leads the newest term. */
+/* The id of the database that leads the newest term. */
 const char *line_group_leader(struct line_group *group);
 uint64_t line_group_term(struct line_group *group, unsigned database);
 uint64_t line_group_paused(struct line_group *group, unsigned database);
-/* Lets the named database lead the next term, as the promotion call does. False if it is down. */
+/* Makes the named database the primary of the next term, as the promotion call does. False if it is
+ * down. */
 bool line_group_promote(struct line_group *group, const char *id);
-/* Turns it into a replica of its term. */
+/* Turns the database into a replica without a change of its term. */
 void line_group_demote(struct line_group *group, unsigned database);
 
-/* Lets it start again under its id without its log: connections break, and what it holds is gone.
- * It leads if it did. */
+/* Restarts the database under its id with an empty log: its connections break and its data is lost.
+ * It is primary again if it was. */
 void line_group_lose_log(struct line_group *group, unsigned database);
 
-/* A copy of the runs so far; the caller frees it by g_ptr_array_unref. */
+/* A copy of the statements run so far; the caller frees it with g_ptr_array_unref. */
 GPtrArray *line_group_runs(struct line_group *group);
-/* Every run so far and the newest leader's log as lines of JSON: {"run": ...} and {"commit": ...}.
- */
+/* Writes every statement run so far and the log of the newest leader as lines of JSON: {"run": ...}
+ * and {"commit": ...}. */
 void line_group_dump(struct line_group *group, FILE *out);
-/* How often the primary's log holds a write of this text that was committed. */
+/* How many committed writes of this text the log of the newest leader holds. */
 unsigned line_group_committed(struct line_group *group, const char *thing, const char *data);
 unsigned line_group_connections(struct line_group *group, unsigned database);
 
--- a/standins/session_platform/main.c
+++ b/standins/session_platform/main.c
@@ -1,10 +1,9 @@
-/* The session stand-ins as a program, for trying the pooler by hand and for the soak: the
- * platform's store with an operator's configuration out of a file, and three databases for each of
- * its services. The file is read again when it changes. SIGUSR1 takes the first service's primary
- * down for a while.
+/* The session stand-ins as a program, for manual trials of the pooler and for the soak test: the
+ * platform's store, with the operator's configuration from a file, and three databases for each
+ * service of the configuration. The file is read again when it changes. SIGUSR1 takes the first
+ * service's primary down for 6 s.
  *
- * Prints "store 127.0.0.1:PORT" once the store listens; promotions are taken at the same address.
- */
+ * Prints "store 127.0.0.1:PORT" once the store listens. The same address serves promotion calls. */
 #include "standins/session_platform/commands.h"
 #include "standins/session_platform/platform.h"
 
@@ -15,18 +14,19 @@
 #include <string.h>
 #include <unistd.h>
 
-#define LOOK_MS    200 /* time between two looks at the file, the roles and the signals */
-#define DOWN_LOOKS 30  /* a primary that was taken down stays so for 6 s */
+#define TICK_MS 200 /* interval of the checks of the file, the signals and the databases' records  \
+                     */
+#define DOWN_TICKS 30 /* a primary stays down for 6 s */
 
-/* The command line, and what the file held last. */
-struct trial {
+/* The program's options and state. */
+struct standin {
     gboolean commands;
     char *announce; /* "IP:PORT" of the first database */
     char *path;
     char *configuration;
-    unsigned down;       /* the first group's database that is down */
-    unsigned looks_left; /* until it is back; 0: none is down */
-    GString *typed;      /* of the command that is not whole yet */
+    unsigned down;       /* index of the first group's database that is down */
+    unsigned ticks_left; /* until that database is started again; 0: none is down */
+    GString *input;      /* start of a command line that is not complete yet */
 };
 
 static volatile sig_atomic_t take_down;
@@ -43,25 +43,25 @@
 }
 
 static bool
-read_command_line(struct trial *trial, int argc, char **argv)
+read_command_line(struct standin *standin, int argc, char **argv)
 {
     const GOptionEntry entries[] = {
-        {"commands", 0, 0, G_OPTION_ARG_NONE, &trial->commands, "Take commands on standard input",
-         NULL},
-        {"announce", 0, 0, G_OPTION_ARG_STRING, &trial->announce,
-         "Record the databases at these ports of IP, one after the other", "IP:PORT"},
+        {"commands", 0, 0, G_OPTION_ARG_NONE, &standin->commands,
+         "Read commands from standard input", NULL},
+        {"announce", 0, 0, G_OPTION_ARG_STRING, &standin->announce,
+         "Record the databases under this address, with consecutive ports", "IP:PORT"},
         {NULL, 0, 0, G_OPTION_ARG_NONE, NULL, NULL, NULL},
     };
     g_autoptr(GError) error = NULL;
     g_autoptr(GOptionContext) context = g_option_context_new("CONFIGURATION");
     g_option_context_add_main_entries(context, entries, NULL);
-    bool good = g_option_context_parse(context, &argc, &argv, &error) && argc == 2;
-    if (!good) {
+    bool valid = g_option_context_parse(context, &argc, &argv, &error) && argc == 2;
+    if (!valid) {
         fprintf(stderr, "usage: swiftworks-session-standin [OPTION...] CONFIGURATION%s%s\n",
                 error == NULL ? "" : ": ", error == NULL ? "" : error->message);
         return false;
     }
-    trial->path = argv[1];
+    standin->path = argv[1];
     return true;
 }
 
@@ -76,37 +76,37 @@
     }
 }
 
-/* The operator's file, if it has changed and is whole. */
+/* Applies the configuration file if it has changed and is valid JSON. */
 static void
-read_configuration(struct platform *platform, struct trial *trial)
+read_configuration(struct platform *platform, struct standin *standin)
 {
     g_autofree char *text = NULL;
-    if (!g_file_get_contents(trial->path, &text, NULL, NULL) ||
-        g_strcmp0(text, trial->configuration) == 0) {
+    if (!g_file_get_contents(standin->path, &text, NULL, NULL) ||
+        g_strcmp0(text, standin->configuration) == 0) {
         return;
     }
     long long version = platform_configure(platform, text);
     if (version >= 0) {
-        g_free(trial->configuration);
-        trial->configuration = g_steal_pointer(&text);
+        g_free(standin->configuration);
+        standin->configuration = g_steal_pointer(&text);
         printf("configuration %lld\n", version);
         fflush(stdout);
     }
 }
 
 static void
-change_faults(struct platform *platform, struct trial *trial)
+change_faults(struct platform *platform, struct standin *standin)
 {
     struct line_faults down = {.down = true};
     struct line_faults none = {0};
-    if (trial->looks_left > 0 && --trial->looks_left == 0) {
-        platform_set_faults(platform, 0, trial->down, &none);
-        printf("up %s\n", line_group_id(platform->groups[0], trial->down));
+    if (standin->ticks_left > 0 && --standin->ticks_left == 0) {
+        platform_set_faults(platform, 0, standin->down, &none);
+        printf("up %s\n", line_group_id(platform->groups[0], standin->down));
     }
-    for (unsigned i = 0; take_down && trial->looks_left == 0 && i < DATABASES_EACH; i++) {
+    for (unsigned i = 0; take_down && standin->ticks_left == 0 && i < DATABASES_PER_SERVICE; i++) {
         if (line_group_leads(platform->groups[0], i)) {
-            trial->down = i;
-            trial->looks_left = DOWN_LOOKS;
+            standin->down = i;
+            standin->ticks_left = DOWN_TICKS;
             take_down = 0;
             platform_set_faults(platform, 0, i, &down);
             printf("down %s\n", line_group_id(platform->groups[0], i));
@@ -115,49 +115,49 @@
     fflush(stdout);
 }
 
-/* Carries out the commands that are whole. False once standard input is over. */
+/* Runs the commands whose lines are complete. False at the end of standard input. */
 static bool
-take_commands(struct platform *platform, struct trial *trial)
+read_commands(struct platform *platform, struct standin *standin)
 {
-    char some[4096];
-    ssize_t count = read(STDIN_FILENO, some, sizeof some);
+    char buffer[4096];
+    ssize_t count = read(STDIN_FILENO, buffer, sizeof buffer);
     if (count <= 0) {
         return false;
     }
-    g_string_append_len(trial->typed, some, count);
+    g_string_append_len(standin->input, buffer, count);
     char *end = NULL;
-    while ((end = strchr(trial->typed->str, '\n')) != NULL) {
+    while ((end = strchr(standin->input->str, '\n')) != NULL) {
         *end = '\0';
-        command_run(platform, trial->typed->str);
-        g_string_erase(trial->typed, 0, end + 1 - trial->typed->str);
+        command_run(platform, standin->input->str);
+        g_string_erase(standin->input, 0, end + 1 - standin->input->str);
     }
     return true;
 }
 
-/* Until the next look, commands are carried out as they come. */
+/* Runs commands as they arrive, until the next tick. */
 static void
-wait_for_commands(struct platform *platform, struct trial *trial)
+wait_for_commands(struct platform *platform, struct standin *standin)
 {
-    gint64 until = g_get_monotonic_time() + LOOK_MS * 1000;
+    gint64 until = g_get_monotonic_time() + TICK_MS * 1000;
     for (gint64 now = g_get_monotonic_time(); now < until && !stopping;
          now = g_get_monotonic_time()) {
-        struct pollfd input = {trial->commands ? STDIN_FILENO : -1, POLLIN, 0};
-        int ready = poll(&input, 1, (int)((until - now) / 1000) + 1);
-        if (ready > 0 && !take_commands(platform, trial)) {
-            trial->commands = FALSE;
-            stopping = 1; /* who commanded is gone */
+        struct pollfd descriptor = {standin->commands ? STDIN_FILENO : -1, POLLIN, 0};
+        int ready = poll(&descriptor, 1, (int)((until - now) / 1000) + 1);
+        if (ready > 0 && !read_commands(platform, standin)) {
+            standin->commands = FALSE;
+            stopping = 1; /* the process that sent commands has closed its end */
         }
     }
 }
 
 static void
-serve(struct platform *platform, struct trial *trial)
+serve(struct platform *platform, struct standin *standin)
 {
     while (!stopping) {
-        read_configuration(platform, trial);
-        change_faults(platform, trial);
+        read_configuration(platform, standin);
+        change_faults(platform, standin);
         platform_put_records(platform);
-        wait_for_commands(platform, trial);
+        wait_for_commands(platform, standin);
     }
 }
 
@@ -165,38 +165,38 @@
 main(int argc, char **argv)
 {
     struct platform platform = {0};
-    struct trial trial = {.typed = g_string_new(NULL)};
+    struct standin standin = {.input = g_string_new(NULL)};
     g_autofree char *text = NULL;
     g_autoptr(GError) error = NULL;
-    if (!read_command_line(&trial, argc, argv)) {
+    if (!read_command_line(&standin, argc, argv)) {
         return 2;
     }
-    if (!g_file_get_contents(trial.path, &text, NULL, &error)) {
+    if (!g_file_get_contents(standin.path, &text, NULL, &error)) {
         fprintf(stderr, "%s\n", error->message);
         return 2;
     }
-    /* Who reads the output waits for its lines: each is there once it has happened. */
+    /* Line-buffered, because a process that reads the output waits for single lines of it. */
     setvbuf(stdout, NULL, _IOLBF, 0);
     signal(SIGUSR1, on_signal);
     signal(SIGTERM, on_signal);
     signal(SIGINT, on_signal);
-    set_announce(&platform, trial.announce);
+    set_announce(&platform, standin.announce);
     platform.store = row_store_start(platform_promote, &platform);
     if (!platform_start_groups(&platform, text)) {
-        fprintf(stderr, "%s names no services\n", trial.path);
+        fprintf(stderr, "%s: the configuration names no services\n", standin.path);
         return 2;
     }
     platform_put_records(&platform);
-    for (unsigned i = 0; i < platform.count * DATABASES_EACH; i++) {
-        const struct line_group *group = platform.groups[i / DATABASES_EACH];
-        printf("database %s 127.0.0.1:%u\n", line_group_id(group, i % DATABASES_EACH),
-               line_group_port(group, i % DATABASES_EACH));
+    for (unsigned i = 0; i < platform.count * DATABASES_PER_SERVICE; i++) {
+        const struct line_group *group = platform.groups[i / DATABASES_PER_SERVICE];
+        printf("database %s 127.0.0.1:%u\n", line_group_id(group, i % DATABASES_PER_SERVICE),
+               line_group_port(group, i % DATABASES_PER_SERVICE));
     }
     printf("store 127.0.0.1:%u\n", row_store_port(platform.store));
     fflush(stdout);
-    serve(&platform, &trial);
+    serve(&platform, &standin);
     platform_stop(&platform);
-    g_free(trial.configuration);
-    g_string_free(trial.typed, TRUE);
+    g_free(standin.configuration);
+    g_string_free(standin.input, TRUE);
     return 0;
 }
--- a/standins/session_platform/platform.c
+++ b/standins/session_platform/platform.c
@@ -1,4 +1,3 @@
-/* The session stand-ins together; see the header. */
 #include "standins/session_platform/platform.h"
 
 #include <jansson.h>
@@ -31,12 +30,12 @@
     {
         const char *name = json_string_value(json_object_get(service, "name"));
         if (name != NULL && platform->count < SERVICES_MAX) {
-            for (unsigned i = 0; i < DATABASES_EACH; i++) {
+            for (unsigned i = 0; i < DATABASES_PER_SERVICE; i++) {
                 platform->slots[platform->count][i] = LINE_GROUP_SLOTS;
             }
             platform->services[platform->count] = g_strdup(name);
             platform->groups[platform->count++] =
-                line_group_start(name, DATABASES_EACH, SYNC_REPLICAS);
+                line_group_start(name, DATABASES_PER_SERVICE, SYNC_REPLICAS);
         }
     }
     json_decref(root);
@@ -50,7 +49,7 @@
     const struct line_faults *faults = &platform->faults[service][database];
     bool announced = platform->announce_host != NULL;
     const char *host = announced ? platform->announce_host : "127.0.0.1";
-    unsigned port = announced ? platform->announce_port + service * DATABASES_EACH + database
+    unsigned port = announced ? platform->announce_port + service * DATABASES_PER_SERVICE + database
                               : line_group_port(group, database);
     g_autofree char *text = g_strdup_printf(
         "{\"service\":\"%s\",\"address\":\"%s:%u\",\"zone\":\"z%u\",\"version\":\"v1\","
@@ -67,7 +66,7 @@
 platform_put_records(struct platform *platform)
 {
     for (unsigned i = 0; i < platform->count; i++) {
-        for (unsigned database = 0; database < DATABASES_EACH; database++) {
+        for (unsigned database = 0; database < DATABASES_PER_SERVICE; database++) {
             put_record(platform, i, database);
         }
     }
@@ -100,10 +99,10 @@
 
 void
 platform_set_slots(struct platform *platform, unsigned service, unsigned database, unsigned slots,
-                   unsigned pace)
+                   unsigned time_factor)
 {
     platform->slots[service][database] = slots;
-    line_group_set_slots(platform->groups[service], database, slots, pace);
+    line_group_set_slots(platform->groups[service], database, slots, time_factor);
 }
 
 void
--- a/standins/session_platform/row_store.c
+++ b/standins/session_platform/row_store.c
@@ -1,5 +1,6 @@
-/* The store of rows; see the header. One thread serves; one lock guards the rows. A question for
- * changes is answered at once, or again and again until its time is over. */
+/* The store of rows. One thread serves requests; one lock guards the rows. A request for changes is
+ * checked at once and then every FEED_POLL_MS, until there is a change or its waiting time is over.
+ */
 #include "standins/session_platform/row_store.h"
 
 #include <event2/buffer.h>
@@ -14,28 +15,28 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#define LOOK_AGAIN_MS 5
+#define FEED_POLL_MS 5
 
-/* Rows in one answer, at most, as the platform has it. */
+/* The most rows in one reply; the platform's limit. */
 #define ROWS_MAX ((guint64)500)
 
 struct row {
     char *table;
     char *part;
     char *key;
-    json_t *value; /* NULL: gone */
+    json_t *value; /* NULL: deleted */
     uint64_t version;
-    uint64_t changed; /* the version at which more than its version changed */
+    uint64_t changed; /* version of the last write that changed the value, not only the version */
 };
 
-/* A write, with what it replaced. */
+/* A write and the state that it replaced, so that a restore can undo it. */
 struct change {
     char *table;
     char *part;
     char *key;
-    json_t *value;           /* before it; NULL: the row was gone, or not there */
-    uint64_t version_before; /* of the row; 0: it was not there */
-    uint64_t changed_before; /* the same */
+    json_t *value;           /* the value before; NULL: the row was deleted or did not exist */
+    uint64_t version_before; /* the row's version before; 0: the row did not exist */
+    uint64_t changed_before; /* the row's `changed` before */
     uint64_t version;        /* of the write */
     gint64 at;               /* monotonic, in microseconds */
 };
@@ -43,23 +44,24 @@
 struct row_store {
     GMutex lock;
     GThread *thread;
-    gint serving; /* atomic: the loop runs, so that a stop is not lost */
+    gint serving; /* atomic: set once the loop runs, because a stop before that would have no effect
+                   */
     struct event_base *base;
     struct evhttp *http;
     uint16_t port;
     GPtrArray *rows; /* of struct row */
     uint64_t version;
-    GPtrArray *changes; /* of struct change, oldest first, since the start */
-    uint64_t era;       /* how often it was restored from an older copy */
-    uint64_t forgotten; /* changes up to this are no longer told one by one */
+    GPtrArray *changes;     /* of struct change, oldest first, since the start */
+    uint64_t era;           /* number of restores from an older copy */
+    uint64_t history_start; /* changes up to this version are no longer listed */
     struct row_store_faults faults;
     row_store_promote *promote;
     void *user;
     unsigned promotions;
     uint64_t token;
     bool token_fell;
-    char *token_holder; /* who promoted under the highest one; NULL: nobody yet */
-    bool token_shared;  /* and another one did, too */
+    char *token_holder; /* holder that promoted under the highest token; NULL: none yet */
+    bool token_shared;  /* a second holder promoted under the same token */
 };
 
 static void
@@ -97,9 +99,9 @@
     return NULL;
 }
 
-/* What a restore from a copy of before this write needs. */
+/* Records the state before a write, for a restore to an earlier version. */
 static void
-note_change(struct row_store *store, const struct row *row)
+record_change(struct row_store *store, const struct row *row)
 {
     struct change *change = g_new0(struct change, 1);
     *change = (struct change){
@@ -115,7 +117,7 @@
     g_ptr_array_add(store->changes, change);
 }
 
-/* Takes the value. */
+/* Takes ownership of `value`. */
 static void
 put_row(struct row_store *store, const char *table, const char *part, const char *key,
         json_t *value)
@@ -128,7 +130,7 @@
         row->key = g_strdup(key);
         g_ptr_array_add(store->rows, row);
     }
-    note_change(store, row);
+    record_change(store, row);
     g_clear_pointer(&row->value, json_decref);
     row->value = value;
     row->version = row->changed = store->version;
@@ -155,7 +157,7 @@
                      now);
 }
 
-/* Takes the body. */
+/* Takes ownership of `body`. */
 static void
 reply(const struct row_store *store, struct evhttp_request *request, int status, json_t *body)
 {
@@ -181,24 +183,24 @@
 
 static json_t *
 rows_after(struct row_store *store, const char *table, const char *part, uint64_t after,
-           bool gone_too)
+           bool include_deleted)
 {
     json_t *rows = json_array();
     for (guint i = 0; i < store->rows->len; i++) {
         const struct row *row = g_ptr_array_index(store->rows, i);
-        bool wanted = strcmp(row->table, table) == 0 && row->changed > after &&
-                      (part == NULL || strcmp(row->part, part) == 0) &&
-                      (gone_too || row->value != NULL);
-        if (wanted) {
+        bool matches = strcmp(row->table, table) == 0 && row->changed > after &&
+                       (part == NULL || strcmp(row->part, part) == 0) &&
+                       (include_deleted || row->value != NULL);
+        if (matches) {
             json_array_append_new(rows, row_object(row));
         }
     }
     return rows;
 }
 
-/* True if the call is not to be served. */
+/* Applies an injected fault to the request. True if the request must not be served. */
 static bool
-fails(struct row_store *store, struct evhttp_request *request)
+inject_failure(struct row_store *store, struct evhttp_request *request)
 {
     if (store->faults.refuse) {
         reply(store, request, 503, NULL);
@@ -215,9 +217,10 @@
                   json_string_value(json_object_get(*second, "tlsKey")));
 }
 
-/* The rows from this key on, keys rising, so many at most. Takes `rows`. */
+/* At most `limit` rows whose keys are `from` or greater, sorted by key. Takes ownership of `rows`.
+ */
 static json_t *
-page_of(json_t *rows, const char *from, size_t limit, bool *more)
+make_page(json_t *rows, const char *from, size_t limit, bool *more)
 {
     json_t *page = json_array();
     size_t count = json_array_size(rows);
@@ -229,9 +232,9 @@
     *more = false;
     for (size_t i = 0; i < count; i++) {
         const char *key = json_string_value(json_object_get(sorted[i], "tlsKey"));
-        bool wanted = strcmp(key, from) >= 0;
-        *more = *more || (wanted && json_array_size(page) >= limit);
-        if (wanted && !*more) {
+        bool matches = strcmp(key, from) >= 0;
+        *more = *more || (matches && json_array_size(page) >= limit);
+        if (matches && !*more) {
             json_array_append(page, sorted[i]);
         }
     }
@@ -257,12 +260,12 @@
     guint64 limit = g_ascii_strtoull(query_value(&query, "limit"), NULL, 10);
     g_mutex_lock(&store->lock);
     count_read(store);
-    if (!fails(store, request)) {
+    if (!inject_failure(store, request)) {
         bool more = false;
         json_t *rows =
             rows_after(store, query_value(&query, "table"), query_value(&query, "part"), 0, false);
-        rows = page_of(rows, query_value(&query, "from"),
-                       limit == 0 ? ROWS_MAX : MIN(limit, ROWS_MAX), &more);
+        rows = make_page(rows, query_value(&query, "from"),
+                         limit == 0 ? ROWS_MAX : MIN(limit, ROWS_MAX), &more);
         json_t *answer = answer_object(store, rows);
         json_object_set_new(answer, "more", json_boolean(more));
         if (store->faults.empty) {
@@ -282,40 +285,40 @@
     gint64 until;
 };
 
-/* True if the changes after this version can't be told: they were forgotten, or the version was
- * given out in an era of which the store has no copy. */
+/* True if the changes after this version can't be listed: their history was discarded, or the
+ * version was assigned in an era whose later writes a restore has undone. */
 static bool
-lacks_history(const struct row_store *store, uint64_t after)
+history_missing(const struct row_store *store, uint64_t after)
 {
-    return store->faults.no_history || after < store->forgotten || after > store->version;
+    return store->faults.no_history || after < store->history_start || after > store->version;
 }
 
 static void
-look(evutil_socket_t socket, short events, void *user)
+poll_feed(evutil_socket_t socket, short events, void *user)
 {
     struct watch *watch = user;
     struct row_store *store = watch->store;
     g_mutex_lock(&store->lock);
-    bool failed = fails(store, watch->request);
+    bool failed = inject_failure(store, watch->request);
     json_t *rows = failed ? NULL : rows_after(store, watch->table, NULL, watch->after, true);
-    bool over = failed || json_array_size(rows) > 0 || g_get_monotonic_time() >= watch->until;
-    if (!failed && lacks_history(store, watch->after)) {
+    bool finished = failed || json_array_size(rows) > 0 || g_get_monotonic_time() >= watch->until;
+    if (!failed && history_missing(store, watch->after)) {
         reply(store, watch->request, 410, NULL);
         json_decref(rows);
-        over = true;
-    } else if (!failed && over) {
+        finished = true;
+    } else if (!failed && finished) {
         reply(store, watch->request, 200, answer_object(store, rows));
     } else {
         json_decref(rows);
     }
     g_mutex_unlock(&store->lock);
-    if (over) {
+    if (finished) {
         g_free(watch->table);
         g_free(watch);
         return;
     }
-    struct timeval soon = {0, LOOK_AGAIN_MS * 1000};
-    event_base_once(store->base, -1, EV_TIMEOUT, look, watch, &soon);
+    struct timeval delay = {0, FEED_POLL_MS * 1000};
+    event_base_once(store->base, -1, EV_TIMEOUT, poll_feed, watch, &delay);
 }
 
 static void
@@ -331,20 +334,21 @@
     watch->until =
         g_get_monotonic_time() + g_ascii_strtoll(query_value(&query, "waitMs"), NULL, 10) * 1000;
     evhttp_clear_headers(&query);
-    look(-1, 0, watch);
+    poll_feed(-1, 0, watch);
 }
 
 static const char *
-member(json_t *object, const char *name)
+string_member(json_t *object, const char *name)
 {
     const char *value = json_string_value(json_object_get(object, name));
     return value == NULL ? "" : value;
 }
 
 static struct row *
-row_of(struct row_store *store, json_t *item)
+find_named_row(struct row_store *store, json_t *item)
 {
-    return find_row(store, member(item, "table"), member(item, "part"), member(item, "tlsKey"));
+    return find_row(store, string_member(item, "table"), string_member(item, "part"),
+                    string_member(item, "tlsKey"));
 }
 
 static bool
@@ -352,18 +356,18 @@
 {
     size_t index = 0;
     json_t *item = NULL;
-    bool hold = true;
+    bool met = true;
     json_array_foreach(json_object_get(body, "expectedRev"), index, item)
     {
-        const struct row *row = row_of(store, item);
-        bool there = row != NULL && row->value != NULL;
-        uint64_t version = there ? row->version : 0;
-        hold = hold && version == (uint64_t)json_integer_value(json_object_get(item, "ver"));
-        if (there) {
+        const struct row *row = find_named_row(store, item);
+        bool exists = row != NULL && row->value != NULL;
+        uint64_t version = exists ? row->version : 0;
+        met = met && version == (uint64_t)json_integer_value(json_object_get(item, "ver"));
+        if (exists) {
             json_array_append_new(present, row_object(row));
         }
     }
-    return hold;
+    return met;
 }
 
 static void
@@ -374,13 +378,13 @@
     store->version++;
     json_array_foreach(json_object_get(body, "put"), index, item)
     {
-        put_row(store, member(item, "table"), member(item, "part"), member(item, "tlsKey"),
-                json_incref(json_object_get(item, "value")));
+        put_row(store, string_member(item, "table"), string_member(item, "part"),
+                string_member(item, "tlsKey"), json_incref(json_object_get(item, "value")));
     }
 }
 
 static json_t *
-body_of(struct evhttp_request *request)
+parse_body(struct evhttp_request *request)
 {
     struct evbuffer *input = evhttp_request_get_input_buffer(request);
     size_t length = evbuffer_get_length(input);
@@ -391,16 +395,16 @@
 on_write(struct evhttp_request *request, void *user)
 {
     struct row_store *store = user;
-    json_t *body = body_of(request);
+    json_t *body = parse_body(request);
     json_t *present = json_array();
     g_mutex_lock(&store->lock);
-    if (!fails(store, request)) {
-        bool hold = conditions_hold(store, body, present);
-        if (hold) {
+    if (!inject_failure(store, request)) {
+        bool met = conditions_hold(store, body, present);
+        if (met) {
             write_rows(store, body);
         }
         if (!store->faults.lose_writes) {
-            reply(store, request, hold ? 200 : 412, answer_object(store, json_incref(present)));
+            reply(store, request, met ? 200 : 412, answer_object(store, json_incref(present)));
         }
     }
     g_mutex_unlock(&store->lock);
@@ -408,9 +412,9 @@
     json_decref(body);
 }
 
-/* Called before the token is noted as the highest. */
+/* Must be called before store->token is raised to `token`. */
 static void
-note_holder(struct row_store *store, struct evhttp_request *request, uint64_t token)
+record_holder(struct row_store *store, struct evhttp_request *request, uint64_t token)
 {
     const struct evkeyvalq *headers = evhttp_request_get_input_headers(request);
     const char *holder = evhttp_find_header(headers, "Swiftworks-Duty-Holder");
@@ -426,18 +430,19 @@
 on_promotion(struct evhttp_request *request, void *user)
 {
     struct row_store *store = user;
-    json_t *body = body_of(request);
+    json_t *body = parse_body(request);
     const char *fence =
         evhttp_find_header(evhttp_request_get_input_headers(request), "Swiftworks-Fencing-Token");
     uint64_t token = fence == NULL ? 0 : g_ascii_strtoull(fence, NULL, 10);
     g_mutex_lock(&store->lock);
     store->promotions++;
     store->token_fell = store->token_fell || token < store->token;
-    note_holder(store, request, token);
+    record_holder(store, request, token);
     store->token = MAX(store->token, token);
     g_mutex_unlock(&store->lock);
-    bool good = store->promote(store->user, member(body, "service"), member(body, "id"));
-    reply(store, request, good ? 200 : 409, NULL);
+    bool promoted =
+        store->promote(store->user, string_member(body, "service"), string_member(body, "id"));
+    reply(store, request, promoted ? 200 : 409, NULL);
     json_decref(body);
 }
 
@@ -448,7 +453,7 @@
     g_atomic_int_set(&store->serving, 1);
 }
 
-/* Waits until the loop runs: a stop that comes before is lost. */
+/* Waits until the loop runs: a stop before that would have no effect. */
 static void
 wait_until_serving(struct row_store *store)
 {
@@ -526,7 +531,7 @@
 row_store_discard_history(struct row_store *store)
 {
     g_mutex_lock(&store->lock);
-    store->forgotten = store->version;
+    store->history_start = store->version;
     g_mutex_unlock(&store->lock);
 }
 
@@ -554,7 +559,7 @@
 }
 
 static void
-undo(struct row_store *store, const struct change *change)
+undo_change(struct row_store *store, const struct change *change)
 {
     struct row *row = find_row(store, change->table, change->part, change->key);
     if (change->version_before == 0) {
@@ -576,11 +581,11 @@
         if (change->version <= version) {
             break;
         }
-        undo(store, change);
+        undo_change(store, change);
         g_ptr_array_remove_index(store->changes, i - 1);
     }
     store->version = MIN(store->version, version);
-    store->forgotten = MIN(store->forgotten, store->version);
+    store->history_start = MIN(store->history_start, store->version);
     store->era++;
     g_mutex_unlock(&store->lock);
 }
@@ -601,7 +606,7 @@
     g_mutex_lock(&store->lock);
     store->version++;
     struct row *row = find_row(store, table, "", key);
-    note_change(store, row);
+    record_change(store, row);
     row->version = store->version;
     g_mutex_unlock(&store->lock);
 }
