--- a/standins/database/admin.c
+++ b/standins/database/admin.c
@@ -13,11 +13,11 @@
     struct MHD_Daemon *daemon;
 };
 
-/* One request being answered. */
+/* The request being served. */
 struct admin_request {
     struct server *server;
     struct MHD_Connection *connection;
-    JsonBuilder *answer; /* an open object */
+    JsonBuilder *answer; /* the reply's JSON object, still open for members */
 };
 
 struct admin_route {
@@ -279,7 +279,7 @@
             return ROUTES[i].serve(request);
         }
     }
-    add_text(request, "error", "no such page");
+    add_text(request, "error", "unknown path or method");
     return MHD_HTTP_NOT_FOUND;
 }
 
@@ -332,7 +332,7 @@
         MHD_start_daemon(MHD_USE_INTERNAL_POLLING_THREAD, 0, NULL, NULL, handle, admin,
                          MHD_OPTION_SOCK_ADDR, (struct sockaddr *)&address, MHD_OPTION_END);
     if (admin->daemon == NULL) {
-        g_set_error(error, SW_ERROR, 0, "can not listen at %s", server->options.admin);
+        g_set_error(error, SW_ERROR, 0, "cannot listen at %s", server->options.admin);
         g_free(admin);
         return NULL;
     }
--- a/standins/database/admin.h
+++ b/standins/database/admin.h
@@ -1,5 +1,5 @@
-/* The admin listener: HTTP by which tests switch faults on and look inside. All answers are JSON.
- */
+/* The admin listener: HTTP requests by which tests inject faults and read the database's state. All
+ * replies are JSON. */
 #ifndef STANDIN_DATABASE_ADMIN_H
 #define STANDIN_DATABASE_ADMIN_H
 
--- a/standins/database/advisory.c
+++ b/standins/database/advisory.c
@@ -7,10 +7,10 @@
 
 struct advisory_holder {
     const struct session *session;
-    guint count; /* times taken */
+    guint count; /* times taken by the session */
 };
 
-/* One call, with its lock's key as text; NULL if an argument is null. */
+/* One call. `key` names the lock; NULL if an argument is null. */
 struct advisory_call {
     bool unlocks;
     char *name;
@@ -38,7 +38,7 @@
     g_hash_table_foreach_remove(locks->holders, is_held_by, (gpointer)session);
 }
 
-/* Takes a lock, unless another session holds it. */
+/* Takes a lock. False if another session holds it. */
 static bool try_lock(struct advisory_locks *locks, const struct session *session, const char *key)
 {
     struct advisory_holder *holder = g_hash_table_lookup(locks->holders, key);
@@ -54,7 +54,7 @@
     return true;
 }
 
-/* Gives a lock back once; false if the session does not hold it. */
+/* Releases a lock once. False if the session does not hold it. */
 static bool unlock(struct advisory_locks *locks, const struct session *session, const char *key)
 {
     struct advisory_holder *holder = g_hash_table_lookup(locks->holders, key);
@@ -68,7 +68,7 @@
     return true;
 }
 
-/* Splits the text of a call into function and raw arguments; NULL if it is not one. */
+/* Splits a call into its function's name and raw arguments. NULL if the text is no such call. */
 static char *parse_call(const char *sql, char ***arguments)
 {
     static const char PATTERN[] =
@@ -90,7 +90,8 @@
     return sql_error_set(error, "42883", "no advisory lock function has this name and arguments");
 }
 
-/* Two integers and one bigint are different spaces of keys. */
+/* Builds the lock's key. As in PostgreSQL, keys of two integers and keys of one bigint are separate
+ * spaces. */
 static bool read_key(char *const *raw, const struct parameters *parameters, char **key,
                      struct sql_error *error)
 {
@@ -126,7 +127,7 @@
     return read_key(raw, parameters, &call->key, error);
 }
 
-/* The answer is null if an argument was. */
+/* The result is null if an argument was. */
 static void run_call(struct session *session, const struct advisory_call *call,
                      struct result *result)
 {
--- a/standins/database/control.c
+++ b/standins/database/control.c
@@ -6,7 +6,7 @@
 
 #include "coordination.h"
 
-/* The most entries one pull returns, unless the follower starts from nothing. */
+/* The most entries one pull returns. A pull from the beginning of the log returns all. */
 #define PULL_ENTRIES_MAX 1000
 
 #define ARGUMENTS_MAX 3
@@ -46,7 +46,7 @@
     return g_get_monotonic_time() + timeout_ms * 1000;
 }
 
-/* Adds the status row. Lock held. */
+/* Adds the status row. The caller holds the database's lock. */
 static void add_status(struct control_call *call)
 {
     const struct database *database = call->database;
@@ -115,9 +115,10 @@
     return true;
 }
 
-/* Waits until `position_of` covers the wanted position, then gives the row as it is. */
-static bool wait_for(struct control_call *call,
-                     struct log_position (*position_of)(const struct database *))
+/* Waits until `position_of` covers the requested position, the time-out passes or a fence raises
+ * the promised term. Then adds the status row. */
+static bool wait_for_position(struct control_call *call,
+                              struct log_position (*position_of)(const struct database *))
 {
     struct database *database = call->database;
     struct log_position wanted = argument_position(call);
@@ -135,12 +136,12 @@
 
 static bool run_wait_held(struct control_call *call)
 {
-    return wait_for(call, database_held);
+    return wait_for_position(call, database_held);
 }
 
 static bool run_wait_applied(struct control_call *call)
 {
-    return wait_for(call, database_applied);
+    return wait_for_position(call, database_applied);
 }
 
 static bool run_last_commit(struct control_call *call)
@@ -151,7 +152,7 @@
     return true;
 }
 
-/* True if the log has exactly this entry, or the position is the log's beginning. */
+/* True if the log holds exactly this entry, or if the position is the beginning of the log. */
 static bool log_has(const struct database *database, struct log_position position)
 {
     if (position.offset == 0) {
@@ -179,8 +180,8 @@
     call->result->rows++;
 }
 
-/* Waits for entries after a position. The first row has no payload: it tells the leader's term and
- * where its log ends. */
+/* Waits for entries after a position and adds them as rows. The first row has no payload: it gives
+ * the primary's term and the end of its log. */
 static bool run_log_after(struct control_call *call)
 {
     struct database *database = call->database;
@@ -250,14 +251,14 @@
     }
 }
 
-/* The text of a call, taken apart. */
+/* A call's text, parsed. */
 struct parsed_call {
     const struct control_function *function;
     char **arguments; /* as written */
-    bool as_record;   /* each row is wanted as one column, in its text form */
+    bool as_record; /* each row is returned as one column, in PostgreSQL's text form of a record */
 };
 
-/* Takes a call apart; the caller frees the arguments. False if it is none. */
+/* Parses a call; the caller frees the arguments. False if the text is not a known call. */
 static bool parse_call(const char *sql, struct parsed_call *parsed)
 {
     static const char PATTERN[] =
@@ -282,7 +283,7 @@
     return parsed->function != NULL;
 }
 
-/* Appends a field of a row's text form, as PostgreSQL quotes it. */
+/* Appends a field of a record's text form, quoted as PostgreSQL does. */
 static void append_field(GString *record, const char *text)
 {
     bool quoted = text != NULL && (text[0] == '\0' || strpbrk(text, "\"\\(), \t\n") != NULL);
@@ -303,7 +304,7 @@
     g_string_append_c(record, '"');
 }
 
-/* Puts each row into one column, in its text form, as "SELECT function()" gives it. */
+/* Folds each row into one column, in a record's text form, as "SELECT function()" returns it. */
 static void fold_rows(struct result *result, const struct control_function *function)
 {
     guint columns = result->names->len;
@@ -345,7 +346,7 @@
     return known || fail_unknown(error);
 }
 
-/* Runs a call that was taken apart. */
+/* Runs a parsed call. */
 static bool run_parsed(const struct parsed_call *parsed, const struct parameters *parameters,
                        struct control_call *call)
 {
--- a/standins/database/control.h
+++ b/standins/database/control.h
@@ -1,23 +1,24 @@
-/* The swiftworks_...() functions: status, waits, and the log that followers pull. */
+/* The swiftworks_...() functions: status, fencing and role changes, waits, and the log that
+ * replicas pull. */
 #ifndef STANDIN_DATABASE_CONTROL_H
 #define STANDIN_DATABASE_CONTROL_H
 
 #include "database.h"
 
-/* SQLSTATE of swiftworks_log_after() for a position that the leader's log does not have. */
+/* SQLSTATE of swiftworks_log_after() for a position that the primary's log does not hold. */
 #define LOG_MISMATCH_SQLSTATE "58P01"
 
-/* Start of the application_name of a replica that pulls the log. */
+/* Prefix of the application_name of a replica that pulls the log. */
 #define REPLICATION_CLIENT_PREFIX "swiftworks-replica/"
 
 /* Runs "SELECT * FROM swiftworks_NAME(arguments)", or "SELECT swiftworks_NAME(arguments)", which
- * gives each row as one column in its text form. Arguments are integers, 'text', true, false or
+ * returns each row as one column in its text form. Arguments are integers, 'text', true, false or
  * $n. */
 bool control_execute(struct database *database, struct transaction *transaction,
                      const struct statement *statement, const struct parameters *parameters,
                      struct result *result, struct sql_error *error);
 
-/* Fills the columns such a statement gives. */
+/* Adds the result columns of such a statement. */
 bool control_describe(const struct statement *statement, struct result *result,
                       struct sql_error *error);
 
--- a/standins/database/coordination.c
+++ b/standins/database/coordination.c
@@ -28,7 +28,7 @@
     return true;
 }
 
-/* An entry without statements: from here on the log ends in the new term. */
+/* Appends an entry without statements, so that the log's last entry is of the new term. */
 static void append_term_start(struct database *database)
 {
     struct log_position position = {database->term, database->log->len + 1};
--- a/standins/database/coordination.h
+++ b/standins/database/coordination.h
@@ -1,12 +1,13 @@
-/* Promises to coordinators and changes of role. All calls are made with the database's lock held,
- * which also guards commits: after a fence is granted no commit of a lower term can happen. */
+/* Promises to coordinators, and changes of role. The caller of each function holds the database's
+ * lock, which also guards commits: after a fence is granted, no commit of a lower term can happen.
+ */
 #ifndef STANDIN_DATABASE_COORDINATION_H
 #define STANDIN_DATABASE_COORDINATION_H
 
 #include "database.h"
 
-/* Promises to refuse writes, commits and replication of any lower term. Granted to a higher term,
- * or again to the same coordinator; otherwise fails with SQLSTATE 55000. */
+/* Promises to refuse writes, commits and replication of any lower term. Granted for a higher term,
+ * or again for the same term and coordinator; otherwise fails with SQLSTATE 55000. */
 bool coordination_fence(struct database *database, uint64_t term, const char *coordinator,
                         struct sql_error *error);
 
--- a/standins/database/database.c
+++ b/standins/database/database.c
@@ -3,10 +3,10 @@
 
 #include <string.h>
 
-/* How long a write waits for the one before it. */
+/* How long a write waits for the open write transaction to end. */
 #define WRITER_WAIT_US (10 * G_USEC_PER_SEC)
 
-/* The longest wait before a waiter looks whether it was interrupted. */
+/* The interval at which a wait checks for an interrupt. */
 #define WAIT_SLICE_US 20000
 
 #define MICROSECONDS_PER_SECOND 1000000
@@ -127,7 +127,8 @@
     }
 }
 
-/* Waits until no other transaction writes. Lock held, and let go meanwhile. */
+/* Waits until no other transaction writes. The caller holds the lock; the wait releases it
+ * meanwhile. */
 static bool wait_for_writer(struct database *database, struct transaction *transaction,
                             struct sql_error *error)
 {
@@ -137,14 +138,15 @@
             return sql_error_set(error, "57014", "canceling statement due to user request");
         }
         if (g_get_monotonic_time() >= deadline) {
-            return sql_error_set(error, "40001", "could not write: another transaction holds on");
+            return sql_error_set(error, "40001",
+                                 "could not write: timed out waiting for another transaction");
         }
         database_wait_slice(database, deadline);
     }
     return may_write(database) || fail_not_primary(error);
 }
 
-/* Makes the transaction the writer. Lock held. */
+/* Makes the transaction the writer. The caller holds the lock. */
 static bool acquire_writer(struct database *database, struct transaction *transaction,
                            struct sql_error *error)
 {
@@ -181,8 +183,8 @@
     transaction->has_snapshot = true;
 }
 
-/* Where the transaction's next statement runs. Lock held. */
-static struct sql_handle *handle_of(struct database *database, struct transaction *transaction)
+/* The SQLite handle on which the transaction's next statement runs. The caller holds the lock. */
+static struct sql_handle *handle_for(struct database *database, struct transaction *transaction)
 {
     if (transaction->writing) {
         return &database->writer;
@@ -201,12 +203,12 @@
     return !transaction->aborted || fail_not_primary(error);
 }
 
-/* Compiles the statement where it will run, making the transaction the writer if needed. Lock held.
- */
+/* Compiles the statement on the handle that will run it. A statement that writes or locks rows
+ * makes the transaction the writer first. The caller holds the lock. */
 static sqlite3_stmt *prepare_to_run(struct database *database, struct transaction *transaction,
                                     const struct statement *statement, struct sql_error *error)
 {
-    struct sql_handle *handle = handle_of(database, transaction);
+    struct sql_handle *handle = handle_for(database, transaction);
     sqlite3_stmt *compiled = sql_handle_prepare(handle, statement, error);
     if (compiled == NULL || transaction->writing) {
         return compiled;
@@ -232,7 +234,7 @@
     if (compiled == NULL) {
         return false;
     }
-    struct sql_handle *handle = handle_of(database, transaction);
+    struct sql_handle *handle = handle_for(database, transaction);
     bool writes = !sqlite3_stmt_readonly(compiled);
     if (writes) {
         handle->random_state =
@@ -263,7 +265,7 @@
     pthread_mutex_lock(&database->lock);
     sqlite3_stmt *compiled = NULL;
     if (check_not_aborted(transaction, error)) {
-        compiled = sql_handle_prepare(handle_of(database, transaction), statement, error);
+        compiled = sql_handle_prepare(handle_for(database, transaction), statement, error);
     }
     bool done = compiled != NULL && sql_handle_describe(compiled, parameters, result, error);
     sqlite3_finalize(compiled);
@@ -284,7 +286,7 @@
     transaction->last_commit = entry->position;
 }
 
-/* Commits the open write transaction. Lock held. */
+/* Commits the open write transaction. The caller holds the lock. */
 static bool commit_writer(struct database *database, struct transaction *transaction,
                           struct sql_error *error)
 {
--- a/standins/database/faults.c
+++ b/standins/database/faults.c
@@ -127,7 +127,7 @@
     return held;
 }
 
-/* Lock held. */
+/* The caller holds the lock. */
 static bool is_held(const struct faults *faults, const char *sql)
 {
     return faults->hold_match != NULL && strstr(sql, faults->hold_match) != NULL;
@@ -136,7 +136,8 @@
 void faults_wait_held(struct faults *faults, const char *sql, const struct interrupt *interrupt)
 {
     pthread_mutex_lock(&faults->lock);
-    faults->held++; /* seen by others only if it waits */
+    faults->held++; /* counted before the check; callers see it only if the statement waits, as the
+                       lock is held until then */
     while (is_held(faults, sql) && !interrupt_pending(interrupt)) {
         pthread_mutex_unlock(&faults->lock);
         g_usleep(BLOCKED_POLL_US);
--- a/standins/database/faults.h
+++ b/standins/database/faults.h
@@ -1,4 +1,5 @@
-/* Faults that tests switch on: cut zones, freezes, slowness, and answers that get lost. */
+/* Faults that tests inject: network partitions of zones, freezes, held statements, and lost
+ * answers. */
 #ifndef STANDIN_DATABASE_FAULTS_H
 #define STANDIN_DATABASE_FAULTS_H
 
@@ -9,31 +10,31 @@
 
 #include "interrupt.h"
 
-/* What becomes of the answer to a statement. */
+/* The fault that the answer to a statement meets. */
 enum answer_fault {
     ANSWER_FAULT_NONE,
-    ANSWER_FAULT_DROP,     /* never sent; the connection hangs */
+    ANSWER_FAULT_DROP,     /* never sent; the connection stays open without a reply */
     ANSWER_FAULT_CLOSE,    /* never sent; the connection is closed */
     ANSWER_FAULT_TRUNCATE, /* half of it is sent, then the connection is closed */
     ANSWER_FAULT_COUNT,
 };
 
-/* How many more statements that contain `match` meet a fault. */
+/* A fault planned for the answers to the next `count` statements that contain `match`. */
 struct answer_fault_plan {
     uint64_t count;
-    char *match; /* NULL or empty: any but the swiftworks functions */
+    char *match; /* NULL or empty: all statements except calls of the swiftworks functions */
 };
 
 /* Safe for threads: the lock guards all fields. */
 struct faults {
     pthread_mutex_t lock;
     bool cut_all;
-    GHashTable *cut_zones; /* set of owned char * */
+    GHashTable *cut_zones; /* zones that are partitioned; set of owned char * */
     int64_t frozen_until_us;
     struct answer_fault_plan answers[ANSWER_FAULT_COUNT];
     bool ends_idle_transactions;
-    char *hold_match; /* statements that contain it wait; NULL: none do */
-    unsigned held;    /* statements that wait */
+    char *hold_match; /* statements that contain it are held; NULL: none */
+    unsigned held;    /* number of statements that are held now */
 };
 
 void faults_init(struct faults *faults);
@@ -42,41 +43,42 @@
 /* Ends all faults. */
 void faults_heal(struct faults *faults);
 
-/* Cuts a zone off; "*" cuts all. Bytes of its connections stay under way until the cut is healed.
- */
+/* Partitions the zone from the database; "*" means all zones. Data on its connections is delayed
+ * until faults_heal. */
 void faults_cut_zone(struct faults *faults, const char *zone);
 
-/* Halts everything for a time. */
+/* Stops all processing for this time. */
 void faults_freeze(struct faults *faults, int64_t milliseconds);
 
 void faults_plan_answers(struct faults *faults, enum answer_fault fault, uint64_t count,
                          const char *match);
 
-/* Open transactions count as idle for too long from now on, or no more. */
+/* Sets whether every open transaction is ended as idle for too long. */
 void faults_set_end_idle_transactions(struct faults *faults, bool ends);
 bool faults_end_idle_transactions(struct faults *faults);
 
-/* Statements that contain `match` wait from now on, before they run, until faults_release. */
+/* Holds statements that contain `match` before they run, until faults_release. */
 void faults_hold(struct faults *faults, const char *match);
 void faults_release(struct faults *faults);
 
-/* Statements that wait so. */
+/* The number of statements held. */
 unsigned faults_held(struct faults *faults);
 
-/* Waits while the statement is held. Ends early if its client goes or the program stops. */
+/* Waits while the statement is held. Returns early if the client disconnects or the program stops.
+ */
 void faults_wait_held(struct faults *faults, const char *sql, const struct interrupt *interrupt);
 
-/* Waits while connections of the zone (NULL: not known yet) are cut or frozen. Returns true if it
- * had to wait. Ends early when the program stops. */
+/* Waits while the zone's connections (NULL: the zone is not known yet) are partitioned or the
+ * database is frozen. Returns true if it had to wait. Returns early when the program stops. */
 bool faults_wait(struct faults *faults, const char *zone, const struct interrupt *interrupt);
 
-/* True while connections of the zone are cut or frozen. */
+/* True while the zone's connections are partitioned or the database is frozen. */
 bool faults_blocks(struct faults *faults, const char *zone);
 
-/* True while frozen. */
+/* True while the database is frozen. */
 bool faults_frozen(struct faults *faults);
 
-/* The fault the answer to this statement meets. Counts it down. */
+/* The fault for the answer to this statement. Uses up one of the planned count. */
 enum answer_fault faults_next_answer(struct faults *faults, const char *sql);
 
 #endif
--- a/standins/database/interrupt.c
+++ b/standins/database/interrupt.c
@@ -4,7 +4,7 @@
 #include <glib.h>
 #include <poll.h>
 
-/* How often a long sleep looks whether it should end. */
+/* The interval at which a long sleep checks for an interrupt. */
 #define SLEEP_SLICE_US 20000
 
 bool interrupt_hung_up(const struct interrupt *interrupt)
--- a/standins/database/interrupt.h
+++ b/standins/database/interrupt.h
@@ -1,4 +1,5 @@
-/* What ends a wait early: a cancel request, the client's hang-up, or the stop of the program. */
+/* The causes that end a wait early: a cancel request, the client's disconnect, or the stop of the
+ * program. */
 #ifndef STANDIN_DATABASE_INTERRUPT_H
 #define STANDIN_DATABASE_INTERRUPT_H
 
@@ -10,10 +11,10 @@
 struct interrupt {
     atomic_bool cancelled;
     atomic_bool stopping;
-    int socket; /* watched for hang-up; -1 if none */
+    int socket; /* the client's socket, watched for its disconnect; -1 if none */
 };
 
-/* True if the wait should end now. */
+/* True if the wait must end now. */
 bool interrupt_pending(const struct interrupt *interrupt);
 
 /* True if the client has closed its end. */
--- a/standins/database/message.c
+++ b/standins/database/message.c
@@ -4,7 +4,7 @@
 #include <arpa/inet.h>
 #include <string.h>
 
-static const guint8 *take(struct message_reader *reader, size_t length)
+static const guint8 *take_bytes(struct message_reader *reader, size_t length)
 {
     if (reader->malformed || length > reader->length - reader->offset) {
         reader->malformed = true;
@@ -18,7 +18,7 @@
 guint32 message_read_int32(struct message_reader *reader)
 {
     guint32 value = 0;
-    const guint8 *data = take(reader, sizeof value);
+    const guint8 *data = take_bytes(reader, sizeof value);
     if (data != NULL) {
         memcpy(&value, data, sizeof value);
     }
@@ -28,7 +28,7 @@
 guint16 message_read_int16(struct message_reader *reader)
 {
     guint16 value = 0;
-    const guint8 *data = take(reader, sizeof value);
+    const guint8 *data = take_bytes(reader, sizeof value);
     if (data != NULL) {
         memcpy(&value, data, sizeof value);
     }
@@ -37,7 +37,7 @@
 
 guint8 message_read_byte(struct message_reader *reader)
 {
-    const guint8 *data = take(reader, 1);
+    const guint8 *data = take_bytes(reader, 1);
     return data != NULL ? *data : 0;
 }
 
@@ -55,7 +55,7 @@
 
 char *message_read_text(struct message_reader *reader, size_t length)
 {
-    const guint8 *data = take(reader, length);
+    const guint8 *data = take_bytes(reader, length);
     return data != NULL ? g_strndup((const char *)data, length) : g_strdup("");
 }
 
@@ -76,7 +76,8 @@
     g_byte_array_append(out, (const guint8 *)text, (guint)strlen(text) + 1);
 }
 
-/* Appends type and a length to be filled in by end_message. Returns the length's place. */
+/* Appends the type and space for the length, which end_message fills in. Returns the offset of the
+ * length. */
 static guint begin_message(GByteArray *out, char type)
 {
     g_byte_array_append(out, (const guint8 *)&type, 1);
--- a/standins/database/message.h
+++ b/standins/database/message.h
@@ -1,12 +1,12 @@
-/* Building and reading the messages of PostgreSQL's protocol, version 3. No library offers the
- * server's side, so the stand-in has its own. */
+/* Encoding and decoding of the PostgreSQL protocol's messages, version 3. No library offers the
+ * server side, so the stand-in has its own. */
 #ifndef STANDIN_DATABASE_MESSAGE_H
 #define STANDIN_DATABASE_MESSAGE_H
 
 #include "result.h"
 
-/* Reads the fields of one received message. After a read past its end `malformed` is set and reads
- * give zero or "". */
+/* Reads the fields of one received message. A read past its end sets `malformed`; that read and all
+ * later ones return zero or "". */
 struct message_reader {
     const guint8 *data;
     size_t length;
--- a/standins/database/query.c
+++ b/standins/database/query.c
@@ -6,11 +6,12 @@
 #include "advisory.h"
 #include "control.h"
 
-/* How large an answer grows before it is sent on without a flush being asked for. */
+/* Size of the output buffer above which it is sent without a Flush or Sync message. */
 #define FLUSH_SIZE (1u << 20)
 
-/* First statement of the transaction that removes old keys from a daemons' ledger. */
-#define UPKEEP_SQL "DELETE FROM swiftworks_ledger"
+/* First statement of the daemons' maintenance transaction, which deletes old keys from the ledger.
+ */
+#define LEDGER_MAINTENANCE_SQL "DELETE FROM swiftworks_ledger"
 
 void session_fail(struct session *session, struct sql_error *error)
 {
@@ -62,9 +63,7 @@
     return true;
 }
 
-/* Honours the one parameter that is known, for the transaction only; others are taken and
- * forgotten.
- */
+/* Applies the one known parameter, for the transaction only. Others are accepted and ignored. */
 static void set_parameter(struct session *session, const struct statement *statement)
 {
     const char *known = "SET LOCAL " IDLE_TRANSACTION_PARAMETER " = ";
@@ -91,7 +90,7 @@
     message_command_complete(session->out, tag);
 }
 
-/* Runs a statement after its time in a slot. */
+/* Runs a statement after it has held a slot for the service time. */
 static bool execute_in_slot(struct session *session, const struct statement *statement,
                             const struct parameters *parameters, struct result *result,
                             struct sql_error *error)
@@ -107,7 +106,7 @@
                             result, error);
 }
 
-/* Runs a statement that may give rows. */
+/* Runs a statement that may return rows. */
 static bool run_sql(struct session *session, const struct statement *statement,
                     const struct parameters *parameters, bool describe, struct sql_error *error)
 {
@@ -174,9 +173,11 @@
     return false;
 }
 
-/* True of the COMMIT of a transaction that changed nothing, or began by removing old keys: the
- * daemons' upkeep of the ledger, which runs beside requests at any time. */
-static bool ends_upkeep(const struct session *session, const struct statement *statement)
+/* True for the COMMIT of a transaction that changed nothing or that began with the deletion of old
+ * keys. The daemons run this maintenance of the ledger beside requests at any time, and planned
+ * faults must not hit it. */
+static bool ends_ledger_maintenance(const struct session *session,
+                                    const struct statement *statement)
 {
     const struct transaction *transaction = &session->transaction;
     if (statement->command != STATEMENT_COMMIT || transaction->read_only) {
@@ -186,16 +187,17 @@
         return true;
     }
     const struct log_statement *first = g_ptr_array_index(transaction->entry->statements, 0);
-    return g_str_has_prefix(first->sql, UPKEEP_SQL);
+    return g_str_has_prefix(first->sql, LEDGER_MAINTENANCE_SQL);
 }
 
-/* Notes what becomes of the answer to a statement. Plans are made for requests. */
-static void meet_answer_fault(struct session *session, const struct statement *statement)
+/* Chooses the fault for the answer to a statement, if one is planned. Plans are meant for the
+ * statements of requests only. */
+static void choose_answer_fault(struct session *session, const struct statement *statement)
 {
     pthread_mutex_lock(&session->server->database->lock);
-    bool upkeep = ends_upkeep(session, statement);
+    bool maintenance = ends_ledger_maintenance(session, statement);
     pthread_mutex_unlock(&session->server->database->lock);
-    if (upkeep) {
+    if (maintenance) {
         return;
     }
     enum answer_fault fault = faults_next_answer(&session->server->faults, statement->text);
@@ -212,7 +214,7 @@
     if (!check_not_failed(session, statement, error)) {
         return false;
     }
-    meet_answer_fault(session, statement);
+    choose_answer_fault(session, statement);
     return run_statement(session, statement, parameters, describe, error);
 }
 
@@ -272,7 +274,7 @@
     return true;
 }
 
-/* Reads a list of format codes; only text (0) is spoken. */
+/* Reads a list of format codes. Only text (0) is supported. */
 static bool read_formats(struct message_reader *reader, struct sql_error *error)
 {
     guint16 count = message_read_int16(reader);
--- a/standins/database/replication.c
+++ b/standins/database/replication.c
@@ -8,17 +8,17 @@
 #include "control.h"
 #include "server.h"
 
-/* How long a pull waits at the primary for new entries. */
+/* How long the primary waits for new entries before it answers a pull. */
 #define PULL_WAIT_MS "1000"
 
-/* A pull without an answer for this long is given up with its connection. */
-#define PULL_ANSWER_LIMIT_US (4 * G_USEC_PER_SEC)
+/* Time-out of a pull; the connection is closed with it. */
+#define PULL_TIMEOUT_US (4 * G_USEC_PER_SEC)
 
 /* Pause after a failed pull. */
 #define RETRY_PAUSE_US 20000
 
-#define POLL_SLICE_MS 20
-#define CUT_PAUSE_US  2000
+#define POLL_SLICE_MS   20
+#define BLOCKED_POLL_US 2000
 
 enum log_column { LOG_LEADER_TERM, LOG_TERM, LOG_OFFSET, LOG_PAYLOAD };
 
@@ -30,7 +30,7 @@
     pthread_t applier;
 };
 
-/* What one pull asks for, copied out of the database. */
+/* The parameters of one pull, copied from the database. */
 struct pull {
     char *address;
     uint64_t follow_count;
@@ -59,7 +59,7 @@
     return found;
 }
 
-/* True if the pull still is what the database wants. */
+/* True if the database's role, term and primary still are those the pull was started with. */
 static bool pull_current(struct database *database, const struct pull *pull)
 {
     pthread_mutex_lock(&database->lock);
@@ -69,24 +69,25 @@
     return current;
 }
 
-/* True while a fault keeps the primary's zone away from here. */
-static bool primary_cut(struct replication *replication, PGconn *connection)
+/* True while a fault partitions the primary's zone from this database. */
+static bool primary_blocked(struct replication *replication, PGconn *connection)
 {
     return faults_blocks(replication->faults, PQparameterStatus(connection, ZONE_PARAMETER));
 }
 
-/* Waits for the socket. Returns false if the pull is outdated or too late. */
+/* Waits until the socket is ready. Returns false if the pull is outdated or its time-out has
+ * passed. */
 static bool wait_socket(struct replication *replication, const struct pull *pull,
                         PGconn *connection, short events, int64_t deadline)
 {
     while (pull_current(replication->database, pull) && g_get_monotonic_time() < deadline) {
         struct pollfd watch = {.fd = PQsocket(connection), .events = events};
         bool ready = poll(&watch, 1, POLL_SLICE_MS) > 0;
-        if (ready && !primary_cut(replication, connection)) {
+        if (ready && !primary_blocked(replication, connection)) {
             return true;
         }
         if (ready) {
-            g_usleep(CUT_PAUSE_US);
+            g_usleep(BLOCKED_POLL_US);
         }
     }
     return false;
@@ -105,7 +106,7 @@
     const char *const values[] = {address[0], address[1], "replication", "replication",
                                   client,     "disable",  "disable",     NULL};
     PGconn *connection = PQconnectStartParams(names, values, 0);
-    int64_t deadline = g_get_monotonic_time() + PULL_ANSWER_LIMIT_US;
+    int64_t deadline = g_get_monotonic_time() + PULL_TIMEOUT_US;
     PostgresPollingStatusType state = PGRES_POLLING_WRITING;
     while (state != PGRES_POLLING_OK && state != PGRES_POLLING_FAILED) {
         short events = state == PGRES_POLLING_READING ? POLLIN : POLLOUT;
@@ -121,7 +122,7 @@
     return connection;
 }
 
-/* Asks for entries after a position. Returns NULL if the connection is of no more use. */
+/* Requests the entries after a position. Returns NULL if the connection must be closed. */
 static PGresult *query_log(struct replication *replication, const struct pull *pull,
                            PGconn *connection, struct log_position after)
 {
@@ -132,7 +133,7 @@
                            values, NULL, NULL, 0)) {
         return NULL;
     }
-    int64_t deadline = g_get_monotonic_time() + PULL_ANSWER_LIMIT_US;
+    int64_t deadline = g_get_monotonic_time() + PULL_TIMEOUT_US;
     while (PQisBusy(connection)) {
         bool ready = wait_socket(replication, pull, connection, POLLIN, deadline) &&
                      PQconsumeInput(connection);
@@ -154,7 +155,7 @@
     return g_ascii_strtoull(PQgetvalue(result, row, (int)column), NULL, 10);
 }
 
-/* The entries of a pull's answer, without its first row. */
+/* The entries in a pull's reply. Its first row holds no entry. */
 static GPtrArray *decode_entries(const PGresult *result)
 {
     GPtrArray *entries = g_ptr_array_new_with_free_func((GDestroyNotify)log_entry_free);
@@ -163,7 +164,7 @@
                                         number_at(result, row, LOG_OFFSET)};
         struct log_entry *entry = log_entry_decode(position, PQgetvalue(result, row, LOG_PAYLOAD));
         if (entry == NULL) {
-            g_error("replication: the primary sent a malformed entry.");
+            g_error("replication: the primary sent a malformed log entry.");
         }
         entry->received_ns = (time_ns)g_get_monotonic_time() * 1000;
         g_ptr_array_add(entries, entry);
@@ -171,7 +172,7 @@
     return entries;
 }
 
-/* How many entries two logs share from their beginning. */
+/* The number of entries that two logs have in common from their beginning. */
 static guint shared_prefix(const GPtrArray *first, const GPtrArray *second)
 {
     guint shared = 0;
@@ -186,8 +187,8 @@
     return shared;
 }
 
-/* Puts the primary's whole log in place of one that diverged from it. What both share was held and
- * applied before and stays so; the rest is taken back. Lock held. */
+/* Replaces a diverged log with the primary's full log. The common entries keep the times at which
+ * they were received and stay applied; all others are undone. The caller holds the lock. */
 static void replace_log(struct database *database, GPtrArray *entries)
 {
     guint shared = shared_prefix(database->log, entries);
@@ -196,8 +197,8 @@
         struct log_entry *entry = g_ptr_array_index(entries, i);
         entry->received_ns = old->received_ns;
     }
-    g_message("database %s: drops %u entries that its primary does not have.", database->name,
-              database->log->len - shared);
+    g_message("database %s: dropping %u log entries that the primary does not have.",
+              database->name, database->log->len - shared);
     g_ptr_array_unref(database->log);
     database->log = g_ptr_array_ref(entries);
     if (database->applied <= shared) {
@@ -214,7 +215,8 @@
     }
 }
 
-/* Takes pulled entries into the log, if the promise still allows it. */
+/* Adds pulled entries to the log, unless the role, the primary or the promised term has changed
+ * since the pull began. */
 static void accept_entries(struct database *database, const struct pull *pull, uint64_t leader_term,
                            struct log_position after, GPtrArray *entries)
 {
@@ -234,7 +236,7 @@
     pthread_mutex_unlock(&database->lock);
 }
 
-/* One pull. Returns false if the connection is of no more use. */
+/* Runs one pull. Returns false if the connection must be closed. */
 static bool pull_once(struct replication *replication, const struct pull *pull, PGconn *connection)
 {
     static const struct log_position BEGINNING = {0, 0};
@@ -280,7 +282,8 @@
     return NULL;
 }
 
-/* When the next held entry may be applied; G_MAXINT64 if there is none. Lock held. */
+/* The time at which the next held entry may be applied; G_MAXINT64 if there is none. The caller
+ * holds the lock. */
 static int64_t next_apply_time(const struct database *database)
 {
     if (database->applied >= database->log->len) {
@@ -300,7 +303,7 @@
         if (due <= g_get_monotonic_time() && !faults_frozen(replication->faults)) {
             database_apply_next(database);
         } else {
-            database_wait_slice(database, MAX(due, g_get_monotonic_time() + CUT_PAUSE_US));
+            database_wait_slice(database, MAX(due, g_get_monotonic_time() + BLOCKED_POLL_US));
         }
     }
     pthread_mutex_unlock(&database->lock);
--- a/standins/database/replication.h
+++ b/standins/database/replication.h
@@ -1,5 +1,5 @@
-/* Keeps a replica up with its primary: one thread pulls log entries over the PostgreSQL protocol,
- * another applies them after the replication lag. */
+/* Replication of a replica from its primary: one thread pulls log entries over the PostgreSQL
+ * protocol, another applies them after the replication lag. */
 #ifndef STANDIN_DATABASE_REPLICATION_H
 #define STANDIN_DATABASE_REPLICATION_H
 
@@ -12,7 +12,7 @@
 struct replication *replication_start(struct database *database, struct faults *faults,
                                       const char *zone);
 
-/* Waits for both threads; the database must have been told to stop. Frees. */
+/* Waits for both threads to end and frees them; the caller has called database_stop before. */
 void replication_join(struct replication *replication);
 
 #endif
--- a/standins/database/result.c
+++ b/standins/database/result.c
@@ -1,4 +1,4 @@
-/* Plain values between engine and protocol. See result.h. */
+/* Parameters, results and errors. See result.h. */
 #include "result.h"
 
 #include <stdlib.h>
--- a/standins/database/result.h
+++ b/standins/database/result.h
@@ -1,4 +1,5 @@
-/* Parameters, results and errors of a statement, as plain values between engine and protocol. */
+/* Parameters, results and errors of a statement, in the form that the engine and the protocol
+ * exchange. */
 #ifndef STANDIN_DATABASE_RESULT_H
 #define STANDIN_DATABASE_RESULT_H
 
@@ -6,7 +7,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Type numbers of PostgreSQL's catalogue that the stand-in uses. */
+/* PostgreSQL's type OIDs that the stand-in uses. */
 #define OID_BOOL   16
 #define OID_INT8   20
 #define OID_INT2   21
@@ -27,11 +28,11 @@
 struct parameters *parameters_copy(const struct parameters *source);
 void parameters_free(struct parameters *parameters);
 
-/* The value of a function's argument as written in SQL: $n, 'text', or any other word as it stands.
- * NULL if it is null or missing. The caller frees it. */
+/* The value of a function's argument as written in SQL: $n, 'text', or any other word, taken
+ * literally. NULL if the argument is null or missing. The caller frees it. */
 char *parameters_argument(const struct parameters *parameters, const char *raw);
 
-/* Columns and rows of an answer. A statement without rows has no columns. */
+/* Columns and rows of a result. A statement without rows has no columns. */
 struct result {
     GPtrArray *names; /* owned char *: column names */
     GArray *oids;     /* guint: column types */
@@ -47,7 +48,7 @@
 void result_add_int(struct result *result, uint64_t number);
 void result_add_bool(struct result *result, bool value);
 
-/* An ErrorResponse in the making. `sqlstate` is empty while there is none. */
+/* The contents of an ErrorResponse. `sqlstate` is empty while there is no error. */
 struct sql_error {
     char sqlstate[6];
     char *message;
--- a/standins/database/server.c
+++ b/standins/database/server.c
@@ -15,7 +15,8 @@
 
 #define LISTEN_BACKLOG 256
 
-/* Sessions whose client has hung up get this long to notice before a newcomer is refused. */
+/* How long a new connection waits at the limit for sessions whose client has disconnected to end,
+ * before it is rejected. */
 #define HANG_UP_GRACE_US 100000
 #define GRACE_SLICE_US   1000
 
@@ -28,7 +29,8 @@
     session_run(session);
     pthread_mutex_lock(&server->lock);
     g_hash_table_remove(server->sessions, session);
-    /* A lock becomes free exactly when its connection no longer counts. */
+    /* Released under the same lock as the connection count, so that no client sees a free lock with
+     * the connection still counted, or the reverse. */
     advisory_release_all(&server->advisory_locks, session);
     if (session->counted) {
         server->connections--;
@@ -51,7 +53,7 @@
     pthread_mutex_unlock(&server->lock);
     pthread_t thread;
     if (pthread_create(&thread, NULL, run_session, session) != 0) {
-        g_error("database: a session's thread does not start.");
+        g_error("database: can't start a session's thread.");
     }
     pthread_detach(thread);
 }
@@ -72,7 +74,7 @@
     return NULL;
 }
 
-/* True if a counted session's client is gone. Lock held. */
+/* True if the client of a counted session has disconnected. The caller holds the lock. */
 static bool has_hung_up_session(struct server *server)
 {
     GHashTableIter iterator;
--- a/standins/database/server.h
+++ b/standins/database/server.h
@@ -10,7 +10,7 @@
 #include "replication.h"
 #include "slots.h"
 
-/* The parameter by which the database tells its zone to clients. */
+/* The protocol parameter that reports the database's zone to clients. */
 #define ZONE_PARAMETER "swiftworks_zone"
 
 struct session;
@@ -32,7 +32,7 @@
     int64_t idle_transaction_ms; /* an open transaction idle for longer is ended; 0 for never */
 };
 
-/* Counters of what should not have happened, and peaks. Guarded by the server's lock. */
+/* Counters of violations, and peaks. Guarded by the server's lock. */
 struct server_counters {
     uint64_t over_connection_limit;
     guint peak_connections;
@@ -52,35 +52,36 @@
     pthread_mutex_t lock;
     pthread_cond_t session_ended;
     GHashTable *sessions; /* set of running struct session * */
-    guint connections;    /* counted against the limit */
+    guint connections;    /* number of connections counted against the limit */
     guint32 next_process;
     struct advisory_locks advisory_locks;
     struct server_counters counters;
 };
 
-/* Parses HOST:PORT, with HOST an IPv4 number. */
+/* Parses HOST:PORT, where HOST is an IPv4 address in numbers. */
 bool server_parse_address(const char *text, struct sockaddr_in *address);
 
 /* Starts listening and serving. Returns NULL with the error set (errno's text) if it can't listen.
  */
 struct server *server_start(const struct server_options *options, GError **error);
 
-/* The port it listens on. */
+/* The port of the listener. */
 guint16 server_port(const struct server *server);
 
 /* The port of its admin listener; 0 if it has none. */
 guint16 server_admin_port(const struct server *server);
 
-/* The counters as they stand. */
+/* A copy of the counters. */
 struct server_counters server_counters(struct server *server);
 
-/* Ends all sessions and threads. Frees. */
+/* Ends all sessions and threads and frees the server. */
 void server_stop(struct server *server);
 
-/* Counts a session against the limit. Returns false, counting a violation, if it is full. */
+/* Counts a session against the connection limit. Returns false, and counts a violation, if the
+ * limit is reached. */
 bool server_admit(struct server *server, struct session *session);
 
-/* Cancels what the session with these keys is doing. */
+/* Cancels the statement of the session with these keys. */
 void server_cancel(struct server *server, guint32 process, guint32 secret);
 
 #endif
--- a/standins/database/session.c
+++ b/standins/database/session.c
@@ -1,4 +1,4 @@
-/* A connection's bytes, startup and message loop. See session.h. */
+/* A connection's input and output, startup and message loop. See session.h. */
 #include "session.h"
 
 #include <errno.h>
@@ -16,7 +16,7 @@
 #define MESSAGE_LENGTH_MAX  (64u << 20)
 #define READ_CHUNK          16384
 
-/* How often a wait for bytes looks at its time limit, and at faults. */
+/* The interval at which a wait for input checks the idle time limit and the faults. */
 #define POLL_SLICE_MS    50
 #define BLOCKED_PAUSE_US 2000
 
@@ -68,8 +68,8 @@
            !g_str_equal(session->zone, session->server->options.zone);
 }
 
-/* Spends the time that bytes take from zone to zone. */
-static void travel(struct session *session)
+/* Sleeps for the network delay between zones. */
+static void delay_between_zones(struct session *session)
 {
     if (is_remote(session)) {
         interrupt_sleep(&session->interrupt, session->server->options.zone_delay_us);
@@ -92,10 +92,11 @@
     }
 }
 
-/* Sends the first `length` bytes of `out`, once they get through. */
+/* Sends the first `length` bytes of `out`, after the zone delay and once no fault blocks the zone.
+ */
 static void send_answer(struct session *session, size_t length)
 {
-    travel(session);
+    delay_between_zones(session);
     faults_wait(&session->server->faults, session->zone, &session->interrupt);
     send_all(session, session->out->data, length);
 }
@@ -118,7 +119,8 @@
     }
 }
 
-/* When the open transaction, if any, has been idle for too long. */
+/* The time at which the open transaction will have been idle for too long; G_MAXINT64 if none is
+ * open. */
 static int64_t idle_deadline(const struct session *session)
 {
     const struct transaction *transaction = &session->transaction;
@@ -128,7 +130,7 @@
     return limited ? g_get_monotonic_time() + limit_ms * 1000 : G_MAXINT64;
 }
 
-/* True if an open transaction is to be ended, as idle for too long or by a fault. */
+/* True if an open transaction must be ended, because of its idle time or by a fault. */
 static bool is_idle_too_long(struct session *session, int64_t deadline)
 {
     bool open = session->transaction.state != TRANSACTION_IDLE;
@@ -136,7 +138,8 @@
                     faults_end_idle_transactions(&session->server->faults));
 }
 
-/* How long to wait for bytes at once: not past the deadline of an open transaction. */
+/* How long one poll may take: without limit when no transaction is open, else until the deadline or
+ * the next check. */
 static int wait_slice_ms(const struct session *session, int64_t deadline)
 {
     if (session->transaction.state == TRANSACTION_IDLE) {
@@ -146,8 +149,8 @@
     return (int)CLAMP(left_ms, 0, POLL_SLICE_MS);
 }
 
-/* Waits for bytes that no fault holds back. Returns false if an open transaction was idle for too
- * long. */
+/* Waits for input that no fault blocks. Returns false if an open transaction was idle for too long.
+ */
 static bool wait_readable(struct session *session)
 {
     int64_t deadline = idle_deadline(session);
@@ -167,8 +170,8 @@
     return false;
 }
 
-/* Takes in and forgets all the client sends, until it closes. */
-static void hang(struct session *session)
+/* Discards all input until the client closes the connection. */
+static void discard_input(struct session *session)
 {
     char ignored[READ_CHUNK];
     while (wait_readable(session) &&
@@ -176,10 +179,10 @@
     }
 }
 
-static void carry_out_answer_fault(struct session *session)
+static void apply_answer_fault(struct session *session)
 {
     if (session->answer_fault == ANSWER_FAULT_DROP) {
-        hang(session);
+        discard_input(session);
     }
     if (session->answer_fault == ANSWER_FAULT_TRUNCATE) {
         send_answer(session, session->out->len / 2);
@@ -199,7 +202,7 @@
     message_ready(session->out, status);
     session_flush(session);
     if (session->answer_fault != ANSWER_FAULT_NONE) {
-        carry_out_answer_fault(session);
+        apply_answer_fault(session);
     }
 }
 
@@ -226,7 +229,8 @@
     guint8 chunk[READ_CHUNK];
     ssize_t count = recv(session->interrupt.socket, chunk, sizeof chunk, 0);
     if (!session->is_replica) {
-        travel(session); /* a replica's pull stands for a stream, which needs no request */
+        delay_between_zones(session); /* a replica's pull stands for a replication stream, which
+                                         sends no requests */
     }
     if (count <= 0) {
         return count < 0 && errno == EINTR;
@@ -235,8 +239,8 @@
     return true;
 }
 
-/* Reads until `length` bytes are there. */
-static bool need(struct session *session, size_t length)
+/* Reads until `length` bytes are buffered. False at the end of the connection. */
+static bool fill_input(struct session *session, size_t length)
 {
     while (session->in->len - session->in_start < length) {
         if (session->closing || !read_more(session)) {
@@ -250,13 +254,13 @@
                           struct message_reader *reader)
 {
     size_t prefix = typed ? 1 : 0;
-    if (!need(session, prefix + 4)) {
+    if (!fill_input(session, prefix + 4)) {
         return false;
     }
     guint8 *start = session->in->data + session->in_start;
     struct message_reader head = {.data = start + prefix, .length = 4};
     guint32 length = message_read_int32(&head);
-    if (length < 4 || length > MESSAGE_LENGTH_MAX || !need(session, prefix + length)) {
+    if (length < 4 || length > MESSAGE_LENGTH_MAX || !fill_input(session, prefix + length)) {
         return false;
     }
     start = session->in->data + session->in_start;
@@ -268,7 +272,7 @@
     return true;
 }
 
-/* Takes the one parameter that is known of "-c NAME=VALUE". */
+/* Reads the one supported parameter from options of the form "-c NAME=VALUE". */
 static void read_options(struct session *session, const char *options)
 {
     const char *found = strstr(options, IDLE_TRANSACTION_PARAMETER "=");
@@ -278,7 +282,8 @@
     }
 }
 
-/* Takes the zone from an application_name such as "swiftworks/NAME@ZONE", and the options. */
+/* Reads the client's startup parameters: the zone, from an application_name such as
+ * "swiftworks/NAME@ZONE", and the options. */
 static void read_client(struct session *session, struct message_reader *reader)
 {
     g_autofree char *application = g_strdup("");
@@ -300,7 +305,7 @@
     session->is_replica = g_str_has_prefix(application, REPLICATION_CLIENT_PREFIX);
 }
 
-static bool refuse(struct session *session)
+static bool reject_connection(struct session *session)
 {
     struct sql_error error = {0};
     sql_error_set(&error, "53300", "sorry, too many clients already");
@@ -310,7 +315,7 @@
     return false;
 }
 
-static void greet(struct session *session)
+static void send_startup_reply(struct session *session)
 {
     static const char *const PARAMETERS[][2] = {
         {"server_version", "15.0"},
@@ -330,7 +335,7 @@
     session_ready(session);
 }
 
-/* Reads requests until the real startup message. Returns false if there is none. */
+/* Reads messages until the startup message. Returns false if there is none. */
 static bool read_startup(struct session *session, struct message_reader *reader)
 {
     char type = '\0';
@@ -365,10 +370,10 @@
         return false;
     }
     if (!session->is_replica && !server_admit(session->server, session)) {
-        return refuse(session);
+        return reject_connection(session);
     }
     interrupt_sleep(&session->interrupt, session->server->options.open_delay_ms * 1000);
-    greet(session);
+    send_startup_reply(session);
     return true;
 }
 
--- a/standins/database/slots.c
+++ b/standins/database/slots.c
@@ -1,4 +1,4 @@
-/* The few statements a database runs at once. See slots.h. */
+/* The limit of concurrent statements. See slots.h. */
 #include "slots.h"
 
 #include <string.h>
--- a/standins/database/sql_handle.c
+++ b/standins/database/sql_handle.c
@@ -33,7 +33,7 @@
     if (sqlite3_open_v2(":memory:", &handle->sqlite,
                         SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE | SQLITE_OPEN_NOMUTEX,
                         NULL) != SQLITE_OK) {
-        g_error("database: SQLite does not open.");
+        g_error("database: can't open SQLite.");
     }
     sqlite3_extended_result_codes(handle->sqlite, 1);
     sqlite3_create_function(handle->sqlite, "now", 0, SQLITE_UTF8, handle, function_now, NULL,
@@ -67,7 +67,7 @@
     }
 }
 
-/* The SQLSTATE of a failure that SQLite tells by its message only. */
+/* The SQLSTATE of an error that SQLite distinguishes only by its message. */
 static const char *sqlstate_of_message(const char *message)
 {
     static const struct {
@@ -177,7 +177,7 @@
     }
 }
 
-/* Binds $1, $2, ... by their names; SQLite numbers them by first appearance. */
+/* Binds $1, $2, ... by name, because SQLite numbers parameters by their first appearance. */
 static bool bind_parameters(sqlite3_stmt *compiled, const struct parameters *parameters,
                             struct sql_error *error)
 {
--- a/standins/database/sql_handle.h
+++ b/standins/database/sql_handle.h
@@ -1,4 +1,4 @@
-/* One in-memory SQLite database and the functions PostgreSQL clients expect of it. Time and
+/* One in-memory SQLite database with the functions that PostgreSQL clients expect. Time and
  * randomness are fixed for each replicated entry, so that a replica's replay gives the same rows.
  */
 #ifndef STANDIN_DATABASE_SQL_HANDLE_H
@@ -9,11 +9,11 @@
 #include "result.h"
 #include "statement.h"
 
-/* Not safe for threads: the owner's lock guards it. */
+/* Not thread-safe: the owner's lock guards it. */
 struct sql_handle {
     sqlite3 *sqlite;
-    int64_t now_us;        /* what now() answers: microseconds since 1970 */
-    uint64_t random_state; /* what random() draws from */
+    int64_t now_us;        /* result of now(), in microseconds since 1970; 0: the current time */
+    uint64_t random_state; /* state of the generator behind random() */
 };
 
 /* Opens an empty database. Aborts the program if SQLite can't. */
@@ -23,7 +23,7 @@
 /* Makes `target` an exact copy of `source`. */
 void sql_handle_copy(struct sql_handle *target, struct sql_handle *source);
 
-/* Runs text that can't fail for a client's reason, such as BEGIN. */
+/* Runs internal SQL, such as BEGIN. Aborts the program if it fails. */
 void sql_handle_run(struct sql_handle *handle, const char *sql);
 
 /* Compiles one statement. Returns NULL and sets the error if it is not valid. */
@@ -35,8 +35,8 @@
                         const struct statement *statement, const struct parameters *parameters,
                         struct result *result, struct sql_error *error);
 
-/* Fills the columns of `result` without running the statement to its end. `parameters` may be NULL.
- */
+/* Adds the columns of the statement's result without running it to its end. `parameters` may be
+ * NULL. */
 bool sql_handle_describe(sqlite3_stmt *compiled, const struct parameters *parameters,
                          struct result *result, struct sql_error *error);
 
--- a/standins/database/statement.c
+++ b/standins/database/statement.c
@@ -1,10 +1,10 @@
-/* Reads just enough of a statement's text to route it. See statement.h. */
+/* Parses as much of a statement's text as its dispatch needs. See statement.h. */
 #include "statement.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* Returns the first position after the quoted text, comment or plain character at `at`. */
+/* Returns the position after the quoted text, comment or single character at `at`. */
 static const char *skip_element(const char *at)
 {
     if (*at == '\'' || *at == '"') {
@@ -48,8 +48,8 @@
     return OID_TEXT;
 }
 
-/* If a parameter such as $3 ends right before `end`, notes the type its cast names. */
-static void note_parameter_type(struct statement *statement, const char *end, guint oid)
+/* If a parameter such as $3 ends right before `end`, records the type that its cast names. */
+static void record_parameter_type(struct statement *statement, const char *end, guint oid)
 {
     const char *digit = end;
     while (digit > statement->sql && g_ascii_isdigit(digit[-1])) {
@@ -68,7 +68,7 @@
     g_array_index(statement->parameter_oids, guint, number - 1) = oid;
 }
 
-/* Blanks the cast "::type" or "::type(n)" that starts at `at`. Returns the position after it. */
+/* Replaces the cast "::type" or "::type(n)" at `at` with blanks. Returns the position after it. */
 static char *blank_cast(struct statement *statement, char *at)
 {
     char *type = at + 2;
@@ -79,7 +79,7 @@
     while (is_word(*end)) {
         end++;
     }
-    note_parameter_type(statement, at, oid_of_type(type, (size_t)(end - type)));
+    record_parameter_type(statement, at, oid_of_type(type, (size_t)(end - type)));
     if (strncmp(end, "[]", 2) == 0) {
         end += 2;
     }
@@ -87,7 +87,7 @@
     return end;
 }
 
-/* Length of the row lock "FOR UPDATE" or "FOR SHARE" at `at`, or 0. */
+/* Length of the row lock clause at `at`, or 0. */
 static size_t row_lock_length(const char *at)
 {
     static const char *const LOCKS[] = {"FOR UPDATE", "FOR NO KEY UPDATE", "FOR SHARE"};
@@ -118,7 +118,7 @@
     }
 }
 
-/* The words of the statement outside quotes, in upper case; at most `limit`. */
+/* The first words of the statement outside quotes and comments, in upper case; at most `limit`. */
 static GPtrArray *leading_words(const char *sql, guint limit)
 {
     GPtrArray *words = g_ptr_array_new_with_free_func(g_free);
@@ -169,14 +169,14 @@
     return g_strdup("SELECT");
 }
 
-/* True for "SELECT" and what matches `pattern`, called with arguments. */
+/* True if the text is "SELECT" followed by a call of a name that matches `pattern`. */
 static bool is_call(const char *sql, const char *pattern)
 {
     g_autofree char *whole = g_strdup_printf("^\\s*select\\s*%s\\s*\\(", pattern);
     return g_regex_match_simple(whole, sql, G_REGEX_CASELESS, 0);
 }
 
-/* The words are looked at first, as most statements are none of these. */
+/* Compares words before it uses a regular expression, because most statements are no such call. */
 static bool is_control(const GPtrArray *words, const char *sql)
 {
     if (!g_str_equal(word_at(words, 0), "SELECT")) {
--- a/standins/database/statement.h
+++ b/standins/database/statement.h
@@ -1,6 +1,5 @@
-/* The little of SQL text that the stand-in reads itself: splitting a string into statements,
- * blanking PostgreSQL casts that SQLite does not know, and naming the command. SQLite does the
- * rest. */
+/* The part of SQL that the stand-in parses itself: it splits a string into statements, blanks
+ * PostgreSQL casts that SQLite does not know, and finds the command. SQLite does the rest. */
 #ifndef STANDIN_DATABASE_STATEMENT_H
 #define STANDIN_DATABASE_STATEMENT_H
 
@@ -12,13 +11,13 @@
     STATEMENT_COMMIT,
     STATEMENT_ROLLBACK,
     STATEMENT_SET,
-    STATEMENT_REFUSED,  /* SQLite would take it, PostgreSQL would not */
+    STATEMENT_REFUSED,  /* accepted by SQLite but not by PostgreSQL */
     STATEMENT_CONTROL,  /* SELECT * FROM swiftworks_...(...) */
     STATEMENT_ADVISORY, /* SELECT pg_try_advisory_lock(...) or pg_advisory_unlock(...) */
     STATEMENT_SQL,
 };
 
-/* One statement. Immutable once parsed; owned by whoever parsed it. */
+/* One statement. Immutable once parsed. */
 struct statement {
     enum statement_command command;
     char *text;             /* as the client wrote it */
@@ -35,7 +34,7 @@
 
 void statement_free(struct statement *statement);
 
-/* The type of parameter `index` (from 0), 0 if no cast names it. */
+/* The type of parameter `index` (from 0); 0 if no cast names one. */
 guint statement_parameter_oid(const struct statement *statement, guint index);
 
 #endif
--- a/standins/platform/condition.c
+++ b/standins/platform/condition.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-/* A member of an object member of the request, or NULL. */
+/* A member of one of the request's objects of placeholders, or NULL. */
 static JsonNode *find_placeholder(JsonObject *request, const char *section, const char *name)
 {
     JsonNode *node = json_object_get_member(request, section);
@@ -14,7 +14,7 @@
     return json_object_get_member(json_node_get_object(node), name);
 }
 
-/* The attribute that a name or #placeholder stands for; NULL if it is not given. */
+/* The attribute that a name or #placeholder stands for; NULL if the placeholder is not defined. */
 static const char *resolve_name(JsonObject *request, const char *name)
 {
     if (name[0] != '#') {
--- a/standins/platform/fault.c
+++ b/standins/platform/fault.c
@@ -1,4 +1,4 @@
-/* Faults that the platform stand-in shows on demand. */
+/* Faults that tests inject into the platform stand-in. */
 #include "standins/platform/fault.h"
 
 #include <string.h>
@@ -56,8 +56,8 @@
     }
 }
 
-/* Applies one fault to a request; true if that used the fault up. */
-static bool take_one(struct platform_fault *fault, struct platform_fault_effect *effect)
+/* Applies a fault to a request. True if this used up the fault's count. */
+static bool apply_fault(struct platform_fault *fault, struct platform_fault_effect *effect)
 {
     if (fault->after > 0) {
         fault->after--;
@@ -78,8 +78,8 @@
 
     while (i < faults->len) {
         struct platform_fault *fault = &g_array_index(faults, struct platform_fault, i);
-        bool concerned = fault->service == PLATFORM_SERVICE_BOTH || fault->service == service;
-        if (concerned && take_one(fault, &effect)) {
+        bool affected = fault->service == PLATFORM_SERVICE_BOTH || fault->service == service;
+        if (affected && apply_fault(fault, &effect)) {
             g_array_remove_index(faults, i);
         } else {
             i++;
--- a/standins/platform/main.c
+++ b/standins/platform/main.c
@@ -24,14 +24,14 @@
         {"object-rate", 0, 0, G_OPTION_ARG_INT, &arguments->object_rate,
          "Object requests a second (0: no limit)", "N"},
         {"machine-list-lag-ms", 0, 0, G_OPTION_ARG_INT, &arguments->machine_list_lag_ms,
-         "Show changes of machines this late in listings", "MS"},
+         "Delay of changes in listings of machines", "MS"},
         {NULL, 0, 0, 0, NULL, NULL, NULL},
     };
     g_autoptr(GOptionContext) context = g_option_context_new(NULL);
 
     g_option_context_set_summary(
         context, "Stand-in for the platform: DynamoDB JSON at POST /, S3 at /BUCKET/KEY.\n"
-                 "POST /fault?name=down|slow|answer_lost|throttle|heal shows faults.");
+                 "POST /fault?name=down|slow|answer_lost|throttle|heal injects faults.");
     g_option_context_add_main_entries(context, entries, NULL);
     return g_option_context_parse(context, &argc, &argv, error);
 }
--- a/standins/platform/object_api.h
+++ b/standins/platform/object_api.h
@@ -4,7 +4,7 @@
 
 #include <glib.h>
 
-/* One answer. The body is given back by the caller with g_bytes_unref. */
+/* One reply. The caller releases the body with g_bytes_unref. */
 struct object_api_answer {
     unsigned status;
     const char *content_type;
@@ -16,7 +16,7 @@
 struct object_api_answer object_api_call(GHashTable *objects, const char *method, const char *path,
                                          const char *if_none_match, const GByteArray *body);
 
-/* An error as the store sends it. */
+/* An error in the service's format. */
 struct object_api_answer object_api_error(unsigned status, const char *code, const char *message);
 
 #endif
--- a/standins/platform/standin.c
+++ b/standins/platform/standin.c
@@ -1,4 +1,4 @@
-/* The platform stand-in's HTTP server: one thread a connection, one lock on the state. */
+/* The platform stand-in's HTTP server: one thread for each connection, one lock for all state. */
 #include "standins/platform/standin.h"
 
 #include <arpa/inet.h>
@@ -17,7 +17,7 @@
 #define BODY_BYTES_MAX       (32 * 1024 * 1024)
 #define AUTHORIZATION_PREFIX "AWS4-HMAC-SHA256 "
 
-/* Requests let through a second, with as large a burst. */
+/* A token bucket: `rate` requests a second, with bursts of the same size. */
 struct rate_limit {
     uint32_t rate; /* 0: no limit */
     double tokens;
@@ -28,8 +28,9 @@
     struct MHD_Daemon *daemon;
     uint16_t port;
     int64_t (*now_us)(void);
-    pthread_mutex_t lock;  /* guards all below */
-    pthread_cond_t healed; /* ends the waits of slow requests */
+    pthread_mutex_t lock; /* guards all fields below */
+    pthread_cond_t
+        healed; /* signalled when the faults are removed; ends the delays of slow requests */
     uint32_t heals;
     GHashTable *tables;
     GHashTable *objects;
@@ -71,7 +72,7 @@
     return send_answer(connection, status, content_type, text, strlen(text));
 }
 
-/* A condition whose timed waits follow the monotonic clock. */
+/* Initialises a condition whose timed waits use the monotonic clock. */
 static void init_monotonic_condition(pthread_cond_t *condition)
 {
     pthread_condattr_t attributes;
@@ -82,7 +83,7 @@
     pthread_condattr_destroy(&attributes);
 }
 
-/* Waits under the lock for a time or until the faults are healed. */
+/* Waits for the delay or until the faults are removed. The caller holds the lock. */
 static void wait_slow(struct platform_standin *standin, uint32_t delay_ms)
 {
     int64_t end_us = g_get_monotonic_time() + (int64_t)delay_ms * 1000;
@@ -96,7 +97,8 @@
     }
 }
 
-/* Counts the request and finds what it meets; rate limits count as throttling. */
+/* Counts the request and returns the effect of the faults on it. An exceeded rate limit throttles
+ * it. */
 static struct platform_fault_effect begin_request(struct platform_standin *standin,
                                                   enum platform_service service)
 {
@@ -205,8 +207,8 @@
     return text != NULL ? (uint32_t)g_ascii_strtoull(text, NULL, 10) : 0;
 }
 
-/* POST /fault?name=NAME[&service=table|object|both][&ms=N][&count=N][&after=N]; name=heal drops
- * all faults. */
+/* POST /fault?name=NAME[&service=table|object|both][&ms=N][&count=N][&after=N] injects a fault;
+ * name=heal removes all. */
 static enum MHD_Result handle_fault(struct platform_standin *standin,
                                     struct MHD_Connection *connection)
 {
--- a/standins/platform/table.c
+++ b/standins/platform/table.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-/* Separates partition and sort key, below all characters of either. */
+/* Separates partition and sort key; sorts before all characters of either. */
 #define KEY_SEPARATOR '\x01'
 
 /* A change that listings do not show yet. */
@@ -14,8 +14,8 @@
 };
 
 struct table {
-    GTree *items;   /* key -> JsonObject, as reads by key see them */
-    GTree *listing; /* key -> JsonObject, as listings see them */
+    GTree *items;   /* key -> JsonObject, as reads by key return them */
+    GTree *listing; /* key -> JsonObject, as listings show them */
     GQueue *pending;
     int64_t listing_lag_us;
 };
@@ -103,7 +103,7 @@
     show_due_changes(table, now_us);
 }
 
-/* The node to start from: the first or last of the partition, or the neighbour of `start`. */
+/* The node to start from: the first or last of the partition, or the node next to `start`. */
 static GTreeNode *first_node(struct table *table, const char *partition, const char *start,
                              bool descending)
 {
--- a/standins/platform/table.h
+++ b/standins/platform/table.h
@@ -1,5 +1,5 @@
 /* The stand-in's tables: items of DynamoDB attribute values under a partition key "pk" and a sort
- * key "sk", both strings. Not thread safe: the server holds its lock. */
+ * key "sk", both strings. Not thread-safe: the caller holds the server's lock. */
 #ifndef SW_STANDINS_PLATFORM_TABLE_H
 #define SW_STANDINS_PLATFORM_TABLE_H
 
@@ -18,7 +18,7 @@
 
 void table_free(struct table *table);
 
-/* The item now under the key, or NULL. Owned by the table. */
+/* The current item under the key, or NULL. The table owns it. */
 JsonObject *table_get(struct table *table, const char *partition, const char *sort);
 
 /* Replaces the item under its key, or removes it if `item` is NULL. Takes a reference. `now_us` is
--- a/standins/platform/table_api.c
+++ b/standins/platform/table_api.c
@@ -140,7 +140,7 @@
     return answer_object(200, json_object_new());
 }
 
-/* Sort key to start a page after, or NULL. */
+/* The sort key that a page starts after, or NULL. */
 static const char *page_start(JsonObject *request)
 {
     JsonObject *start = object_member(request, "ExclusiveStartKey");
@@ -208,7 +208,7 @@
 struct transaction_write {
     JsonObject *request;
     struct item_key key;
-    JsonObject *item; /* NULL: removes, unless it only checks */
+    JsonObject *item; /* NULL: deletes the item, unless `only_checks` */
     bool only_checks;
 };
 
--- a/standins/platform/table_api.h
+++ b/standins/platform/table_api.h
@@ -8,7 +8,7 @@
 
 #define TABLE_API_TARGET_PREFIX "DynamoDB_20120810."
 
-/* One answer. The body is freed by the caller. */
+/* One reply. The caller frees the body. */
 struct table_api_answer {
     unsigned status;
     char *body;
@@ -19,7 +19,7 @@
 struct table_api_answer table_api_call(GHashTable *tables, const char *target, const char *body,
                                        gsize length, int64_t now_us);
 
-/* An error as the service sends it, status 400: "type" is its short name. */
+/* An error in the service's format, with status 400; `type` is its short name. */
 struct table_api_answer table_api_error(const char *type, const char *message);
 
 #endif
