--- a/standins/session_platform/main.c
+++ b/standins/session_platform/main.c
@@ -14,8 +14,9 @@
 #include <string.h>
 #include <unistd.h>
 
-#define TICK_MS 200 /* interval of the checks of the file, the signals and the databases' records  \
-                     */
+#define TICK_MS                                                                                    \
+    200 /* interval of the checks of the file, the signals and the databases' records              \
+         */
 #define DOWN_TICKS 30 /* a primary stays down for 6 s */
 
 /* The program's options and state. */
