--- a/src/sim/main.c
+++ b/src/sim/main.c
@@ -1,4 +1,4 @@
-/* swiftsim: the deterministic simulator. Chooses the subcommand. */
+/* swiftsim: the deterministic simulator. Dispatches to the subcommands. */
 #include <glib.h>
 #include <stdio.h>
 
--- a/src/sim/overload_load.c
+++ b/src/sim/overload_load.c
@@ -6,8 +6,8 @@
 #include "sim/sim_daemon.h"
 
 /* An attempt's deadline, and how much longer its client waits for the answer. */
-#define ATTEMPT_DEADLINE (1 * SIM_SECOND)
-#define ANSWER_GRACE     (500 * SIM_MILLISECOND)
+#define ATTEMPT_DEADLINE      (1 * SIM_SECOND)
+#define ANSWER_TIMEOUT_MARGIN (500 * SIM_MILLISECOND)
 /* An operation that is not done after this time is given up. */
 #define OPERATION_TIME (3 * SIM_SECOND)
 /* A client that ignores Retry-After comes back after this time; so does one whose attempt was lost.
@@ -195,7 +195,7 @@
     g_hash_table_insert(source->pending, &operation->attempt, operation);
     sim_node_schedule(&source->node, world->now + load->run->scenario->client_latency, on_arrived,
                       source, &request, sizeof(request));
-    sim_node_schedule(&source->node, request.deadline + ANSWER_GRACE, on_no_answer, source,
+    sim_node_schedule(&source->node, request.deadline + ANSWER_TIMEOUT_MARGIN, on_no_answer, source,
                       &operation->attempt, sizeof(operation->attempt));
 }
 
--- a/src/sim/sim_admission.c
+++ b/src/sim/sim_admission.c
@@ -1,13 +1,14 @@
-/* Slots and queue before each database at a simulated daemon: the shell of core/admission. */
+/* Slots and request queues for each database at a simulated daemon, around core/admission. */
 #include "sim/sim_daemon.h"
 
 #include <urcu/compiler.h>
 
-/* How often queued requests that are past their time are looked for, as in the daemon. */
+/* Interval at which queued requests past their deadline are removed, as in the daemon. */
 #define EXPIRE_INTERVAL (50 * SIM_MILLISECOND)
-/* Requests that may wait before one database, as the daemon's setting by default. */
+/* Requests that may wait for one database: the default of the daemon's setting. */
 #define QUEUE_LIMIT 256
-/* A refusal's time to come back is spread by up to this part of it, in percent. */
+/* A rejection's Retry-After is increased by a random part of up to this percentage, so that clients
+ * do not return together. */
 #define RETRY_AFTER_JITTER_PERCENT 50
 
 struct queued_message {
@@ -43,7 +44,8 @@
     sim_flow_dequeued(message->flow, message->admitted, spread(daemon, drain_ms));
 }
 
-/* Goes on with a flow that left the queue, as an event of its own: it may queue others. */
+/* Resumes a flow that left the queue. This is an event of its own, because the flow may queue
+ * others. */
 static void resume(struct sim_daemon *daemon, uint32_t database, struct admission_ticket *ticket,
                    bool admitted)
 {
--- a/src/sim/sim_client.c
+++ b/src/sim/sim_client.c
@@ -1,11 +1,11 @@
-/* The closed loop of a client. */
+/* A client's closed loop: the next request is sent after the answer to the previous one. */
 #include "sim/sim_client.h"
 
-/* A client waits so much longer than its deadline for the answer. */
-#define ANSWER_GRACE (500 * SIM_MILLISECOND)
-/* A write is repeated under its key for so long. */
-#define REPEAT_FOR (15 * SIM_SECOND)
-/* Time until a broken connection is noticed, and before another try. */
+/* How long a client waits beyond its deadline for the answer. */
+#define ANSWER_TIMEOUT_MARGIN (500 * SIM_MILLISECOND)
+/* How long a write is retried under its key. */
+#define RETRY_PERIOD (15 * SIM_SECOND)
+/* Time until a broken connection is detected, and before a retry. */
 #define RESET_DELAY (2 * SIM_MILLISECOND)
 #define RETRY_DELAY (20 * SIM_MILLISECOND)
 
@@ -46,15 +46,15 @@
 {
     struct sim_world *world = client->node.world;
 
-    if (world->now + delay > client->give_up_at) {
+    if (world->now + delay > client->retry_until) {
         finish_operation(client);
         return;
     }
     sim_node_schedule(&client->node, world->now + delay, on_retry, client, NULL, 0);
 }
 
-/* To begin again is harmless: nothing was run. */
-static bool may_repeat(const struct sim_client *client)
+/* A BEGIN may be retried because it has run no write. */
+static bool may_retry(const struct sim_client *client)
 {
     return client->work == SIM_WORK_READ || client->work == SIM_WORK_BEGIN ||
            client->operation->key != 0;
@@ -67,17 +67,17 @@
     attempt->ended_at = client->node.world->now;
 }
 
-/* The attempt ended without an answer. */
-static void after_loss(struct sim_client *client)
+/* Called for an attempt that ended without an answer. */
+static void on_attempt_lost(struct sim_client *client)
 {
-    if (may_repeat(client)) {
+    if (may_retry(client)) {
         repeat(client, RETRY_DELAY);
         return;
     }
     finish_operation(client);
 }
 
-/* Takes the attempt off the pending ones; NULL if it has ended before. */
+/* Removes the attempt from the pending ones; NULL if it has ended before. */
 static struct sim_attempt *take_pending(struct sim_client *client, uint64_t request_id)
 {
     struct sim_attempt *attempt = g_hash_table_lookup(client->pending, &request_id);
@@ -100,7 +100,7 @@
     sim_journal(client->node.world, "client %u: request %" G_GUINT64_FORMAT " %s", client->index,
                 request_id, state == SIM_ATTEMPT_LOST ? "lost" : "not sent");
     if (attempt == client->attempt) {
-        after_loss(client);
+        on_attempt_lost(client);
     }
 }
 
@@ -174,10 +174,10 @@
     message.request.operation = attempt->operation;
     message.request.session = client->session;
     message.request.deadline = world->now + scenario->request_deadline;
-    /* The client's distance to the daemons, there and back. */
+    /* the round-trip time between client and daemon */
     sim_node_schedule(&client->node, world->now + 2 * scenario->client_latency, on_send, client,
                       &message, sizeof(message));
-    schedule_loss(client, attempt, scenario->request_deadline + ANSWER_GRACE, on_timeout);
+    schedule_loss(client, attempt, scenario->request_deadline + ANSWER_TIMEOUT_MARGIN, on_timeout);
     return attempt;
 }
 
@@ -235,7 +235,7 @@
     }
     client->operation = NULL;
     client->work = SIM_WORK_READ;
-    client->give_up_at = world->now + REPEAT_FOR;
+    client->retry_until = world->now + RETRY_PERIOD;
     if (client->pinned_daemon >= 0 ||
         !sim_random_chance(world, client->run->scenario->read_share)) {
         start_write(client);
@@ -250,8 +250,8 @@
     }
 }
 
-/* The transaction is open; it is committed after the client's own work. */
-static void hold_transaction(struct sim_client *client, const struct sim_client_reply *reply)
+/* Keeps the open transaction for the client's own work time, then commits it. */
+static void schedule_commit(struct sim_client *client, const struct sim_client_reply *reply)
 {
     struct sim_world *world = client->node.world;
     time_ns hold = sim_random_below(world, client->run->scenario->transaction_time);
@@ -268,10 +268,10 @@
                  reply->error == ERROR_KIND_KEY_CLOSED || reply->error == ERROR_KIND_KEY_REUSED;
 
     if (client->work == SIM_WORK_BEGIN && reply->outcome == OUTCOME_DONE) {
-        hold_transaction(client, reply);
+        schedule_commit(client, reply);
         return;
     }
-    if (final || !may_repeat(client)) {
+    if (final || !may_retry(client)) {
         finish_operation(client);
         return;
     }
--- a/src/sim/sim_daemon.c
+++ b/src/sim/sim_daemon.c
@@ -1,4 +1,4 @@
-/* The shell of the group's control: probes, commands, opinions, membership, views. */
+/* Group control of a simulated daemon: probes, commands, opinions, membership, views. */
 #include "sim/sim_daemon.h"
 
 #include <string.h>
@@ -8,7 +8,7 @@
 #define PROBE_INTERVAL  (100 * SIM_MILLISECOND)
 #define PROBE_TIMEOUT   (300 * SIM_MILLISECOND)
 #define COMMAND_TIMEOUT (200 * SIM_MILLISECOND)
-/* A dead or new watcher is known to the others within these times. */
+/* Other daemons learn that a watcher is dead or new after a random time between these bounds. */
 #define MEMBERSHIP_DELAY_MIN (500 * SIM_MILLISECOND)
 #define MEMBERSHIP_DELAY_MAX (3000 * SIM_MILLISECOND)
 
@@ -32,7 +32,7 @@
 
 static void perform(struct sim_daemon *daemon, const struct group_actions *actions, uint32_t first);
 
-/* The core numbers its commands from 1, without gaps. */
+/* Looks a command up by its id: the core numbers its commands from 1, without gaps. */
 static const struct trace_command *issued_command(const struct sim_daemon *daemon, uint64_t id)
 {
     if (id == 0 || id > daemon->issued->len) {
@@ -69,22 +69,22 @@
     perform(daemon, &actions, 0);
 }
 
-/* The actions that were left when a fault paused the daemon. */
-struct rest_message {
+/* The actions that remained when a fault paused the daemon. */
+struct remaining_actions {
     struct group_actions actions;
     uint32_t first;
 };
 
 static void on_rest(void *object, const void *payload)
 {
-    const struct rest_message *message = payload;
+    const struct remaining_actions *message = payload;
 
     perform(object, &message->actions, message->first);
 }
 
 static void postpone(struct sim_daemon *daemon, const struct group_actions *actions, uint32_t first)
 {
-    struct rest_message *message = g_new0(struct rest_message, 1);
+    struct remaining_actions *message = g_new0(struct remaining_actions, 1);
 
     message->actions = *actions;
     message->first = first;
@@ -131,7 +131,7 @@
     sim_daemon_feed(daemon, event);
 }
 
-/* The tag of a probe is the time it was sent. */
+/* A probe's tag is the time at which it was sent. */
 static void on_probe_reply(void *object, const void *payload)
 {
     struct sim_daemon *daemon = object;
@@ -184,7 +184,7 @@
                       daemon, &database, sizeof(database));
 }
 
-/* Takes the command off the list; false if it had ended before. */
+/* Removes the command from the outstanding ones; false if it had ended before. */
 static bool end_command(struct sim_daemon *daemon, uint64_t id)
 {
     for (uint32_t i = 0; i < SIM_COMMANDS_MAX; i++) {
@@ -207,7 +207,8 @@
         .status = reply->status,
     };
 
-    /* An answer after the time-out is passed on as well: the core must know it for late. */
+    /* A reply after the time-out is passed on as well, because the core must recognise it as late.
+     */
     end_command(daemon, reply->tag);
     sim_daemon_feed(daemon, &event);
 }
@@ -238,8 +239,9 @@
     g_assert_not_reached();
 }
 
-/* Commands may be issued out of order only where a fault cut a step short. */
-static void note_issued(struct sim_daemon *daemon, const struct group_action *action)
+/* Records an issued command. Commands are issued out of order only where a fault interrupted a
+ * step. */
+static void record_issued(struct sim_daemon *daemon, const struct group_action *action)
 {
     struct trace_command command = {
         .kind = action->kind,
@@ -283,7 +285,7 @@
         break;
     }
     add_command(daemon, action->command);
-    note_issued(daemon, action);
+    record_issued(daemon, action);
     sim_database_send(&daemon->run->databases[action->database], &request);
     sim_node_schedule(&daemon->node, daemon->node.world->now + COMMAND_TIMEOUT, on_command_timeout,
                       daemon, &action->command, sizeof(action->command));
@@ -381,7 +383,8 @@
     }
 }
 
-/* A fault set off by a record may kill or pause this daemon in the middle of its actions. */
+/* Performs the actions of a step. A fault triggered by a record may kill or pause this daemon
+ * between two actions. */
 static void perform(struct sim_daemon *daemon, const struct group_actions *actions, uint32_t first)
 {
     uint64_t incarnation = daemon->node.incarnation;
@@ -439,10 +442,10 @@
 
     memcpy(event.watchers, message->watchers, sizeof(event.watchers));
     sim_daemon_feed(object, &event);
-    sim_slots_place(object, message->watchers, message->count);
+    sim_slots_set_owners(object, message->watchers, message->count);
 }
 
-void sim_daemon_spread_membership(struct sim_run *run)
+void sim_daemon_announce_membership(struct sim_run *run)
 {
     struct watchers_message message = {0};
 
@@ -464,7 +467,7 @@
     }
 }
 
-void sim_daemon_wish(struct sim_daemon *daemon, uint32_t database, bool drain)
+void sim_daemon_request_drain(struct sim_daemon *daemon, uint32_t database, bool drain)
 {
     struct group_event event = {
         .kind = drain ? GROUP_EVENT_DRAIN : GROUP_EVENT_UNDRAIN,
@@ -472,7 +475,7 @@
         .order = daemon->node.world->now / (NANOSECONDS_PER_MILLISECOND / 1000),
     };
 
-    daemon->drain_wish[database] = drain;
+    daemon->drain_requested[database] = drain;
     if (daemon->node.alive) {
         sim_daemon_feed(daemon, &event);
     }
@@ -557,8 +560,8 @@
         g_ptr_array_set_size(daemon->idle[i], 0);
         sim_node_schedule(&daemon->node, world->now + phase, on_probe_interval, daemon, &i,
                           sizeof(i));
-        if (daemon->drain_wish[i]) {
-            sim_daemon_wish(daemon, i, true);
+        if (daemon->drain_requested[i]) {
+            sim_daemon_request_drain(daemon, i, true);
         }
     }
     schedule_wake(daemon, world->now);
--- a/src/sim/sim_database.c
+++ b/src/sim/sim_database.c
@@ -41,7 +41,7 @@
     database->followers = 0;
 }
 
-void sim_database_forget(struct sim_database *database)
+void sim_database_erase(struct sim_database *database)
 {
     database->role = DATABASE_ROLE_REPLICA;
     database->term = 0;
@@ -184,8 +184,8 @@
     g_hash_table_replace(database->keys, &entry->key, entry);
 }
 
-/* What the ledger says of the operation's key; OK if it has no row. */
-static enum sim_result consult_ledger(const struct sim_database *database,
+/* The ledger's result for the operation's key; OK if it has no row. */
+static enum sim_result look_up_ledger(const struct sim_database *database,
                                       const struct sim_operation *operation)
 {
     const struct sim_entry *row;
@@ -228,11 +228,11 @@
                            const struct sim_database_request *request)
 {
     struct sim_database_reply answer = {.result = SIM_RESULT_NOT_PRIMARY};
-    /* A fence, or another term, has rolled an open transaction back. */
+    /* A fence or another term has rolled the open transaction back. */
     bool rolled_back = request->kind == SIM_REQUEST_COMMIT && request->term != database->term;
 
     if (may_write(database) && !rolled_back) {
-        answer.result = consult_ledger(database, request->operation);
+        answer.result = look_up_ledger(database, request->operation);
         if (answer.result == SIM_RESULT_OK) {
             bool closes = request->kind == SIM_REQUEST_CLOSE_KEY;
 
@@ -256,8 +256,8 @@
     return *a > *b ? -1 : *a < *b;
 }
 
-/* The last entry of a log that a majority of the group holds at this moment. The databases don't
- * know it: it serves the checker. */
+/* The last entry of a log that a majority of the group holds now. The databases don't know it; the
+ * checker needs it. */
 static struct sim_entry *durable_part(const struct sim_database *database, struct sim_entry *log)
 {
     uint64_t shared[GROUP_DATABASES_MAX] = {0};
@@ -303,7 +303,7 @@
     }
 }
 
-/* Answers the waits that are over: all whose condition holds, and the one that expired. */
+/* Answers the waits that have ended: all whose condition holds, and the one that expired. */
 void sim_database_wake(struct sim_database *database)
 {
     time_ns now = database->node.world->now;
@@ -312,7 +312,7 @@
     while (i < database->waiters->len) {
         struct sim_database_request *request = g_ptr_array_index(database->waiters, i);
 
-        /* `wait` became the time of expiry when the wait began. */
+        /* `wait` was replaced by the time of expiry when the wait began. */
         if (!wait_is_over(database, request) && now < request->wait) {
             i += 1;
             continue;
@@ -378,7 +378,8 @@
     return (time_ns)(part * (double)database->options.service_time);
 }
 
-/* A statement waits for a slot, holds it for the service time, and takes effect at its end. */
+/* Queues a statement: it waits for a slot, holds it for the service time, and takes effect at the
+ * end of that. */
 static void queue_statement(struct sim_database *database,
                             const struct sim_database_request *request)
 {
--- a/src/sim/sim_database.h
+++ b/src/sim/sim_database.h
@@ -1,23 +1,23 @@
 /* Model of one database of a replicated group: a log of entries with terms, promises to
- * coordinators, a ledger of idempotency keys, replication with lag, and few slots. */
+ * coordinators, a ledger of idempotency keys, replication with lag, and a few slots. */
 #ifndef SW_SIM_DATABASE_H
 #define SW_SIM_DATABASE_H
 
 #include "sim/sim_entry.h"
 #include "sim/sim_network.h"
 
-/* Statements that a database runs at once, at most. */
+/* Most statements that a database runs at once. */
 #define SIM_SLOTS_MAX  64
 #define SIM_SHARED_MAX 1000
 
 struct sim_database_options {
     uint32_t slots;
-    uint32_t shared; /* databases whose slots each daemon shares in all, other groups included */
-    time_ns service_time;  /* a statement holds its slot so long */
-    double service_spread; /* it differs from this by up to so large a part of it */
-    time_ns open_time;     /* to open a connection */
-    time_ns apply_delay;   /* a replica shows an entry so long after it holds it */
-    time_ns hold_delay;    /* a replica holds an entry so much later than the network needs */
+    uint32_t shared;       /* databases, of all groups, among which each daemon shares slots */
+    time_ns service_time;  /* how long a statement holds its slot */
+    double service_spread; /* largest deviation from it, as a share */
+    time_ns open_time;     /* time to open a connection */
+    time_ns apply_delay;   /* time from holding an entry to showing it, at a replica */
+    time_ns hold_delay;    /* added to the network's delay before a replica holds an entry */
 };
 
 enum sim_request_kind {
@@ -27,31 +27,32 @@
     SIM_REQUEST_FOLLOW,
     SIM_REQUEST_SET_LEAVING,
     SIM_REQUEST_OPEN,      /* a new connection */
-    SIM_REQUEST_WRITE,     /* with the ledger row, if keyed, in one transaction */
+    SIM_REQUEST_WRITE,     /* with the ledger row if keyed, in one transaction */
     SIM_REQUEST_BEGIN,     /* opens a transaction */
-    SIM_REQUEST_COMMIT,    /* runs what a transaction, begun in `term`, wrote */
-    SIM_REQUEST_CLOSE_KEY, /* claim the key: recorded outcome, or never to run */
+    SIM_REQUEST_COMMIT,    /* runs the writes of a transaction that began in `term` */
+    SIM_REQUEST_CLOSE_KEY, /* closes the key: returns its recorded outcome, or ensures that it never
+                              runs */
     SIM_REQUEST_READ,
     SIM_REQUEST_WAIT_HELD,
 };
 
-/* What a daemon sends to a database. */
+/* A daemon's request to a database. */
 struct sim_database_request {
     enum sim_request_kind kind;
     struct sim_node *from;
     uint64_t from_incarnation;
     sim_handler on_reply; /* takes a struct sim_database_reply */
     void *object;
-    uint64_t tag;                    /* of the connection or command: comes back in the reply */
+    uint64_t tag;                    /* of the connection or command; copied to the reply */
     uint64_t term;                   /* FENCE, PROMOTE, FOLLOW, COMMIT */
     uint64_t coordinator;            /* FENCE, PROMOTE, FOLLOW */
     uint32_t primary;                /* FOLLOW */
     bool leaving;                    /* SET_LEAVING */
     uint64_t order;                  /* SET_LEAVING */
     struct sim_operation *operation; /* WRITE, CLOSE_KEY */
-    uint64_t request_id;             /* READ, WRITE: whose answer it is */
+    uint64_t request_id;             /* READ, WRITE: id of the client's request */
     struct log_position wanted;      /* READ, WAIT_HELD */
-    time_ns wait;                    /* READ, WAIT_HELD: longest wait for it */
+    time_ns wait;                    /* READ, WAIT_HELD: longest wait for `wanted` */
 };
 
 enum sim_result {
@@ -69,9 +70,10 @@
     uint64_t tag;
     uint64_t request_id;
     struct database_status status;
-    struct log_position position; /* of a commit, or of a ledger row or after it */
+    struct log_position position; /* of a commit; or of a ledger row, or later */
     struct sim_entry *seen;       /* READ: last entry visible to it */
-    struct sim_entry *durable;    /* READ: the last of these that a majority held then */
+    struct sim_entry
+        *durable; /* READ: last entry of `seen`'s log that a majority held at that time */
 };
 
 struct sim_database {
@@ -79,11 +81,11 @@
     struct sim_network *network;
     struct sim_database_options options;
     uint32_t index;
-    uint32_t peer_count; /* databases of the group, this one included */
+    uint32_t peer_count; /* databases of the group, including this one */
     struct sim_database **peers;
     GHashTable *keys; /* of the group: key -> newest struct sim_entry with it, in any log */
 
-    bool no_ledger; /* TEST ONLY: forgets idempotency keys (mutation) */
+    bool no_ledger; /* TEST ONLY: loses idempotency keys (mutation) */
 
     enum database_role role;
     uint64_t term;
@@ -92,42 +94,45 @@
     int32_t following;
     bool leaving;
     uint64_t leaving_order;
-    struct sim_entry *head;    /* log held */
-    struct sim_entry *applied; /* log visible to reads */
+    struct sim_entry *head;    /* last entry of the log held */
+    struct sim_entry *applied; /* last entry visible to reads */
     bool synchronized;         /* the log came from the primary of this term */
     time_ns synchronized_at;
     uint32_t followers; /* bit per database that replicates from here */
 
     time_ns slot_free_at[SIM_SLOTS_MAX];
-    uint32_t running; /* statements that arrived and are not done */
+    uint32_t running; /* statements received and not finished */
     uint32_t running_peak;
-    GPtrArray *waiters; /* of struct sim_database_request with a wait */
+    GPtrArray *waiters; /* struct sim_database_request of the waits in progress */
 
-    double request_loss;   /* share of statements lost on the way here */
+    double request_loss;   /* share of statements lost on the way to this database */
     double answer_loss;    /* share of answers to statements lost */
     bool replication_cut;  /* no replication to or from here */
-    time_ns drained_at;    /* an operator wanted it drained then; 0 if not */
-    time_ns leaving_bound; /* no new work later than this after the drain; 0: not judged */
-    uint64_t late_work;    /* statements that arrived later still */
+    time_ns drained_at;    /* when an operator requested its drain; 0 if not */
+    time_ns leaving_bound; /* it must get no new work later than this after the drain request; 0:
+                              not checked */
+    uint64_t late_work;    /* statements that arrived after that bound */
 };
 
 void sim_database_init(struct sim_database *database, struct sim_network *network, uint32_t index,
                        uint32_t zone, const struct sim_database_options *options);
 void sim_database_clear(struct sim_database *database);
 
-/* Starts its timers; call after init and after each restart. The log and promises last. */
+/* Starts its timers; call after init and after each restart. The log and promises persist over
+ * restarts. */
 void sim_database_start(struct sim_database *database);
 void sim_database_kill(struct sim_database *database);
 
-/* Empties a dead database: it will start as new, with neither log nor promise. */
-void sim_database_forget(struct sim_database *database);
+/* Erases a dead database: it will restart as new, with neither log nor promise. */
+void sim_database_erase(struct sim_database *database);
 
 struct database_status sim_database_status(const struct sim_database *database);
 
-/* Sends a request from its `from` node to the database; the answer comes to on_reply, or never. */
+/* Sends a request from its `from` node to the database. The reply goes to on_reply, unless it is
+ * lost. */
 void sim_database_send(struct sim_database *database, const struct sim_database_request *request);
 
-/* Sends it as a datagram: probes, that may be lost. */
+/* Sends it as a datagram, which may be lost: for probes. */
 void sim_database_send_datagram(struct sim_database *database,
                                 const struct sim_database_request *request);
 
--- a/src/sim/sim_entry.c
+++ b/src/sim/sim_entry.c
@@ -1,6 +1,6 @@
 /* The tree of log entries, with jump pointers: each entry points to an older one such that any
- * ancestor is reached in a logarithmic number of steps (Myers, "An applicative random-access
- * stack", 1983). */
+ * ancestor is found in a logarithmic number of steps (Myers, "An applicative random-access stack",
+ * 1983). */
 #include "sim/sim_entry.h"
 
 static uint64_t offset_of(const struct sim_entry *entry)
@@ -60,7 +60,7 @@
 
 bool sim_entry_contains(const struct sim_entry *log, const struct sim_entry *entry)
 {
-    /* The log is not changed: the search returns one of its entries. */
+    /* The cast is safe: the search changes nothing and returns an entry of the log. */
     return sim_entry_up_to((struct sim_entry *)log, entry->position.offset) == entry;
 }
 
--- a/src/sim/sim_entry.h
+++ b/src/sim/sim_entry.h
@@ -1,5 +1,5 @@
-/* Log entries of the simulated databases. An entry is immutable and knows the one before it, so
- * that an entry stands for the whole log up to it, and logs that diverged form a tree. */
+/* Log entries of the simulated databases. An entry is immutable and points to its predecessor, so
+ * that it represents the whole log up to it. Logs that diverged form a tree. */
 #ifndef SW_SIM_ENTRY_H
 #define SW_SIM_ENTRY_H
 
@@ -11,18 +11,18 @@
     SIM_ENTRY_CLOSE_KEY,
 };
 
-/* One write that a client wants done. Its attempts share it. */
+/* One write that a client requests, shared by its attempts. */
 struct sim_operation {
     uint64_t id;
     uint64_t key;              /* idempotency key; 0 if none */
     uint64_t fingerprint;      /* of the body */
-    struct sim_entry *entries; /* all that were ever logged for it, newest first */
+    struct sim_entry *entries; /* all log entries of it, newest first */
 };
 
 struct sim_entry {
     struct log_position position;
-    struct sim_entry *parent; /* NULL at the first */
-    struct sim_entry *jump;   /* an older one: makes ancestors quick to find */
+    struct sim_entry *parent; /* NULL for the first entry */
+    struct sim_entry *jump;   /* an older entry; shortens the search for ancestors */
     enum sim_entry_kind kind;
     uint64_t key;
     uint64_t fingerprint;
@@ -39,13 +39,13 @@
 /* Position of the log that ends in `entry`, which may be NULL. */
 struct log_position sim_entry_position(const struct sim_entry *entry);
 
-/* True if the log that ends in `log` (may be NULL) has `entry`. */
+/* True if the log that ends in `log` (may be NULL) contains `entry`. */
 bool sim_entry_contains(const struct sim_entry *log, const struct sim_entry *entry);
 
 /* The last entry of the log up to an offset, or NULL. */
 struct sim_entry *sim_entry_up_to(struct sim_entry *log, uint64_t offset);
 
-/* The last entry that both logs have, or NULL. */
+/* The last entry that both logs contain, or NULL. */
 struct sim_entry *sim_entry_common(struct sim_entry *first, struct sim_entry *second);
 
 #endif
--- a/src/sim/sim_fault.c
+++ b/src/sim/sim_fault.c
@@ -4,15 +4,15 @@
 #include "sim/sim_client.h"
 #include "sim/sim_daemon.h"
 
-/* An operator's wish reaches each daemon within this time. */
-#define WISH_SPREAD (300 * SIM_MILLISECOND)
+/* An operator's drain request reaches each daemon within this time. */
+#define DRAIN_REQUEST_DELAY_MAX (300 * SIM_MILLISECOND)
 
 struct fault_message {
     uint32_t fault;
     uint32_t target;
 };
 
-struct wish_message {
+struct drain_request_message {
     uint32_t database;
     bool drain;
 };
@@ -175,7 +175,7 @@
     sim_journal(run->world, "daemon %u starts again", index);
     sim_node_start(&daemon->node);
     sim_daemon_start(daemon);
-    sim_daemon_spread_membership(run);
+    sim_daemon_announce_membership(run);
 }
 
 static void kill_daemon(struct sim_run *run, uint32_t index)
@@ -185,7 +185,7 @@
     }
     sim_daemon_kill(run->daemons[index]);
     sim_client_daemon_died(run, index);
-    sim_daemon_spread_membership(run);
+    sim_daemon_announce_membership(run);
 }
 
 static void on_fault_over(void *object, const void *payload)
@@ -199,7 +199,7 @@
         restart_database(database);
         break;
     case SIM_FAULT_FORGET_DATABASE:
-        sim_database_forget(database);
+        sim_database_erase(database);
         restart_database(database);
         break;
     case SIM_FAULT_LAG_DATABASE:
@@ -225,24 +225,24 @@
     }
 }
 
-static void on_wish(void *object, const void *payload)
+static void on_drain_request(void *object, const void *payload)
 {
-    const struct wish_message *message = payload;
+    const struct drain_request_message *message = payload;
 
-    sim_daemon_wish(object, message->database, message->drain);
+    sim_daemon_request_drain(object, message->database, message->drain);
 }
 
-static void spread_wish(struct sim_run *run, uint32_t database, bool drain)
+static void send_drain_request(struct sim_run *run, uint32_t database, bool drain)
 {
-    struct wish_message message = {.database = database, .drain = drain};
+    struct drain_request_message message = {.database = database, .drain = drain};
 
     run->databases[database].drained_at = drain ? run->world->now : 0;
     for (uint32_t i = 0; i < run->daemon_count; i++) {
-        time_ns delay = sim_random_below(run->world, WISH_SPREAD);
+        time_ns delay = sim_random_below(run->world, DRAIN_REQUEST_DELAY_MAX);
 
-        run->daemons[i]->drain_wish[database] = drain;
-        sim_node_schedule(&run->daemons[i]->node, run->world->now + delay, on_wish, run->daemons[i],
-                          &message, sizeof(message));
+        run->daemons[i]->drain_requested[database] = drain;
+        sim_node_schedule(&run->daemons[i]->node, run->world->now + delay, on_drain_request,
+                          run->daemons[i], &message, sizeof(message));
     }
 }
 
@@ -309,7 +309,7 @@
         break;
     case SIM_FAULT_DRAIN:
     case SIM_FAULT_UNDRAIN:
-        spread_wish(run, target, fault->kind == SIM_FAULT_DRAIN);
+        send_drain_request(run, target, fault->kind == SIM_FAULT_DRAIN);
         break;
     case SIM_FAULT_COUNT:
         break;
@@ -342,7 +342,7 @@
     fire_at(run, index, choose_target(run, fault, actor));
 }
 
-void sim_fault_heal(struct sim_run *run)
+void sim_fault_end_all(struct sim_run *run)
 {
     run->network.options.datagram_loss = 0;
     run->network.options.stream_stall = 0;
--- a/src/sim/sim_history.h
+++ b/src/sim/sim_history.h
@@ -1,4 +1,4 @@
-/* What happened in a run, as the clients, the daemons' journals and the faults tell it. */
+/* The history of a run: the clients' attempts, the daemons' journal records and the faults. */
 #ifndef SW_SIM_HISTORY_H
 #define SW_SIM_HISTORY_H
 
@@ -9,7 +9,7 @@
 #include "generated/messages.h"
 #include "sim/sim_entry.h"
 
-/* How one request of a client ended. */
+/* How a client's attempt ended. */
 enum sim_attempt_state {
     SIM_ATTEMPT_PENDING,
     SIM_ATTEMPT_ANSWERED,
@@ -17,15 +17,15 @@
     SIM_ATTEMPT_LOST,     /* no answer */
 };
 
-/* What a request asks for. */
+/* The kind of work that a request asks for. */
 enum sim_work {
     SIM_WORK_READ,
     SIM_WORK_WRITE,
-    SIM_WORK_BEGIN,  /* opens a transaction; the write runs at its commit */
-    SIM_WORK_COMMIT, /* ends it, or resolves it by its key */
+    SIM_WORK_BEGIN,  /* opens a transaction; its write runs at the commit */
+    SIM_WORK_COMMIT, /* commits it, or resolves its outcome by its key */
 };
 
-/* One request of a client, and its answer. */
+/* One attempt of a client, and the answer to it. */
 struct sim_attempt {
     uint64_t request_id;
     uint32_t client;
@@ -37,10 +37,10 @@
     enum sim_attempt_state state;
     enum outcome outcome;
     enum error_kind error;
-    uint64_t answered_id;      /* request the answer's data belongs to */
+    uint64_t answered_id;      /* id of the request that the answer's data belongs to */
     struct sim_entry *seen;    /* of a read */
-    struct sim_entry *durable; /* the part of it that a majority held then */
-    bool by_replica;           /* a read that a replica answered */
+    struct sim_entry *durable; /* last entry of `seen`'s log that a majority held at that time */
+    bool by_replica;           /* the read was answered by a replica */
 };
 
 /* One journal entry of a daemon. */
@@ -50,10 +50,10 @@
     struct group_record record;
 };
 
-/* A fault that began. */
+/* The start of a fault. */
 struct sim_fault_mark {
     time_ns at;
-    uint32_t fault; /* index in the scenario */
+    uint32_t fault; /* its index in the scenario */
     uint32_t target;
 };
 
--- a/src/sim/sim_network.c
+++ b/src/sim/sim_network.c
@@ -1,4 +1,4 @@
-/* Latency, loss and cuts. */
+/* Latency, loss and partitions. */
 #include "sim/sim_network.h"
 
 #include <string.h>
--- a/src/sim/sim_pool.c
+++ b/src/sim/sim_pool.c
@@ -1,11 +1,11 @@
-/* Connections of a daemon to the databases. A connection carries one statement at a time, and its
- * answers have no tag: a connection whose answer did not come must not be used again. */
+/* A daemon's connections to the databases. A connection carries one statement at a time and its
+ * replies have no request id, so a connection with a missing reply must not be used again. */
 #include "sim/sim_daemon.h"
 
 #define OPEN_TIMEOUT (500 * SIM_MILLISECOND)
 
-/* A statement that waits for its connection. */
-struct opening {
+/* A statement whose connection is being opened. */
+struct pending_open {
     struct sim_flow *flow;
     uint64_t step;
     uint32_t database;
@@ -39,7 +39,7 @@
 
 static void on_opened(void *object, const void *payload)
 {
-    struct opening *opening = object;
+    struct pending_open *opening = object;
     struct sim_daemon *daemon = opening->flow->daemon;
     struct sim_connection *connection = sim_world_allocate(daemon->node.world, sizeof(*connection));
 
@@ -56,7 +56,7 @@
 
 static void on_open_reply(void *object, const void *payload)
 {
-    struct opening *opening = object;
+    struct pending_open *opening = object;
     struct sim_daemon *daemon = opening->flow->daemon;
     time_ns open_time = daemon->run->databases[opening->database].options.open_time;
 
@@ -67,7 +67,7 @@
 
 static void on_open_timeout(void *object, const void *payload)
 {
-    struct opening *opening = object;
+    struct pending_open *opening = object;
 
     (void)payload;
     if (opening->flow->step == opening->step && opening->flow->connection == NULL) {
@@ -79,7 +79,7 @@
                             const struct sim_database_request *request)
 {
     struct sim_daemon *daemon = flow->daemon;
-    struct opening *opening = sim_world_allocate(daemon->node.world, sizeof(*opening));
+    struct pending_open *opening = sim_world_allocate(daemon->node.world, sizeof(*opening));
     struct sim_database_request open = {
         .kind = SIM_REQUEST_OPEN,
         .from = &daemon->node,
--- a/src/sim/sim_read.c
+++ b/src/sim/sim_read.c
@@ -1,10 +1,10 @@
-/* The read flow of a simulated daemon: performs each step. */
+/* The read flow of a simulated daemon: performs the steps that the core decides. */
 #include "sim/sim_request_internal.h"
 
 #define READ_ATTEMPTS_MAX 12
 #define GUARD_WAIT_MS     50
 
-/* Sends the statement of the step; the slot is held. */
+/* Sends the step's statement; the slot is held. */
 void sim_read_send(struct sim_flow *flow)
 {
     struct sim_daemon *daemon = flow->daemon;
@@ -30,7 +30,7 @@
     sim_read_drive(flow, &event);
 }
 
-/* Takes a slot for the step, and sends its statement or waits in the queue. */
+/* Takes a slot for the step and sends its statement, or waits in the queue. */
 static void read_statement(struct sim_flow *flow)
 {
     uint32_t retry_after_ms = 0;
--- a/src/sim/sim_replication.c
+++ b/src/sim/sim_replication.c
@@ -1,24 +1,24 @@
-/* Pushes, hellos and applying. */
+/* Pushes of the log, hellos of replicas, and applying. */
 #include "sim/sim_replication.h"
 
-/* Between regular pushes, and before a replica without news says hello again. */
+/* Interval of regular pushes, and time without a push after which a replica repeats its hello. */
 #define PUSH_INTERVAL  (50 * SIM_MILLISECOND)
 #define HELLO_INTERVAL (200 * SIM_MILLISECOND)
 
-/* What a primary sends: its term and the log up to `head`. */
+/* A push: the primary's term and its log up to `head`. */
 struct push_message {
     uint64_t term;
     uint32_t primary;
     struct sim_entry *head;
 };
 
-/* A push that waits for a replica's lag. */
+/* A push that waits for the replica's lag. */
 struct push_due {
     uint32_t replica;
     struct push_message message;
 };
 
-/* What a replica sends. */
+/* A hello, by which a replica asks a primary for pushes. */
 struct hello_message {
     uint64_t term;
     uint32_t replica;
@@ -93,13 +93,13 @@
     take_log(database, message->head);
 }
 
-/* True if the link between the two is open. */
+/* True if replication between the two is not cut. */
 static bool is_linked(const struct sim_database *database, const struct sim_database *peer)
 {
     return !database->replication_cut && !peer->replication_cut;
 }
 
-/* Sends the log as it stood when the push was due, to a replica that still follows. */
+/* Sends the log as it was when the push was scheduled, if the replica still follows. */
 static void on_push_due(void *object, const void *payload)
 {
     struct sim_database *database = object;
--- a/src/sim/sim_request.c
+++ b/src/sim/sim_request.c
@@ -1,10 +1,10 @@
-/* Requests of clients to a simulated daemon: begins their flows, and feeds these what happened. */
+/* Client requests to a simulated daemon: starts their flows and feeds them events. */
 #include "sim/sim_request_internal.h"
 
-/* A statement without an answer for so long is given up; one that can't be repeated waits on. */
+/* Time-out of a statement. A statement that can't be repeated waits until the deadline instead. */
 #define STATEMENT_TIMEOUT (1000 * SIM_MILLISECOND)
 
-/* An attempt that can be made again may use up to this part of the time left, in percent. */
+/* Part of the time left, in percent, that an attempt may use if another one can follow it. */
 #define ATTEMPT_TIME_PERCENT 75
 
 void sim_flow_schedule(struct sim_flow *flow, time_ns at, sim_handler handler)
@@ -141,7 +141,7 @@
 
     flow->step += 1;
     reply->request_id = flow->request.request_id;
-    /* A client is a node first. */
+    /* the node is a client's first member */
     sim_network_send(&daemon->run->network, daemon->node.zone, node, node->incarnation,
                      flow->request.on_reply, node, reply, sizeof(*reply));
 }
@@ -151,8 +151,7 @@
     sim_flow_schedule(flow, at, on_statement_timeout);
 }
 
-/* Until when one attempt may last: a part of the time left is kept to find out what became of it.
- */
+/* End of an attempt's time. A part of the time left is kept to find out its outcome. */
 time_ns sim_flow_attempt_deadline(const struct sim_flow *flow, time_ns deadline)
 {
     time_ns now = flow->daemon->node.world->now;
@@ -180,7 +179,7 @@
     } else if (reads) {
         sim_read_send(flow);
     } else if (flow->write_step.database != flow->daemon->view.primary) {
-        /* Replaced while the write was queued. */
+        /* The primary was replaced while the write was queued. */
         sim_admission_leave(flow);
         sim_write_drive(flow, &(struct write_event){.kind = WRITE_EVENT_NOT_PRIMARY});
     } else {
@@ -223,8 +222,8 @@
            flow->sent_term < flow->daemon->view.term;
 }
 
-/* A keyed write sent to a replaced primary is not waited for: its key tells what became of it. */
-static void give_up_superseded(struct sim_daemon *daemon)
+/* Abandons keyed writes sent to a replaced primary: their outcome is found by their key. */
+static void abandon_superseded(struct sim_daemon *daemon)
 {
     GPtrArray *flows = g_ptr_array_copy(daemon->running, NULL, NULL);
 
@@ -255,5 +254,5 @@
                           sizeof(message));
     }
     g_ptr_array_unref(waiting);
-    give_up_superseded(daemon);
+    abandon_superseded(daemon);
 }
--- a/src/sim/sim_run.c
+++ b/src/sim/sim_run.c
@@ -67,10 +67,10 @@
     for (uint32_t i = 0; i < run->daemon_count; i++) {
         sim_daemon_start(run->daemons[i]);
     }
-    sim_daemon_spread_membership(run);
+    sim_daemon_announce_membership(run);
 }
 
-/* The pinned writers come after the sessions that move. */
+/* Adds the clients: first the sessions that move between daemons, then the pinned writers. */
 static void add_clients(struct sim_run *run)
 {
     const struct sim_scenario *scenario = run->scenario;
@@ -116,7 +116,7 @@
         sim_client_start(run->clients[i]);
     }
     sim_world_run(run->world, run->clients_stop_at);
-    sim_fault_heal(run);
+    sim_fault_end_all(run);
     sim_world_run(run->world, run->clients_stop_at + run->scenario->settle);
 }
 
--- a/src/sim/sim_run.h
+++ b/src/sim/sim_run.h
@@ -1,5 +1,5 @@
-/* One run: a world with a group of databases, daemons and clients, the faults of a scenario, and
- * the history that the checker judges. */
+/* One run: a simulated world with a group of databases, daemons and clients, the faults of a
+ * scenario, and the history that the checker evaluates. */
 #ifndef SW_SIM_RUN_H
 #define SW_SIM_RUN_H
 
@@ -11,13 +11,13 @@
 
 #include <stdio.h>
 
-/* The group elects its first primary before the load starts. */
+/* Time for the group to elect its first primary before the load starts. */
 #define SIM_BOOTSTRAP_TIME (6 * SIM_SECOND)
 
 struct sim_daemon;
 struct sim_client;
 
-/* TEST ONLY switches, each turning one mechanism off. */
+/* TEST ONLY: switches that each turn one mechanism off. */
 enum sim_mutation {
     SIM_MUTATION_NONE,
     SIM_MUTATION_TRUST_COMMIT,
@@ -26,8 +26,8 @@
     SIM_MUTATION_IGNORE_GUARD,
     SIM_MUTATION_RESEND_UNKEYED,
     SIM_MUTATION_NO_LEDGER,        /* databases keep no idempotency keys */
-    SIM_MUTATION_LOST_IS_NOT_SENT, /* a lost answer is taken for a request that was not sent */
-    SIM_MUTATION_REUSE_CONNECTION, /* a connection is used again after a lost answer */
+    SIM_MUTATION_LOST_IS_NOT_SENT, /* a lost answer is treated as a request that was not sent */
+    SIM_MUTATION_REUSE_CONNECTION, /* a connection is reused after a lost answer */
     SIM_MUTATION_IGNORE_LEAVING,
     SIM_MUTATION_NO_PAUSE,
     SIM_MUTATION_TRUST_FORGETFUL,
@@ -35,7 +35,7 @@
     SIM_MUTATION_COUNT,
 };
 
-/* Name of a mutation as on the command line. */
+/* Name of a mutation on the command line. */
 const char *sim_mutation_name(enum sim_mutation mutation);
 
 /* Finds a mutation by name; false if there is none. */
@@ -56,25 +56,26 @@
     uint32_t client_count;
     struct sim_client **clients;
     struct sim_history history;
-    uint32_t slots_taken[GROUP_DATABASES_MAX]; /* of each database, at all daemons */
+    uint32_t slots_taken[GROUP_DATABASES_MAX]; /* slots in use at each database, over all daemons */
     uint32_t slots_peak[GROUP_DATABASES_MAX];
-    uint64_t slot_messages;        /* sent to share them */
-    time_ns clients_stop_at;       /* end of the load and of the faults */
-    struct sim_node operator_node; /* where faults and wishes are timed; never fails */
+    uint64_t slot_messages;        /* messages sent to share slots */
+    time_ns clients_stop_at;       /* end of the load; also of faults without a duration */
+    struct sim_node operator_node; /* runs the events of faults and drain requests; never fails */
     time_ns load_starts_at;
-    uint32_t faults_fired;                /* bit per fault that an event set off */
-    uint32_t fault_skips[SIM_FAULTS_MAX]; /* such events that still pass first */
-    FILE *trace;                          /* of the core's events; NULL if not wanted */
-    time_ns trace_until;                  /* nothing later is recorded */
+    uint32_t faults_fired;                /* bit per fault that an event has triggered */
+    uint32_t fault_skips[SIM_FAULTS_MAX]; /* matching events that still pass before the fault is
+                                             triggered */
+    FILE *trace;                          /* file for the core's events; NULL: not recorded */
+    time_ns trace_until;                  /* end of the recording */
 };
 
-/* Builds the world, runs the scenario to its end, heals everything and lets the group settle. */
+/* Builds the world, runs the scenario to its end, ends all faults and lets the group settle. */
 struct sim_run *sim_run_new(const struct sim_scenario *scenario, uint64_t seed,
                             enum sim_mutation mutation, bool with_journal);
 void sim_run_execute(struct sim_run *run);
 void sim_run_free(struct sim_run *run);
 
-/* Database that leads the highest term and may write, or NULL. */
+/* The database that leads the highest term and may write, or NULL. */
 struct sim_database *sim_run_primary(struct sim_run *run);
 
 #endif
--- a/src/sim/sim_scenario.c
+++ b/src/sim/sim_scenario.c
@@ -1,5 +1,5 @@
-/* Reads scenario files: GLib key files with the groups [scenario], [network], [database],
- * [clients], [expect], and [fault N]. Durations are milliseconds, with fractions. */
+/* Parser of scenario files: GLib key files with the groups [scenario], [network], [database],
+ * [clients], [expect], and [fault N]. Durations are in milliseconds, with fractions. */
 #include "sim/sim_scenario.h"
 
 #include <string.h>
@@ -42,7 +42,7 @@
     [SIM_TARGET_ACTOR] = "actor",     [SIM_TARGET_ALL] = "all",
 };
 
-/* A key file being read; the first error stops the rest. */
+/* A key file being parsed; after the first error the rest is skipped. */
 struct reader {
     GKeyFile *file;
     const char *group;
--- a/src/sim/sim_slots.c
+++ b/src/sim/sim_slots.c
@@ -1,5 +1,4 @@
-/* The part of each database's slots that a simulated daemon may use: the shell of core/slot_share.
- */
+/* The part of each database's slots that a simulated daemon may use, around core/slot_share. */
 #include "sim/sim_daemon.h"
 
 struct slots_message {
@@ -40,7 +39,7 @@
     }
 }
 
-/* Sends what is to be sent, and lets in as many as there are slots now. */
+/* Sends the messages that are due, and applies the new number of slots to the queue. */
 static void apply(struct sim_daemon *daemon, uint32_t database, const GArray *actions)
 {
     time_ns now = daemon->node.world->now;
@@ -95,8 +94,9 @@
     on_tick(daemon, NULL);
 }
 
-/* Places are in the order of the ids. */
-void sim_slots_place(struct sim_daemon *daemon, const struct group_watcher *owners, uint32_t count)
+/* Positions are in the order of the ids. */
+void sim_slots_set_owners(struct sim_daemon *daemon, const struct group_watcher *owners,
+                          uint32_t count)
 {
     uint64_t ids[GROUP_WATCHERS_MAX];
     int32_t place = -1;
--- a/src/sim/sim_transaction.c
+++ b/src/sim/sim_transaction.c
@@ -1,12 +1,12 @@
-/* Interactive transactions of a simulated daemon: a BEGIN takes a connection to the primary, which
- * the transaction holds until its commit, its time bound, or the daemon's end. */
+/* Interactive transactions of a simulated daemon. A BEGIN takes a connection to the primary, and
+ * the transaction keeps it until its commit, its time limit, or the daemon's end. */
 #include "sim/sim_daemon.h"
 
-/* A transaction that is not committed for so long is rolled back. */
-#define IDLE_BOUND (5 * SIM_SECOND)
-/* A BEGIN without an answer is given up after this time; nothing was run. */
+/* A transaction without a commit for this time is rolled back. */
+#define IDLE_TIMEOUT (5 * SIM_SECOND)
+/* Time-out of a BEGIN. No write has run by then. */
 #define BEGIN_TIMEOUT (1000 * SIM_MILLISECOND)
-/* A BEGIN waits for a primary so long. */
+/* Longest wait of a BEGIN for a primary. */
 #define UNAVAILABLE_WAIT (4 * SIM_SECOND)
 #define POLL_INTERVAL    (20 * SIM_MILLISECOND)
 
@@ -113,7 +113,7 @@
     transaction->term = reply->status.term;
     flow->connection = NULL;
     g_ptr_array_add(daemon->transactions, transaction);
-    sim_node_schedule(&daemon->node, daemon->node.world->now + IDLE_BOUND, on_idle_bound, daemon,
+    sim_node_schedule(&daemon->node, daemon->node.world->now + IDLE_TIMEOUT, on_idle_bound, daemon,
                       &transaction->id, sizeof(transaction->id));
     answer.transaction = transaction->id;
     sim_flow_set_running(flow, false);
--- a/src/sim/sim_world.c
+++ b/src/sim/sim_world.c
@@ -110,7 +110,7 @@
     }
 }
 
-/* Puts an event back until its node runs again; the order among those that wait is kept. */
+/* Defers an event until its node runs again; deferred events keep their order. */
 static void postpone_event(struct sim_world *world, struct sim_event *event)
 {
     world->event_sequence += 1;
--- a/src/sim/sim_world.h
+++ b/src/sim/sim_world.h
@@ -1,5 +1,5 @@
-/* Virtual time, the queue of events and the random source of one simulation. Everything that
- * happens is an event bound to a node; the same seed gives the same order of events. */
+/* Virtual time, the event queue and the random source of one simulation. Every action is an event
+ * bound to a node; the same seed gives the same order of events. */
 #ifndef SW_SIM_WORLD_H
 #define SW_SIM_WORLD_H
 
@@ -13,8 +13,8 @@
 
 struct sim_world;
 
-/* Something that runs in one place and can die, pause and come back: a daemon, a database, a
- * client. Events of an earlier incarnation are dropped; those of a paused node wait. */
+/* A component that can die, pause and restart: a daemon, a database, a client. Events for an
+ * earlier incarnation are dropped; those for a paused node wait. */
 struct sim_node {
     struct sim_world *world;
     uint32_t zone;
@@ -30,10 +30,10 @@
 struct sim_world {
     time_ns now;
     GRand *random;
-    GString *journal; /* readable record of the run; NULL if not wanted */
+    GString *journal; /* readable record of the run; NULL: not kept */
     uint64_t event_sequence;
     GPtrArray *heap;      /* of struct sim_event, ordered by time, then sequence */
-    GPtrArray *memory;    /* blocks that live as long as the world */
+    GPtrArray *memory;    /* blocks freed with the world */
     uint64_t event_count; /* events handled */
     uint64_t last_id;
 };
@@ -41,20 +41,20 @@
 struct sim_world *sim_world_new(uint64_t seed, bool with_journal);
 void sim_world_free(struct sim_world *world);
 
-/* Zeroed memory that lives as long as the world. */
+/* Allocates zeroed memory that is freed with the world. */
 void *sim_world_allocate(struct sim_world *world, size_t size);
 
-/* A number never given before in this world. */
+/* A number that is unique in this world. */
 uint64_t sim_world_next_id(struct sim_world *world);
 
 /* Runs events until virtual time `until`. */
 void sim_world_run(struct sim_world *world, time_ns until);
 
-/* Schedules an event at a node's present incarnation. `payload` may be NULL. */
+/* Schedules an event for a node's current incarnation. `payload` may be NULL; it is copied. */
 void sim_node_schedule(struct sim_node *node, time_ns at, sim_handler handler, void *object,
                        const void *payload, size_t payload_size);
 
-/* The same for a known incarnation: dropped if the node has another one by then. */
+/* The same for a given incarnation: the event is dropped if the node has another one by then. */
 void sim_node_schedule_for(struct sim_node *node, uint64_t incarnation, time_ns at,
                            sim_handler handler, void *object, const void *payload,
                            size_t payload_size);
@@ -64,7 +64,7 @@
 void sim_node_start(struct sim_node *node);
 void sim_node_pause(struct sim_node *node, time_ns until);
 
-/* Uniform random numbers: below a bound (0 if the bound is 0), and true with a probability. */
+/* Uniform random numbers below a bound (0 if the bound is 0), and true with a probability. */
 uint64_t sim_random_below(struct sim_world *world, uint64_t bound);
 bool sim_random_chance(struct sim_world *world, double probability);
 
--- a/src/sim/sim_write.c
+++ b/src/sim/sim_write.c
@@ -1,11 +1,12 @@
-/* The write flow of a simulated daemon, commits included: performs each step. */
+/* The write flow of a simulated daemon, including commits: performs the steps that the core
+ * decides. */
 #include "sim/sim_request_internal.h"
 
-/* A question for evidence without an answer is asked again after this time. */
+/* Time after which a request for evidence is repeated. */
 #define EVIDENCE_TIMEOUT (200 * SIM_MILLISECOND)
-/* Evidence is waited for so long, unless the deadline comes first. */
+/* Longest wait for evidence, unless the deadline is earlier. */
 #define EVIDENCE_WAIT (2000 * SIM_MILLISECOND)
-/* When a client should come back after the retry budget was spent. */
+/* Retry-After once the retry budget is used up. */
 #define RETRY_BUDGET_RETRY_AFTER_MS 500
 
 #define WRITE_ATTEMPTS_MAX 8
@@ -15,8 +16,8 @@
     uint32_t database;
 };
 
-/* Carries a question for evidence, so that its answer finds the flow. */
-struct evidence_question {
+/* Identifies the flow that a request for evidence belongs to. */
+struct evidence_request {
     struct sim_flow *flow;
     uint64_t step;
 };
@@ -54,38 +55,38 @@
         message.reply.session = step->position;
         sim_fault_trigger(daemon->run, SIM_TRIGGER_BEFORE_ANSWER, daemon);
     }
-    /* The trigger may have paused or killed the daemon before the answer leaves. */
+    /* The trigger may have paused or killed the daemon before the answer is sent. */
     sim_node_schedule(&daemon->node, daemon->node.world->now, on_answer_resumed, daemon, &message,
                       sizeof(message));
 }
 
 static void on_evidence_reply(void *object, const void *payload)
 {
-    struct evidence_question *question = object;
+    struct evidence_request *request = object;
     const struct sim_database_reply *reply = payload;
-    struct sim_flow *flow = question->flow;
+    struct sim_flow *flow = request->flow;
     struct write_event event = {
         .kind = WRITE_EVENT_EVIDENCE,
         .database = (int32_t)reply->database,
         .status = reply->status,
     };
 
-    if (question->step != flow->step) {
+    if (request->step != flow->step) {
         return;
     }
     sim_write_drive(flow, &event);
 }
 
-static void ask_evidence(struct sim_flow *flow, uint32_t database);
+static void send_evidence_request(struct sim_flow *flow, uint32_t database);
 
-/* No answer, or one that was not enough yet: asks again. */
+/* Repeats a request for evidence that had no reply, or not enough of it yet. */
 static void on_evidence_timeout(void *object, const void *payload)
 {
     struct sim_flow *flow = object;
     const struct evidence_message *message = payload;
 
     if (message->step == flow->step) {
-        ask_evidence(flow, message->database);
+        send_evidence_request(flow, message->database);
     }
 }
 
@@ -99,23 +100,23 @@
     }
 }
 
-static void ask_evidence(struct sim_flow *flow, uint32_t database)
+static void send_evidence_request(struct sim_flow *flow, uint32_t database)
 {
     struct sim_daemon *daemon = flow->daemon;
-    struct evidence_question *question = sim_world_allocate(daemon->node.world, sizeof(*question));
+    struct evidence_request *pending = sim_world_allocate(daemon->node.world, sizeof(*pending));
     struct evidence_message message = {.step = flow->step, .database = database};
     struct sim_database_request request = {
         .kind = SIM_REQUEST_WAIT_HELD,
         .from = &daemon->node,
         .from_incarnation = daemon->node.incarnation,
         .on_reply = on_evidence_reply,
-        .object = question,
+        .object = pending,
         .wanted = flow->write_step.position,
         .wait = EVIDENCE_TIMEOUT,
     };
 
-    question->flow = flow;
-    question->step = flow->step;
+    pending->flow = flow;
+    pending->step = flow->step;
     sim_database_send(&daemon->run->databases[database], &request);
     sim_node_schedule(&daemon->node, daemon->node.world->now + EVIDENCE_TIMEOUT * 2,
                       on_evidence_timeout, flow, &message, sizeof(message));
@@ -126,7 +127,7 @@
     time_ns end = flow->daemon->node.world->now + EVIDENCE_WAIT;
 
     for (uint32_t i = 0; i < flow->daemon->run->database_count; i++) {
-        ask_evidence(flow, i);
+        send_evidence_request(flow, i);
     }
     sim_flow_schedule(flow, MIN(end, flow->write_step.until), on_evidence_end);
 }
@@ -136,7 +137,7 @@
     return flow->write.options.keyed || flow->write.options.resend_unkeyed;
 }
 
-/* Sends the statement of the step; the slot is held, or none is needed. */
+/* Sends the step's statement; the slot is held, or none is needed. */
 void sim_write_send(struct sim_flow *flow)
 {
     struct sim_daemon *daemon = flow->daemon;
@@ -187,7 +188,7 @@
     sim_write_drive(flow, &event);
 }
 
-/* Takes a slot for the step, and sends its statement or waits in the queue. */
+/* Takes a slot for the step and sends its statement, or waits in the queue. */
 static void execute(struct sim_flow *flow)
 {
     bool closing = flow->write_step.kind == WRITE_STEP_CLOSE_KEY;
@@ -221,7 +222,7 @@
 
     event->now = daemon->node.world->now;
     step = write_flow_next(&flow->write, event, &daemon->view);
-    /* More evidence for the same question: what was asked stays asked. */
+    /* The flow needs more evidence for the same position: requests in progress stay valid. */
     if (step.kind == WRITE_STEP_EVIDENCE && previous == WRITE_STEP_EVIDENCE &&
         event->kind == WRITE_EVENT_EVIDENCE) {
         return;
@@ -262,8 +263,8 @@
     sim_write_drive(flow, &(struct write_event){.kind = WRITE_EVENT_START});
 }
 
-/* A commit whose transaction is not here: it was rolled back with its daemon, unless its commit was
- * under way then. Only the key can tell. */
+/* Starts the commit of a transaction that is not open here. It was rolled back with its daemon,
+ * unless its commit was in progress then; only the key can tell which. */
 void sim_write_start_commit(struct sim_flow *flow)
 {
     struct sim_client_reply refused = {
--- a/src/sim/swiftreplay.c
+++ b/src/sim/swiftreplay.c
@@ -1,12 +1,13 @@
-/* swiftreplay: replays recorded traces into the core and checks their stated outcomes; merges the
- * traces that several daemons recorded. */
+/* swiftreplay: replays recorded traces into the core and checks their expected outcomes; merges the
+ * traces of several daemons. */
 #include <glib.h>
 #include <stdio.h>
 
 #include "sim/replay.h"
 #include "sim/trace_merge.h"
 
-/* Replays one trace; its outcomes stand beside it in a file with the ending .outcome. */
+/* Replays one trace. Its expected outcomes are in the file of the same name with the ending
+ * .outcome. */
 static bool replay_one(const char *path, const struct replay_options *options)
 {
     g_autoptr(GString) outcomes = g_string_new(path);
--- a/src/sim/trace_merge.c
+++ b/src/sim/trace_merge.c
@@ -7,13 +7,13 @@
 #include "core/types.h"
 #include "trace/trace_file.h"
 
-/* The records of one daemon's control, or of its writes, which stand behind them; and how far they
- * are written. */
+/* The records of one daemon's control, or of its writes, which follow them in the trace; and how
+ * many are written. */
 struct source {
     uint32_t daemon;
     GPtrArray *records; /* of struct trace_record */
     guint next;
-    time_ns to_wall; /* added to the daemon's own clock, it tells the wall clock */
+    time_ns wall_offset; /* offset from the daemon's clock to the wall clock */
 };
 
 static void clear_source(gpointer data)
@@ -46,8 +46,8 @@
     return writes;
 }
 
-/* What is to be added to a daemon's own clock, so that it tells the wall clock. */
-static time_ns to_wall_of(const GPtrArray *records)
+/* The offset from a daemon's clock to the wall clock. */
+static time_ns wall_offset_of(const GPtrArray *records)
 {
     const struct trace_record *first = records->len > 0 ? g_ptr_array_index(records, 0) : NULL;
 
@@ -57,14 +57,14 @@
     return first->wall_us * NANOSECONDS_PER_MICROSECOND - first->at;
 }
 
-static void add_source(GArray *sources, uint32_t daemon, GPtrArray *records, time_ns to_wall)
+static void add_source(GArray *sources, uint32_t daemon, GPtrArray *records, time_ns wall_offset)
 {
-    const struct source source = {.daemon = daemon, .records = records, .to_wall = to_wall};
+    const struct source source = {.daemon = daemon, .records = records, .wall_offset = wall_offset};
 
     g_array_append_val(sources, source);
 }
 
-/* Adds what one daemon recorded. */
+/* Reads the records of one daemon's trace. */
 static bool read_trace(GArray *sources, uint32_t daemon, const char *path, GError **error)
 {
     GPtrArray *records = trace_read(path, error);
@@ -72,9 +72,9 @@
     if (records == NULL) {
         return false;
     }
-    time_ns to_wall = to_wall_of(records);
-    add_source(sources, daemon, take_writes(records), to_wall);
-    add_source(sources, daemon, records, to_wall);
+    time_ns wall_offset = wall_offset_of(records);
+    add_source(sources, daemon, take_writes(records), wall_offset);
+    add_source(sources, daemon, records, wall_offset);
     return true;
 }
 
@@ -89,9 +89,9 @@
         const struct source *source = &g_array_index(sources, struct source, i);
         const struct trace_record *record = next_record(source);
 
-        if (record != NULL && record->at + source->to_wall < earliest_at) {
+        if (record != NULL && record->at + source->wall_offset < earliest_at) {
             earliest = i;
-            earliest_at = record->at + source->to_wall;
+            earliest_at = record->at + source->wall_offset;
         }
     }
     return earliest;
