--- a/src/sim/checker.c
+++ b/src/sim/checker.c
@@ -1,5 +1,6 @@
-/* The history checker. The final log, of the primary that leads once all is healed, is the truth:
- * what it has was done once, what it lacks was not done. */
+/* The history checker. Its reference is the final log: that of the primary that leads once all
+ * faults have ended. A write in it was done, once per entry; a write missing from it was not done.
+ */
 #include "sim/checker.h"
 
 #include <stdarg.h>
@@ -24,13 +25,13 @@
     [CHECKER_RULE_RECOVERY] = "recovery",
 };
 
-/* What the clients were told about one write, over all its attempts. */
+/* The outcomes reported to clients for one write, over all its attempts. */
 struct write_summary {
     struct sim_operation *operation;
     uint32_t told_done;
-    uint32_t told_not_run; /* by an attempt that answers for itself only */
-    uint32_t told_closed;  /* not run, and never will be */
-    uint32_t told_reused;  /* the key belongs to another request */
+    uint32_t reported_not_run; /* by an attempt whose outcome holds for that attempt only */
+    uint32_t reported_closed;  /* the key is closed: the write has not run and never will */
+    uint32_t reported_reused;  /* the key belongs to another request */
     uint32_t unknown;
 };
 
@@ -101,7 +102,7 @@
 static void add_attempt(struct write_summary *summary, const struct sim_attempt *attempt)
 {
     if (attempt->state == SIM_ATTEMPT_NOT_SENT) {
-        summary->told_not_run += 1;
+        summary->reported_not_run += 1;
         return;
     }
     if (attempt->state != SIM_ATTEMPT_ANSWERED || attempt->outcome == OUTCOME_UNKNOWN) {
@@ -111,11 +112,11 @@
     if (attempt->outcome == OUTCOME_DONE) {
         summary->told_done += 1;
     } else if (attempt->error == ERROR_KIND_KEY_CLOSED) {
-        summary->told_closed += 1;
+        summary->reported_closed += 1;
     } else if (attempt->error == ERROR_KIND_KEY_REUSED) {
-        summary->told_reused += 1;
+        summary->reported_reused += 1;
     } else {
-        summary->told_not_run += 1;
+        summary->reported_not_run += 1;
     }
 }
 
@@ -123,8 +124,8 @@
 {
     uint32_t run_count = 0;
     uint64_t id = summary->operation->id;
-    bool told_not_run = summary->told_closed > 0 || summary->told_reused > 0 ||
-                        (summary->unknown == 0 && summary->told_done == 0);
+    bool reported_not_run = summary->reported_closed > 0 || summary->reported_reused > 0 ||
+                            (summary->unknown == 0 && summary->told_done == 0);
 
     for (const struct sim_entry *entry = summary->operation->entries; entry != NULL;
          entry = entry->next_of_operation) {
@@ -134,23 +135,24 @@
         violate(result, CHECKER_RULE_ACKNOWLEDGED_LOST, "write %" G_GUINT64_FORMAT, id);
     }
     if (run_count > 1) {
-        violate(result, CHECKER_RULE_AT_MOST_ONCE, "write %" G_GUINT64_FORMAT " stands %u times",
-                id, run_count);
+        violate(result, CHECKER_RULE_AT_MOST_ONCE,
+                "write %" G_GUINT64_FORMAT " is in the final log %u times", id, run_count);
     }
-    if (told_not_run && run_count > 0) {
-        violate(result, summary->told_reused > 0 ? CHECKER_RULE_KEY_REUSED : CHECKER_RULE_NOT_RUN,
-                "write %" G_GUINT64_FORMAT " was told not run", id);
+    if (reported_not_run && run_count > 0) {
+        violate(result,
+                summary->reported_reused > 0 ? CHECKER_RULE_KEY_REUSED : CHECKER_RULE_NOT_RUN,
+                "write %" G_GUINT64_FORMAT " was reported as not run", id);
     }
     if (summary->told_done > 0) {
         result->writes_done += 1;
-    } else if (told_not_run) {
+    } else if (reported_not_run) {
         result->writes_not_run += 1;
     } else {
         result->writes_unknown += 1;
     }
 }
 
-/* Two requests may not both have run under one key. */
+/* Checks that no two requests have run under one key. */
 static void check_keys(const GPtrArray *summaries, struct checker_result *result)
 {
     g_autoptr(GHashTable) owners = g_hash_table_new(g_int64_hash, g_int64_equal);
@@ -197,14 +199,15 @@
     check_keys(ordered, result);
 }
 
-/* What a session must see from some time on. */
+/* What the session's later reads must see. */
 struct session_state {
     const struct sim_entry *written; /* last acknowledged write */
-    const struct sim_entry *durable; /* of what was read, what a majority held then */
-    const struct sim_entry *seen;    /* log as of the last read */
+    const struct sim_entry
+        *durable; /* last entry of `seen`'s log that a majority held at the time of the read */
+    const struct sim_entry *seen; /* log that the last read saw */
 };
 
-/* An answer, in the order in which clients got them. */
+/* Orders attempts by the time at which their answers arrived. */
 static gint compare_ends(gconstpointer first, gconstpointer second)
 {
     const struct sim_attempt *a = *(struct sim_attempt *const *)first;
@@ -247,7 +250,7 @@
                 attempt->request_id);
     }
     if (session->seen != NULL && !sim_entry_contains(attempt->seen, session->seen)) {
-        result->reads_taken_back += 1;
+        result->reads_reverted += 1;
     }
     if (session->durable == NULL ||
         (attempt->durable != NULL &&
@@ -257,7 +260,7 @@
     session->seen = attempt->seen;
 }
 
-/* A client has one request at a time, so the order of answers is its session's order. */
+/* A client has one request at a time, so the order of its answers is the order of its session. */
 static void check_sessions(struct sim_run *run, struct checker_result *result)
 {
     struct session_state *sessions = g_new0(struct session_state, run->client_count);
@@ -290,7 +293,7 @@
     for (uint32_t i = 0; i < run->database_count; i++) {
         if (run->databases[i].late_work > 0) {
             violate(result, CHECKER_RULE_LEAVING,
-                    "database %u got %" G_GUINT64_FORMAT " statements while leaving", i,
+                    "database %u got %" G_GUINT64_FORMAT " statements after its drain", i,
                     run->databases[i].late_work);
         }
     }
@@ -334,8 +337,8 @@
     time_ns gap = bound == 0 ? 0 : measure_longest_gap(run);
 
     if (gap > bound) {
-        violate(result, CHECKER_RULE_WRITE_GAP, "no write landed for %" G_GUINT64_FORMAT " ms",
-                gap / SIM_MILLISECOND);
+        violate(result, CHECKER_RULE_WRITE_GAP,
+                "no write was acknowledged for %" G_GUINT64_FORMAT " ms", gap / SIM_MILLISECOND);
     }
 }
 
@@ -356,7 +359,7 @@
     }
 }
 
-void checker_judge(struct sim_run *run, struct checker_result *result)
+void checker_evaluate(struct sim_run *run, struct checker_result *result)
 {
     struct sim_database *primary;
 
--- a/src/sim/explore.c
+++ b/src/sim/explore.c
@@ -31,7 +31,7 @@
         {"trace", 0, 0, G_OPTION_ARG_FILENAME, &options->trace_path,
          "Record the core's events for swiftreplay", "FILE"},
         {"trace-ms", 0, 0, G_OPTION_ARG_INT64, &options->trace_ms,
-         "Record only so long, in milliseconds", "N"},
+         "End of the recording, in milliseconds", "N"},
         {"journal", 0, 0, G_OPTION_ARG_FILENAME, &options->journal_path,
          "Write the readable record of the run", "FILE"},
         G_OPTION_ENTRY_NULL,
@@ -79,9 +79,9 @@
     printf("seed %" G_GUINT64_FORMAT ": writes %" G_GUINT64_FORMAT " done, %" G_GUINT64_FORMAT
            " not run, %" G_GUINT64_FORMAT " unknown; reads %" G_GUINT64_FORMAT
            " (%" G_GUINT64_FORMAT " by replicas, %" G_GUINT64_FORMAT
-           " took unconfirmed data back)\n",
+           " missed unconfirmed data read before)\n",
            seed, result->writes_done, result->writes_not_run, result->writes_unknown,
-           result->reads_done, result->reads_by_replica, result->reads_taken_back);
+           result->reads_done, result->reads_by_replica, result->reads_reverted);
     for (int rule = 0; rule < CHECKER_RULE_COUNT; rule++) {
         if (result->violations[rule] > 0) {
             printf("  broken: %s, %" G_GUINT64_FORMAT " times\n",
@@ -135,7 +135,7 @@
 
     if (open_trace(run, options->trace_path, options->trace_ms)) {
         sim_run_execute(run);
-        checker_judge(run, &result);
+        checker_evaluate(run, &result);
         print_result(&result, run->seed);
         gap = measure_first_gap(run);
         if (gap.found) {
@@ -166,7 +166,7 @@
     return code;
 }
 
-/* Runs one seed quietly; prints only what is broken. */
+/* Runs one seed without output, except for violations. */
 static bool seed_passes(const struct options *options, uint64_t seed, GArray *gaps,
                         uint64_t *lost_reads)
 {
@@ -176,12 +176,12 @@
     bool passes;
 
     sim_run_execute(run);
-    checker_judge(run, &result);
+    checker_evaluate(run, &result);
     gap = measure_first_gap(run);
     if (gap.found) {
         g_array_append_val(gaps, gap);
     }
-    *lost_reads += result.reads_taken_back;
+    *lost_reads += result.reads_reverted;
     passes = result.total == 0;
     if (!passes) {
         print_result(&result, seed);
@@ -211,7 +211,7 @@
         }
     }
     printf("%s: seeds %" G_GUINT64_FORMAT " to %" G_GUINT64_FORMAT " pass; %" G_GUINT64_FORMAT
-           " reads missed an unconfirmed write that an earlier one saw\n",
+           " reads missed an unconfirmed write that an earlier read saw\n",
            options->scenario->name, first, last, lost_reads);
     if (gaps->len > 0) {
         measure_print(gaps, options->scenario->name);
--- a/src/sim/explore.h
+++ b/src/sim/explore.h
@@ -1,5 +1,5 @@
-/* The subcommands run, explore and prove. Each takes its own command line, without the subcommand's
- * name in front of it, and returns an exit code. */
+/* The subcommands run, explore and prove. Each takes its own command line, without the name of the
+ * subcommand, and returns an exit code. */
 #ifndef SW_SIM_EXPLORE_H
 #define SW_SIM_EXPLORE_H
 
--- a/src/sim/main.c
+++ b/src/sim/main.c
@@ -15,7 +15,7 @@
     {"run", "run a scenario once", run_main},
     {"explore", "run a scenario over seeds until one fails", explore_main},
     {"prove", "run every guarantee with its mechanism on and off", prove_main},
-    {"overload", "offer a group more than it can serve", overload_main},
+    {"overload", "load a group beyond its capacity", overload_main},
 };
 
 static int print_usage(void)
--- a/src/sim/measure.c
+++ b/src/sim/measure.c
@@ -1,4 +1,4 @@
-/* Gap of a failover from the history: its clients write without pause. */
+/* Computes the gap of a failover from a history whose clients write without pause. */
 #include "sim/measure.h"
 
 #include <stdio.h>
@@ -27,7 +27,7 @@
     return *a < *b ? -1 : *a > *b;
 }
 
-/* Times at which writes were acknowledged, in order. */
+/* The times at which writes were acknowledged, in ascending order. */
 static GArray *acknowledged_times(const struct sim_run *run)
 {
     GArray *times = g_array_new(FALSE, FALSE, sizeof(time_ns));
@@ -140,7 +140,7 @@
 void measure_print(GArray *gaps, const char *title)
 {
     if (gaps->len == 0) {
-        printf("%s: no replacement was measured\n", title);
+        printf("%s: no replacement of the primary was measured\n", title);
         return;
     }
     g_array_sort(gaps, compare_gaps);
--- a/src/sim/measure.h
+++ b/src/sim/measure.h
@@ -1,15 +1,16 @@
-/* Figures of failovers and planned changes in a run: how long no write landed, and which part took
- * how long. */
+/* Figures of failovers and planned changes in a run: how long no write was acknowledged, and how
+ * that time divides into phases. */
 #ifndef SW_SIM_MEASURE_H
 #define SW_SIM_MEASURE_H
 
 #include "sim/sim_run.h"
 
-/* The gap around one replacement of the primary. All times in nanoseconds. */
+/* The gap around one replacement of the primary. All times are in nanoseconds. */
 struct measure_gap {
     bool found;
-    time_ns detect;  /* from the fault to the first fence; planned: from the wish to the pause */
-    time_ns promote; /* from there to the new primary's promotion */
+    time_ns detect;  /* from the fault to the first fence; of a planned change: from the drain
+                        request to the pause */
+    time_ns promote; /* from there to the promotion of the new primary */
     time_ns learn;   /* from there to the next acknowledged write */
     time_ns gap;     /* longest time without an acknowledged write, around the replacement */
 };
--- a/src/sim/overload.c
+++ b/src/sim/overload.c
@@ -1,14 +1,14 @@
-/* One overload run; see the header. */
+/* One overload run; see overload.h. */
 #include "sim/overload.h"
 
 #include <string.h>
 
 #include "sim/overload_load.h"
 
-/* Until the last operation has ended. */
+/* Time for the last operation to end. */
 #define SETTLE_TIME (5 * SIM_SECOND)
 
-/* Over the whole time of load. */
+/* Averaged over the time of the load. */
 static double messages_per_s(const struct sim_run *run)
 {
     double seconds = (double)(OVERLOAD_TIME + OVERLOAD_REST_TIME) / (double)SIM_SECOND;
@@ -30,7 +30,7 @@
     load = overload_load_new(run, options);
     sim_run_execute(run);
     memset(result, 0, sizeof(*result));
-    overload_load_judge(load, result);
+    overload_load_evaluate(load, result);
     result->slots = scenario.database.slots;
     for (uint32_t i = 0; i < run->database_count; i++) {
         result->slots_peak = MAX(result->slots_peak, run->slots_peak[i]);
--- a/src/sim/overload_load.c
+++ b/src/sim/overload_load.c
@@ -1,27 +1,26 @@
-/* Clients that come at a rate and retry; see the header. */
+/* Clients that arrive at a fixed rate and retry; see overload_load.h. */
 #include "sim/overload_load.h"
 
 #include <math.h>
 
 #include "sim/sim_daemon.h"
 
-/* An attempt's deadline, and how much longer its client waits for the answer. */
+/* An attempt's deadline, and how long after it the client still waits for the answer. */
 #define ATTEMPT_DEADLINE      (1 * SIM_SECOND)
 #define ANSWER_TIMEOUT_MARGIN (500 * SIM_MILLISECOND)
-/* An operation that is not done after this time is given up. */
+/* Time limit of an operation. */
 #define OPERATION_TIME (3 * SIM_SECOND)
-/* A client that ignores Retry-After comes back after this time; so does one whose attempt was lost.
- */
-#define IMPATIENT_RETRY (50 * SIM_MILLISECOND)
-/* Goodput is counted from so long after the load's start. */
+/* A client that ignores Retry-After, or whose attempt was lost, retries after this time. */
+#define DEFAULT_RETRY_DELAY (50 * SIM_MILLISECOND)
+/* Time after the start of the load from which goodput is counted. */
 #define WARM_TIME (1 * SIM_SECOND)
 /* Load after the overload, as a part of the capacity. */
-#define REST_FACTOR 0.5
+#define HALF_LOAD_FACTOR 0.5
 
 /* One operation of one client. */
 struct overload_operation {
     time_ns arrived_at;
-    time_ns sent_at; /* of the present attempt */
+    time_ns sent_at; /* of the current attempt */
     uint64_t attempt;
     uint32_t attempts;
     bool patient;
@@ -31,9 +30,9 @@
 
 /* All clients of one zone. */
 struct overload_source {
-    struct sim_node node; /* first: daemons answer to it */
+    struct sim_node node; /* first member, because daemons reply to the node */
     struct overload_load *load;
-    GHashTable *pending; /* attempt's number -> struct overload_operation */
+    GHashTable *pending; /* number of the attempt -> struct overload_operation */
 };
 
 struct overload_load {
@@ -43,14 +42,14 @@
     double capacity_per_s;
     time_ns starts_at;
     time_ns ends_at;
-    time_ns judged_from;    /* recovery counts from here */
-    time_ns failed_arrival; /* last arrival of an operation that its first attempt did not do */
+    time_ns recovery_from; /* operations that arrive from here on count for the recovery time */
+    time_ns last_failed_arrival; /* last arrival of an operation that failed at its first attempt */
     uint64_t arrivals;
     uint64_t done_in_time;
     uint64_t attempts;
     uint64_t lost;
     uint64_t given_up;
-    GArray *done_times;    /* of time_ns, of attempts sent in the load's time */
+    GArray *done_times;    /* of time_ns, of attempts sent during the load */
     GArray *refused_times; /* likewise */
 };
 
@@ -66,15 +65,15 @@
     send_attempt(object, *(struct overload_operation *const *)payload);
 }
 
-/* The attempt did not do it: another follows, while there is time. */
+/* The attempt failed: schedules another one if time is left. */
 static void retry_after(struct overload_source *source, struct overload_operation *operation,
                         time_ns wait)
 {
     struct overload_load *load = source->load;
     time_ns now = source->node.world->now;
 
-    if (operation->attempts == 1 && operation->arrived_at >= load->judged_from) {
-        load->failed_arrival = MAX(load->failed_arrival, operation->arrived_at);
+    if (operation->attempts == 1 && operation->arrived_at >= load->recovery_from) {
+        load->last_failed_arrival = MAX(load->last_failed_arrival, operation->arrived_at);
     }
     if (now + wait >= operation->arrived_at + OPERATION_TIME) {
         load->given_up += 1;
@@ -100,7 +99,7 @@
 
     if (operation != NULL) {
         source->load->lost += 1;
-        retry_after(source, operation, IMPATIENT_RETRY);
+        retry_after(source, operation, DEFAULT_RETRY_DELAY);
     }
 }
 
@@ -147,7 +146,7 @@
         source->load->lost += 1;
     }
     retry_after(source, operation,
-                operation->patient ? reply->retry_after_ms * SIM_MILLISECOND : IMPATIENT_RETRY);
+                operation->patient ? reply->retry_after_ms * SIM_MILLISECOND : DEFAULT_RETRY_DELAY);
 }
 
 static uint32_t choose_owner(const struct overload_load *load)
@@ -177,7 +176,7 @@
 {
     struct overload_load *load = source->load;
     struct sim_world *world = source->node.world;
-    /* The clients of one owner are one tenant. */
+    /* the clients of each owner form one tenant */
     struct sim_client_request request = {
         .from = &source->node,
         .on_reply = on_reply,
@@ -205,7 +204,7 @@
     struct overload_operation *operation = sim_world_allocate(world, sizeof(*operation));
 
     operation->arrived_at = world->now;
-    operation->patient = sim_random_chance(world, source->load->options->patient_share);
+    operation->patient = sim_random_chance(world, source->load->options->retry_after_share);
     operation->write.id = sim_world_next_id(world);
     operation->write.key = operation->write.id;
     operation->write.fingerprint = operation->write.id;
@@ -217,7 +216,7 @@
 static time_ns next_gap(const struct overload_load *load)
 {
     time_ns now = load->run->world->now;
-    double factor = now < load->ends_at ? load->options->factor : REST_FACTOR;
+    double factor = now < load->ends_at ? load->options->factor : HALF_LOAD_FACTOR;
     double seconds =
         -log(1 - g_rand_double(load->run->world->random)) / (factor * load->capacity_per_s);
 
@@ -242,7 +241,7 @@
 static double capacity_of(const struct overload_options *options)
 {
     const struct sim_scenario *scenario = options->scenario;
-    /* Replicas serve reads, the primary only where no replica may. */
+    /* Replicas serve reads; the primary serves them only if no replica can. */
     double databases = options->writes ? 1 : scenario->databases - 1;
 
     return databases * scenario->database.slots * (double)SIM_SECOND /
@@ -258,9 +257,9 @@
     load->capacity_per_s = capacity_of(options);
     load->starts_at = run->world->now + SIM_BOOTSTRAP_TIME;
     load->ends_at = load->starts_at + OVERLOAD_TIME;
-    load->judged_from = load->ends_at;
+    load->recovery_from = load->ends_at;
     if (run->scenario->fault_count > 0) {
-        load->judged_from = load->starts_at + run->scenario->faults[0].at;
+        load->recovery_from = load->starts_at + run->scenario->faults[0].at;
     }
     load->done_times = g_array_new(FALSE, FALSE, sizeof(time_ns));
     load->refused_times = g_array_new(FALSE, FALSE, sizeof(time_ns));
@@ -291,7 +290,7 @@
     return *a < *b ? -1 : *a > *b;
 }
 
-/* Of sorted times. */
+/* A percentile of sorted times. */
 static time_ns at_percentile(const GArray *times, double percentile)
 {
     if (times->len == 0) {
@@ -300,7 +299,7 @@
     return g_array_index(times, time_ns, (guint)(percentile / 100 * (times->len - 1) + 0.5));
 }
 
-void overload_load_judge(struct overload_load *load, struct overload_result *result)
+void overload_load_evaluate(struct overload_load *load, struct overload_result *result)
 {
     double seconds = (double)(OVERLOAD_TIME - WARM_TIME) / (double)SIM_SECOND;
 
@@ -317,7 +316,7 @@
     result->refused_p99 = at_percentile(load->refused_times, 99);
     result->lost = load->lost;
     result->given_up = load->given_up;
-    if (load->failed_arrival > 0) {
-        result->recovery = load->failed_arrival - load->judged_from;
+    if (load->last_failed_arrival > 0) {
+        result->recovery = load->last_failed_arrival - load->recovery_from;
     }
 }
--- a/src/sim/overload_main.c
+++ b/src/sim/overload_main.c
@@ -1,4 +1,4 @@
-/* swiftsim overload: the curve of goodput over load, as a table and as JSON lines. */
+/* swiftsim overload: goodput as a function of the load, as a table or as JSON lines. */
 #include "sim/overload.h"
 
 #include <stdio.h>
@@ -8,8 +8,8 @@
 struct options {
     char *scenario_path;
     double first_share;
-    double patient_share;
-    double factor; /* the only one; 0: the whole curve */
+    double retry_after_share;
+    double factor; /* the only load to run; 0: all loads of the curve */
     gint64 seed;
     gboolean json;
     struct sim_scenario *scenario;
@@ -20,11 +20,11 @@
     const GOptionEntry entries[] = {
         {"scenario", 0, 0, G_OPTION_ARG_FILENAME, &options->scenario_path, "Scenario file", "F"},
         {"seed", 0, 0, G_OPTION_ARG_INT64, &options->seed, "Seed of the runs", "N"},
-        {"factor", 0, 0, G_OPTION_ARG_DOUBLE, &options->factor, "Only this load, of the capacity",
-         "X"},
+        {"factor", 0, 0, G_OPTION_ARG_DOUBLE, &options->factor,
+         "Only this load, as a multiple of the capacity", "X"},
         {"first-share", 0, 0, G_OPTION_ARG_DOUBLE, &options->first_share,
-         "Share of the clients that come to the first owner", "X"},
-        {"patient-share", 0, 0, G_OPTION_ARG_DOUBLE, &options->patient_share,
+         "Share of the clients that send to the first owner", "X"},
+        {"patient-share", 0, 0, G_OPTION_ARG_DOUBLE, &options->retry_after_share,
          "Share of the clients that honour Retry-After", "X"},
         {"json", 0, 0, G_OPTION_ARG_NONE, &options->json, "Print JSON lines instead of a table",
          NULL},
@@ -33,7 +33,7 @@
     g_autoptr(GOptionContext) context = g_option_context_new(NULL);
     g_autoptr(GError) error = NULL;
 
-    g_option_context_set_summary(context, "Offers a group more than it can serve.");
+    g_option_context_set_summary(context, "Loads a group beyond its capacity.");
     g_option_context_add_main_entries(context, entries, NULL);
     if (!g_option_context_parse(context, &argc, &argv, &error)) {
         fprintf(stderr, "swiftsim: %s\n", error->message);
@@ -95,7 +95,7 @@
            result->running_peak, result->messages_per_s);
 }
 
-/* Prints a curve; returns goodput at the last load as a part of the highest. */
+/* Prints a curve; returns the goodput at the highest load as a part of the highest goodput. */
 static double print_curve(const struct options *options, bool writes)
 {
     double highest = 0;
@@ -108,7 +108,7 @@
             .writes = writes,
             .factor = options->factor > 0 ? options->factor : FACTORS[i],
             .first_share = options->first_share,
-            .patient_share = options->patient_share,
+            .retry_after_share = options->retry_after_share,
         };
         struct overload_result result;
 
@@ -125,7 +125,7 @@
 
 int overload_main(int argc, char **argv)
 {
-    struct options options = {.seed = 1, .patient_share = 0.7};
+    struct options options = {.seed = 1, .retry_after_share = 0.7};
     bool parsed = parse(&options, argc, argv);
 
     if (parsed) {
--- a/src/sim/prove.c
+++ b/src/sim/prove.c
@@ -1,4 +1,4 @@
-/* swiftsim prove: every guarantee with its mechanism on, which must pass, and off, which must
+/* swiftsim prove: runs every guarantee with its mechanism on, which must pass, and off, which must
  * fail. */
 #include <stdio.h>
 
@@ -6,15 +6,15 @@
 #include "sim/explore.h"
 #include "sim/measure.h"
 
-/* A guarantee under a scenario. With the mutation some seed must break one of the rules. */
+/* A guarantee and its scenario. With the mutation, some seed must violate one of the rules. */
 struct row {
     const char *guarantee;
     const char *scenario;
-    enum sim_mutation mutation; /* NONE: only proved with the mechanism on */
+    enum sim_mutation mutation; /* NONE: run only with the mechanism on */
     enum checker_rule expected;
 };
 
-/* Where scenarios are unless an option says so, from the root of the repository. */
+/* Default directory of scenarios, relative to the root of the repository. */
 #define SCENARIO_DIRECTORY "tests/sim/scenarios"
 
 struct options {
@@ -84,26 +84,26 @@
 /* Outcome of one seed. */
 struct seed_outcome {
     bool failed;
-    char *first; /* violation */
+    char *first; /* description of the first violation */
     struct measure_gap gap;
 };
 
-/* One scenario over all seeds; the seeds run side by side. */
+/* The runs of one scenario over all seeds, in parallel. */
 struct batch {
     const struct sim_scenario *scenario;
     const struct row *row;
     enum sim_mutation mutation;
-    struct seed_outcome *outcomes; /* by seed, from 1 */
+    struct seed_outcome *outcomes; /* indexed by seed, from 1 */
 };
 
-/* Outcome of one scenario over all seeds. */
+/* The sum of the outcomes over all seeds. */
 struct tally {
     uint64_t failing_seeds;
     uint64_t first_failing;
     char *first_text;
 };
 
-/* On a thread of the pool: runs share nothing but the scenario, which is not changed. */
+/* Runs in a thread of the pool. Runs share only the scenario, which is constant. */
 static void run_seed(gpointer data, gpointer user_data)
 {
     const struct batch *batch = user_data;
@@ -113,7 +113,7 @@
     struct checker_result result;
 
     sim_run_execute(run);
-    checker_judge(run, &result);
+    checker_evaluate(run, &result);
     outcome->failed = batch->mutation == SIM_MUTATION_NONE
                           ? result.total > 0
                           : result.violations[batch->row->expected] > 0;
@@ -174,7 +174,7 @@
     return false;
 }
 
-/* Proves one row; false if it is wrong. */
+/* Runs one row; false if the result is not as expected. */
 static bool prove_row(size_t index, const struct options *options)
 {
     const struct row *row = &ROWS[index];
@@ -224,7 +224,7 @@
     struct options options = {.seeds = 200, .jobs = 3};
     const GOptionEntry entries[] = {
         {"seeds", 0, 0, G_OPTION_ARG_INT64, &options.seeds, "Seeds per row", "N"},
-        {"jobs", 0, 0, G_OPTION_ARG_INT, &options.jobs, "Runs side by side", "N"},
+        {"jobs", 0, 0, G_OPTION_ARG_INT, &options.jobs, "Parallel runs", "N"},
         {"scenarios", 0, 0, G_OPTION_ARG_FILENAME, &options.directory, "Directory of scenarios",
          "DIR"},
         G_OPTION_ENTRY_NULL,
@@ -250,7 +250,7 @@
     for (size_t i = 0; i < G_N_ELEMENTS(ROWS); i++) {
         wrong += prove_row(i, &options) ? 0 : 1;
     }
-    printf("%zu of %zu rows are right\n", G_N_ELEMENTS(ROWS) - wrong, G_N_ELEMENTS(ROWS));
+    printf("%zu of %zu rows are as expected\n", G_N_ELEMENTS(ROWS) - wrong, G_N_ELEMENTS(ROWS));
     g_free(options.directory);
     return wrong == 0 ? 0 : 1;
 }
--- a/src/sim/replay.c
+++ b/src/sim/replay.c
@@ -20,19 +20,19 @@
     uint64_t term;
 };
 
-/* One daemon's control. */
+/* The group control of one daemon. */
 struct replay_daemon {
     uint32_t index;
     struct group_control *control;
     uint32_t database_count;
     GArray *commands;     /* of struct issued_command, outstanding */
-    uint32_t differences; /* decisions otherwise than recorded */
-    bool restored;        /* from a snapshot: commands issued before it are not in `commands` */
-    time_ns
-        to_wall;   /* added to the daemon's own clock, it tells the wall clock; 0 if not recorded */
-    uint64_t term; /* of its last view */
+    uint32_t differences; /* decisions that differ from the recorded ones */
+    bool restored;        /* restored from a snapshot: commands issued before it are missing from
+                             `commands` */
+    time_ns to_wall;      /* offset from the daemon's clock to the wall clock; 0 if not recorded */
+    uint64_t term;        /* of its last view */
     uint64_t granted_term;
-    uint32_t granted; /* bit per database that granted granted_term */
+    uint32_t granted; /* bit per database that granted `granted_term` */
 };
 
 struct replay {
@@ -41,12 +41,12 @@
     time_ns started_at;
     time_ns now;
     bool dump;
-    bool
-        decisions_changed; /* the core decides otherwise on purpose: differences are only counted */
+    bool decisions_changed; /* the core was changed on purpose: differing decisions are only counted
+                             */
     uint32_t differences;
     FILE *output;
     const struct mutation_switch *mutation; /* or NULL */
-    const char *write_mutation;             /* likewise, of writes */
+    const char *write_mutation;             /* the same for writes */
     int failures;
 };
 
@@ -99,7 +99,7 @@
     fputc('\n', replay->output);
 }
 
-/* Takes over the control. */
+/* Takes ownership of the control. */
 static void add_daemon(struct replay *replay, const struct trace_record *record,
                        struct group_control *control, bool restored)
 {
@@ -114,7 +114,7 @@
     g_hash_table_insert(replay->daemons, GUINT_TO_POINTER(record->daemon), daemon);
     if (replay->dump) {
         fprintf(replay->output, "%.3f ms: daemon %u %s\n", elapsed_ms(replay), record->daemon,
-                restored ? "goes on" : "starts");
+                restored ? "resumes" : "starts");
     }
 }
 
@@ -129,7 +129,7 @@
     add_daemon(replay, record, group_control_new(&options, record->at), false);
 }
 
-/* Goes on from a snapshot, unless the replay has come this far from an earlier record. */
+/* Continues from a snapshot, unless the replay has reached this point from an earlier record. */
 static bool restore_control(struct replay *replay, const struct trace_record *record,
                             GError **error)
 {
@@ -141,7 +141,7 @@
     }
     if (replay->mutation != NULL) {
         g_set_error(error, SW_ERROR, ERROR_KIND_BAD_REQUEST,
-                    "daemon %u begins with a snapshot, whose core can't be mutated",
+                    "daemon %u begins with a snapshot, which can't be replayed with a mutation",
                     record->daemon);
         return false;
     }
@@ -178,8 +178,8 @@
            command->database == recorded->database && command->term == recorded->term;
 }
 
-/* Index of the outstanding command that the recorded answer belongs to: the one of the same id if
- * it is the same command, else the first that is; the number of commands if there is none. */
+/* Index of the outstanding command that the recorded reply belongs to: the one of the same id if it
+ * is the same command, else the first equal one; the number of commands if there is none. */
 static guint find_command(const struct replay_daemon *daemon, const struct trace_command *recorded)
 {
     guint found = daemon->commands->len;
@@ -198,7 +198,7 @@
     return found;
 }
 
-/* Id of the outstanding command that the recorded answer belongs to; 0 if there is none. */
+/* Id of the outstanding command that the recorded reply belongs to; 0 if there is none. */
 static uint64_t take_command(struct replay_daemon *daemon, const struct trace_command *recorded)
 {
     guint index = find_command(daemon, recorded);
@@ -219,7 +219,7 @@
     if (daemon->granted_term == action->term) {
         granted = (uint32_t)__builtin_popcount(daemon->granted);
     }
-    /* Grants before a snapshot are not known here. */
+    /* Grants before a snapshot are not known. */
     if (granted < majority_of(daemon->database_count) && !daemon->restored) {
         fail(replay, "daemon %u promotes in term %" PRIu64 " with %u grants", daemon->index,
              action->term, granted);
@@ -270,7 +270,7 @@
     const struct group_view *view = group_control_view(daemon->control);
 
     if (actions->wake_at <= now) {
-        fail(replay, "daemon %u asks to be woken at once", daemon->index);
+        fail(replay, "daemon %u requests a wake-up at the current time", daemon->index);
     }
     if (view->term < daemon->term) {
         fail(replay, "the view of daemon %u goes back to term %" PRIu64, daemon->index, view->term);
@@ -278,8 +278,8 @@
     daemon->term = view->term;
 }
 
-/* The same input must lead to the same decision. Told once for each daemon: what follows from a
- * difference differs too. */
+/* Checks that the same input leads to the same decision. Reports only the first difference of each
+ * daemon, because later ones may follow from it. */
 static void check_decision(struct replay *replay, struct replay_daemon *daemon,
                            const struct trace_event *event, const struct group_actions *actions)
 {
@@ -291,7 +291,8 @@
     if (replay->decisions_changed || daemon->differences > 1) {
         return;
     }
-    fail(replay, "daemon %u decides otherwise than recorded on %s database %u; now:", daemon->index,
+    fail(replay,
+         "daemon %u decides differently from the recording on %s database %u; now:", daemon->index,
          group_event_kind_name((enum group_event_kind)event->kind), event->database);
     for (uint32_t i = 0; i < actions->count; i++) {
         dump_action(replay, daemon, &actions->items[i]);
@@ -338,7 +339,7 @@
     }
 }
 
-/* Checks the views that are stated for a time that is now over. */
+/* Checks the views that are expected for a time that has passed. */
 static void check_views(struct replay *replay, bool at_end)
 {
     for (guint i = 0; i < replay->outcomes->len; i++) {
@@ -372,7 +373,7 @@
     }
 }
 
-/* When a record was made; of daemons on several machines by the wall clock. */
+/* The time at which a record was made. With daemons on several machines, the wall clock. */
 static time_ns wall_time_of(const struct replay *replay, const struct trace_record *record)
 {
     const struct replay_daemon *daemon = find_daemon(replay, record->daemon);
@@ -421,7 +422,7 @@
     replay->now = MAX(replay->now, now);
 }
 
-/* False if a snapshot can't be taken. */
+/* False if a snapshot can't be restored. */
 static bool replay_record(struct replay *replay, const struct trace_record *record, GError **error)
 {
     struct replay_daemon *daemon;
@@ -510,7 +511,7 @@
     bool whole = replay_records(&replay, records, error);
     g_hash_table_unref(replay.daemons);
     if (replay.decisions_changed && replay.differences > 0) {
-        fprintf(options->output, "%u decisions otherwise than recorded\n", replay.differences);
+        fprintf(options->output, "%u decisions differ from the recording\n", replay.differences);
     }
     return whole ? replay.failures : -1;
 }
--- a/src/sim/replay.h
+++ b/src/sim/replay.h
@@ -1,18 +1,18 @@
-/* Replays a trace into the core and checks its stated outcomes.
+/* Replays a trace into the core and checks its expected outcomes.
  *
- * A trace of a daemon also has the digest of each decision: the core must decide the same again, or
- * the replay fails. Where the core was changed on purpose, the outcomes tell why
- * (`decisions_changed`, see replay_outcome.h); then differences are counted only, and the outcomes
+ * A daemon's trace also has the digest of each decision: the core must decide the same again, or
+ * the replay fails. Where the core was changed on purpose, the outcomes file gives the reason
+ * (`decisions_changed`, see replay_outcome.h). Differences are then only counted, and the outcomes
  * must hold.
  *
- * Events are fed as they were recorded, whatever the core now does: outcomes therefore state what
- * the recorded situation must lead to, not every step. Answers to commands are matched by what the
- * command was; an answer to a command that is not outstanding now is not fed.
+ * Events are fed as recorded, whatever the core now decides. Outcomes therefore state what the
+ * recorded situation must lead to, not every step. Replies are matched to commands by content; a
+ * reply to a command that is not outstanding is not fed.
  *
- * Writes are replayed each on its own, see replay_write.h.
+ * Writes are replayed separately, see replay_write.h.
  *
- * Checked in every trace: a step never asks to be woken at once; a view's term never goes back; a
- * promotion follows the grants of a majority in its term. */
+ * Checked in every trace: a step never requests a wake-up at the current time; a view's term never
+ * decreases; a promotion follows grants of a majority in its term. */
 #ifndef SW_SIM_REPLAY_H
 #define SW_SIM_REPLAY_H
 
@@ -20,17 +20,18 @@
 #include <stdbool.h>
 #include <stdio.h>
 
-/* How to replay. */
+/* The options of a replay. */
 struct replay_options {
-    bool dump;            /* print every event and action */
-    bool outcomes_only;   /* other decisions than recorded are no failure */
-    const char *mutation; /* TEST ONLY: switch of the core's options to turn on, by name; or NULL */
-    FILE *output;         /* failures are printed here, and the dump */
+    bool dump;          /* print every event and action */
+    bool outcomes_only; /* decisions that differ from the recorded ones are no failure */
+    const char
+        *mutation; /* TEST ONLY: name of a switch of the core's options to turn on; or NULL */
+    FILE *output;  /* receives failures and the dump */
 };
 
-/* Replays the trace at `path` against the outcomes at `outcomes_path`; NULL: only the decisions and
- * the rules of every trace are checked. Returns the number of
- * failures, or -1 with an error if a file, a snapshot or the mutation's name is not valid. */
+/* Replays the trace at `path` against the outcomes at `outcomes_path`. With NULL, only the
+ * decisions and the rules of every trace are checked. Returns the number of failures, or -1 with an
+ * error if a file, a snapshot or the mutation's name is not valid. */
 int replay_file(const char *path, const char *outcomes_path, const struct replay_options *options,
                 GError **error);
 
--- a/src/sim/replay_outcome.c
+++ b/src/sim/replay_outcome.c
@@ -1,4 +1,4 @@
-/* Reading and matching of stated outcomes. */
+/* Parsing and matching of expected outcomes. */
 #include "sim/replay_outcome.h"
 
 #include "core/error.h"
@@ -6,7 +6,7 @@
 
 static const char *const EXPECTATION_NAMES[] = {"some", "none", "view"};
 
-/* A key file being read; the first error stops the rest. */
+/* A key file being parsed; after the first error the rest is skipped. */
 struct reader {
     GKeyFile *file;
     const char *group;
@@ -166,7 +166,7 @@
     return wanted < 0 || wanted == value;
 }
 
-/* Database and term of an action, which a record keeps elsewhere than a command. */
+/* Matches database and term of an action. Records and commands keep them in different members. */
 static bool subject_matches(const struct replay_outcome *outcome, const struct group_action *action)
 {
     if (action->kind == GROUP_ACTION_RECORD_EVENT) {
--- a/src/sim/replay_outcome.h
+++ b/src/sim/replay_outcome.h
@@ -22,7 +22,7 @@
 enum outcome_expectation {
     OUTCOME_EXPECT_SOME, /* at least one matching action */
     OUTCOME_EXPECT_NONE, /* no matching action */
-    OUTCOME_EXPECT_VIEW, /* the view is as stated */
+    OUTCOME_EXPECT_VIEW, /* the daemon's view is as stated */
 };
 
 /* -1 in a field matches anything. */
@@ -35,32 +35,30 @@
     int32_t reason; /* enum group_reason */
     int32_t database;
     int64_t term;
-    int32_t write; /* enum outcome: the outcome is about writes */
-    int32_t error; /* enum error_kind, of a write, as the four below */
+    int32_t write; /* enum outcome; if set, the outcome is about a write */
+    int32_t error; /* enum error_kind of a write; the next four fields are of writes, too */
     int32_t keyed;
     int32_t resolves;
     int32_t replayed;
     int32_t executions;
-    int32_t primary; /* -1 here means no primary; see has_primary */
+    int32_t primary; /* -1 means no primary here; see has_primary */
     bool has_primary;
     int32_t paused;
     time_ns from; /* since the first record */
     time_ns until;
-    uint32_t matches; /* counted by the replay */
+    uint32_t matches; /* counted during the replay */
     bool view_checked;
 };
 
 /* Reads the outcomes: an array of struct replay_outcome that frees its items. Sets
- * `decisions_changed` if the file tells why they did. */
+ * `decisions_changed` if the file gives a reason for changed decisions. */
 GPtrArray *replay_outcomes_load(const char *path, bool *decisions_changed, GError **error);
 
-/* True if the action of a daemon, at a time since the first record, is one that the outcome means.
- */
+/* True if the outcome describes this action of a daemon, at a time since the first record. */
 bool replay_outcome_matches(const struct replay_outcome *outcome, uint32_t daemon, time_ns at,
                             const struct group_action *action);
 
-/* True if the write, which began at a time since the first record, is one that the outcome means.
- */
+/* True if the outcome describes this write, which began at a time since the first record. */
 bool replay_outcome_matches_write(const struct replay_outcome *outcome, uint32_t daemon, time_ns at,
                                   const struct replayed_write *write);
 
--- a/src/sim/replay_write.c
+++ b/src/sim/replay_write.c
@@ -26,14 +26,14 @@
     {"resend_unkeyed", offsetof(struct write_options, resend_unkeyed)},
 };
 
-/* One write on its way through the flow. */
+/* The state of one write's replay. */
 struct write_replay {
     const struct replay_write_options *options;
     struct replayed_write *result;
     struct write_flow flow;
     bool maybe_run; /* an answer was lost */
-    bool settled;   /* the ledger told that the key is closed, or another request's */
-    struct acknowledge_evidence evidence; /* as the databases gave it */
+    bool settled;   /* the ledger showed that the key is closed or belongs to another request */
+    struct acknowledge_evidence evidence; /* as the databases reported it */
 };
 
 static const struct mutation_switch *find_mutation(const char *name)
@@ -85,10 +85,10 @@
     bool not_run = step->outcome == OUTCOME_REFUSED || step->outcome == OUTCOME_FAILED;
 
     if (not_run && replay->maybe_run && !replay->settled) {
-        fail(replay, "told not run, though it may have run");
+        fail(replay, "reported as not run, though it may have run");
     }
     if (step->outcome == OUTCOME_DONE && acknowledge_judge(&replay->evidence) != ACKNOWLEDGE_HELD) {
-        fail(replay, "told done without the evidence of a majority");
+        fail(replay, "reported as done without evidence of a majority");
     }
 }
 
@@ -125,7 +125,8 @@
             step->kind == WRITE_STEP_ANSWER ? outcome_name(step->outcome) : "");
 }
 
-/* The same input must lead to the same step. Told once for each write. */
+/* Checks that the same input leads to the same step. Reports only the first difference of each
+ * write. */
 static void check_step(struct write_replay *replay, const struct trace_write_event *recorded,
                        const struct write_step *step)
 {
@@ -134,7 +135,7 @@
     }
     replay->result->differences += 1;
     if (replay->result->differences == 1 && !replay->options->decisions_changed) {
-        fail(replay, "decides otherwise than recorded");
+        fail(replay, "decides differently from the recording");
     }
 }
 
@@ -147,7 +148,7 @@
     write_trace_event_of(recorded, &event, &view);
     if (event.kind == WRITE_EVENT_EVIDENCE &&
         (event.database < 0 || event.database >= (int32_t)view.database_count)) {
-        fail(replay, "evidence of no database");
+        fail(replay, "evidence from an unknown database");
         return;
     }
     note_event(replay, &event, &view);
--- a/src/sim/scale_control.c
+++ b/src/sim/scale_control.c
@@ -1,6 +1,6 @@
-/* Control of the groups that a hollow daemon owns: the real group_control of each, its probes and
- * commands over a control connection to each database, and opinions to the other owners. Paced as
- * the daemon's control thread and prober do it. */
+/* Control of the groups that a simulated daemon owns: the real group_control of each, with its
+ * probes and commands over a control connection to each database, and opinions to the other owners.
+ * The timing is that of the daemon's control thread and prober. */
 #include "core/group_opinion_message.h"
 #include "sim/scale_fleet_internal.h"
 
@@ -8,8 +8,8 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* As in the daemon: probe intervals without a good probe before a primary is suspected, at least;
- * and a command without an answer for so long is lost. */
+/* As in the daemon: the least number of probe intervals without a successful probe before a primary
+ * is suspected, and the time-out of a command. */
 #define PROBES_BEFORE_SUSPICION 4
 #define COMMAND_TIMEOUT         (300 * NANOSECONDS_PER_MILLISECOND)
 
@@ -18,7 +18,7 @@
     return scale_network_now(fleet->network);
 }
 
-/* Names an incarnation of a daemon as a watcher. */
+/* The watcher id of an incarnation of a daemon. */
 static uint64_t watcher_id(uint64_t member, uint64_t start)
 {
     return XXH3_64bits_withSeed(&member, sizeof(member), start);
@@ -29,29 +29,29 @@
     return watcher_id(daemon->id, daemon->start);
 }
 
-/* -- Questions to databases -- */
+/* -- Requests to databases -- */
 
-static void ask(struct scale_fleet *fleet, struct scale_daemon *daemon,
-                const struct scale_question *asked)
+static void send_request(struct scale_fleet *fleet, struct scale_daemon *daemon,
+                         const struct scale_database_request *asked)
 {
-    struct scale_question *question = g_memdup2(asked, sizeof(*asked));
+    struct scale_database_request *request = g_memdup2(asked, sizeof(*asked));
     uint32_t index = asked->group * SCALE_GROUP_DATABASES + asked->place;
     const struct scale_database *database = &fleet->databases[index];
-    bool apart = scale_places_apart(fleet, scale_place_of_daemon(fleet, daemon),
-                                    scale_place_of_database(fleet, index));
+    bool apart = scale_places_partitioned(fleet, scale_place_of_daemon(fleet, daemon),
+                                          scale_place_of_database(fleet, index));
     struct scale_event event = {
-        .kind = SCALE_EVENT_ASK,
+        .kind = SCALE_EVENT_REQUEST,
         .daemon = daemon->index,
         .life = daemon->life,
-        .payload = question,
+        .payload = request,
     };
-    question->asked_at = fleet_now(fleet);
+    request->sent_at = fleet_now(fleet);
     daemon->counters.probes++;
     if (apart ||
         !scale_network_arrival(fleet->network, daemon->zone, database->zone, true, &event.at)) {
-        event.kind = SCALE_EVENT_ANSWER;
-        event.at = question->asked_at + question->timeout;
-        question->result = GROUP_COMMAND_LOST;
+        event.kind = SCALE_EVENT_REPLY;
+        event.at = request->sent_at + request->timeout;
+        request->result = GROUP_COMMAND_LOST;
     }
     scale_network_add(fleet->network, &event);
 }
@@ -60,8 +60,8 @@
                   struct scale_holding *holding, uint32_t place)
 {
     struct scale_probe *probe = &holding->control.probes[place];
-    struct scale_question question = {
-        .kind = probe->open ? SCALE_QUESTION_STATUS : SCALE_QUESTION_OPEN,
+    struct scale_database_request request = {
+        .kind = probe->open ? SCALE_REQUEST_STATUS : SCALE_REQUEST_OPEN,
         .group = holding->group,
         .place = place,
         .serial = holding->control.serial,
@@ -70,14 +70,14 @@
     };
     probe->waiting = true;
     probe->next_at = fleet_now(fleet) + daemon->probe_interval;
-    ask(fleet, daemon, &question);
+    send_request(fleet, daemon, &request);
 }
 
 static void submit(struct scale_fleet *fleet, struct scale_daemon *daemon,
                    const struct scale_holding *holding, const struct group_action *action,
-                   enum scale_question_kind kind)
+                   enum scale_request_kind kind)
 {
-    struct scale_question question = {
+    struct scale_database_request request = {
         .kind = kind,
         .group = holding->group,
         .place = action->database,
@@ -88,7 +88,7 @@
         .leaving = action->leaving,
         .timeout = COMMAND_TIMEOUT,
     };
-    ask(fleet, daemon, &question);
+    send_request(fleet, daemon, &request);
 }
 
 /* -- Actions -- */
@@ -109,7 +109,7 @@
     }
 }
 
-/* The view that routing uses has changed: a new primary is published to those that use it. */
+/* Publishes a changed view to the daemons that route by it. */
 static void publish_view(struct scale_fleet *fleet, struct scale_daemon *daemon,
                          struct scale_holding *holding)
 {
@@ -136,16 +136,16 @@
         holding->control.probes[action->database].next_at = fleet_now(fleet);
         break;
     case GROUP_ACTION_FENCE:
-        submit(fleet, daemon, holding, action, SCALE_QUESTION_FENCE);
+        submit(fleet, daemon, holding, action, SCALE_REQUEST_FENCE);
         break;
     case GROUP_ACTION_PROMOTE:
-        submit(fleet, daemon, holding, action, SCALE_QUESTION_PROMOTE);
+        submit(fleet, daemon, holding, action, SCALE_REQUEST_PROMOTE);
         break;
     case GROUP_ACTION_FOLLOW:
-        submit(fleet, daemon, holding, action, SCALE_QUESTION_FOLLOW);
+        submit(fleet, daemon, holding, action, SCALE_REQUEST_FOLLOW);
         break;
     case GROUP_ACTION_SET_LEAVING:
-        submit(fleet, daemon, holding, action, SCALE_QUESTION_SET_LEAVING);
+        submit(fleet, daemon, holding, action, SCALE_REQUEST_SET_LEAVING);
         break;
     case GROUP_ACTION_SEND_OPINION:
         send_opinion(fleet, daemon, holding->group, &action->opinion);
@@ -159,8 +159,8 @@
     }
 }
 
-/* Performs the actions of a step; the planned change whose writes have ended, or 0. No write runs
- * in the hollow fleet, so a pause has drained at once. */
+/* Performs the actions of a step. Returns the planned change whose writes have ended, or 0. No
+ * writes run in the simulated fleet, so a pause is drained at once. */
 static uint64_t perform_all(struct scale_fleet *fleet, struct scale_daemon *daemon,
                             struct scale_holding *holding, const struct group_actions *actions)
 {
@@ -177,7 +177,7 @@
 
 /* -- Steps -- */
 
-/* Asks for the group's next event: its machine's, or a probe's. */
+/* Schedules the group's next event: of its control or of a probe. */
 static void schedule(struct scale_fleet *fleet, struct scale_daemon *daemon,
                      struct scale_holding *holding)
 {
@@ -247,25 +247,26 @@
 }
 
 static void feed_probe(struct scale_fleet *fleet, struct scale_daemon *daemon,
-                       struct scale_holding *holding, const struct scale_question *question)
+                       struct scale_holding *holding, const struct scale_database_request *request)
 {
     struct group_event event = {
         .kind = GROUP_EVENT_PROBE,
-        .database = question->place,
-        .reachable = question->result != GROUP_COMMAND_LOST,
-        .round_trip = fleet_now(fleet) - question->asked_at,
-        .status = question->status,
+        .database = request->place,
+        .reachable = request->result != GROUP_COMMAND_LOST,
+        .round_trip = fleet_now(fleet) - request->sent_at,
+        .status = request->status,
     };
     step(fleet, daemon, holding, &event);
 }
 
-/* A connection that opens is used at once; one that fails is opened again. */
+/* A connection that has opened is probed at once; one that has failed is opened again. */
 static void probe_answered(struct scale_fleet *fleet, struct scale_daemon *daemon,
-                           struct scale_holding *holding, const struct scale_question *question)
+                           struct scale_holding *holding,
+                           const struct scale_database_request *request)
 {
-    struct scale_probe *probe = &holding->control.probes[question->place];
-    bool lost = question->result == GROUP_COMMAND_LOST;
-    bool opening = question->kind == SCALE_QUESTION_OPEN;
+    struct scale_probe *probe = &holding->control.probes[request->place];
+    bool lost = request->result == GROUP_COMMAND_LOST;
+    bool opening = request->kind == SCALE_REQUEST_OPEN;
     probe->waiting = false;
     probe->open = !lost;
     if (opening != lost) {
@@ -275,36 +276,37 @@
         schedule(fleet, daemon, holding);
         return;
     }
-    feed_probe(fleet, daemon, holding, question);
+    feed_probe(fleet, daemon, holding, request);
 }
 
 static void command_answered(struct scale_fleet *fleet, struct scale_daemon *daemon,
-                             struct scale_holding *holding, const struct scale_question *question)
+                             struct scale_holding *holding,
+                             const struct scale_database_request *request)
 {
     struct group_event event = {
         .kind = GROUP_EVENT_COMMAND,
-        .database = question->place,
-        .command = question->command,
-        .result = question->result,
-        .status = question->status,
+        .database = request->place,
+        .command = request->command,
+        .result = request->result,
+        .status = request->status,
     };
     step(fleet, daemon, holding, &event);
-    if (question->result == GROUP_COMMAND_OK) {
-        feed_probe(fleet, daemon, holding, question);
+    if (request->result == GROUP_COMMAND_OK) {
+        feed_probe(fleet, daemon, holding, request);
     }
 }
 
 void scale_control_answered(struct scale_fleet *fleet, struct scale_daemon *daemon,
-                            const struct scale_question *question)
+                            const struct scale_database_request *request)
 {
-    struct scale_holding *holding = scale_holdings_find(daemon, question->group);
-    if (holding == NULL || holding->control.serial != question->serial) {
+    struct scale_holding *holding = scale_holdings_find(daemon, request->group);
+    if (holding == NULL || holding->control.serial != request->serial) {
         return;
     }
-    if (question->kind <= SCALE_QUESTION_STATUS) {
-        probe_answered(fleet, daemon, holding, question);
+    if (request->kind <= SCALE_REQUEST_STATUS) {
+        probe_answered(fleet, daemon, holding, request);
     } else {
-        command_answered(fleet, daemon, holding, question);
+        command_answered(fleet, daemon, holding, request);
     }
 }
 
@@ -321,9 +323,9 @@
 
 /* -- Begin, end and owners -- */
 
-/* Brings the group's next probes forward. */
-static void probe_soon(struct scale_fleet *fleet, struct scale_daemon *daemon,
-                       struct scale_holding *holding)
+/* Schedules the group's next probes for now. */
+static void schedule_probes_now(struct scale_fleet *fleet, struct scale_daemon *daemon,
+                                struct scale_holding *holding)
 {
     for (uint32_t i = 0; i < SCALE_GROUP_DATABASES; i++) {
         struct scale_probe *probe = &holding->control.probes[i];
@@ -332,7 +334,7 @@
     schedule(fleet, daemon, holding);
 }
 
-void scale_control_pace(struct scale_fleet *fleet, struct scale_daemon *daemon)
+void scale_control_update_probe_interval(struct scale_fleet *fleet, struct scale_daemon *daemon)
 {
     if (!fleet->options.watch.enabled) {
         return;
@@ -350,7 +352,7 @@
         struct scale_holding *holding = value;
         group_control_set_detection(holding->control.machine, after, after);
         if (daemon->probe_interval < before) {
-            probe_soon(fleet, daemon, holding);
+            schedule_probes_now(fleet, daemon, holding);
         }
     }
 }
@@ -379,7 +381,7 @@
     holding->control.serial = fleet->last_serial;
     holding->control.began_at = fleet_now(fleet);
     holding->control.machine = group_control_new(&options, fleet_now(fleet));
-    scale_control_pace(fleet, daemon);
+    scale_control_update_probe_interval(fleet, daemon);
     schedule(fleet, daemon, holding);
 }
 
@@ -388,7 +390,7 @@
     g_clear_pointer(&holding->control.machine, group_control_free);
 }
 
-/* Tells a group's control its watchers, as this daemon's membership knows them. */
+/* Passes the watchers to a group's control, as this daemon's membership knows them. */
 static void set_watchers(struct scale_fleet *fleet, struct scale_daemon *daemon,
                          struct scale_holding *holding)
 {
--- a/src/sim/scale_daemon.c
+++ b/src/sim/scale_daemon.c
@@ -1,20 +1,22 @@
-/* One hollow daemon: wires the core objects to each other and to the fleet's network, as the
- * control thread of a real daemon does. */
+/* One simulated daemon: connects the core objects with each other and with the fleet's network, as
+ * the control thread of a real daemon does. */
 #include "sim/scale_fleet_internal.h"
 
-/* A store's answer takes so long, besides the way to it. */
+/* The store's time to serve a request, in addition to the network. */
 #define STORE_HEAD_TIME  (10 * NANOSECONDS_PER_MILLISECOND)
 #define STORE_FETCH_TIME (40 * NANOSECONDS_PER_MILLISECOND)
 
 /* The zone of the store. */
 #define STORE_ZONE 0
 
-/* Wake-ups are never closer than this, nor farther than the next look at ownership. */
+/* The shortest and the longest time until the next wake-up; the longest is the interval at which
+ * ownership is checked. */
 #define WAKE_MIN      (1 * NANOSECONDS_PER_MILLISECOND)
 #define WAKE_INTERVAL (500 * NANOSECONDS_PER_MILLISECOND)
 
-/* A machine that is lost is noticed by databases when their keepalive ends. */
-#define PROCESS_END_NOTICED (2 * NANOSECONDS_PER_MILLISECOND)
+/* Databases detect the end of a daemon's process after this time, when its connections are closed.
+ */
+#define PROCESS_END_DETECT_TIME (2 * NANOSECONDS_PER_MILLISECOND)
 
 static time_ns fleet_now(const struct scale_fleet *fleet)
 {
@@ -23,8 +25,8 @@
 
 /* -- Currency -- */
 
-/* Counts a read against the store's rate, second by second. */
-static bool store_refuses(struct scale_fleet *fleet)
+/* Counts a read against the store's rate limit. True if it exceeds the limit of this second. */
+static bool exceeds_store_rate(struct scale_fleet *fleet)
 {
     time_ns second = fleet_now(fleet) / NANOSECONDS_PER_SECOND;
     if (second != fleet->store_second) {
@@ -35,9 +37,9 @@
     return fleet->options.store_rate > 0 && fleet->store_reads > fleet->options.store_rate;
 }
 
-/* Asks the store something; the answer comes as an event, with number 0 if it can't. */
-static void ask_store(struct scale_fleet *fleet, struct scale_daemon *daemon,
-                      enum scale_event_kind kind, time_ns work)
+/* Sends a request to the store. The reply arrives as an event, with number 0 if there is none. */
+static void send_store_request(struct scale_fleet *fleet, struct scale_daemon *daemon,
+                               enum scale_event_kind kind, time_ns work)
 {
     struct scale_event event = {
         .kind = kind,
@@ -46,8 +48,8 @@
         .number = fleet->publications->len - 1,
     };
     struct scale_place store = {STORE_ZONE, UINT32_MAX};
-    bool apart = scale_places_apart(fleet, scale_place_of_daemon(fleet, daemon), store);
-    bool refused = fleet->store_up && store_refuses(fleet);
+    bool apart = scale_places_partitioned(fleet, scale_place_of_daemon(fleet, daemon), store);
+    bool refused = fleet->store_up && exceeds_store_rate(fleet);
     bool answered =
         fleet->store_up && !apart &&
         scale_network_arrival(fleet->network, daemon->zone, STORE_ZONE, true, &event.at);
@@ -103,11 +105,11 @@
             fetch_from_peer(fleet, daemon, action);
             break;
         case CURRENCY_ACTION_FETCH_STORE:
-            ask_store(fleet, daemon, SCALE_EVENT_FETCHED, STORE_FETCH_TIME);
+            send_store_request(fleet, daemon, SCALE_EVENT_FETCHED, STORE_FETCH_TIME);
             break;
         case CURRENCY_ACTION_READ_HEAD:
             daemon->head_asked_at = fleet_now(fleet);
-            ask_store(fleet, daemon, SCALE_EVENT_HEAD, STORE_HEAD_TIME);
+            send_store_request(fleet, daemon, SCALE_EVENT_HEAD, STORE_HEAD_TIME);
             break;
         case CURRENCY_ACTION_APPLY:
             apply_configuration(fleet, daemon, action->mark);
@@ -165,9 +167,9 @@
         message.configuration_reply.version = applied.version;
         message.configuration_reply.base_version = request->have_version;
         message.configuration_reply.hash = g_strnfill(64, 'a');
-        size_t octets = fleet->options.difference_octets;
-        message.configuration_reply.content = g_malloc0(octets);
-        message.configuration_reply.content_length = octets;
+        size_t bytes = fleet->options.difference_bytes;
+        message.configuration_reply.content = g_malloc0(bytes);
+        message.configuration_reply.content_length = bytes;
     }
     scale_transport_send(fleet, daemon, asker, &message, SCALE_TRAFFIC_CONFIGURATION, true);
     message_clear(&message);
@@ -221,7 +223,8 @@
     send_statuses(fleet, daemon, sends);
 }
 
-/* Request and answer of forwarded work tell the older side of a newer status. */
+/* Passes a group's newer status on to the other daemon, as requests and replies of forwarded work
+ * do. */
 static void exchange_status(struct scale_fleet *fleet, struct scale_daemon *from,
                             struct scale_daemon *to, uint32_t group)
 {
@@ -238,7 +241,8 @@
     }
 }
 
-/* The owner to which a daemon forwards: of its own zone, else one by chance. */
+/* The owner to which a daemon forwards: one in its own zone if reachable, else any reachable one.
+ */
 static struct scale_daemon *choose_owner(struct scale_fleet *fleet, struct scale_daemon *daemon,
                                          uint32_t group)
 {
@@ -423,7 +427,7 @@
     case SCALE_EVENT_FETCHED:
         fetch_answered(fleet, daemon, event->number);
         return;
-    case SCALE_EVENT_ANSWER:
+    case SCALE_EVENT_REPLY:
         scale_control_answered(fleet, daemon, event->payload);
         scale_payload_free(event->payload);
         return;
@@ -457,7 +461,7 @@
 
 /* -- Start and end -- */
 
-/* Some addresses of the machine list, of daemons that may be there or not. */
+/* Adds addresses from the machine list; daemons at some of them may be down. */
 static void set_seeds(struct scale_fleet *fleet, struct scale_daemon *daemon)
 {
     uint32_t count = MIN(fleet->options.seeds, fleet->options.daemons);
@@ -577,6 +581,6 @@
 {
     membership_leave(daemon->membership, fleet_now(fleet), fleet->actions);
     perform_membership(fleet, daemon);
-    scale_holdings_end(fleet, daemon, PROCESS_END_NOTICED);
+    scale_holdings_end(fleet, daemon, PROCESS_END_DETECT_TIME);
     scale_daemon_end(fleet, daemon);
 }
--- a/src/sim/scale_database.c
+++ b/src/sim/scale_database.c
@@ -1,14 +1,14 @@
-/* The databases of the hollow fleet as control sees them: roles, terms, promises and logs; and the
- * loss of their machines. Commands follow standins/database: a term is promised to one coordinator
- * only. A replica in reach of its primary holds all that the primary does. */
+/* The databases of the simulated fleet as control sees them: roles, terms, promises and logs, and
+ * the loss of their machines. Commands behave as in standins/database: a term is promised to one
+ * coordinator only. A replica that can reach its primary holds the primary's whole log. */
 #include "sim/scale_fleet_internal.h"
 
-/* A database answers after this time, besides the way. */
+/* A database's time to answer, in addition to the network. */
 #define STATUS_TIME  (100 * 1000)
 #define COMMAND_TIME (2 * NANOSECONDS_PER_MILLISECOND)
 
 /* A primary's log grows by one entry in this time. */
-#define ENTRY_TIME NANOSECONDS_PER_MILLISECOND
+#define ENTRY_INTERVAL NANOSECONDS_PER_MILLISECOND
 
 static struct scale_database *database_at(const struct scale_fleet *fleet, uint32_t group,
                                           uint32_t place)
@@ -72,16 +72,16 @@
     return !replica->down && status->role == DATABASE_ROLE_REPLICA &&
            status->term == primary->status.term && status->promised_term == status->term &&
            !scale_network_is_cut(fleet->network, primary->zone, replica->zone) &&
-           !scale_places_apart(fleet, place_of(fleet, primary), place_of(fleet, replica));
+           !scale_places_partitioned(fleet, place_of(fleet, primary), place_of(fleet, replica));
 }
 
-/* Lets the group's log grow until now. */
+/* Extends the group's log to its length at the present time. */
 static void advance_log(struct scale_fleet *fleet, uint32_t group)
 {
     time_ns now = scale_network_now(fleet->network);
-    uint64_t entries = (now - fleet->groups[group].log_at) / ENTRY_TIME;
+    uint64_t entries = (now - fleet->groups[group].log_at) / ENTRY_INTERVAL;
     int32_t place = scale_fleet_primary(fleet, group);
-    fleet->groups[group].log_at += entries * ENTRY_TIME;
+    fleet->groups[group].log_at += entries * ENTRY_INTERVAL;
     if (place < 0) {
         return;
     }
@@ -99,94 +99,93 @@
 
 /* -- Commands -- */
 
-static bool fence(struct scale_database *database, const struct scale_question *question)
+static bool fence(struct scale_database *database, const struct scale_database_request *request)
 {
     struct database_status *status = &database->status;
     bool again =
-        question->term == status->promised_term && question->coordinator == database->promised_to;
-    if (question->term <= status->promised_term && !again) {
+        request->term == status->promised_term && request->coordinator == database->promised_to;
+    if (request->term <= status->promised_term && !again) {
         return false;
     }
-    status->promised_term = question->term;
-    database->promised_to = question->coordinator;
+    status->promised_term = request->term;
+    database->promised_to = request->coordinator;
     return true;
 }
 
 static bool promote(struct scale_fleet *fleet, struct scale_database *database,
-                    const struct scale_question *question, uint16_t coordinator_zone)
+                    const struct scale_database_request *request, uint16_t coordinator_zone)
 {
     struct database_status *status = &database->status;
-    if (question->term != status->promised_term || question->coordinator != database->promised_to) {
+    if (request->term != status->promised_term || request->coordinator != database->promised_to) {
         return false;
     }
-    if (status->role == DATABASE_ROLE_PRIMARY && status->term == question->term) {
+    if (status->role == DATABASE_ROLE_PRIMARY && status->term == request->term) {
         return true;
     }
     status->role = DATABASE_ROLE_PRIMARY;
-    status->term = question->term;
-    status->held = (struct log_position){question->term, status->held.offset + 1};
+    status->term = request->term;
+    status->held = (struct log_position){request->term, status->held.offset + 1};
     status->applied = status->held;
-    scale_observe_promoted(fleet, &fleet->groups[question->group], question->term,
-                           coordinator_zone);
+    scale_observe_promoted(fleet, &fleet->groups[request->group], request->term, coordinator_zone);
     return true;
 }
 
-static bool follow(struct scale_database *database, const struct scale_question *question)
+static bool follow(struct scale_database *database, const struct scale_database_request *request)
 {
     struct database_status *status = &database->status;
-    bool is_leader = status->role == DATABASE_ROLE_PRIMARY && status->term == question->term;
-    if (question->term < status->promised_term || is_leader) {
+    bool is_leader = status->role == DATABASE_ROLE_PRIMARY && status->term == request->term;
+    if (request->term < status->promised_term || is_leader) {
         return false;
     }
-    if (question->term > status->promised_term) {
-        status->promised_term = question->term;
-        database->promised_to = question->coordinator;
+    if (request->term > status->promised_term) {
+        status->promised_term = request->term;
+        database->promised_to = request->coordinator;
     }
     status->role = DATABASE_ROLE_REPLICA;
-    status->term = question->term;
+    status->term = request->term;
     return true;
 }
 
 static bool execute(struct scale_fleet *fleet, struct scale_database *database,
-                    const struct scale_question *question, uint16_t coordinator_zone)
+                    const struct scale_database_request *request, uint16_t coordinator_zone)
 {
-    switch (question->kind) {
-    case SCALE_QUESTION_FENCE:
-        return fence(database, question);
-    case SCALE_QUESTION_PROMOTE:
-        return promote(fleet, database, question, coordinator_zone);
-    case SCALE_QUESTION_FOLLOW:
-        return follow(database, question);
-    case SCALE_QUESTION_SET_LEAVING:
-        database->status.leaving = question->leaving;
+    switch (request->kind) {
+    case SCALE_REQUEST_FENCE:
+        return fence(database, request);
+    case SCALE_REQUEST_PROMOTE:
+        return promote(fleet, database, request, coordinator_zone);
+    case SCALE_REQUEST_FOLLOW:
+        return follow(database, request);
+    case SCALE_REQUEST_SET_LEAVING:
+        database->status.leaving = request->leaving;
         return true;
-    case SCALE_QUESTION_OPEN:
-    case SCALE_QUESTION_STATUS:
+    case SCALE_REQUEST_OPEN:
+    case SCALE_REQUEST_STATUS:
         break;
     }
     return true;
 }
 
-void scale_database_ask(struct scale_fleet *fleet, const struct scale_event *event)
+void scale_database_serve(struct scale_fleet *fleet, const struct scale_event *event)
 {
-    struct scale_question *question = event->payload;
-    struct scale_database *database = database_at(fleet, question->group, question->place);
+    struct scale_database_request *request = event->payload;
+    struct scale_database *database = database_at(fleet, request->group, request->place);
     const struct scale_daemon *daemon = &fleet->daemons[event->daemon];
     uint16_t zone = daemon->zone;
-    bool apart =
-        scale_places_apart(fleet, place_of(fleet, database), scale_place_of_daemon(fleet, daemon));
+    bool apart = scale_places_partitioned(fleet, place_of(fleet, database),
+                                          scale_place_of_daemon(fleet, daemon));
     struct scale_event answer = *event;
-    answer.kind = SCALE_EVENT_ANSWER;
-    question->result = GROUP_COMMAND_LOST;
-    answer.at = question->asked_at + question->timeout;
+    answer.kind = SCALE_EVENT_REPLY;
+    request->result = GROUP_COMMAND_LOST;
+    answer.at = request->sent_at + request->timeout;
     if (!database->down) {
-        advance_log(fleet, question->group);
-        bool done = execute(fleet, database, question, zone);
+        advance_log(fleet, request->group);
+        bool done = execute(fleet, database, request, zone);
         time_ns at = 0;
         if (!apart && scale_network_arrival(fleet->network, database->zone, zone, true, &at)) {
-            bool command = question->kind > SCALE_QUESTION_STATUS;
-            question->result = done ? GROUP_COMMAND_OK : GROUP_COMMAND_REFUSED;
-            question->status = database->status;
+            bool command = request->kind > SCALE_REQUEST_STATUS;
+            request->result = done ? GROUP_COMMAND_OK : GROUP_COMMAND_REFUSED;
+            request->status = database->status;
             answer.at = at + (command ? COMMAND_TIME : STATUS_TIME);
         }
     }
@@ -195,8 +194,8 @@
 
 /* -- Faults -- */
 
-/* True if the database is cut off from most others. */
-static bool is_cut_off(const struct scale_fleet *fleet, const struct scale_database *database)
+/* True if the database is partitioned from most others. */
+static bool is_partitioned(const struct scale_fleet *fleet, const struct scale_database *database)
 {
     struct scale_place place = place_of(fleet, database);
     bool rack = fleet->rack_cut && place.zone == fleet->rack_cut_at.zone &&
@@ -204,13 +203,14 @@
     return rack || fleet->zone_cut[place.zone];
 }
 
-/* Notes on a change under way that too few of the group's databases are left for it. */
-static void note_blocked(struct scale_fleet *fleet, uint32_t group)
+/* Marks a change in progress as blocked if fewer than a majority of the group's databases are up
+ * and reachable. */
+static void mark_blocked(struct scale_fleet *fleet, uint32_t group)
 {
     uint32_t left = 0;
     for (uint32_t place = 0; place < SCALE_GROUP_DATABASES; place++) {
         const struct scale_database *database = database_at(fleet, group, place);
-        left += !database->down && !is_cut_off(fleet, database);
+        left += !database->down && !is_partitioned(fleet, database);
     }
     struct scale_change *change = &fleet->groups[group].change;
     if (change->open && change->promoted_at == 0 && left < SCALE_GROUP_DATABASES / 2 + 1) {
@@ -230,7 +230,7 @@
     if (led) {
         scale_observe_failed(fleet, &fleet->groups[group]);
     }
-    note_blocked(fleet, group);
+    mark_blocked(fleet, group);
 }
 
 void scale_fleet_return_database(struct scale_fleet *fleet, uint32_t group, uint32_t place)
@@ -243,16 +243,17 @@
     for (uint32_t group = 0; fleet->options.watch.enabled && group < fleet->group_count; group++) {
         advance_log(fleet, group);
         int32_t primary = scale_fleet_primary(fleet, group);
-        bool lost = primary >= 0 && is_cut_off(fleet, database_at(fleet, group, (uint32_t)primary));
+        bool lost =
+            primary >= 0 && is_partitioned(fleet, database_at(fleet, group, (uint32_t)primary));
         if (lost && !fleet->groups[group].change.open) {
             scale_observe_failed(fleet, &fleet->groups[group]);
         }
-        note_blocked(fleet, group);
+        mark_blocked(fleet, group);
     }
 }
 
-/* Fails what stands in a zone; in one of its racks only, unless `rack` is negative. */
-static void fail_place(struct scale_fleet *fleet, uint16_t zone, int64_t rack)
+/* Fails all machines in a zone, or in one of its racks if `rack` is not negative. */
+static void fail_location(struct scale_fleet *fleet, uint16_t zone, int64_t rack)
 {
     for (uint32_t i = 0; i < fleet->options.daemons; i++) {
         struct scale_place place = scale_place_of_daemon(fleet, &fleet->daemons[i]);
@@ -270,7 +271,7 @@
 
 void scale_fleet_fail_rack(struct scale_fleet *fleet, uint16_t zone, uint32_t rack)
 {
-    fail_place(fleet, zone, rack);
+    fail_location(fleet, zone, rack);
 }
 
 void scale_fleet_cut_rack(struct scale_fleet *fleet, uint16_t zone, uint32_t rack, bool cut)
@@ -296,7 +297,7 @@
 
 void scale_fleet_fail_zone(struct scale_fleet *fleet, uint16_t zone)
 {
-    fail_place(fleet, zone, -1);
+    fail_location(fleet, zone, -1);
 }
 
 void scale_fleet_fail_coordinator(struct scale_fleet *fleet, uint32_t group)
--- a/src/sim/scale_day.c
+++ b/src/sim/scale_day.c
@@ -3,13 +3,14 @@
 
 #include "core/membership.h"
 
-/* The target size, to which the letter's numbers belong. */
+/* The size of the target deployment, for which the numbers of a day are given. */
 #define TARGET_DAEMONS     760
 #define DAY_FAILURES       14
 #define DAY_RESTARTS       290
 #define DAY_CONFIGURATIONS 1200
 
-/* Four a day are too few to measure; more cost more. */
+/* More than a day's four, because four give too few samples; each further one takes more run time.
+ */
 #define DAY_PRIMARY_CHANGES 40
 
 #define ZONE_CUT     (60 * NANOSECONDS_PER_SECOND)
@@ -74,7 +75,7 @@
     g_array_append_val(schedule, event);
 }
 
-/* A random time of the day, in milliseconds' steps. */
+/* A random time of the day, in whole milliseconds. */
 static time_ns random_time(struct scale_fleet *fleet, time_ns length)
 {
     uint32_t milliseconds = (uint32_t)(length / NANOSECONDS_PER_MILLISECOND);
@@ -107,7 +108,8 @@
     }
 }
 
-/* Cuts stand at fixed places of the day, apart from each other. Zone 0 holds the store. */
+/* Partitions are at fixed times of the day and don't overlap. Zone 0 holds the store and is not
+ * partitioned. */
 static void add_cuts(const struct scale_day_options *options, GArray *schedule)
 {
     time_ns length = options->length;
@@ -135,8 +137,8 @@
     return (gint)left->kind - (gint)right->kind;
 }
 
-/* A group's primary changes: for a reason of no interest, or with control since its machine is
- * lost. */
+/* Changes a group's primary. With group control, its machine is lost; without, the change has no
+ * modelled reason. */
 static void change_primary(struct scale_fleet *fleet, uint32_t group)
 {
     if (!scale_fleet_has_control(fleet)) {
@@ -203,7 +205,8 @@
     return count;
 }
 
-void scale_day_judge(struct scale_fleet *fleet, uint64_t newest, struct scale_day_outcome *outcome)
+void scale_day_evaluate(struct scale_fleet *fleet, uint64_t newest,
+                        struct scale_day_outcome *outcome)
 {
     *outcome = (struct scale_day_outcome){0};
     for (uint32_t i = 0; i < scale_fleet_daemons(fleet); i++) {
@@ -214,7 +217,7 @@
             continue;
         }
         const struct currency *currency = scale_fleet_currency(fleet, i);
-        outcome->stragglers += currency_applied(currency).version != newest;
+        outcome->outdated_daemons += currency_applied(currency).version != newest;
         outcome->not_serving += !currency_serving(currency);
         const struct membership *membership = scale_fleet_membership(fleet, i);
         outcome->views_differing += count_live(membership) != outcome->running;
@@ -247,5 +250,5 @@
     time_ns end = MAX(start + options->length, scale_fleet_now(fleet));
     scale_fleet_run(fleet, end - scale_fleet_now(fleet) + SETTLE);
     newest = MAX(newest, scale_fleet_newest(fleet));
-    scale_day_judge(fleet, newest, outcome);
+    scale_day_evaluate(fleet, newest, outcome);
 }
--- a/src/sim/scale_fault.c
+++ b/src/sim/scale_fault.c
@@ -3,36 +3,37 @@
 
 #include <string.h>
 
-/* Between two faults of a run: those of one group touch little else, a rack's touch much. */
+/* Time between two faults of a run. A group's fault affects few others, a rack's affects many. */
 #define GROUP_INTERVAL (1 * NANOSECONDS_PER_SECOND)
 #define RACK_INTERVAL  (20 * NANOSECONDS_PER_SECOND)
 
-/* After the last fault, or the heal, all must settle within this time; looked at so often. */
+/* Longest time to settle after the last fault or the end of a partition, and the interval at which
+ * this is checked. */
 #define SETTLE_TIME     (120 * NANOSECONDS_PER_SECOND)
 #define SETTLE_INTERVAL (100 * NANOSECONDS_PER_MILLISECOND)
 
-/* Changes of primary that the last fault caused are given this time. */
+/* Time for the changes of primary that the last fault caused. */
 #define CHANGE_TIME (15 * NANOSECONDS_PER_SECOND)
 
-/* A configuration is published this often while a region is cut off: 1,200 a day. */
+/* Interval at which configurations are published during a partition: 1,200 a day. */
 #define PUBLISH_INTERVAL (72 * NANOSECONDS_PER_SECOND)
 
-/* The region and the switch that are cut off, and the zone that is lost. The store is in region 0.
- */
+/* The region and the switch that are partitioned, and the zone that is lost. The store is in region
+ * 0. */
 #define LOST_REGION 1
 #define LOST_ZONE   4
 #define SWITCH_ZONE 1
 #define SWITCH_RACK 0
 
-/* From a zone of one region to one of the next. */
+/* Distance between a zone of one region and one of the next. */
 #define ZONES_PER_REGION 3
 
-/* Daemons that end at once are down for this time, and start within that. */
+/* Daemons that end together are down for the first time, and restart within the second. */
 #define DOWN_TIME       (5 * NANOSECONDS_PER_SECOND)
 #define START_PART      3
 #define START_WITHIN_MS 2000
 
-/* Tries to find a group that is led and not being changed. */
+/* Attempts to find a group that has a primary and no change in progress. */
 #define FIND_TRIES 100
 
 const char *scale_fault_name(enum scale_fault_kind kind)
@@ -57,7 +58,7 @@
     return false;
 }
 
-/* Loses the machine of a primary by chance; its owners are all there. */
+/* Loses the machine of a randomly chosen group's primary; all owners of the group stay up. */
 static void lose_primary(struct scale_fleet *fleet, bool coordinator)
 {
     for (uint32_t i = 0; i < FIND_TRIES; i++) {
@@ -82,7 +83,7 @@
     }
 }
 
-/* One rack in each region in turn. */
+/* Loses racks, one in each region alternately. */
 static void lose_racks(struct scale_fleet *fleet, uint32_t count)
 {
     uint16_t zones = scale_fleet_zones(fleet);
@@ -104,32 +105,32 @@
     return false;
 }
 
-/* What each side has when the region has been cut off for long. */
-static void look_at_sides(const struct scale_fleet *fleet, struct scale_fault_outcome *outcome)
+/* Counts what works on each side of a long partition. */
+static void count_both_sides(const struct scale_fleet *fleet, struct scale_fault_outcome *outcome)
 {
     bool region = outcome->kind == SCALE_FAULT_REGION;
     for (uint32_t i = 0; i < scale_fleet_daemons(fleet); i++) {
-        size_t octets[SCALE_PART_COUNT];
-        if (!scale_fleet_state(fleet, i, octets)) {
+        size_t bytes[SCALE_PART_COUNT];
+        if (!scale_fleet_state(fleet, i, bytes)) {
             continue;
         }
         bool hit = region ? scale_fleet_region(fleet, i) == LOST_REGION
                           : scale_fleet_is_in_rack(fleet, i, SWITCH_ZONE, SWITCH_RACK);
         bool serving = currency_serving(scale_fleet_currency(fleet, i));
-        outcome->daemons_hit += hit;
-        outcome->hit_serving += hit && serving;
+        outcome->daemons_affected += hit;
+        outcome->affected_serving += hit && serving;
         outcome->others_serving += !hit && serving;
         uint64_t all = 0;
         for (int part = 0; part < SCALE_PART_COUNT; part++) {
-            all += octets[part];
+            all += bytes[part];
         }
-        outcome->state_most = MAX(outcome->state_most, all);
+        outcome->state_bytes_max = MAX(outcome->state_bytes_max, all);
     }
     for (uint32_t group = 0; group < scale_fleet_groups(fleet); group++) {
         bool hit = region && scale_fleet_group_region(fleet, group) == LOST_REGION;
         bool led = is_led(fleet, group);
-        outcome->groups_hit += hit;
-        outcome->hit_led += hit && led;
+        outcome->groups_affected += hit;
+        outcome->affected_led += hit && led;
         outcome->others_led += !hit && led;
     }
 }
@@ -143,7 +144,8 @@
     }
 }
 
-/* Cuts the region or rack off, publishes as on a day, looks at both sides, and joins it again. */
+/* Partitions the region or rack, publishes configurations at a day's rate, counts what works on
+ * both sides, and ends the partition. */
 static uint64_t cut_off(struct scale_fleet *fleet, const struct scale_fault_options *options,
                         struct scale_fault_outcome *outcome)
 {
@@ -153,17 +155,17 @@
         scale_fleet_publish(fleet);
         scale_fleet_run(fleet, MIN(PUBLISH_INTERVAL, end - scale_fleet_now(fleet)));
     }
-    look_at_sides(fleet, outcome);
+    count_both_sides(fleet, outcome);
     set_cut(fleet, options->kind, false);
     return scale_fleet_newest(fleet);
 }
 
-/* A third of the daemons ends at once and starts again, all within a short time. */
+/* Ends a third of the daemons at once and restarts all of them within a short time. */
 static void restart_many(struct scale_fleet *fleet, struct scale_fault_outcome *outcome)
 {
     for (uint32_t i = 0; i < scale_fleet_daemons(fleet); i += START_PART) {
         scale_fleet_kill(fleet, i, false);
-        outcome->daemons_hit++;
+        outcome->daemons_affected++;
     }
     scale_fleet_run(fleet, DOWN_TIME);
     uint32_t milliseconds = START_WITHIN_MS * START_PART / scale_fleet_daemons(fleet) + 1;
@@ -173,23 +175,23 @@
     }
 }
 
-/* The members of a zone that is lost as a whole are held unreachable, not dead: others can't tell
- * it from a cut. So views keep them. */
+/* The members of a zone that is lost entirely are held to be unreachable, not dead, because others
+ * can't tell the loss from a partition. Their views therefore keep them. */
 static bool has_settled(const struct scale_fault_outcome *outcome)
 {
     const struct scale_day_outcome *day = &outcome->day;
     bool views = day->views_differing == 0 || outcome->kind == SCALE_FAULT_ZONE;
-    return day->stragglers == 0 && day->not_serving == 0 && views;
+    return day->outdated_daemons == 0 && day->not_serving == 0 && views;
 }
 
-/* Waits until all have settled on the configuration. */
+/* Waits until all daemons have settled on the configuration. */
 static void settle(struct scale_fleet *fleet, uint64_t newest, struct scale_fault_outcome *outcome)
 {
     time_ns start = scale_fleet_now(fleet);
-    scale_day_judge(fleet, newest, &outcome->day);
+    scale_day_evaluate(fleet, newest, &outcome->day);
     while (!has_settled(outcome) && scale_fleet_now(fleet) < start + SETTLE_TIME) {
         scale_fleet_run(fleet, SETTLE_INTERVAL);
-        scale_day_judge(fleet, newest, &outcome->day);
+        scale_day_evaluate(fleet, newest, &outcome->day);
     }
     outcome->settled = has_settled(outcome);
     outcome->settle_time = scale_fleet_now(fleet) - start;
--- a/src/sim/scale_fleet.c
+++ b/src/sim/scale_fleet.c
@@ -1,16 +1,16 @@
-/* The hollow fleet as a whole: its making, the passing of time, and faults. */
+/* The simulated fleet as a whole: creation, the event loop, and faults. */
 #include "sim/scale_fleet_internal.h"
 
-/* Machine failures are noticed by databases when their keepalive ends. */
-#define MACHINE_END_NOTICED (10 * NANOSECONDS_PER_SECOND)
-#define PROCESS_END_NOTICED (2 * NANOSECONDS_PER_MILLISECOND)
+/* Databases detect the loss of a daemon's machine after this time, when their keep-alive fails. */
+#define MACHINE_END_DETECT_TIME (10 * NANOSECONDS_PER_SECOND)
+#define PROCESS_END_DETECT_TIME (2 * NANOSECONDS_PER_MILLISECOND)
 
-/* Zones of the target, and daemons that stand in one rack. */
+/* Number of zones of the target deployment, and of daemons in one rack. */
 #define ZONES        9
 #define RACK_DAEMONS 10
 
-/* Events that a paused daemon's socket buffers hold. */
-#define WAITING_MAX 256
+/* Most datagrams that a paused daemon's socket buffers hold. */
+#define BUFFERED_DATAGRAMS_MAX 256
 
 void scale_fleet_options_default(struct scale_fleet_options *options, uint32_t daemons,
                                  uint32_t databases, uint32_t seed)
@@ -23,7 +23,7 @@
         .forward_interval = 2 * NANOSECONDS_PER_SECOND,
         .publish_time = 50 * NANOSECONDS_PER_MILLISECOND,
         .stop_time = 6 * NANOSECONDS_PER_SECOND,
-        .difference_octets = 2048,
+        .difference_bytes = 2048,
         .seeds = 5,
         .encode = true,
         .racks = MAX(2, daemons / (ZONES * RACK_DAEMONS)),
@@ -41,7 +41,7 @@
     dissemination_options_default(&options->dissemination);
 }
 
-/* Each group's databases stand in the zones of one region. */
+/* Each group's databases are in the zones of one region. */
 static void init_groups(struct scale_fleet *fleet)
 {
     uint32_t per_region = fleet->options.network.zones_per_region;
@@ -120,10 +120,10 @@
            event->kind == SCALE_EVENT_CLOSE;
 }
 
-/* What comes to a paused daemon waits in its buffers, as far as they hold it. */
-static void hold_event(struct scale_daemon *daemon, struct scale_event *event)
+/* Buffers an event for a paused daemon. Datagrams beyond the buffer's size are dropped. */
+static void buffer_event(struct scale_daemon *daemon, struct scale_event *event)
 {
-    if (event->kind == SCALE_EVENT_DATAGRAM && daemon->waiting->len >= WAITING_MAX) {
+    if (event->kind == SCALE_EVENT_DATAGRAM && daemon->waiting->len >= BUFFERED_DATAGRAMS_MAX) {
         g_clear_pointer(&event->payload, scale_payload_free);
         return;
     }
@@ -155,8 +155,8 @@
 static void handle_event(struct scale_fleet *fleet, struct scale_event *event)
 {
     struct scale_daemon *daemon = &fleet->daemons[event->daemon];
-    if (event->kind == SCALE_EVENT_ASK) {
-        scale_database_ask(fleet, event);
+    if (event->kind == SCALE_EVENT_REQUEST) {
+        scale_database_serve(fleet, event);
         return;
     }
     if (concerns_database(event)) {
@@ -181,7 +181,7 @@
         return;
     }
     if (daemon->paused) {
-        hold_event(daemon, event);
+        buffer_event(daemon, event);
         return;
     }
     scale_daemon_handle(fleet, daemon, event);
@@ -214,7 +214,7 @@
     if (!daemon->running) {
         return;
     }
-    scale_holdings_end(fleet, daemon, machine ? MACHINE_END_NOTICED : PROCESS_END_NOTICED);
+    scale_holdings_end(fleet, daemon, machine ? MACHINE_END_DETECT_TIME : PROCESS_END_DETECT_TIME);
     scale_daemon_end(fleet, daemon);
 }
 
@@ -265,7 +265,7 @@
     g_array_set_size(daemon->waiting, 0);
 }
 
-/* Cuts or joins one zone and all others, or all of other regions. */
+/* Starts or ends the partition of one zone from all others, or from those of other regions. */
 static void set_zone_cut(struct scale_fleet *fleet, uint16_t zone, bool cut, bool whole_region)
 {
     uint16_t zones = (uint16_t)fleet->options.network.zones;
@@ -312,8 +312,8 @@
     fleet->store_up = up;
 }
 
-/* Who publishes also gives the configuration to a daemon that it reaches. */
-static void give_to_one(struct scale_fleet *fleet, uint64_t version)
+/* The publisher also delivers the configuration to one daemon that it can reach. */
+static void deliver_to_one(struct scale_fleet *fleet, uint64_t version)
 {
     uint32_t first = scale_fleet_random(fleet, fleet->options.daemons);
     for (uint32_t i = 0; i < fleet->options.daemons; i++) {
@@ -343,7 +343,7 @@
     struct scale_publication publication = {.at = scale_fleet_now(fleet)};
     g_array_append_val(fleet->publications, publication);
     uint64_t version = fleet->publications->len - 1;
-    give_to_one(fleet, version);
+    deliver_to_one(fleet, version);
     return version;
 }
 
@@ -352,7 +352,7 @@
     return fleet->publications->len - 1;
 }
 
-/* An owner of the group that runs and says itself that it is one; NULL if there is none. */
+/* A running owner of the group, by its own ownership table; NULL if there is none. */
 static struct scale_daemon *find_owner(struct scale_fleet *fleet, uint32_t group)
 {
     for (uint32_t i = 0; i < fleet->options.daemons; i++) {
@@ -482,7 +482,7 @@
     message_init(&payload->message, MESSAGE_KIND_GOSSIP);
     gossip_message_copy(&payload->message.gossip, message);
     if (fleet->options.encode) {
-        payload->octets = message_encode(&payload->message);
+        payload->bytes = message_encode(&payload->message);
         message_clear(&payload->message);
     }
     struct scale_event event = {
@@ -505,7 +505,7 @@
     }
 }
 
-/* Moves the worst times of spread into the samples. */
+/* Adds the worst times of each configuration and status to the samples. */
 static void close_samples(struct scale_fleet *fleet)
 {
     for (guint i = 0; i < fleet->publications->len; i++) {
@@ -538,18 +538,18 @@
 }
 
 bool scale_fleet_state(const struct scale_fleet *fleet, uint32_t index,
-                       size_t octets[SCALE_PART_COUNT])
+                       size_t bytes[SCALE_PART_COUNT])
 {
     const struct scale_daemon *daemon = &fleet->daemons[index];
     if (!daemon->running) {
         return false;
     }
-    octets[SCALE_PART_MEMBERSHIP] = membership_memory(daemon->membership);
-    octets[SCALE_PART_OWNERSHIP] = ownership_memory(daemon->ownership);
-    octets[SCALE_PART_BUDGETS] = scale_holdings_memory(daemon);
-    octets[SCALE_PART_DISSEMINATION] = dissemination_memory(daemon->dissemination);
-    octets[SCALE_PART_CONTROL] = scale_control_memory(daemon);
-    octets[SCALE_PART_CURRENCY] = currency_memory(daemon->currency);
+    bytes[SCALE_PART_MEMBERSHIP] = membership_memory(daemon->membership);
+    bytes[SCALE_PART_OWNERSHIP] = ownership_memory(daemon->ownership);
+    bytes[SCALE_PART_BUDGETS] = scale_holdings_memory(daemon);
+    bytes[SCALE_PART_DISSEMINATION] = dissemination_memory(daemon->dissemination);
+    bytes[SCALE_PART_CONTROL] = scale_control_memory(daemon);
+    bytes[SCALE_PART_CURRENCY] = currency_memory(daemon->currency);
     return true;
 }
 
--- a/src/sim/scale_fleet.h
+++ b/src/sim/scale_fleet.h
@@ -1,6 +1,7 @@
-/* The hollow fleet: many daemons' control plane in one process and thread, on virtual time. Each
- * hollow daemon runs the real core objects (membership, ownership, budgets, dissemination,
- * currency) and the real codec; network, databases and store are models. Deterministic by seed. */
+/* The simulated fleet: the control plane of many daemons in one process and thread, in virtual
+ * time. Each simulated daemon runs the real core objects (membership, ownership, budgets,
+ * dissemination, currency) and the real codec; network, databases and store are models. Runs are
+ * deterministic for each seed. */
 #ifndef SW_SIM_SCALE_FLEET_H
 #define SW_SIM_SCALE_FLEET_H
 
@@ -11,19 +12,19 @@
 #include "sim/scale_measure.h"
 #include "sim/scale_network.h"
 
-/* Identity of the fleet's deployment; of the length of any other. */
+/* Identity of the fleet's deployment; its encoded length is that of any other. */
 #define SCALE_DEPLOYMENT UINT32_C(0x5CA1AB1E)
 
 #define SCALE_GROUP_DATABASES 3
 
-/* How owners watch their groups' databases; as the settings of the same names. */
+/* How owners watch their groups' databases; the settings of the same names. */
 struct scale_watch_settings {
-    bool enabled; /* false: groups have no control and change by scale_fleet_change_primary */
+    bool enabled; /* false: groups have no control and change only by scale_fleet_change_primary */
     time_ns probe_interval;
     time_ns probe_timeout;
     time_ns open_timeout;
     time_ns suspect_after;
-    uint32_t probes_per_second; /* of one daemon, at most */
+    uint32_t probes_per_second; /* limit of one daemon's probes */
 };
 
 struct scale_fleet_options {
@@ -33,99 +34,106 @@
     struct dissemination_options dissemination;
     uint32_t daemons;
     uint32_t databases;
-    uint32_t connection_limit;  /* of each database */
-    time_ns connect_time;       /* to open a connection */
-    time_ns forward_interval;   /* each daemon forwards work on every group this often */
-    time_ns publish_time;       /* from acceptance until the publisher has given it to a daemon */
-    time_ns stop_time;          /* a planned stop takes so long, from the mark to the end */
-    uint32_t difference_octets; /* one change of configuration, as it travels */
-    uint32_t seeds;             /* addresses in the machine list that a daemon starts with */
-    bool encode;                /* datagrams pass the real codec; false: faster, no sizes */
-    uint32_t racks;             /* in each zone; daemons and databases stand in them in turn */
-    uint32_t store_rate;        /* reads the store answers in a second, refusing more; 0: all */
+    uint32_t connection_limit; /* of each database */
+    time_ns connect_time;      /* time to open a connection */
+    time_ns forward_interval;  /* interval at which each daemon forwards work on every group */
+    time_ns publish_time;      /* time from a configuration's acceptance until the publisher has
+                                  delivered it to a daemon */
+    time_ns stop_time;         /* duration of a planned stop, from the leaving mark to the end */
+    uint32_t difference_bytes; /* encoded size of one change of configuration */
+    uint32_t seeds;            /* addresses in the machine list that a daemon starts with */
+    bool encode;    /* datagrams pass through the real codec; false: faster, without sizes */
+    uint32_t racks; /* in each zone; daemons and databases are spread over them round robin */
+    uint32_t
+        store_rate; /* reads that the store answers in a second; it refuses more; 0: no limit */
     struct scale_watch_settings watch;
 };
 
 struct scale_fleet;
 
-/* Zones, daemons and databases as at the target size, but `daemons` and `databases` of them. */
+/* Zones, daemons and databases in the proportions of the target deployment, with `daemons` daemons
+ * and `databases` databases. */
 void scale_fleet_options_default(struct scale_fleet_options *options, uint32_t daemons,
                                  uint32_t databases, uint32_t seed);
 
-/* Makes the fleet; its daemons start within the first second. */
+/* Creates the fleet; its daemons start within the first second. */
 struct scale_fleet *scale_fleet_new(const struct scale_fleet_options *options);
 void scale_fleet_free(struct scale_fleet *fleet);
 
-/* Lets virtual time pass. */
+/* Advances virtual time. */
 void scale_fleet_run(struct scale_fleet *fleet, time_ns duration);
 time_ns scale_fleet_now(const struct scale_fleet *fleet);
 uint32_t scale_fleet_random(struct scale_fleet *fleet, uint32_t bound);
 
-/* Ends a daemon at once; its machine is lost if `machine`, so that databases notice late. */
+/* Ends a daemon at once. With `machine`, its machine is lost, which databases detect only by their
+ * keep-alive. */
 void scale_fleet_kill(struct scale_fleet *fleet, uint32_t index, bool machine);
 
-/* Starts a daemon that is down: the same daemon again, or one with a new name and address. */
+/* Starts a daemon that is down: the same one again, or a replacement with a new name and address.
+ */
 void scale_fleet_start(struct scale_fleet *fleet, uint32_t daemon, bool replaced);
 
-/* Planned stop: leaves, ends, and starts again after `down` unless that is 0. */
+/* Planned stop: the daemon leaves, ends, and restarts after `down` unless that is 0. */
 void scale_fleet_stop(struct scale_fleet *fleet, uint32_t index, time_ns down);
 
-/* A paused daemon does nothing; what arrives waits. */
+/* A paused daemon handles no events; they are buffered. */
 void scale_fleet_pause(struct scale_fleet *fleet, uint32_t daemon);
 void scale_fleet_resume(struct scale_fleet *fleet, uint32_t index);
 
-/* Cuts or joins zones from all others, or a region from the others. The store is in zone 0. */
+/* Starts or ends the partition of a zone from all others, or of a region from the others. The store
+ * is in zone 0. */
 void scale_fleet_cut_zone(struct scale_fleet *fleet, uint16_t zone, bool cut);
 void scale_fleet_cut_region(struct scale_fleet *fleet, uint16_t region, bool cut);
 
-/* Splits one zone: its even daemons no longer reach its odd ones, or do again. */
+/* Starts or ends a partition inside a zone, between its daemons with even and with odd indices. */
 void scale_fleet_split_zone(struct scale_fleet *fleet, uint16_t zone, bool split);
 
 void scale_fleet_set_store_up(struct scale_fleet *fleet, bool up);
 
-/* Publishes a new configuration to the store and gives it to one daemon; its version. 0 if the
- * store is down. */
+/* Publishes a new configuration to the store and delivers it to one daemon. Returns its version; 0
+ * if the store is down. */
 uint64_t scale_fleet_publish(struct scale_fleet *fleet);
 
 /* The version published last; 0: none yet. */
 uint64_t scale_fleet_newest(const struct scale_fleet *fleet);
 
-/* A group gets a new primary, which one of its owners has just brought about. */
+/* Gives a group a new primary, as if one of its owners had changed it. */
 void scale_fleet_change_primary(struct scale_fleet *fleet, uint32_t index);
 
-/* -- Faults of databases; with control of groups only -- */
+/* -- Faults of databases; only with control of groups -- */
 
-/* The machine of one of a group's databases is lost, or is back with what it held. Where it led, a
- * change of primary is measured from now on. */
+/* Loses the machine of one of a group's databases, or returns it with its state. If the database
+ * was primary, a change of primary is measured from now on. */
 void scale_fleet_fail_database(struct scale_fleet *fleet, uint32_t group, uint32_t place);
 void scale_fleet_return_database(struct scale_fleet *fleet, uint32_t group, uint32_t place);
 
-/* All machines of a rack, or of a whole zone, are lost: daemons and databases. */
+/* Loses all machines of a rack, or of a whole zone: daemons and databases. */
 void scale_fleet_fail_rack(struct scale_fleet *fleet, uint16_t zone, uint32_t rack);
 void scale_fleet_fail_zone(struct scale_fleet *fleet, uint16_t zone);
 
-/* Cuts what stands in a rack off from all else, or joins it again: its switch. One at a time. */
+/* Starts or ends the partition of a rack from everything else, as by its switch. Only one rack at a
+ * time. */
 void scale_fleet_cut_rack(struct scale_fleet *fleet, uint16_t zone, uint32_t rack, bool cut);
 bool scale_fleet_is_in_rack(const struct scale_fleet *fleet, uint32_t index, uint16_t zone,
                             uint32_t rack);
 
-/* The daemon that next begins to fence databases of the group is lost at that moment. */
+/* The next daemon that begins to fence databases of the group is lost at that moment. */
 void scale_fleet_fail_coordinator(struct scale_fleet *fleet, uint32_t group);
 
-/* True if groups are watched and changed by their control. */
+/* True if groups are watched and changed by group control. */
 bool scale_fleet_has_control(const struct scale_fleet *fleet);
 
-/* The group's database that leads and may confirm writes; -1 if none does. */
+/* The group's database that is primary and can confirm writes; -1 if there is none. */
 int32_t scale_fleet_primary(const struct scale_fleet *fleet, uint32_t group);
 
-/* True if the daemon owns the group and its control holds a primary as usable. */
+/* True if the daemon owns the group and its control holds a primary to be usable. */
 bool scale_fleet_leads(const struct scale_fleet *fleet, uint32_t index, uint32_t group);
 
 uint16_t scale_fleet_region(const struct scale_fleet *fleet, uint32_t daemon);
 uint16_t scale_fleet_zones(const struct scale_fleet *fleet);
 uint16_t scale_fleet_group_region(const struct scale_fleet *fleet, uint32_t group);
 
-/* True if a change of the group's primary is being measured, or was. */
+/* True if a change of the group's primary is or was measured. */
 bool scale_fleet_was_changed(const struct scale_fleet *fleet, uint32_t group);
 uint32_t scale_fleet_racks(const struct scale_fleet *fleet);
 
@@ -135,7 +143,7 @@
 bool scale_fleet_is_running(const struct scale_fleet *fleet, uint32_t daemon);
 bool scale_fleet_is_paused(const struct scale_fleet *fleet, uint32_t index);
 
-/* True if the daemon runs and can serve every database of the group from its own connections. */
+/* True if the daemon runs and can serve every database of the group over its own connections. */
 bool scale_fleet_serves(const struct scale_fleet *fleet, uint32_t index, uint32_t group);
 struct membership *scale_fleet_membership(const struct scale_fleet *fleet, uint32_t daemon);
 struct ownership *scale_fleet_ownership(const struct scale_fleet *fleet, uint32_t daemon);
@@ -144,18 +152,19 @@
 uint64_t scale_fleet_id(const struct scale_fleet *fleet, uint32_t daemon);
 uint16_t scale_fleet_zone(const struct scale_fleet *fleet, uint32_t daemon);
 
-/* Sends a datagram to a daemon as if from another, at a time still to come: for old gossip. */
+/* Delivers a datagram to a daemon as if from another, at a later time: for old gossip. */
 void scale_fleet_inject(struct scale_fleet *fleet, uint32_t from, uint32_t to,
                         const struct gossip_message *message, time_ns delay);
 
-/* Starts measuring from nothing, as of now; and what was measured since. */
+/* Resets and starts the measurement; returns the figures measured since. */
 void scale_fleet_measure_start(struct scale_fleet *fleet);
 struct scale_measures *scale_fleet_measures(struct scale_fleet *fleet);
 struct scale_counters scale_fleet_counters(const struct scale_fleet *fleet, uint32_t index);
 
-/* Octets held by the parts of a daemon; false if it is down. Groups that it owns or hands over. */
+/* Bytes held by the parts of a daemon, and the number of groups that it owns or hands over. False
+ * if it is down. */
 bool scale_fleet_state(const struct scale_fleet *fleet, uint32_t index,
-                       size_t octets[SCALE_PART_COUNT]);
+                       size_t bytes[SCALE_PART_COUNT]);
 uint32_t scale_fleet_groups_owned(const struct scale_fleet *fleet, uint32_t index);
 
 #endif
--- a/src/sim/scale_holdings.c
+++ b/src/sim/scale_holdings.c
@@ -1,15 +1,15 @@
-/* Groups that hollow daemons own: their budgets, the notices between owners, and the databases'
- * side of connections, which counts every violation of a limit. */
+/* The groups that simulated daemons own: their budgets, the notices between owners, and the
+ * databases' side of the connections, which counts every violation of a limit. */
 #include "sim/scale_fleet_internal.h"
 
-/* A connection event's number holds the database's index above and the connection's number below.
- */
+/* A connection event's number holds the database's index in its high bits and the connection's
+ * number in its low bits. */
 #define NUMBER_BITS 8
 
-/* The time for work in flight to end before a connection closes. */
+/* Time for work in progress to end before a connection closes. */
 #define DRAIN_TIME (5 * NANOSECONDS_PER_MILLISECOND)
 
-/* A connect to where nothing answers fails after this time. */
+/* Time-out of a connect to a database that does not respond. */
 #define CONNECT_TIMEOUT (1 * NANOSECONDS_PER_SECOND)
 
 void scale_holdings_init(struct scale_fleet *fleet)
@@ -71,7 +71,8 @@
     scale_network_add(fleet->network, &event);
 }
 
-/* Sends something to a database; what can't arrive fails at the daemon after a while. */
+/* Sends an event to a database. If it can't arrive, the daemon gets the failure after the time-out.
+ */
 static void send_to_database(struct scale_fleet *fleet, struct scale_daemon *daemon,
                              enum scale_event_kind kind, uint64_t number, time_ns delay)
 {
@@ -79,8 +80,8 @@
     time_ns now = scale_network_now(fleet->network);
     time_ns at = 0;
     bool apart =
-        scale_places_apart(fleet, scale_place_of_daemon(fleet, daemon),
-                           scale_place_of_database(fleet, (uint32_t)(number >> NUMBER_BITS)));
+        scale_places_partitioned(fleet, scale_place_of_daemon(fleet, daemon),
+                                 scale_place_of_database(fleet, (uint32_t)(number >> NUMBER_BITS)));
     if (apart || !scale_network_arrival(fleet->network, daemon->zone, zone, true, &at)) {
         add_connection_event(fleet, daemon, SCALE_EVENT_FAILED, number, now + CONNECT_TIMEOUT);
         return;
@@ -203,7 +204,7 @@
         }
     }
     if (g_hash_table_size(daemon->holdings) != held) {
-        scale_control_pace(fleet, daemon);
+        scale_control_update_probe_interval(fleet, daemon);
     }
 }
 
@@ -240,7 +241,7 @@
     perform(fleet, daemon, holding, notice->database, actions);
 }
 
-/* The answer of a database to a budget. */
+/* Passes a database's reply to the budget. */
 static void answer_budget(struct scale_fleet *fleet, struct scale_daemon *daemon,
                           const struct scale_event *event)
 {
@@ -277,13 +278,13 @@
 static void check_limit(struct scale_fleet *fleet, const struct scale_database *database)
 {
     uint32_t connections = database->unnumbered + database->numbered;
-    fleet->measures.connections_most = MAX(fleet->measures.connections_most, connections);
+    fleet->measures.connections_max = MAX(fleet->measures.connections_max, connections);
     if (connections > fleet->options.connection_limit) {
         fleet->measures.budget_violations++;
     }
 }
 
-/* Tells the daemon what came of it at the database. */
+/* Sends the database's reply to the daemon. */
 static void answer_daemon(struct scale_fleet *fleet, struct scale_database *database,
                           const struct scale_event *event, enum scale_event_kind kind)
 {
@@ -292,8 +293,8 @@
     answer.kind = kind;
     answer.payload = NULL;
     uint32_t index = (uint32_t)(database - fleet->databases);
-    bool apart = scale_places_apart(fleet, scale_place_of_database(fleet, index),
-                                    scale_place_of_daemon(fleet, daemon));
+    bool apart = scale_places_partitioned(fleet, scale_place_of_database(fleet, index),
+                                          scale_place_of_daemon(fleet, daemon));
     if (apart ||
         !scale_network_arrival(fleet->network, database->zone, daemon->zone, true, &answer.at)) {
         answer.kind = kind == SCALE_EVENT_OPENED ? SCALE_EVENT_OPENED : SCALE_EVENT_FAILED;
@@ -373,11 +374,11 @@
     }
 }
 
-/* The databases notice the end of the daemon's connections after `noticed`. */
+/* The databases detect the end of the daemon's connections after `detect_time`. */
 static void end_connections(struct scale_fleet *fleet, const struct scale_daemon *daemon,
-                            uint32_t group, time_ns noticed)
+                            uint32_t group, time_ns detect_time)
 {
-    time_ns at = scale_network_now(fleet->network) + noticed;
+    time_ns at = scale_network_now(fleet->network) + detect_time;
     for (uint32_t i = 0; i < SCALE_GROUP_DATABASES; i++) {
         uint32_t index = group * SCALE_GROUP_DATABASES + i;
         const struct scale_database *database = &fleet->databases[index];
@@ -392,14 +393,14 @@
     }
 }
 
-void scale_holdings_end(struct scale_fleet *fleet, struct scale_daemon *daemon, time_ns noticed)
+void scale_holdings_end(struct scale_fleet *fleet, struct scale_daemon *daemon, time_ns detect_time)
 {
     GHashTableIter iterator;
     gpointer value;
     g_hash_table_iter_init(&iterator, daemon->holdings);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         struct scale_holding *holding = value;
-        end_connections(fleet, daemon, holding->group, noticed);
+        end_connections(fleet, daemon, holding->group, detect_time);
         g_hash_table_iter_remove(&iterator);
         holding_free(holding);
     }
--- a/src/sim/scale_measure.c
+++ b/src/sim/scale_measure.c
@@ -1,4 +1,4 @@
-/* Samples, percentiles and names of what the hollow fleet measures. */
+/* Samples, percentiles and names of the simulated fleet's measures. */
 #include "sim/scale_measure.h"
 
 const char *scale_traffic_name(enum scale_traffic traffic)
@@ -78,8 +78,8 @@
     scale_samples_init(&measures->change_promote);
     scale_samples_init(&measures->change_learn);
     scale_samples_init(&measures->change_whole);
-    scale_samples_init(&measures->death_noticed);
-    scale_samples_init(&measures->leave_noticed);
+    scale_samples_init(&measures->death_detected);
+    scale_samples_init(&measures->leave_detected);
 }
 
 void scale_measures_clear(struct scale_measures *measures)
@@ -95,6 +95,6 @@
     scale_samples_clear(&measures->change_promote);
     scale_samples_clear(&measures->change_learn);
     scale_samples_clear(&measures->change_whole);
-    scale_samples_clear(&measures->death_noticed);
-    scale_samples_clear(&measures->leave_noticed);
+    scale_samples_clear(&measures->death_detected);
+    scale_samples_clear(&measures->leave_detected);
 }
--- a/src/sim/scale_network.c
+++ b/src/sim/scale_network.c
@@ -1,4 +1,4 @@
-/* Event queue (a binary heap) and paths of the hollow fleet's network. */
+/* Event queue (a binary heap) and paths of the simulated fleet's network. */
 #include "sim/scale_network.h"
 
 struct scale_network {
@@ -81,7 +81,7 @@
     }
 }
 
-/* Takes the root out of the heap. */
+/* Removes the root of the heap. */
 static void heap_pop(struct scale_network *network)
 {
     guint last = network->heap->len - 1;
--- a/src/sim/scale_network.h
+++ b/src/sim/scale_network.h
@@ -1,5 +1,6 @@
-/* The network of the hollow fleet on virtual time: an ordered queue of events, and datagrams that
- * take the latency of their path, are lost now and then, and stop at cuts. One thread. */
+/* The network of the simulated fleet in virtual time: an ordered event queue, and datagrams that
+ * take the latency of their path, are lost with its probability, and do not pass partitions.
+ * Single-threaded. */
 #ifndef SW_SIM_SCALE_NETWORK_H
 #define SW_SIM_SCALE_NETWORK_H
 
@@ -12,8 +13,8 @@
 /* One-way latency and loss by distance. */
 struct scale_path {
     time_ns latency;
-    time_ns jitter; /* up to this much is added */
-    double loss;    /* share of datagrams that vanish */
+    time_ns jitter; /* added, uniformly distributed up to this */
+    double loss;    /* share of datagrams that are lost */
 };
 
 struct scale_network_options {
@@ -25,13 +26,13 @@
     uint32_t seed;
 };
 
-/* Something that happens to one daemon at a time. */
+/* An event at one daemon. */
 struct scale_event {
     time_ns at;
-    uint64_t order;  /* events of one time happen in the order they were made */
-    uint32_t kind;   /* the fleet's own */
-    uint32_t daemon; /* index of the daemon that it concerns */
-    uint32_t life;   /* of that daemon when the event was made; 0: any */
+    uint64_t order;  /* order of creation; events of the same time occur in this order */
+    uint32_t kind;   /* defined by the fleet */
+    uint32_t daemon; /* index of the daemon */
+    uint32_t life;   /* that daemon's `life` when the event was created; 0: any */
     uint32_t from;   /* index of the sending daemon */
     uint64_t number;
     gpointer payload; /* owned by the event until it is taken */
@@ -46,19 +47,19 @@
 
 time_ns scale_network_now(const struct scale_network *network);
 
-/* Adds an event; its `order` is set here. */
+/* Adds an event; sets its `order`. */
 void scale_network_add(struct scale_network *network, const struct scale_event *event);
 
-/* Takes the next event not later than `until` and moves the time on to it. Without one, moves the
- * time on to `until` and returns false. */
+/* Removes the next event not later than `until` and advances the time to it. Without one, advances
+ * the time to `until` and returns false. */
 bool scale_network_next(struct scale_network *network, time_ns until, struct scale_event *event);
 
-/* Works out when something sent now from one zone to another arrives. False: it is lost.
- * `reliable` (a stream) is only lost in a cut. */
+/* Computes when a message sent now from one zone arrives at another. False: it is lost. A
+ * `reliable` one (of a stream) is lost only in a partition. */
 bool scale_network_arrival(struct scale_network *network, uint16_t from_zone, uint16_t to_zone,
                            bool reliable, time_ns *at);
 
-/* Cuts or joins the way from one zone to another, in this direction. */
+/* Starts or ends the partition from one zone to another, in this direction. */
 void scale_network_set_cut(struct scale_network *network, uint16_t from_zone, uint16_t to_zone,
                            bool cut);
 bool scale_network_is_cut(const struct scale_network *network, uint16_t from_zone,
--- a/src/sim/scale_observe.c
+++ b/src/sim/scale_observe.c
@@ -1,11 +1,11 @@
-/* What the hollow fleet writes down of spread, detection and serving. */
+/* Measurements of the simulated fleet: spreading, detection and serving. */
 #include "sim/scale_fleet_internal.h"
 
-/* A second coordinator may still begin a term while a promotion becomes known; later ones have no
- * reason to. */
+/* While a promotion is still being announced, a second coordinator may begin a term. Later terms
+ * are unneeded. */
 #define RACE_TIME (1 * NANOSECONDS_PER_SECOND)
 
-/* A daemon whose rack was cut off has refuted its death within this time after the heal. */
+/* Time within which a daemon refutes its death after the partition of its rack has ended. */
 #define REFUTE_TIME (5 * NANOSECONDS_PER_SECOND)
 
 bool scale_was_cut(const struct scale_fleet *fleet, uint16_t zone, time_ns since)
@@ -13,7 +13,7 @@
     return fleet->zone_cut[zone] || fleet->zone_healed_at[zone] > since;
 }
 
-/* True if the daemon stands in the rack that is cut off, or was last. */
+/* True if the daemon is in the rack that is partitioned, or was last. */
 static bool is_in_cut_rack(const struct scale_fleet *fleet, const struct scale_daemon *daemon)
 {
     struct scale_place place = scale_place_of_daemon(fleet, daemon);
@@ -27,7 +27,7 @@
     return scale_was_cut(fleet, daemon->zone, since) || (rack && is_in_cut_rack(fleet, daemon));
 }
 
-/* The end of the last cut that the daemon was in; 0 if it was in none. */
+/* The end of the last partition that the daemon was in; 0 if it was in none. */
 static time_ns healed_at(const struct scale_fleet *fleet, const struct scale_daemon *daemon)
 {
     time_ns rack = is_in_cut_rack(fleet, daemon) ? fleet->rack_healed_at : 0;
@@ -39,7 +39,7 @@
     return &g_array_index(fleet->publications, struct scale_publication, version);
 }
 
-/* One configuration came into force at one daemon. */
+/* Records that a configuration came into force at a daemon. */
 static void observe_version(struct scale_fleet *fleet, const struct scale_daemon *daemon,
                             uint64_t version)
 {
@@ -93,16 +93,16 @@
 }
 
 /* True if the daemon ran and the observer could reach it. */
-static bool is_well(const struct scale_fleet *fleet, const struct scale_daemon *observer,
-                    const struct scale_daemon *daemon)
+static bool is_reachable(const struct scale_fleet *fleet, const struct scale_daemon *observer,
+                         const struct scale_daemon *daemon)
 {
     return daemon->running && !daemon->paused && !scale_transport_cut(fleet, observer, daemon) &&
            !scale_transport_cut(fleet, daemon, observer);
 }
 
-/* True if the daemon's rack has just been joined again: that it was out of reach is no false news
- * until it has refuted it. */
-static bool was_behind_switch(const struct scale_fleet *fleet, const struct scale_daemon *daemon)
+/* True if the partition of the daemon's rack has just ended. Reports of its death are not false
+ * until it has refuted them. */
+static bool was_in_cut_rack(const struct scale_fleet *fleet, const struct scale_daemon *daemon)
 {
     time_ns now = scale_network_now(fleet->network);
     return is_in_cut_rack(fleet, daemon) && fleet->rack_healed_at > 0 &&
@@ -116,7 +116,7 @@
     if (member->state != MEMBER_STATE_DEAD || gone->start != member->start) {
         return;
     }
-    if (is_well(fleet, observer, gone) && !was_behind_switch(fleet, gone)) {
+    if (is_reachable(fleet, observer, gone) && !was_in_cut_rack(fleet, gone)) {
         fleet->measures.false_deaths++;
         return;
     }
@@ -125,7 +125,7 @@
                   !scale_daemon_was_cut(fleet, observer, gone->ended_at) &&
                   !scale_daemon_was_cut(fleet, gone, gone->ended_at);
     if (counts) {
-        scale_samples_add(&fleet->measures.death_noticed, now - gone->ended_at);
+        scale_samples_add(&fleet->measures.death_detected, now - gone->ended_at);
     }
 }
 
@@ -141,7 +141,7 @@
                   !scale_daemon_was_cut(fleet, observer, daemon->mark_at) &&
                   !scale_daemon_was_cut(fleet, daemon, daemon->mark_at);
     if (counts && member->state == MEMBER_STATE_ALIVE) {
-        scale_samples_add(&fleet->measures.leave_noticed, now - daemon->mark_at);
+        scale_samples_add(&fleet->measures.leave_detected, now - daemon->mark_at);
     }
 }
 
@@ -173,7 +173,8 @@
         const struct scale_daemon *about = scale_daemon_of_id(fleet, action->member.id);
         bool suspected = action->kind == MEMBERSHIP_ACTION_MEMBER_CHANGED &&
                          action->member.state == MEMBER_STATE_SUSPECT && about != NULL;
-        if (suspected && about->start == action->member.start && is_well(fleet, daemon, about)) {
+        if (suspected && about->start == action->member.start &&
+            is_reachable(fleet, daemon, about)) {
             fleet->measures.false_suspicions++;
         }
     }
@@ -201,7 +202,7 @@
     };
 }
 
-/* True if the group's database leads and the daemon could ask it. */
+/* True if the group's database leads and the daemon could reach it. */
 static bool leads_in_reach(const struct scale_fleet *fleet, const struct scale_daemon *daemon,
                            uint32_t group, int32_t place)
 {
@@ -210,8 +211,8 @@
     }
     uint32_t index = group * SCALE_GROUP_DATABASES + (uint32_t)place;
     return !scale_network_is_cut(fleet->network, daemon->zone, fleet->databases[index].zone) &&
-           !scale_places_apart(fleet, scale_place_of_daemon(fleet, daemon),
-                               scale_place_of_database(fleet, index));
+           !scale_places_partitioned(fleet, scale_place_of_daemon(fleet, daemon),
+                                     scale_place_of_database(fleet, index));
 }
 
 void scale_observe_record(struct scale_fleet *fleet, struct scale_daemon *daemon, uint32_t group,
@@ -274,8 +275,8 @@
     }
 }
 
-/* Owners, not cut off, that don't hold the change's new primary as usable. */
-static uint32_t count_unlearned(const struct scale_fleet *fleet, uint32_t group)
+/* Number of owners, not partitioned, that don't hold the change's new primary to be usable. */
+static uint32_t count_uninformed(const struct scale_fleet *fleet, uint32_t group)
 {
     const struct scale_change *change = &fleet->groups[group].change;
     uint32_t count = 0;
@@ -311,7 +312,7 @@
     if (confirmed_at == 0 || confirmed_at > change->fenced_at) {
         confirmed_at = change->fenced_at;
     }
-    measures->changes_unlearned += count_unlearned(fleet, (uint32_t)(group - fleet->groups));
+    measures->changes_uninformed += count_uninformed(fleet, (uint32_t)(group - fleet->groups));
     scale_samples_add(&measures->change_detect, confirmed_at - change->failed_at);
     scale_samples_add(&measures->change_fence, change->fenced_at - confirmed_at);
     scale_samples_add(&measures->change_promote, change->promoted_at - change->fenced_at);
--- a/src/sim/scale_report.c
+++ b/src/sim/scale_report.c
@@ -1,14 +1,14 @@
-/* Turns the measures of a run into one line of JSON. Rates are per daemon and virtual second that
- * the daemon ran; octets are as encoded, without UDP, TCP and IP headers. */
+/* Formats the measures of a run as one line of JSON. Rates are per daemon and virtual second that
+ * the daemon ran. Byte counts are of encoded messages, without UDP, TCP and IP headers. */
 #include "sim/scale_report.h"
 
 #include <json-glib/json-glib.h>
 #include <sys/resource.h>
 
-/* A probe and its answer, both ways, without TCP and IP headers: measured at a real daemon by
- * bench/capacity.py; see docs/CAPACITY.md. And IPv4 and UDP headers of a datagram. */
-#define PROBE_OCTETS  189
-#define HEADER_OCTETS 28
+/* Bytes of a probe and its reply, without TCP and IP headers, as a real daemon sends them
+ * (bench/capacity.py, docs/CAPACITY.md); and the IPv4 and UDP headers of a datagram. */
+#define PROBE_BYTES  189
+#define HEADER_BYTES 28
 
 /* One figure over all daemons. */
 struct spread {
@@ -88,9 +88,9 @@
 static void add_traffic(JsonBuilder *builder, const struct scale_fleet *fleet)
 {
     struct spread messages[SCALE_TRAFFIC_COUNT + 1] = {0};
-    struct spread octets[SCALE_TRAFFIC_COUNT + 1] = {0};
+    struct spread bytes[SCALE_TRAFFIC_COUNT + 1] = {0};
     struct spread received = {0};
-    struct spread received_octets = {0};
+    struct spread received_bytes = {0};
     struct spread store_reads = {0};
     struct spread probes = {0};
     struct spread control = {0};
@@ -101,31 +101,31 @@
         }
         double seconds = (double)counters.running / (double)NANOSECONDS_PER_SECOND;
         double all_messages = 0;
-        double all_octets = 0;
+        double all_bytes = 0;
         for (int traffic = 0; traffic < SCALE_TRAFFIC_COUNT; traffic++) {
             spread_add(&messages[traffic], (double)counters.sent[traffic] / seconds);
-            spread_add(&octets[traffic], (double)counters.sent_octets[traffic] / seconds);
+            spread_add(&bytes[traffic], (double)counters.sent_bytes[traffic] / seconds);
             all_messages += (double)counters.sent[traffic] / seconds;
-            all_octets += (double)counters.sent_octets[traffic] / seconds;
+            all_bytes += (double)counters.sent_bytes[traffic] / seconds;
         }
         spread_add(&messages[SCALE_TRAFFIC_COUNT], all_messages);
-        spread_add(&octets[SCALE_TRAFFIC_COUNT], all_octets);
+        spread_add(&bytes[SCALE_TRAFFIC_COUNT], all_bytes);
         spread_add(&received, (double)counters.received / seconds);
-        spread_add(&received_octets, (double)counters.received_octets / seconds);
+        spread_add(&received_bytes, (double)counters.received_bytes / seconds);
         spread_add(&store_reads, (double)counters.store_reads / seconds);
         spread_add(&probes, (double)counters.probes / seconds);
-        spread_add(&control, all_octets + HEADER_OCTETS * all_messages +
-                                 PROBE_OCTETS * (double)counters.probes / seconds);
+        spread_add(&control, all_bytes + HEADER_BYTES * all_messages +
+                                 PROBE_BYTES * (double)counters.probes / seconds);
     }
     for (int traffic = 0; traffic <= SCALE_TRAFFIC_COUNT; traffic++) {
         bool all = traffic == SCALE_TRAFFIC_COUNT;
         begin_object(builder, all ? "all" : scale_traffic_name((enum scale_traffic)traffic));
         add_spread(builder, "messages_per_s", &messages[traffic]);
-        add_spread(builder, "octets_per_s", &octets[traffic]);
+        add_spread(builder, "octets_per_s", &bytes[traffic]);
         json_builder_end_object(builder);
     }
     add_spread(builder, "received_per_s", &received);
-    add_spread(builder, "received_octets_per_s", &received_octets);
+    add_spread(builder, "received_octets_per_s", &received_bytes);
     add_spread(builder, "store_reads_per_s", &store_reads);
     add_spread(builder, "probes_per_s", &probes);
     add_spread(builder, "control_octets_per_s", &control);
@@ -153,14 +153,14 @@
     struct spread parts[SCALE_PART_COUNT + 1] = {0};
     struct spread owned = {0};
     for (uint32_t i = 0; i < scale_fleet_daemons(fleet); i++) {
-        size_t octets[SCALE_PART_COUNT] = {0};
-        if (!scale_fleet_state(fleet, i, octets)) {
+        size_t bytes[SCALE_PART_COUNT] = {0};
+        if (!scale_fleet_state(fleet, i, bytes)) {
             continue;
         }
         double all = 0;
         for (int part = 0; part < SCALE_PART_COUNT; part++) {
-            spread_add(&parts[part], (double)octets[part]);
-            all += (double)octets[part];
+            spread_add(&parts[part], (double)bytes[part]);
+            all += (double)bytes[part];
         }
         spread_add(&parts[SCALE_PART_COUNT], all);
         spread_add(&owned, scale_fleet_groups_owned(fleet, i));
@@ -189,16 +189,16 @@
     add_count(builder, "changes_blocked", measures->changes_blocked);
     add_count(builder, "primaries_suspected", measures->primaries_suspected);
     add_count(builder, "changes_unfinished", measures->changes_unfinished);
-    add_count(builder, "changes_unlearned", measures->changes_unlearned);
+    add_count(builder, "changes_unlearned", measures->changes_uninformed);
     add_count(builder, "changes_unneeded", measures->changes_unneeded);
-    add_samples(builder, "death_noticed", &measures->death_noticed);
-    add_samples(builder, "leave_noticed", &measures->leave_noticed);
+    add_samples(builder, "death_noticed", &measures->death_detected);
+    add_samples(builder, "leave_noticed", &measures->leave_detected);
     add_count(builder, "suspicions", measures->suspicions);
     add_count(builder, "false_suspicions", measures->false_suspicions);
     add_count(builder, "false_deaths", measures->false_deaths);
     add_count(builder, "stopped_serving", measures->stops);
     add_count(builder, "budget_violations", measures->budget_violations);
-    add_count(builder, "connections_most", measures->connections_most);
+    add_count(builder, "connections_most", measures->connections_max);
     add_count(builder, "numbers_refused", measures->numbers_refused);
 }
 
@@ -206,7 +206,7 @@
                         const struct scale_report_run *run)
 {
     add_count(builder, "running_at_end", outcome->running);
-    add_count(builder, "configuration_stragglers", outcome->stragglers);
+    add_count(builder, "configuration_stragglers", outcome->outdated_daemons);
     add_count(builder, "not_serving_at_end", outcome->not_serving);
     add_count(builder, "views_differing_at_end", outcome->views_differing);
     struct rusage usage;
@@ -224,13 +224,13 @@
     add_count(builder, "settled", fault->settled);
     add_number(builder, "settle_ms",
                (double)fault->settle_time / (double)NANOSECONDS_PER_MILLISECOND);
-    add_count(builder, "daemons_hit", fault->daemons_hit);
-    add_count(builder, "daemons_hit_serving", fault->hit_serving);
+    add_count(builder, "daemons_hit", fault->daemons_affected);
+    add_count(builder, "daemons_hit_serving", fault->affected_serving);
     add_count(builder, "daemons_others_serving", fault->others_serving);
-    add_count(builder, "groups_hit_led", fault->hit_led);
+    add_count(builder, "groups_hit_led", fault->affected_led);
     add_count(builder, "groups_others_led", fault->others_led);
-    add_count(builder, "groups_hit", fault->groups_hit);
-    add_count(builder, "state_octets_most", fault->state_most);
+    add_count(builder, "groups_hit", fault->groups_affected);
+    add_count(builder, "state_octets_most", fault->state_bytes_max);
     add_count(builder, "store_reads", fault->store_reads);
     add_count(builder, "store_refused", fault->store_refused);
     json_builder_end_object(builder);
@@ -275,10 +275,10 @@
                (double)options->length / (double)NANOSECONDS_PER_SECOND);
     add_number(builder, "probes_per_s", measures->probes);
     add_number(builder, "opinions_per_s", measures->opinions);
-    add_number(builder, "opinion_octets_per_s", measures->opinion_octets);
+    add_number(builder, "opinion_octets_per_s", measures->opinion_bytes);
     add_number(builder, "core_percent_of_a_core", measures->core_percent);
     add_number(builder, "codec_percent_of_a_core", measures->codec_percent);
-    add_number(builder, "state_octets", measures->state_octets);
+    add_number(builder, "state_octets", measures->state_bytes);
     add_number(builder, "wall_seconds", run->wall_seconds);
     json_builder_end_object(builder);
     g_autoptr(JsonNode) root = json_builder_get_root(builder);
--- a/src/sim/scale_report.h
+++ b/src/sim/scale_report.h
@@ -1,4 +1,4 @@
-/* The JSON line that a run of the hollow fleet prints. */
+/* The line of JSON that a run of the simulated fleet prints. */
 #ifndef SW_SIM_SCALE_REPORT_H
 #define SW_SIM_SCALE_REPORT_H
 
@@ -7,7 +7,7 @@
 #include "sim/scale_fleet.h"
 #include "sim/scale_watch.h"
 
-/* What names a run. */
+/* The parameters that identify a run. */
 struct scale_report_run {
     const char *commit;
     const char *command;
--- a/src/sim/scale_transport.c
+++ b/src/sim/scale_transport.c
@@ -1,9 +1,11 @@
-/* Messages between hollow daemons, through the real codec, and the booking of processor time. */
+/* Messages between simulated daemons, through the real codec, and the accounting of processor time.
+ */
 #include "sim/scale_fleet_internal.h"
 
 #include <time.h>
 
-/* An address holds the daemon's index plus 1 in its low bits and its generation above. */
+/* An address holds the daemon's index plus 1 in its low bits and its generation in its high bits.
+ */
 #define INDEX_BITS  16
 #define GOSSIP_PORT 7946
 
@@ -31,8 +33,8 @@
 void scale_payload_free(gpointer data)
 {
     struct scale_payload *payload = data;
-    if (payload->octets != NULL) {
-        g_byte_array_unref(payload->octets);
+    if (payload->bytes != NULL) {
+        g_byte_array_unref(payload->bytes);
     } else {
         message_clear(&payload->message);
     }
@@ -63,7 +65,7 @@
     daemon->counters.core_ns += total - MIN(total, fleet->cpu_codec);
 }
 
-/* A deep copy of the kinds of message that hollow daemons send. */
+/* A deep copy of the kinds of message that simulated daemons send. */
 static void copy_message(struct message *to, const struct message *from)
 {
     message_init(to, from->kind);
@@ -101,9 +103,9 @@
         return payload;
     }
     time_ns before = cpu_now();
-    payload->octets = message_encode(message);
+    payload->bytes = message_encode(message);
     fleet->cpu_codec += cpu_now() - before;
-    from->counters.sent_octets[traffic] += payload->octets->len;
+    from->counters.sent_bytes[traffic] += payload->bytes->len;
     return payload;
 }
 
@@ -121,8 +123,8 @@
     return (struct scale_place){fleet->databases[index].zone, in_zone % fleet->options.racks};
 }
 
-bool scale_places_apart(const struct scale_fleet *fleet, struct scale_place one,
-                        struct scale_place other)
+bool scale_places_partitioned(const struct scale_fleet *fleet, struct scale_place one,
+                              struct scale_place other)
 {
     struct scale_place cut = fleet->rack_cut_at;
     bool one_in = one.zone == cut.zone && one.rack == cut.rack;
@@ -138,8 +140,8 @@
                      to->index / fleet->options.network.zones % 2) {
         return true;
     }
-    if (scale_places_apart(fleet, scale_place_of_daemon(fleet, from),
-                           scale_place_of_daemon(fleet, to))) {
+    if (scale_places_partitioned(fleet, scale_place_of_daemon(fleet, from),
+                                 scale_place_of_daemon(fleet, to))) {
         return true;
     }
     return scale_network_is_cut(fleet->network, from->zone, to->zone);
@@ -166,14 +168,14 @@
                           struct scale_payload *payload, struct message *out)
 {
     to->counters.received++;
-    if (payload->octets == NULL) {
+    if (payload->bytes == NULL) {
         *out = payload->message;
         message_init(&payload->message, MESSAGE_KIND_NONE);
         return true;
     }
-    to->counters.received_octets += payload->octets->len;
+    to->counters.received_bytes += payload->bytes->len;
     time_ns before = cpu_now();
-    bool decoded = message_decode(payload->octets->data, payload->octets->len, out, NULL);
+    bool decoded = message_decode(payload->bytes->data, payload->bytes->len, out, NULL);
     fleet->cpu_codec += cpu_now() - before;
     return decoded;
 }
--- a/src/sim/scale_watch.c
+++ b/src/sim/scale_watch.c
@@ -1,4 +1,5 @@
-/* A watcher of many healthy groups: the real control of each, fed with probes and opinions. */
+/* A watcher of many healthy groups: the real control of each, fed with probe replies and opinions.
+ */
 #include "sim/scale_watch.h"
 
 #include "core/group_control.h"
@@ -13,8 +14,8 @@
 #define DATABASES 3
 #define WATCHERS  3
 
-/* As in the daemon: probe intervals without a good probe before a primary is suspected, at least.
- */
+/* As in the daemon: the least number of probe intervals without a successful probe before a primary
+ * is suspected. */
 #define PROBES_BEFORE_SUSPICION 4
 
 /* Virtual time moves in steps of this. */
@@ -33,10 +34,10 @@
     struct watched_group *groups;
     struct group_actions actions;
     time_ns now;
-    uint64_t offset; /* the logs' length: all grow alike */
+    uint64_t offset; /* length of the logs, which all grow alike */
     uint64_t probes;
     uint64_t opinions;
-    uint64_t opinion_octets;
+    uint64_t opinion_bytes;
     uint64_t core_ns;
     uint64_t codec_ns;
 };
@@ -55,16 +56,16 @@
     message->opinion.deployment_hash = SCALE_DEPLOYMENT;
 }
 
-/* An opinion goes to both other watchers: encoded once, sent twice. */
+/* Sends an opinion to both other watchers: encoded once, counted twice. */
 static void send_opinion(struct watch *watch, uint32_t group, const struct group_opinion *opinion)
 {
     struct message message;
     to_message(opinion, group, &message);
     uint64_t before = cpu_now();
-    g_autoptr(GByteArray) octets = message_encode(&message);
+    g_autoptr(GByteArray) bytes = message_encode(&message);
     watch->codec_ns += cpu_now() - before;
     watch->opinions += WATCHERS - 1;
-    watch->opinion_octets += (WATCHERS - 1) * octets->len;
+    watch->opinion_bytes += (WATCHERS - 1) * bytes->len;
 }
 
 static void step(struct watch *watch, uint32_t group, const struct group_event *event)
@@ -103,8 +104,8 @@
     step(watch, group, &event);
 }
 
-/* Another watcher's opinion, which is that all is well; it is decoded as it would arrive. */
-static void hear_opinion(struct watch *watch, uint32_t group, uint32_t watcher)
+/* Feeds another watcher's opinion that all is well, decoded as if received. */
+static void receive_opinion(struct watch *watch, uint32_t group, uint32_t watcher)
 {
     struct watched_group *watched = &watch->groups[group];
     struct group_opinion opinion = {
@@ -117,10 +118,10 @@
     };
     struct message message;
     to_message(&opinion, group, &message);
-    g_autoptr(GByteArray) octets = message_encode(&message);
+    g_autoptr(GByteArray) bytes = message_encode(&message);
     struct message decoded;
     uint64_t before = cpu_now();
-    bool valid = message_decode(octets->data, octets->len, &decoded, NULL);
+    bool valid = message_decode(bytes->data, bytes->len, &decoded, NULL);
     watch->codec_ns += cpu_now() - before;
     g_assert(valid);
     message_clear(&decoded);
@@ -177,7 +178,7 @@
     for (uint32_t i = 1; i < WATCHERS; i++) {
         if (watch->now >= watched->opinion_at[i]) {
             watched->opinion_at[i] += NANOSECONDS_PER_SECOND;
-            hear_opinion(watch, group, i);
+            receive_opinion(watch, group, i);
         }
     }
     if (watch->now >= watched->wake_at) {
@@ -196,10 +197,10 @@
     *measures = (struct scale_watch_measures){
         .probes = (double)watch->probes / seconds,
         .opinions = (double)watch->opinions / seconds,
-        .opinion_octets = (double)watch->opinion_octets / seconds,
+        .opinion_bytes = (double)watch->opinion_bytes / seconds,
         .core_percent = 100.0 * (double)watch->core_ns / (double)watch->options->length,
         .codec_percent = 100.0 * (double)watch->codec_ns / (double)watch->options->length,
-        .state_octets = state,
+        .state_bytes = state,
     };
 }
 
--- a/src/sim/scale_watch.h
+++ b/src/sim/scale_watch.h
@@ -1,4 +1,4 @@
-/* Measures the role of watcher: one daemon that watches so many groups, on virtual time. */
+/* Measures the watcher's role: one daemon that watches many groups, in virtual time. */
 #ifndef SW_SIM_SCALE_WATCH_H
 #define SW_SIM_SCALE_WATCH_H
 
@@ -12,15 +12,16 @@
 
 /* Rates are per second of virtual time, for all groups. */
 struct scale_watch_measures {
-    double probes;         /* answered by databases */
-    double opinions;       /* sent, to each of two other watchers */
-    double opinion_octets; /* of these, encoded */
-    double core_percent;   /* of a core, in the control of the groups */
-    double codec_percent;  /* of a core, to encode opinions sent and decode those received */
-    double state_octets;   /* of the groups' control */
+    double probes;        /* answered by databases */
+    double opinions;      /* sent, to each of two other watchers */
+    double opinion_bytes; /* encoded */
+    double core_percent;  /* processor time of the groups' control, in percent of one core */
+    double codec_percent; /* processor time to encode sent opinions and decode received ones, in
+                             percent of one core */
+    double state_bytes;   /* of the groups' control */
 };
 
-/* Watches healthy groups of three databases, with two other watchers that tell their opinions. */
+/* Watches healthy groups of three databases, with two other watchers that send their opinions. */
 void scale_watch_run(const struct scale_watch_options *options,
                      struct scale_watch_measures *measures);
 
--- a/src/sim/swiftreplay.c
+++ b/src/sim/swiftreplay.c
@@ -27,7 +27,7 @@
     printf("%s: %s\n", path,
            failures > 0 ? "FAILED"
            : stated     ? "outcomes hold"
-                        : "decided as recorded; no outcomes");
+                        : "decided as recorded; no outcomes file");
     return failures == 0;
 }
 
@@ -51,12 +51,11 @@
     const GOptionEntry entries[] = {
         {"dump", 0, 0, G_OPTION_ARG_NONE, &dump, "Print every event and action", NULL},
         {"outcomes-only", 0, 0, G_OPTION_ARG_NONE, &outcomes_only,
-         "Let the core decide otherwise than recorded", NULL},
+         "Allow decisions that differ from the recorded ones", NULL},
         {"merge", 0, 0, G_OPTION_ARG_FILENAME, &merged,
-         "Write the traces of several daemons as one, daemon 0 being the first; replay nothing",
-         "FILE"},
+         "Merge the traces of several daemons, daemon 0 first, into FILE; replay nothing", "FILE"},
         {"mutation", 0, 0, G_OPTION_ARG_STRING, &mutation,
-         "Mechanism of the core to turn off, to see the outcomes fail", "M"},
+         "Mechanism of the core to turn off; the outcomes should then fail", "M"},
         G_OPTION_ENTRY_NULL,
     };
     g_autoptr(GOptionContext) context = g_option_context_new("TRACE...");
@@ -70,7 +69,7 @@
         return 2;
     }
     if (argc < 2) {
-        fprintf(stderr, "swiftreplay: a trace is needed\n");
+        fprintf(stderr, "swiftreplay: no trace given\n");
         return 2;
     }
     if (merged != NULL) {
--- a/tests/sim/overload_test.c
+++ b/tests/sim/overload_test.c
@@ -31,7 +31,7 @@
         .seed = 1,
         .writes = writes,
         .factor = factor,
-        .patient_share = 0.7,
+        .retry_after_share = 0.7,
     };
     struct overload_result result;
     overload_run(&options, &result);
--- a/tests/sim/scale_change_test.c
+++ b/tests/sim/scale_change_test.c
@@ -32,7 +32,7 @@
     struct scale_measures *measures = scale_fleet_measures(fleet);
     g_assert_cmpuint(measures->changes_blocked, ==, 0);
     g_assert_cmpuint(measures->changes_unfinished, ==, 0);
-    g_assert_cmpuint(measures->changes_unlearned, ==, 0);
+    g_assert_cmpuint(measures->changes_uninformed, ==, 0);
     g_assert_cmpuint(measures->changes_unneeded, ==, 0);
     g_assert_cmpuint(measures->change_whole.values->len, >=, least);
     g_assert_cmpuint(scale_samples_percentile(&measures->change_whole, 1), <, CHANGE_BOUND);
@@ -94,9 +94,9 @@
     struct scale_fault_outcome outcome;
     struct scale_fleet *fleet = run_fault(SCALE_FAULT_SWITCH, 1, 1, 0, &outcome);
     assert_changed(fleet, 1);
-    g_assert_cmpuint(outcome.daemons_hit, >, 0);
-    g_assert_cmpuint(outcome.hit_serving, ==, 0);
-    g_assert_cmpuint(outcome.others_serving, ==, DAEMONS - outcome.daemons_hit);
+    g_assert_cmpuint(outcome.daemons_affected, >, 0);
+    g_assert_cmpuint(outcome.affected_serving, ==, 0);
+    g_assert_cmpuint(outcome.others_serving, ==, DAEMONS - outcome.daemons_affected);
     g_assert_cmpuint(outcome.others_led, ==, scale_fleet_groups(fleet));
     g_assert_true(outcome.settled);
     g_assert_cmpuint(scale_fleet_measures(fleet)->false_deaths, ==, 0);
@@ -117,10 +117,10 @@
 {
     struct scale_fault_outcome outcome;
     struct scale_fleet *fleet = run_fault(SCALE_FAULT_REGION, 1, 1, 0, &outcome);
-    g_assert_cmpuint(outcome.daemons_hit, >, 0);
-    g_assert_cmpuint(outcome.hit_serving, ==, 0);
-    g_assert_cmpuint(outcome.others_serving, ==, DAEMONS - outcome.daemons_hit);
-    g_assert_cmpuint(outcome.others_led, ==, scale_fleet_groups(fleet) - outcome.groups_hit);
+    g_assert_cmpuint(outcome.daemons_affected, >, 0);
+    g_assert_cmpuint(outcome.affected_serving, ==, 0);
+    g_assert_cmpuint(outcome.others_serving, ==, DAEMONS - outcome.daemons_affected);
+    g_assert_cmpuint(outcome.others_led, ==, scale_fleet_groups(fleet) - outcome.groups_affected);
     g_assert_true(outcome.settled);
     g_assert_cmpuint(outcome.settle_time, <, SECONDS(8));
     g_assert_cmpuint(scale_fleet_measures(fleet)->changes_unneeded, ==, 0);
--- a/tests/sim/scale_day_test.c
+++ b/tests/sim/scale_day_test.c
@@ -28,7 +28,7 @@
         struct scale_day_options day;
         struct scale_day_outcome outcome;
         struct scale_fleet *fleet = run_day(seed, &day, &outcome);
-        g_assert_cmpuint(outcome.stragglers, ==, 0);
+        g_assert_cmpuint(outcome.outdated_daemons, ==, 0);
         g_assert_cmpuint(outcome.not_serving, ==, 0);
         g_assert_cmpuint(outcome.views_differing, ==, 0);
         const struct scale_measures *measures = scale_fleet_measures(fleet);
@@ -52,8 +52,8 @@
     g_assert_cmpint(json_object_get_int_member(report, "daemons"), ==, DAEMONS);
     JsonObject *sent = json_object_get_object_member(report, "sent");
     JsonObject *all = json_object_get_object_member(sent, "all");
-    JsonObject *octets = json_object_get_object_member(all, "octets_per_s");
-    g_assert_cmpfloat(json_object_get_double_member(octets, "mean"), >, 0);
+    JsonObject *bytes = json_object_get_object_member(all, "octets_per_s");
+    g_assert_cmpfloat(json_object_get_double_member(bytes, "mean"), >, 0);
     scale_fleet_free(fleet);
 }
 
--- a/tests/sim/sim_scenario_test.c
+++ b/tests/sim/sim_scenario_test.c
@@ -27,7 +27,7 @@
         struct checker_result result;
 
         sim_run_execute(run);
-        checker_judge(run, &result);
+        checker_evaluate(run, &result);
         if (result.total > 0) {
             g_test_message("%s, seed %" G_GUINT64_FORMAT ": %s", scenario->name, seed,
                            result.first);
