--- a/src/load/check_main.c
+++ b/src/load/check_main.c
@@ -1,5 +1,6 @@
-/* swiftworks-check: judges recorded histories and the databases' final state against the promises.
- * Exit code 0: every promise held; 1: one was broken; 2: it could not be judged. */
+/* swiftworks-check: checks recorded histories and the databases' final state against the
+ * guarantees. Exit code 0: every guarantee held; 1: one was violated; 2: the check could not be
+ * made. */
 #include <stdio.h>
 
 #include "load/check_report_json.h"
@@ -10,7 +11,7 @@
 #define EXIT_FAULT  2
 #define LISTED_MAX  50
 
-/* The command line. Freed by the process's end. */
+/* The command line. Its strings are not freed. */
 struct command_line {
     GStrv groups; /* "HOST:PORT,HOST:PORT,...": the databases of one group */
     gint timeout_ms;
@@ -22,7 +23,7 @@
     const GOptionEntry entries[] = {
         {"database", 0, 0, G_OPTION_ARG_STRING_ARRAY, &line->groups,
          "Databases of a group, separated by commas; repeat for each group. Without any, only the "
-         "promises on reads and terms are judged",
+         "guarantees on reads and terms are checked",
          "HOST:PORT,..."},
         {"timeout-ms", 0, 0, G_OPTION_ARG_INT, &line->timeout_ms,
          "How long a majority of a group may take to hold the same rows", "MS"},
@@ -34,7 +35,7 @@
     return g_option_context_parse(context, count, arguments, error);
 }
 
-/* The final state of all groups; NULL without an error if none is given. */
+/* The final state of all groups; NULL without an error if no groups are given. */
 static struct final_state *read_state(const struct command_line *line, GError **error)
 {
     if (line->groups == NULL) {
@@ -55,7 +56,7 @@
     return all;
 }
 
-static int judge(const GPtrArray *records, const struct final_state *state)
+static int check_and_report(const GPtrArray *records, const struct final_state *state)
 {
     struct check_report *report = check_history(records, state);
     g_autoptr(JsonNode) node = check_report_to_json(report, LISTED_MAX);
@@ -95,7 +96,7 @@
         g_printerr("check: %s\n", error->message);
         return EXIT_FAULT;
     }
-    int verdict = judge(records, state);
+    int verdict = check_and_report(records, state);
     final_state_free(state);
     return verdict;
 }
--- a/src/load/check_report_json.h
+++ b/src/load/check_report_json.h
@@ -1,10 +1,11 @@
-/* The verdict of the checker as JSON. */
+/* The checker's report as JSON. */
 #ifndef SW_LOAD_CHECK_REPORT_JSON_H
 #define SW_LOAD_CHECK_REPORT_JSON_H
 
 #include "load/checker.h"
 
-/* The report, with at most `listed_max` violations and unknown ids named; the counts are whole. */
+/* The report as JSON. It lists at most `listed_max` violations and unknown ids; its counts cover
+ * all. */
 JsonNode *check_report_to_json(const struct check_report *report, guint listed_max);
 
 #endif
--- a/src/load/checker.c
+++ b/src/load/checker.c
@@ -1,5 +1,5 @@
-/* The promises on reads and terms, judged in the order of the attempts, and the entry point of the
- * checker. What must be true of the final state is in checker_writes.c. */
+/* The entry point of the checker, and the guarantees on reads, checked in the order of the
+ * attempts. checker_writes.c checks terms and the final state. */
 #include "load/checker.h"
 
 #include <string.h>
@@ -69,38 +69,38 @@
     g_free(report);
 }
 
-/* How a session came to know a row. */
+/* How a session learned of a row. */
 enum row_source {
     ROW_SOURCE_WRITTEN = 1,
     ROW_SOURCE_READ,
 };
 
-/* The rows that a session knows of: "session range" -> (id -> enum row_source). */
-struct session_knowledge {
+/* The rows that a session must see: "session range" -> (id -> enum row_source). */
+struct session_rows {
     GHashTable *ranges;
 };
 
-static GHashTable *known_rows(struct session_knowledge *knowledge,
+static GHashTable *known_rows(struct session_rows *session_rows,
                               const struct history_record *record)
 {
     g_autofree char *name = g_strconcat(record->session, " ", record->range, NULL);
-    GHashTable *rows = g_hash_table_lookup(knowledge->ranges, name);
+    GHashTable *rows = g_hash_table_lookup(session_rows->ranges, name);
     if (rows == NULL) {
         rows = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-        g_hash_table_insert(knowledge->ranges, g_steal_pointer(&name), rows);
+        g_hash_table_insert(session_rows->ranges, g_steal_pointer(&name), rows);
     }
     return rows;
 }
 
 static void check_missing_rows(struct check_report *report, const struct history_record *record,
-                               GHashTable *known, GHashTable *seen)
+                               GHashTable *known, GHashTable *returned)
 {
     GHashTableIter iterator;
     gpointer id;
     gpointer source;
     g_hash_table_iter_init(&iterator, known);
     while (g_hash_table_iter_next(&iterator, &id, &source)) {
-        if (g_hash_table_contains(seen, id)) {
+        if (g_hash_table_contains(returned, id)) {
             continue;
         }
         bool written = GPOINTER_TO_INT(source) == ROW_SOURCE_WRITTEN;
@@ -109,22 +109,22 @@
     }
 }
 
-/* Judges one read that was done, and lets the session know its rows. */
+/* Checks one completed read, and adds its rows to the session's. */
 static void check_read(struct check_report *report, const struct history_record *record,
                        GHashTable *known)
 {
-    g_autoptr(GHashTable) seen = g_hash_table_new(g_str_hash, g_str_equal);
+    g_autoptr(GHashTable) returned = g_hash_table_new(g_str_hash, g_str_equal);
     for (guint i = 0; record->rows != NULL && i < record->rows->len; i++) {
         char *id = g_ptr_array_index(record->rows, i);
         if (!g_str_has_prefix(id, record->range)) {
             check_report_add(report, VIOLATION_FOREIGN_ROW, record, id);
         }
-        g_hash_table_add(seen, id);
+        g_hash_table_add(returned, id);
     }
-    check_missing_rows(report, record, known, seen);
+    check_missing_rows(report, record, known, returned);
     GHashTableIter iterator;
     gpointer id;
-    g_hash_table_iter_init(&iterator, seen);
+    g_hash_table_iter_init(&iterator, returned);
     while (g_hash_table_iter_next(&iterator, &id, NULL)) {
         if (!g_hash_table_contains(known, id)) {
             g_hash_table_insert(known, g_strdup(id), GINT_TO_POINTER(ROW_SOURCE_READ));
@@ -132,11 +132,11 @@
     }
 }
 
-/* Read your writes and monotonic reads. `records` are in the order of sending; an attempt of a
- * session is sent after the answer to the one before. */
+/* Checks read-your-writes and monotonic reads. `records` are in the order of sending; a session
+ * sends an attempt after the answer to the previous one. */
 static void check_reads(struct check_report *report, const GPtrArray *records)
 {
-    struct session_knowledge knowledge = {
+    struct session_rows session_rows = {
         .ranges = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
                                         (GDestroyNotify)g_hash_table_unref)};
     for (guint i = 0; i < records->len; i++) {
@@ -144,7 +144,7 @@
         if (record->outcome != ATTEMPT_DONE) {
             continue;
         }
-        GHashTable *known = known_rows(&knowledge, record);
+        GHashTable *known = known_rows(&session_rows, record);
         if (operation_is_write(record->kind)) {
             g_hash_table_insert(known, g_strdup(record->id), GINT_TO_POINTER(ROW_SOURCE_WRITTEN));
         } else {
@@ -152,7 +152,7 @@
             check_read(report, record, known);
         }
     }
-    g_hash_table_unref(knowledge.ranges);
+    g_hash_table_unref(session_rows.ranges);
 }
 
 static int compare_sent(gconstpointer a, gconstpointer b)
--- a/src/load/checker.h
+++ b/src/load/checker.h
@@ -1,27 +1,30 @@
-/* Judges what clients saw, and the databases' final state, against the promises made to callers.
- * Pure: the same code judges a live run and a recorded history. */
+/* Checks what clients observed, and the databases' final state, against the guarantees given to
+ * callers. Without side effects: the same code checks a live run and a recorded history. */
 #ifndef SW_LOAD_CHECKER_H
 #define SW_LOAD_CHECKER_H
 
 #include "load/history.h"
 
-/* The promises, by the way they can be broken. */
+/* The kinds of violation. */
 enum violation_kind {
-    VIOLATION_LOST_WRITE,       /* acknowledged, and not in the final state */
-    VIOLATION_DOUBLED_WRITE,    /* in the final state more than once */
-    VIOLATION_NOT_RUN_FOUND,    /* every attempt was told not run or rolled back, and it is there */
-    VIOLATION_TORN_TRANSACTION, /* one half of a batch is in the final state */
-    VIOLATION_READ_YOUR_WRITES, /* a read missed a write acknowledged to its session before */
+    VIOLATION_LOST_WRITE,    /* an acknowledged write is missing from the final state */
+    VIOLATION_DOUBLED_WRITE, /* a write is in the final state more than once */
+    VIOLATION_NOT_RUN_FOUND, /* a write is in the final state though each attempt was answered "not
+                                run" or "rolled back" */
+    VIOLATION_TORN_TRANSACTION, /* only one half of a batch is in the final state */
+    VIOLATION_READ_YOUR_WRITES, /* a read missed a write that its session had an acknowledgement for
+                                 */
     VIOLATION_MONOTONIC_READS,  /* a read missed a row that its session had read before */
-    VIOLATION_FOREIGN_ROW,      /* a read answered a row that is outside what it asked for */
-    VIOLATION_REPLACED_PRIMARY, /* acknowledged in a term below one acknowledged before it began */
+    VIOLATION_FOREIGN_ROW,      /* a read returned a row outside the requested range */
+    VIOLATION_REPLACED_PRIMARY, /* a write was acknowledged in a lower term than one acknowledged
+                                   before it began */
     VIOLATION_KIND_COUNT,
 };
 
 /* Lower-case name of a violation, as in the report. */
 const char *violation_kind_name(enum violation_kind kind);
 
-/* One broken promise. Owns its strings. */
+/* One violation. Owns its strings. */
 struct violation {
     enum violation_kind kind;
     char *session;
@@ -29,7 +32,7 @@
     char *id;
 };
 
-/* The rows that a majority of the databases hold alike: id -> count (GUINT_TO_POINTER). */
+/* The rows that a majority of the databases hold identically: id -> count (GUINT_TO_POINTER). */
 struct final_state {
     GHashTable *entries;  /* table ledger_check, which has no unique key */
     GHashTable *bookings; /* table bookings */
@@ -41,20 +44,21 @@
 /* Counts one row of a table. */
 void final_state_add(GHashTable *table, const char *id);
 
-/* The verdict. Owned by the caller. */
+/* The result of a check. Owned by the caller. */
 struct check_report {
     GPtrArray *violations; /* struct violation * */
     uint64_t counts[VIOLATION_KIND_COUNT];
     uint64_t attempts;
     uint64_t acknowledged_writes;
-    uint64_t not_run_writes; /* writes whose every attempt was told not run or rolled back */
+    uint64_t
+        not_run_writes; /* writes of which each attempt was answered "not run" or "rolled back" */
     uint64_t reads;
-    GPtrArray *unknown_ids; /* char *: writes whose outcome their client never learned */
-    uint64_t unknown_found; /* of these, how many are in the final state */
+    GPtrArray *unknown_ids; /* char *: writes whose client did not learn the outcome */
+    uint64_t unknown_found; /* number of these in the final state */
 };
 
-/* Judges struct history_record pointers in any order. `state` may be NULL: then only the promises
- * on reads and terms are judged. */
+/* Checks struct history_record pointers in any order. `state` may be NULL: then only the guarantees
+ * on reads and terms are checked. */
 struct check_report *check_history(const GPtrArray *records, const struct final_state *state);
 
 void check_report_free(struct check_report *report);
--- a/src/load/checker_writes.c
+++ b/src/load/checker_writes.c
@@ -1,11 +1,11 @@
-/* Judges writes. See checker_writes.h. */
+/* Checks writes. See checker_writes.h. */
 #include "load/checker_writes.h"
 
-/* The attempts of one write, put together. Borrows its records. */
+/* The attempts of one write, combined. Borrows the records. */
 struct write_history {
     const struct history_record *first;
     const struct history_record *acknowledged; /* the attempt that was done, or NULL */
-    bool maybe_run;            /* an attempt ended without the client learning what became of it */
+    bool maybe_run;            /* an attempt ended without its outcome being known to the client */
     const char *maybe_run_key; /* key of the last such attempt, or NULL */
 };
 
@@ -28,7 +28,7 @@
     return write;
 }
 
-/* True if a refusal says that the write's earlier attempts never ran and never will. */
+/* True if a refusal guarantees that the write's earlier attempts never ran and never will. */
 static bool closes_key(const struct write_history *write, const struct history_record *record)
 {
     const char *kind = error_entry_of(ERROR_KIND_KEY_CLOSED)->name;
@@ -49,7 +49,7 @@
         write->maybe_run_key = record->key;
         break;
     case ATTEMPT_REFUSED:
-        /* A closed key speaks for every earlier attempt under it: none ran, and none will. */
+        /* A closed key guarantees that no earlier attempt under it ran or will run. */
         if (closes_key(write, record)) {
             write->maybe_run = false;
         }
@@ -66,7 +66,7 @@
     return GPOINTER_TO_UINT(g_hash_table_lookup(table, id));
 }
 
-/* Judges one write against the final state. */
+/* Checks one write against the final state. */
 static void check_final_rows(struct check_report *report, const struct write_history *write,
                              const struct final_state *state)
 {
@@ -112,7 +112,7 @@
     return left_ns < right_ns ? -1 : left_ns > right_ns;
 }
 
-/* The highest term acknowledged so far in each tenant. */
+/* The highest term acknowledged so far for each tenant. */
 static void raise_term(GHashTable *terms, const struct history_record *acknowledged)
 {
     uint64_t *term = g_hash_table_lookup(terms, acknowledged->tenant);
@@ -123,8 +123,8 @@
     *term = MAX(*term, acknowledged->served_by.term);
 }
 
-/* A write whose first attempt began after an acknowledgement of some term can't be acknowledged in
- * a lower one: a majority had promised that away. */
+/* A write whose first attempt began after an acknowledgement of some term must not be acknowledged
+ * in a lower term: a majority had promised to refuse that by then. */
 static void check_terms(struct check_report *report, const GPtrArray *writes)
 {
     g_autoptr(GPtrArray) by_answer = g_ptr_array_new();
--- a/src/load/database_state.c
+++ b/src/load/database_state.c
@@ -90,7 +90,7 @@
     return done;
 }
 
-/* The rows of one database; NULL if it doesn't answer. */
+/* The rows of one database; NULL if it does not respond. */
 static struct final_state *read_database(const char *address)
 {
     PGconn *connection = connect_to(address);
@@ -105,7 +105,7 @@
     return state;
 }
 
-/* Reads every database once. Returns a state that a majority holds, or NULL. */
+/* Reads every database once. Returns the state that a majority holds, or NULL. */
 static struct final_state *read_group(const char *const *addresses)
 {
     guint count = g_strv_length((GStrv)addresses);
--- a/src/load/direct_client.c
+++ b/src/load/direct_client.c
@@ -1,5 +1,5 @@
-/* The baseline: the same operations straight to a database over libpq, without a daemon. It knows
- * no keys and no sessions, so it never repeats a write. */
+/* The baseline client: the same operations directly on a database over libpq, without a daemon. It
+ * has neither keys nor sessions, so it never retries a write. */
 #include <libpq-fe.h>
 #include <string.h>
 
@@ -56,7 +56,7 @@
     return done;
 }
 
-static void take_rows(const PGresult *result, struct client_answer *answer)
+static void copy_rows(const PGresult *result, struct client_answer *answer)
 {
     answer->rows = g_ptr_array_new_with_free_func(g_free);
     for (int row = 0; row < PQntuples(result); row++) {
@@ -64,7 +64,7 @@
     }
 }
 
-/* Runs the statements of an operation; false at the first that fails. */
+/* Runs the statements of an operation; false at the first failure. */
 static bool run_statements(struct direct_client *self, const struct operation *operation,
                            struct client_answer *answer)
 {
@@ -73,7 +73,7 @@
         ExecStatusType status = PQresultStatus(result);
         bool done = status == PGRES_COMMAND_OK || status == PGRES_TUPLES_OK;
         if (done && operation->kind == OPERATION_READ) {
-            take_rows(result, answer);
+            copy_rows(result, answer);
         }
         PQclear(result);
         if (!done) {
--- a/src/load/histogram.c
+++ b/src/load/histogram.c
@@ -14,7 +14,7 @@
     return (shift + 1U) * HISTOGRAM_SUBDIVISIONS + part;
 }
 
-/* The largest value that falls into a bucket. */
+/* The largest value that belongs to a bucket. */
 static uint64_t bucket_upper_bound(uint32_t bucket)
 {
     if (bucket < HISTOGRAM_SUBDIVISIONS) {
--- a/src/load/history.c
+++ b/src/load/history.c
@@ -168,7 +168,7 @@
     return rows;
 }
 
-/* Reads the words that come from closed lists; false if one is not in its list. */
+/* Parses the members that are enumerations; false if one has an unknown value. */
 static bool read_words(JsonObject *object, struct history_record *record)
 {
     const char *kind = json_object_get_string_member_with_default(object, "kind", "");
--- a/src/load/http_answer.c
+++ b/src/load/http_answer.c
@@ -1,4 +1,4 @@
-/* Reads HTTP answers. See http_answer.h. */
+/* Parses HTTP answers. See http_answer.h. */
 #include "load/http_answer.h"
 
 #include <string.h>
@@ -21,7 +21,7 @@
     memset(answer, 0, sizeof(*answer));
 }
 
-/* The value of the header `name` if the line is it, else NULL. */
+/* The value of the header `name` if the line contains it, else NULL. */
 static const char *header_value(const char *line, const char *name)
 {
     size_t length = strlen(name);
@@ -41,7 +41,7 @@
     *target = g_strdup(text);
 }
 
-/* Reads "daemon=..; database=..; role=..; term=..; offset=..". */
+/* Parses "daemon=..; database=..; role=..; term=..; offset=..". */
 static void read_served_by(struct served_by *served_by, const char *value)
 {
     g_auto(GStrv) parts = g_strsplit(value, ";", -1);
--- a/src/load/http_client.c
+++ b/src/load/http_client.c
@@ -1,20 +1,20 @@
-/* A caller over HTTP: libcurl, one easy handle per client, connections kept alive. */
+/* A client over HTTP: one libcurl easy handle per client, with connections kept alive. */
 #include <curl/curl.h>
 #include <string.h>
 
 #include "load/client.h"
 #include "load/http_answer.h"
 
-/* How much longer than the request's own limit the client waits for the answer. */
-#define ANSWER_GRACE_MS 500L
-/* Time for a TCP connection on the local network. */
+/* How long the client waits for the answer beyond the request's own deadline. */
+#define ANSWER_TIMEOUT_MARGIN_MS 500L
+/* Time-out of a TCP connect on the local network. */
 #define CONNECT_TIMEOUT_MS 1000L
 
 struct http_client {
     struct client base;
     CURL *curl;
     GString *body;
-    uint32_t sendings; /* of the current request */
+    uint32_t sendings; /* how often the current request was sent */
 };
 
 static size_t take_body(char *data, size_t size, size_t count, void *context)
@@ -105,8 +105,9 @@
     return headers;
 }
 
-/* Called before each sending. libcurl by itself sends a request again when a kept connection turns
- * out dead; whether the daemon ran it is not known then, so the second sending is stopped. */
+/* Called before each time the request is sent. libcurl resends a request when a kept-alive
+ * connection turns out to be dead. Whether the daemon ran the request is unknown then, so the
+ * resend is prevented. */
 static int before_sending(void *context, char *remote_ip, char *local_ip, int remote_port,
                           int local_port)
 {
@@ -135,7 +136,8 @@
     curl_easy_setopt(self->curl, CURLOPT_POSTFIELDS, body);
     curl_easy_setopt(self->curl, CURLOPT_HTTPHEADER, headers);
     curl_easy_setopt(self->curl, CURLOPT_HEADERDATA, answer);
-    curl_easy_setopt(self->curl, CURLOPT_TIMEOUT_MS, (long)request->timeout_ms + ANSWER_GRACE_MS);
+    curl_easy_setopt(self->curl, CURLOPT_TIMEOUT_MS,
+                     (long)request->timeout_ms + ANSWER_TIMEOUT_MARGIN_MS);
     CURLcode code = curl_easy_perform(self->curl);
     curl_slist_free_all(headers);
     if (code == CURLE_OK) {
--- a/src/load/load_main.c
+++ b/src/load/load_main.c
@@ -1,4 +1,5 @@
-/* swiftworks-load: a caller that writes and reads through daemons, and records what it saw. */
+/* swiftworks-load: a load generator that writes and reads through daemons and records the answers.
+ */
 #include <curl/curl.h>
 #include <errno.h>
 #include <signal.h>
@@ -10,7 +11,7 @@
 
 #define EXIT_USAGE 2
 
-/* The command line. Filled by GLib's option parser; freed by the process's end. */
+/* The command line. Filled by GLib's option parser; its strings are not freed. */
 struct command_line {
     GStrv addresses;
     GStrv tenants;
@@ -46,14 +47,14 @@
         {"daemon", 'd', 0, G_OPTION_ARG_STRING_ARRAY, &line->addresses,
          "Address of a daemon's callers' listener; repeat for each", "HOST:PORT"},
         {"direct", 0, 0, G_OPTION_ARG_NONE, &line->direct,
-         "The addresses are databases, reached over libpq without a daemon", NULL},
+         "Connect to databases directly over libpq, without a daemon", NULL},
         {"tenant", 't', 0, G_OPTION_ARG_STRING_ARRAY, &line->tenants,
          "Tenant; repeat to spread the sessions", "NAME"},
         {"prepare", 0, 0, G_OPTION_ARG_NONE, &line->prepare, "Create the tables first", NULL},
         {"sessions", 's', 0, G_OPTION_ARG_INT, &line->sessions, "Sessions at a time", "N"},
         {"duration", 0, 0, G_OPTION_ARG_DOUBLE, &line->duration_s, "Length of the run", "SECONDS"},
         {"rate", 'r', 0, G_OPTION_ARG_DOUBLE, &line->rate,
-         "Operations a second, whatever the answers (open loop); 0 for a closed loop", "N"},
+         "Operations a second, independent of the answers (open loop); 0 for a closed loop", "N"},
         {"pause-ms", 0, 0, G_OPTION_ARG_INT, &line->pause_ms,
          "Closed loop: pause before a session's next operation", "MS"},
         {"read-share", 0, 0, G_OPTION_ARG_DOUBLE, &line->read_share,
@@ -67,18 +68,19 @@
         {"seed", 0, 0, G_OPTION_ARG_INT, &line->seed, "Seed of the operations", "N"},
         {"timeout-ms", 0, 0, G_OPTION_ARG_INT, &line->timeout_ms, "Deadline of an attempt", "MS"},
         {"operation-timeout-ms", 0, 0, G_OPTION_ARG_INT, &line->operation_timeout_ms,
-         "Deadline of an operation with its retries", "MS"},
+         "Deadline of an operation including its retries", "MS"},
         {"gap-threshold-ms", 0, 0, G_OPTION_ARG_INT, &line->gap_threshold_ms,
-         "List times without an acknowledged write that are longer", "MS"},
+         "List gaps without an acknowledged write that are longer than this", "MS"},
         {"run", 0, 0, G_OPTION_ARG_STRING, &line->run, "Prefix of all ids, new in each run",
          "NAME"},
         {"history", 0, 0, G_OPTION_ARG_FILENAME, &line->history_path,
          "Write one line of JSON per attempt", "FILE"},
         {"summary", 0, 0, G_OPTION_ARG_FILENAME, &line->summary_path,
-         "Write the summary there instead of to the standard output", "FILE"},
+         "Write the summary to FILE instead of standard output", "FILE"},
         G_OPTION_ENTRY_NULL,
     };
-    g_autoptr(GOptionContext) context = g_option_context_new("- a load of swiftworks callers");
+    g_autoptr(GOptionContext) context =
+        g_option_context_new("- generate load on swiftworks daemons");
     g_option_context_add_main_entries(context, entries, NULL);
     return g_option_context_parse(context, count, arguments, error);
 }
--- a/src/load/operation.c
+++ b/src/load/operation.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-/* ledger_check has no unique key, so that a write that ran twice leaves two rows. */
+/* ledger_check has no unique key, so that a write that was run twice leaves two rows. */
 const char *const OPERATION_SCHEMA[] = {
     "CREATE TABLE IF NOT EXISTS bookings"
     " (id TEXT PRIMARY KEY, session TEXT, sequence BIGINT, created TEXT)",
@@ -60,7 +60,7 @@
     struct operation *operation = operation_new(number, OPERATION_READ, range);
     struct operation_statement *statement = add_statement(operation, READ_SQL);
     add_text(statement, range);
-    /* The first text after all that begin with the range. */
+    /* The first string after all that begin with the range. */
     g_autofree char *end = g_strdup(range);
     end[strlen(end) - 1]++;
     add_text(statement, end);
--- a/src/load/operation.h
+++ b/src/load/operation.h
@@ -1,4 +1,4 @@
-/* One thing a session wants done, as SQL that both the HTTP API and libpq can carry. */
+/* One operation of a session, as SQL that both the HTTP API and libpq can carry. */
 #ifndef SW_LOAD_OPERATION_H
 #define SW_LOAD_OPERATION_H
 
@@ -19,7 +19,7 @@
     struct operation_parameter parameters[OPERATION_PARAMETERS_MAX];
 };
 
-/* An operation and the key it is sent under. Owns its strings. */
+/* An operation and its idempotency key. Owns its strings. */
 struct operation {
     uint64_t number;
     enum operation_kind kind;
@@ -30,11 +30,11 @@
     struct operation_statement statements[OPERATION_STATEMENTS_MAX];
 };
 
-/* Tables that the operations use, as statements to run once before. */
+/* The statements that create the operations' tables. */
 extern const char *const OPERATION_SCHEMA[];
 extern const size_t OPERATION_SCHEMA_COUNT;
 
-/* Reads the ids that begin with `range`, which ends in '/'. */
+/* Reads the ids with the prefix `range`, which ends in '/'. */
 struct operation *operation_read_new(uint64_t number, const char *range);
 
 /* Inserts `id` as one statement. */
--- a/src/load/prepare.c
+++ b/src/load/prepare.c
@@ -4,10 +4,10 @@
 #include "core/error.h"
 #include "core/types.h"
 
-/* Between two attempts while the deployment starts. */
+/* Pause between two attempts while the deployment starts. */
 #define ATTEMPT_PAUSE_US 100000UL
 
-/* A schema statement as an operation under its own key. */
+/* Builds an operation, with a key of its own, from a schema statement. */
 static struct operation *schema_operation(const struct runner_options *options, uint64_t number)
 {
     struct operation *operation = g_new0(struct operation, 1);
@@ -36,9 +36,9 @@
         bool again =
             retry_decide(OPERATION_ENTRY, true, answer.outcome, answer.retry) != RETRY_ACTION_STOP;
         if (!done && (!again || clock_now_ns() >= gives_up_ns)) {
-            g_set_error(error, SW_ERROR, ERROR_KIND_INTERNAL, "no tables: %s: %s",
+            g_set_error(error, SW_ERROR, ERROR_KIND_INTERNAL, "creating the tables failed: %s: %s",
                         attempt_outcome_name(answer.outcome),
-                        answer.text != NULL ? answer.text : "no text");
+                        answer.text != NULL ? answer.text : "no error text");
             client_answer_clear(&answer);
             return false;
         }
--- a/src/load/prepare.h
+++ b/src/load/prepare.h
@@ -4,10 +4,10 @@
 
 #include "load/runner.h"
 
-/* Runs the statements of OPERATION_SCHEMA for every tenant, through the same addresses as the run.
- * Retries until options->operation_timeout_ms is over; then SW_ERROR with the last answer. `token`
- * gets the session token after it, which the caller frees: a session that starts with it sees the
- * tables on every replica. */
+/* Runs the statements of OPERATION_SCHEMA for every tenant, through the addresses of the run.
+ * Retries until options->operation_timeout_ms has passed, then fails with SW_ERROR and the last
+ * answer. `token` receives the session token, which the caller frees: sessions that start with it
+ * see the tables on every replica. */
 bool prepare_tables(const struct runner_options *options, char **token, GError **error);
 
 #endif
--- a/src/load/runner.c
+++ b/src/load/runner.c
@@ -1,4 +1,4 @@
-/* Session threads. See runner.h. */
+/* Threads of the sessions. See runner.h. */
 #include "load/runner.h"
 
 #include <pthread.h>
@@ -7,13 +7,13 @@
 #include "core/types.h"
 
 #define SESSION_STACK_BYTES (512U * 1024U)
-/* Longest sleep between looks at the stop flag. */
+/* Longest sleep between two checks of the stop flag. */
 #define STOP_CHECK_NS (50 * NANOSECONDS_PER_MILLISECOND)
 
-/* Set once, by a signal or at the end; read by all. */
+/* Set by a signal or at the end; read by all threads. */
 static atomic_bool stop_requested;
 
-/* One run. Shared by its threads; `lock` guards the summary and the history file. */
+/* One run, shared by its threads. `lock` guards the summary and the history file. */
 struct runner {
     const struct runner_options *options;
     struct workload **workloads;
@@ -24,13 +24,13 @@
     struct summary *summary;
 };
 
-/* One session. Owned by its thread. */
+/* One session. Used by its thread only. */
 struct session {
     struct runner *runner;
     struct workload *workload;
     struct client *client;
     const char *tenant;
-    char *token; /* NULL until the first answer with one */
+    char *token; /* NULL until an answer has contained one */
     uint64_t requests;
     pthread_t thread;
 };
@@ -67,7 +67,7 @@
     }
 }
 
-/* Moves to another daemon at each request. */
+/* The daemon for the next request; each request uses the next one of the list. */
 static const char *next_address(struct session *session)
 {
     GStrv addresses = session->runner->options->addresses;
@@ -76,7 +76,7 @@
     return addresses[place % g_strv_length(addresses)];
 }
 
-/* Makes a record of an attempt; takes the answer's content except for its token and text. */
+/* Builds the record of an attempt. Takes the answer's content, except for its token and text. */
 static struct history_record *make_record(const struct session *session,
                                           const struct operation *operation,
                                           struct client_answer *answer)
@@ -118,7 +118,7 @@
     pthread_mutex_unlock(&runner->lock);
 }
 
-/* Sends an operation once and records it. Returns the record, which the caller frees. */
+/* Sends an operation once and records the attempt. Returns the record, which the caller frees. */
 static struct history_record *make_attempt(struct session *session,
                                            const struct operation *operation, uint32_t attempt,
                                            uint64_t due_ns)
@@ -149,7 +149,8 @@
     return record;
 }
 
-/* Sends an operation until it is answered for good, its time is up or the run is stopped. */
+/* Sends an operation until it has a final answer, its time limit has passed or the run is stopped.
+ */
 static void run_operation(struct session *session, struct operation *operation, uint64_t due_ns)
 {
     struct runner *runner = session->runner;
@@ -179,9 +180,9 @@
     }
 }
 
-/* Waits for the session's next operation. Returns false at the end of the run; *due_ns is when the
- * operation was due, 0 in a closed loop. */
-static bool await_turn(struct session *session, uint64_t *due_ns)
+/* Waits for the start of the session's next operation. Returns false at the end of the run. *due_ns
+ * is the time at which the operation was due, 0 in a closed loop. */
+static bool wait_until_due(struct session *session, uint64_t *due_ns)
 {
     struct runner *runner = session->runner;
     *due_ns = 0;
@@ -206,7 +207,7 @@
 {
     struct session *session = context;
     uint64_t due_ns;
-    while (await_turn(session, &due_ns)) {
+    while (wait_until_due(session, &due_ns)) {
         struct operation *operation = workload_next(session->workload);
         run_operation(session, operation, due_ns);
         operation_free(operation);
@@ -229,7 +230,7 @@
         session->tenant = options->tenants[i % g_strv_length(options->tenants)];
         int failed = pthread_create(&session->thread, &attributes, run_session, session);
         if (failed != 0) {
-            g_error("load: no thread for session %u: %s", i, g_strerror(failed));
+            g_error("load: can't start the thread of session %u: %s", i, g_strerror(failed));
         }
     }
     pthread_attr_destroy(&attributes);
--- a/src/load/runner.h
+++ b/src/load/runner.h
@@ -1,5 +1,5 @@
 /* Runs the sessions of a load, one thread each, and records every attempt. A session sends one
- * request at a time, and each to another daemon than the one before. */
+ * request at a time, and each request to the next daemon of the list. */
 #ifndef SW_LOAD_RUNNER_H
 #define SW_LOAD_RUNNER_H
 
@@ -14,8 +14,8 @@
     GStrv tenants;   /* session i belongs to tenant i modulo their number */
     struct client *(*client_new)(void);
     struct workload_options workload;
-    double rate;       /* operations a second in all (open loop); 0 = closed loop */
-    uint32_t pause_ms; /* closed loop: between an answer and the next operation */
+    double rate;       /* operations a second of all sessions (open loop); 0: closed loop */
+    uint32_t pause_ms; /* closed loop: pause between an answer and the next operation */
     double duration_s;
     uint32_t timeout_ms;           /* of one attempt */
     uint32_t operation_timeout_ms; /* of an operation with its retries, from when it is due */
@@ -24,11 +24,11 @@
     FILE *history;     /* NULL for none; borrowed */
 };
 
-/* Runs to the end of the duration, or until runner_stop. Returns the figures, which the caller
- * frees; *ended_ns is when the last session ended. */
+/* Runs until the end of the duration, or until runner_stop. Returns the summary, which the caller
+ * frees; *ended_ns is the time at which the last session ended. */
 struct summary *runner_run(const struct runner_options *options, uint64_t *ended_ns);
 
-/* Ends a run early: sessions finish the attempt at hand. May be called in a signal handler. */
+/* Ends a run early: sessions complete the attempt in progress. Safe in a signal handler. */
 void runner_stop(void);
 
 /* CLOCK_MONOTONIC in nanoseconds. */
--- a/src/load/workload.c
+++ b/src/load/workload.c
@@ -1,7 +1,7 @@
-/* Sessions' operations. See workload.h. */
+/* Operations of a session. See workload.h. */
 #include "load/workload.h"
 
-/* Back-off where the answer names no time: doubled at each attempt up to the longest. */
+/* Bounds of the back-off used when the answer names no delay; it doubles with each attempt. */
 #define BACKOFF_FIRST_MS   10U
 #define BACKOFF_LONGEST_MS 200U
 
@@ -123,6 +123,6 @@
         longest *= 2;
     }
     longest = MIN(longest, BACKOFF_LONGEST_MS);
-    /* Half of it is jitter, so that clients don't come back together. */
+    /* Half of the delay is random, so that clients do not retry together. */
     return (uint32_t)((double)longest * (0.5 + random / 2));
 }
