--- a/src/ctl/admin_client.c
+++ b/src/ctl/admin_client.c
@@ -29,7 +29,7 @@
     return status >= STATUS_OK_FIRST && status <= STATUS_OK_LAST;
 }
 
-/* The exit code of an error that the daemon names by kind, else by status. */
+/* The exit code for an error: by its kind if the daemon names one, else by the HTTP status. */
 static enum exit_code refused_exit_code(const char *kind_name, long status)
 {
     enum error_kind kind = ERROR_KIND_INTERNAL;
@@ -45,7 +45,7 @@
     return EXIT_CODE_REFUSED;
 }
 
-/* The object under "error" of an answer such as {"error":{"kind":KIND,"text":TEXT}}, or NULL. */
+/* The object under "error" of a reply such as {"error":{"kind":KIND,"text":TEXT}}, or NULL. */
 static JsonObject *find_error(JsonNode *node)
 {
     JsonObject *object =
@@ -55,8 +55,8 @@
     return error != NULL && JSON_NODE_HOLDS_OBJECT(error) ? json_node_get_object(error) : NULL;
 }
 
-/* The error that the daemon names, else the status alone. */
-static void take_refusal(struct admin_result *result, JsonNode *node, long status)
+/* Takes the error from the reply; without one, the text names the HTTP status. */
+static void set_refusal(struct admin_result *result, JsonNode *node, long status)
 {
     JsonObject *error = find_error(node);
     const char *kind =
@@ -77,7 +77,7 @@
     JsonNode *node = is_json ? json_parser_get_root(parser) : NULL;
 
     if (!is_done(answer->status)) {
-        take_refusal(result, node, answer->status);
+        set_refusal(result, node, answer->status);
     } else if (node == NULL) {
         result->exit_code = EXIT_CODE_INTERNAL;
         result->kind = g_strdup("internal");
@@ -87,8 +87,9 @@
     }
 }
 
-/* A call that was sent without an answer may have taken effect, if it changes anything. */
-static void take_silence(struct admin_result *result, enum http_outcome outcome, bool is_write,
+/* Sets the error for a call without a reply. If the call changes anything, it may have taken
+ * effect. */
+static void set_no_reply(struct admin_result *result, enum http_outcome outcome, bool is_write,
                          const char *text)
 {
     bool unknown = outcome == HTTP_OUTCOME_NO_ANSWER && is_write;
@@ -97,7 +98,7 @@
     result->text = g_strdup(text);
 }
 
-/* Sends one call. Where it gets no answer, tells so in the result. */
+/* Sends one call. Without a reply, sets the error in the result and returns false. */
 static bool call_daemon(const struct invocation *invocation, const char *admin_url,
                         const char *method, const char *path, const char *query,
                         struct http_answer *answer, struct admin_result *result)
@@ -121,7 +122,7 @@
     enum http_outcome outcome = http_client_call(client, &request, answer, &error);
     http_client_free(client);
     if (outcome != HTTP_OUTCOME_ANSWERED) {
-        take_silence(result, outcome, is_write, error->message);
+        set_no_reply(result, outcome, is_write, error->message);
     }
     return outcome == HTTP_OUTCOME_ANSWERED;
 }
@@ -155,7 +156,7 @@
     g_string_append_printf(invocation->output, "%s\n", text);
 }
 
-/* Writes the answer or the error, and clears the result. */
+/* Writes the reply or the error, and clears the result. */
 static enum exit_code write_result(struct invocation *invocation, struct admin_result *result)
 {
     enum exit_code exit_code = result->exit_code;
@@ -178,9 +179,9 @@
     return write_result(invocation, &result);
 }
 
-/* Writes the octets of an answer to a file; the result tells how many there were. */
-static void save_answer(struct admin_result *result, const struct http_answer *answer,
-                        const char *file)
+/* Writes the body of a reply to a file; the result holds its size. */
+static void save_body(struct admin_result *result, const struct http_answer *answer,
+                      const char *file)
 {
     JsonObject *object;
 
@@ -188,7 +189,7 @@
                              NULL)) {
         result->exit_code = EXIT_CODE_INTERNAL;
         result->kind = g_strdup("internal");
-        result->text = g_strdup_printf("%s can't be written", file);
+        result->text = g_strdup_printf("can't write %s", file);
         return;
     }
     object = json_object_new();
@@ -207,7 +208,7 @@
 
     if (call_daemon(invocation, admin_url, "GET", path, query, &answer, &result)) {
         if (is_done(answer.status)) {
-            save_answer(&result, &answer, file);
+            save_body(&result, &answer, file);
         } else {
             take_answer(&result, &answer);
         }
--- a/src/ctl/admin_client.h
+++ b/src/ctl/admin_client.h
@@ -1,4 +1,4 @@
-/* Calls of a daemon's admin listener: HTTP with JSON answers. */
+/* Calls of a daemon's admin listener: HTTP with JSON replies. */
 #ifndef SW_CTL_ADMIN_CLIENT_H
 #define SW_CTL_ADMIN_CLIENT_H
 
@@ -6,11 +6,11 @@
 
 #include "ctl/command.h"
 
-/* What came of a call. Cleared by admin_result_clear. */
+/* The result of a call. Cleared by admin_result_clear. */
 struct admin_result {
     enum exit_code exit_code;
-    JsonNode *node; /* the answer; NULL unless done */
-    char *kind;     /* of the error; NULL if done, as the next */
+    JsonNode *node; /* the reply; NULL unless the call succeeded */
+    char *kind;     /* error kind; this and `text` are NULL if the call succeeded */
     char *text;
 };
 
@@ -20,14 +20,14 @@
                         struct admin_result *result);
 void admin_result_clear(struct admin_result *result);
 
-/* Writes an answer in the form that was asked for. */
+/* Writes a reply in the output format of the invocation. */
 void admin_client_write(struct invocation *invocation, JsonNode *node);
 
-/* Sends one call to the daemon that was named first, and writes its answer or error. */
+/* Sends one call to the first daemon given, and writes its reply or error. */
 enum exit_code admin_client_call(struct invocation *invocation, const char *method,
                                  const char *path, const char *query);
 
-/* Asks for octets and writes them to a file. */
+/* Sends one call and writes the body of its reply to a file. */
 enum exit_code admin_client_save(struct invocation *invocation, const char *path, const char *query,
                                  const char *file);
 
--- a/src/ctl/command.c
+++ b/src/ctl/command.c
@@ -1,4 +1,4 @@
-/* What all commands of swiftctl share. */
+/* Code shared by all commands of swiftctl. */
 #include "ctl/command.h"
 
 #include <string.h>
@@ -19,7 +19,7 @@
 #define ENVIRONMENT_ACCESS_KEY "AWS_ACCESS_KEY_ID"
 #define ENVIRONMENT_SECRET_KEY "AWS_SECRET_ACCESS_KEY"
 
-/* Adds options to the context, or hands them over where they are asked for. */
+/* Adds options to the context, or passes them to the invocation's `list` callback. */
 static void add_entries(GOptionContext *context, struct invocation *invocation,
                         const GOptionEntry *entries)
 {
@@ -99,7 +99,7 @@
     return context;
 }
 
-/* g_option_context_parse_strv takes the first word as the program's name. */
+/* g_option_context_parse_strv expects the program's name as the first word. */
 static bool parse_options(GOptionContext *context, const struct command *command,
                           struct invocation *invocation, GError **error)
 {
@@ -138,7 +138,7 @@
     bool several = invocation->admin_urls != NULL && g_strv_length(invocation->admin_urls) > 1;
     if (several && !(command->options & COMMAND_OPTIONS_ADMINS)) {
         g_set_error(error, G_OPTION_ERROR, G_OPTION_ERROR_BAD_VALUE,
-                    "--admin may be given once: %s asks one daemon", command->name);
+                    "--admin may be given once: %s queries one daemon", command->name);
         return false;
     }
     if (invocation->timeout_ms <= 0) {
@@ -229,7 +229,7 @@
     return command_fail_text(invocation, exit_code_of_error(error), kind, error->message);
 }
 
-/* The option's value, else the variable's, else the default. */
+/* The value of the option, else of the environment variable, else the default. */
 static const char *setting(const char *option, const char *variable, const char *fallback)
 {
     if (option != NULL) {
--- a/src/ctl/command_completion.c
+++ b/src/ctl/command_completion.c
@@ -1,17 +1,17 @@
-/* swiftctl completion: writes the shell's completion script, from the table of commands and the
- * options that each hands over, so that it offers what there is. */
+/* swiftctl completion: writes the shell's completion script. It is generated from the table of
+ * commands and the options that each command lists, so that it matches them. */
 #include <string.h>
 
 #include "ctl/commands.h"
 
-/* Words that may stand in a list of choices, such as "table|json". */
+/* Characters of the words in a list of choices, such as "table|json". */
 #define LOWER_CASE "abcdefghijklmnopqrstuvwxyz-"
 
-/* What one command takes, as text of the script. */
+/* What one command accepts, as text of the script. */
 struct listing {
     const struct command *command;
-    GString *options; /* all options, each after a blank */
-    GString *values;  /* lines of the script, for options with a choice of values */
+    GString *options; /* all options, each preceded by a blank */
+    GString *values;  /* lines of the script, for options with a fixed choice of values */
 };
 
 static bool is_choice(const char *word)
@@ -19,7 +19,8 @@
     return word[0] != '\0' && strspn(word, LOWER_CASE) == strlen(word);
 }
 
-/* The lower-case words of a list that `separators` part; the others stand for any text. */
+/* The lower-case words of a list with these separators. Other words are placeholders for any text.
+ */
 static char *choices_of(const char *list, const char *separators)
 {
     g_auto(GStrv) words = g_strsplit_set(list, separators, -1);
@@ -43,7 +44,7 @@
     g_string_append_printf(listing->values, ") words='%s' ;;\n", choices);
 }
 
-/* Takes one list of a command's options. */
+/* Adds one list of a command's options. */
 static void list_entries(void *user, const GOptionEntry *entries)
 {
     struct listing *listing = user;
@@ -58,7 +59,7 @@
     }
 }
 
-/* Has the command hand over its options. */
+/* Collects the options of a command by its `list` callback. */
 static void list_command(const struct command *command, GString *cases, GString *values)
 {
     struct listing listing = {command, g_string_new(NULL), values};
@@ -83,7 +84,7 @@
     "    fi\n"
     "    COMPREPLY=()\n";
 
-/* Nothing is offered for an option that takes any text: the shell then offers files. */
+/* For an option that takes any text nothing is offered, so that the shell completes file names. */
 static const char script_end[] =
     "    *)\n"
     "        case $word in\n"
--- a/src/ctl/command_diff.c
+++ b/src/ctl/command_diff.c
@@ -1,4 +1,4 @@
-/* swiftctl diff: what a change of configuration means, down to the tenants' routes. */
+/* swiftctl diff: the effect of a change of configuration, including the tenants' routes. */
 #include "configuration/diff.h"
 #include "ctl/commands.h"
 #include "ctl/output.h"
--- a/src/ctl/command_drain.c
+++ b/src/ctl/command_drain.c
@@ -1,5 +1,5 @@
-/* swiftctl drain and undrain: marks a database or daemon as leaving, and waits until it is safe to
- * remove. */
+/* swiftctl drain and undrain: mark a database or daemon as leaving, and wait until it can be
+ * removed safely. */
 #include <string.h>
 
 #include "ctl/admin_client.h"
@@ -8,13 +8,13 @@
 #define DRAIN_PATH   "/v1/drain"
 #define UNDRAIN_PATH "/v1/undrain"
 
-/* Pause between two looks at how far the drain is. */
+/* Interval of the checks of a drain's progress. */
 #define POLL_US 250000
 
-/* Erases the line that the cursor is in. */
+/* Erases the terminal's current line. */
 #define CLEAR_LINE "\r\033[K"
 
-/* Reads "database NAME" or "daemon" into a query. False: the error was written. */
+/* Parses "database NAME" or "daemon" into a query. False: an error was written. */
 static bool read_target(const struct command *command, struct invocation *invocation,
                         GString *query)
 {
@@ -44,7 +44,7 @@
     return json_object_get_boolean_member_with_default(answer, name, FALSE);
 }
 
-/* One line on how far it is. The caller frees it. */
+/* One line about the progress. The caller frees it. */
 static char *progress_text(JsonObject *answer)
 {
     const char *mark = flag_of(answer, "leaving") ? "leaving" : "not marked as leaving yet";
@@ -63,7 +63,7 @@
                            number_of(answer, "groups"), number_of(answer, "transactions_open"));
 }
 
-/* Shows the line in place of the last, on a terminal only. */
+/* Replaces the progress line; only on a terminal. */
 static void show_progress(const struct invocation *invocation, const char *text)
 {
     if (invocation->terminal != NULL) {
@@ -72,9 +72,10 @@
     }
 }
 
-/* Looks once. True if the wait is over: *exit_code is set, and answer or error were written. */
-static bool look(struct invocation *invocation, const char *query, char **text,
-                 enum exit_code *exit_code)
+/* Checks the progress once. True if the wait has ended: *exit_code is set, and the reply or error
+ * was written. */
+static bool check_progress(struct invocation *invocation, const char *query, char **text,
+                           enum exit_code *exit_code)
 {
     struct admin_result result;
     admin_client_fetch(invocation, command_admin_url(invocation, 0), "GET", DRAIN_PATH, query,
@@ -95,20 +96,20 @@
         show_progress(invocation, "");
         *exit_code = command_fail_text(invocation, result.exit_code, result.kind, result.text);
     } else {
-        /* The mark is set; the daemon may come back. */
+        /* The drain is in progress, and the daemon may respond again. */
         *text = g_strdup(result.text);
     }
     admin_result_clear(&result);
     return over;
 }
 
-/* Waits until it is safe to remove, for as long as the command may take. */
+/* Waits until removal is safe, or until the command's time-out. */
 static enum exit_code wait_until_safe(struct invocation *invocation, const char *query,
                                       gint64 deadline_us)
 {
     enum exit_code exit_code = EXIT_CODE_DONE;
     g_autofree char *text = NULL;
-    while (!look(invocation, query, &text, &exit_code)) {
+    while (!check_progress(invocation, query, &text, &exit_code)) {
         if (g_get_monotonic_time() >= deadline_us) {
             show_progress(invocation, "");
             return command_fail_text(invocation, EXIT_CODE_NOT_YET, "not_yet", text);
@@ -118,7 +119,7 @@
     return exit_code;
 }
 
-/* Sets the mark, whose answer is left out. */
+/* Sets the mark; its reply is not written. */
 static enum exit_code mark(struct invocation *invocation, const char *query)
 {
     struct admin_result result;
@@ -174,12 +175,12 @@
 const struct command command_drain = {
     .name = "drain",
     .operands = "database NAME | daemon",
-    .summary = "Marks a database, or the daemon asked, as leaving.",
+    .summary = "Marks a database, or the daemon given by --admin, as leaving.",
     .details =
-        "It gets no new work, and what runs there ends undisturbed. With --wait the command "
+        "It gets no new work, and work in progress there completes. With --wait the command "
         "ends when a\ndatabase is a replica that no owner of its group uses, or when a daemon "
         "has neither groups nor\ntransactions; after --timeout-ms it ends with exit code 9, "
-        "and the drain goes on.",
+        "and the drain continues.",
     .examples = "  swiftctl drain database toubkal-1\n"
                 "  swiftctl drain database toubkal-1 --wait --timeout-ms 600000\n"
                 "  swiftctl drain daemon --admin http://10.0.0.7:7070\n",
@@ -192,7 +193,7 @@
 const struct command command_undrain = {
     .name = "undrain",
     .operands = "database NAME | daemon",
-    .summary = "Takes the mark of leaving back.",
+    .summary = "Removes the leaving mark.",
     .examples = "  swiftctl undrain database toubkal-1\n",
     .operands_min = 1,
     .operands_max = 2,
--- a/src/ctl/command_events.c
+++ b/src/ctl/command_events.c
@@ -1,4 +1,4 @@
-/* swiftctl events: the latest events of a daemon, or the timeline of several. */
+/* swiftctl events: the latest events of a daemon, or the merged events of several. */
 #include <string.h>
 
 #include "ctl/admin_client.h"
@@ -7,11 +7,11 @@
 
 #define EVENTS_PATH "/v1/events"
 
-/* Events of several daemons. */
+/* The events of several daemons. */
 struct timeline {
     GPtrArray *events;        /* of JsonObject, one reference each */
-    JsonArray *missing;       /* {"url", "kind", "text"} of daemons that did not answer */
-    enum exit_code exit_code; /* of the first of them */
+    JsonArray *missing;       /* {"url", "kind", "text"} of the daemons that gave no reply */
+    enum exit_code exit_code; /* of the first of those */
 };
 
 static void release_object(gpointer object)
@@ -24,7 +24,7 @@
     return json_object_get_string_member_with_default(event, "time", "");
 }
 
-/* By the daemons' wall clocks, which tell the time in one form; equals by number. */
+/* Orders events by the daemons' wall clocks, as text of one format, then by number. */
 static gint compare_events(gconstpointer left, gconstpointer right)
 {
     JsonObject *first = *(JsonObject *const *)left;
@@ -38,7 +38,7 @@
     return a < b ? -1 : a > b;
 }
 
-/* The event with its daemon's name after its time. */
+/* The event with the daemon's name inserted after its time. */
 static JsonObject *with_daemon(JsonObject *event, const char *daemon)
 {
     JsonObject *named = json_object_new();
@@ -99,7 +99,7 @@
     }
 }
 
-/* Takes the events' references and the list of those that did not answer. */
+/* Takes ownership of the events and of the list of daemons without a reply. */
 static JsonNode *timeline_node(struct timeline *timeline)
 {
     JsonNode *node = json_node_new(JSON_NODE_OBJECT);
@@ -117,7 +117,7 @@
     return node;
 }
 
-/* Daemons that did not answer are listed; the exit code is theirs only if none answered. */
+/* Daemons without a reply are listed. The command fails only if no daemon replied. */
 static enum exit_code show_timeline(struct invocation *invocation)
 {
     struct timeline timeline = {
--- a/src/ctl/command_explain.c
+++ b/src/ctl/command_explain.c
@@ -1,5 +1,5 @@
-/* swiftctl explain: where a tenant's request would go now, and what became of one request, at the
- * daemons that were named and at those that they forwarded it to. */
+/* swiftctl explain: the route that a tenant's request would take now, or the records of one request
+ * at the daemons given and at those that they forwarded it to. */
 #include <string.h>
 
 #include "ctl/admin_client.h"
@@ -8,18 +8,18 @@
 
 #define EXPLAIN_PATH "/v1/explain"
 
-/* Daemons asked in all, the named ones among them. */
+/* Limit of the daemons queried, including those given. */
 #define DAEMONS_MAX 64
 
 /* A search for one request's records. */
 struct search {
     struct invocation *invocation;
     const char *query;
-    GPtrArray *urls;          /* to be asked, in order; grows where a record names another daemon */
-    guint named;              /* of these, named by the operator */
-    GHashTable *asked;        /* names of the daemons that answered */
+    GPtrArray *urls;   /* daemons to query, in order; extended when a record names another daemon */
+    guint named;       /* number of them that were given by the operator */
+    GHashTable *asked; /* names of the daemons that replied */
     JsonArray *records;       /* objects */
-    JsonArray *daemons;       /* {"daemon", "reaches_to"} of those that answered */
+    JsonArray *daemons;       /* {"daemon", "reaches_to"} of those that replied */
     JsonArray *missing;       /* {"url", "kind", "text"} of those that did not */
     enum exit_code exit_code; /* of the first that did not */
 };
@@ -42,7 +42,7 @@
     search->named = search->urls->len;
 }
 
-/* The arrays were moved out by then, or are freed here. */
+/* Frees the search. Arrays that were moved to the output are NULL by then. */
 static void search_clear(struct search *search)
 {
     g_ptr_array_unref(search->urls);
@@ -57,9 +57,9 @@
     return json_object_get_string_member_with_default(object, name, "");
 }
 
-/* Adds the daemon that a record was forwarded to: the host of its peer address, with the port that
- * its own answer told. */
-static void follow(struct search *search, JsonObject *record)
+/* Adds the daemon that a record's request was forwarded to: the host of its peer address, with the
+ * admin port that its reply named. */
+static void add_forwarded_daemon(struct search *search, JsonObject *record)
 {
     const char *address = text_of(record, "forwarded_to");
     const char *colon = strrchr(address, ':');
@@ -89,8 +89,8 @@
     }
 }
 
-/* Takes a daemon's records, unless it answered under another URL before. */
-static void take_records(struct search *search, JsonObject *answer)
+/* Adds a daemon's records, unless it replied under another URL before. */
+static void add_records(struct search *search, JsonObject *answer)
 {
     const char *daemon = text_of(answer, "daemon");
     if (!json_object_has_member(answer, "records") ||
@@ -105,7 +105,7 @@
     for (guint i = 0; i < json_array_get_length(records); i++) {
         JsonObject *record = json_array_get_object_element(records, i);
         json_array_add_object_element(search->records, json_object_ref(record));
-        follow(search, record);
+        add_forwarded_daemon(search, record);
     }
 }
 
@@ -114,7 +114,7 @@
     struct admin_result result;
     admin_client_fetch(search->invocation, url, "GET", EXPLAIN_PATH, search->query, &result);
     if (result.node != NULL && JSON_NODE_HOLDS_OBJECT(result.node)) {
-        take_records(search, json_node_get_object(result.node));
+        add_records(search, json_node_get_object(result.node));
     } else if (result.node == NULL) {
         note_missing(search, url, &result);
     }
@@ -149,7 +149,7 @@
     output_json(object, search->invocation->output);
 }
 
-/* One block of rows for each record, and what could not be asked. */
+/* Writes a block of rows for each record, and the daemons that were not reached. */
 static void write_blocks(struct search *search)
 {
     GString *output = search->invocation->output;
@@ -230,11 +230,10 @@
 const struct command command_explain = {
     .name = "explain",
     .operands = "REQUEST-ID | read TENANT | write TENANT",
-    .summary = "Shows what became of a request, or where one would go now, and why.",
+    .summary = "Shows how a request was handled, or how one would be routed now, and why.",
     .details =
-        "A request's record is kept by the daemon that was asked and, if that forwarded it, "
-        "by the one that\nran it, which is asked too. Records last until later requests push "
-        "them out.",
+        "A request's record is kept by the daemon that received it and by the one that it was "
+        "forwarded\nto, which is queried too. Records are kept until newer ones replace them.",
     .examples = "  swiftctl explain 5f0c1b22a9d3e871\n"
                 "  swiftctl explain stay-8841 -a http://10.0.0.7:7070 -a http://10.0.0.8:7070\n"
                 "  swiftctl explain write hut-lepiney\n",
--- a/src/ctl/command_log_level.c
+++ b/src/ctl/command_log_level.c
@@ -1,4 +1,4 @@
-/* swiftctl log-level: shows and changes the levels of a daemon's log, by part. */
+/* swiftctl log-level: shows and changes the log levels of a daemon's parts. */
 #include <string.h>
 
 #include "ctl/admin_client.h"
--- a/src/ctl/command_publish.c
+++ b/src/ctl/command_publish.c
@@ -30,7 +30,7 @@
     g_strfreev(options->admin_urls);
 }
 
-/* Fills in the order's base from the option. */
+/* Sets the order's base from the option. */
 static bool read_base(const struct publish_options *options, struct publish_order *order,
                       GError **error)
 {
@@ -44,7 +44,7 @@
     if (strcmp(options->base, BASE_LATEST) == 0) {
         if (options->request_id != NULL) {
             g_set_error(error, G_OPTION_ERROR, G_OPTION_ERROR_BAD_VALUE,
-                        "--request-id asks again for one version: give its --base as a number");
+                        "--request-id repeats one attempt: --base must be a number");
             return false;
         }
         return true;
@@ -59,7 +59,7 @@
     return true;
 }
 
-/* Says which daemons have the version, or that none is known to. */
+/* Writes which daemons have the version in force, or that no daemon is known to. */
 static void write_daemons(struct invocation *invocation, const GPtrArray *daemons)
 {
     guint count = handover_count_in_force(daemons);
@@ -120,7 +120,7 @@
     output_json(object, invocation->output);
 }
 
-/* Hands over what the store has accepted, and nothing else. */
+/* Hands over a version that the store has accepted; any other result is left alone. */
 static void hand_over(struct invocation *invocation, const struct publish_order *order,
                       const struct publish_outcome *outcome, char **admin_urls)
 {
@@ -154,7 +154,7 @@
     return accepted ? EXIT_CODE_DONE : command_fail(invocation, error);
 }
 
-/* The daemons' URLs: from the options, else from the environment, apart by commas. */
+/* The daemons' URLs, from the options, else from the environment, separated by commas. */
 static char **find_admin_urls(const struct publish_options *options)
 {
     const char *value = g_getenv(HANDOVER_ENVIRONMENT);
@@ -202,15 +202,16 @@
     enum exit_code exit_code = EXIT_CODE_DONE;
     const GOptionEntry entries[] = {
         {"base", 'b', 0, G_OPTION_ARG_STRING, &options.base,
-         "The version that this one changes (0: none yet), or latest to overrule whatever it is",
+         "The version that this one changes (0: none yet), or latest to replace the newest one, "
+         "whichever it is",
          "VERSION|latest"},
         {"message", 'm', 0, G_OPTION_ARG_STRING, &options.message, "Why", "TEXT"},
-        {"author", 0, 0, G_OPTION_ARG_STRING, &options.author, "Who (the user's name)", "NAME"},
+        {"author", 0, 0, G_OPTION_ARG_STRING, &options.author, "Author (the user's name)", "NAME"},
         {"request-id", 0, 0, G_OPTION_ARG_STRING, &options.request_id,
-         "Ask again for an attempt whose outcome was unknown", "ID"},
+         "Repeat an attempt whose outcome was unknown", "ID"},
         {"admin", 'a', 0, G_OPTION_ARG_STRING_ARRAY, &options.admin_urls,
          "A daemon that gets the version at once; of several zones, once each "
-         "(or " HANDOVER_ENVIRONMENT ", apart by commas)",
+         "(or " HANDOVER_ENVIRONMENT ", separated by commas)",
          "URL"},
         {NULL, 0, 0, 0, NULL, NULL, NULL},
     };
@@ -227,7 +228,7 @@
     .operands = "FILE",
     .summary = "Validates a configuration and makes it the next version.",
     .details = "If another operator published first, nothing is changed and the conflict names\n"
-               "them. FILE may also be @VERSION, to go back to what that version said. Daemons\n"
+               "them. FILE may also be @VERSION, to return to that version's content. Daemons\n"
                "given by --admin have the version in force even if the store goes down next.",
     .examples = "  swiftctl publish --base 16 --message 'winter rates' \\\n"
                 "      --admin http://10.0.0.7:7070 --admin http://10.0.1.7:7070 "
--- a/src/ctl/command_show.c
+++ b/src/ctl/command_show.c
@@ -107,7 +107,7 @@
     return EXIT_CODE_DONE;
 }
 
-/* The bundle itself is JSON in either format, ready to be edited. */
+/* Writes the configuration as JSON in either output format, so that it can be edited. */
 static enum exit_code show_configuration(struct invocation *invocation,
                                          const struct configuration *configuration)
 {
--- a/src/ctl/command_trace.c
+++ b/src/ctl/command_trace.c
@@ -1,4 +1,4 @@
-/* swiftctl trace: what a daemon recorded of a group's control, as a file. */
+/* swiftctl trace: writes the recorded events of a group's control at a daemon to a file. */
 #include "ctl/admin_client.h"
 #include "ctl/commands.h"
 
@@ -17,8 +17,8 @@
 const struct command command_trace = {
     .name = "trace",
     .operands = "GROUP FILE",
-    .summary = "Writes what a daemon recorded of a group's control to a file, to be replayed.",
-    .details = "swiftreplay feeds it to the same decisions again; see traces/README.md.",
+    .summary = "Writes a daemon's recording of a group's control to a file, for replay.",
+    .details = "swiftreplay replays it through the same code; see traces/README.md.",
     .examples = "  swiftctl trace bookings-toubkal daemon-1.trace --admin http://10.0.0.7:7070\n",
     .operands_min = 2,
     .operands_max = 2,
--- a/src/ctl/command_validate.c
+++ b/src/ctl/command_validate.c
@@ -1,4 +1,4 @@
-/* swiftctl validate: checks a configuration and names every fault. */
+/* swiftctl validate: checks a configuration and lists every fault. */
 #include "configuration/problem.h"
 #include "core/error.h"
 #include "ctl/commands.h"
--- a/src/ctl/commands.h
+++ b/src/ctl/commands.h
@@ -4,14 +4,14 @@
 
 #include "ctl/command.h"
 
-/* On configurations and the platform's store. */
+/* Commands on configurations and the platform's store. */
 extern const struct command command_validate;
 extern const struct command command_diff;
 extern const struct command command_publish;
 extern const struct command command_history;
 extern const struct command command_show;
 
-/* On a daemon's admin listener. */
+/* Commands on a daemon's admin listener. */
 extern const struct command command_status;
 extern const struct command command_drain;
 extern const struct command command_undrain;
@@ -21,7 +21,7 @@
 extern const struct command command_log_level;
 extern const struct command command_trace;
 
-/* On swiftctl itself. */
+/* Commands on swiftctl itself. */
 extern const struct command command_completion;
 
 /* All commands, in the order of --help. */
--- a/src/ctl/ctl.c
+++ b/src/ctl/ctl.c
@@ -1,4 +1,4 @@
-/* swiftctl: finds the command and runs it. */
+/* swiftctl: selects the command and runs it. */
 #include "ctl/ctl.h"
 
 #include <string.h>
@@ -36,9 +36,9 @@
                     "  4  another version was published first\n"
                     "  5  no such file, version, tenant or group, or no record of the request\n"
                     "  6  the store or daemon did not answer; nothing was changed\n"
-                    "  7  the change may have taken effect; ask again\n"
+                    "  7  the change may have taken effect; run the command again\n"
                     "  8  the daemon refused\n"
-                    "  9  what was waited for goes on; ask again\n");
+                    "  9  the operation is still in progress; run the command again\n");
 }
 
 static const struct command *find_command(const char *name)
--- a/src/ctl/daemon_status.c
+++ b/src/ctl/daemon_status.c
@@ -58,7 +58,7 @@
     }
     JsonNode *configuration = json_object_get_member(json_node_get_object(node), "configuration");
     if (status != STATUS_OK || configuration == NULL || !JSON_NODE_HOLDS_OBJECT(configuration)) {
-        set_error(error, "it does not tell its configuration");
+        set_error(error, "the status contains no configuration");
         g_clear_pointer(&node, json_node_unref);
     }
     return node;
--- a/src/ctl/daemon_status.h
+++ b/src/ctl/daemon_status.h
@@ -6,10 +6,12 @@
 
 #include "storage/http_client.h"
 
-/* A client of admin listeners, with time-outs that suit several daemons in turn. */
+/* An HTTP client for admin listeners. Its time-outs allow calls to several daemons one after the
+ * other. */
 struct http_client *daemon_status_client_new(void);
 
-/* Reads the JSON object of an answer. The caller unreferences the node; NULL with `error` set. */
+/* Makes a call and parses its reply's JSON object. The caller unreferences the node; NULL with
+ * `error` set. */
 JsonNode *daemon_status_call(struct http_client *client, const struct http_request *request,
                              long *status, GError **error);
 
@@ -17,7 +19,7 @@
  * unreferences the node; NULL with `error` set. */
 JsonNode *daemon_status_read(struct http_client *client, const char *admin_url, GError **error);
 
-/* The version that a status tells as in force; 0: none. */
+/* The version that a status names as in force; 0: none. */
 uint64_t daemon_status_version(JsonNode *status);
 
 #endif
--- a/src/ctl/exit_code.h
+++ b/src/ctl/exit_code.h
@@ -1,5 +1,5 @@
-/* Exit codes of swiftctl, for scripts: one for each thing that a caller may do next. The table
- * stands in docs/swiftctl.md. */
+/* Exit codes of swiftctl, for scripts: one for each way in which a caller may continue.
+ * docs/swiftctl.md has the table. */
 #ifndef SW_CTL_EXIT_CODE_H
 #define SW_CTL_EXIT_CODE_H
 
@@ -15,10 +15,11 @@
     EXIT_CODE_UNAVAILABLE = 6, /* the store or daemon did not answer; nothing was changed */
     EXIT_CODE_UNKNOWN = 7,     /* the change may have taken effect; ask again */
     EXIT_CODE_REFUSED = 8,     /* the daemon refused */
-    EXIT_CODE_NOT_YET = 9,     /* what was waited for goes on; ask again */
+    EXIT_CODE_NOT_YET =
+        9, /* the operation waited for is still in progress; run the command again */
 };
 
-/* The exit code that fits an error; EXIT_CODE_INTERNAL for one of another domain. */
+/* The exit code for an error; EXIT_CODE_INTERNAL for one of another domain. */
 enum exit_code exit_code_of_error(const GError *error);
 
 #endif
--- a/src/ctl/handover.c
+++ b/src/ctl/handover.c
@@ -1,4 +1,4 @@
-/* Handing an accepted version to daemons. */
+/* Hands an accepted version over to daemons. */
 #include "ctl/handover.h"
 
 #include <inttypes.h>
@@ -6,21 +6,23 @@
 
 #include "ctl/daemon_status.h"
 
-/* How long to wait for daemons in all: a store that hangs holds one up for some seconds. */
+/* Longest wait for all daemons together; a store that does not respond delays a daemon by several
+ * seconds. */
 #define WAIT_MAX_MS 10000
 
-/* Between two rounds over the daemons. */
+/* Pause between two rounds over the daemons. */
 #define ROUND_PAUSE_MS 50
 
-/* Rounds after which the version is handed over again, as the daemon may have lagged before. */
+/* Rounds after which the version is offered again, because a daemon may have refused it when its
+ * own configuration was behind. */
 #define ROUNDS_PER_OFFER 20
 
-/* Calls without an answer after which a daemon counts as out of reach. */
+/* Consecutive calls without a reply after which a daemon counts as unreachable. */
 #define FAILURES_MAX 3
 
 #define STATUS_OK 200
 
-/* One hand-over. */
+/* The state of one handover. */
 struct handover_run {
     const struct handover_version *version;
     struct http_client *client;
@@ -43,8 +45,8 @@
     daemon->reason = g_strdup(reason);
 }
 
-/* Notes whether a call was answered. */
-static void note_call(struct handover_daemon *daemon, const GError *error)
+/* Counts a call by whether it had a reply. */
+static void count_call(struct handover_daemon *daemon, const GError *error)
 {
     daemon->failures = error != NULL ? daemon->failures + 1 : 0;
     if (error != NULL) {
@@ -52,13 +54,13 @@
     }
 }
 
-/* Asks what is in force at a daemon. */
-static void look(struct handover_run *run, struct handover_daemon *daemon)
+/* Queries a daemon for the version in force. */
+static void query_version(struct handover_run *run, struct handover_daemon *daemon)
 {
     g_autoptr(GError) error = NULL;
     g_autoptr(JsonNode) status = daemon_status_read(run->client, daemon->url, &error);
 
-    note_call(daemon, error);
+    count_call(daemon, error);
     if (status == NULL) {
         return;
     }
@@ -73,8 +75,8 @@
     }
 }
 
-/* Keeps the reason that a daemon gives for taking nothing. */
-static void note_refusal(struct handover_daemon *daemon, JsonNode *answer)
+/* Keeps the reason with which a daemon refused the version. */
+static void set_refusal_reason(struct handover_daemon *daemon, JsonNode *answer)
 {
     JsonNode *error = json_object_get_member(json_node_get_object(answer), "error");
     const char *text = NULL;
@@ -105,9 +107,9 @@
     };
     g_autoptr(GError) error = NULL;
     g_autoptr(JsonNode) answer = daemon_status_call(run->client, &request, &status, &error);
-    note_call(daemon, error);
+    count_call(daemon, error);
     if (answer != NULL && status != STATUS_OK) {
-        note_refusal(daemon, answer);
+        set_refusal_reason(daemon, answer);
     }
 }
 
@@ -116,8 +118,8 @@
     return daemon->in_force || daemon->failures >= FAILURES_MAX;
 }
 
-/* Offers to all before anyone is asked: one out of reach must not keep the others waiting longer
- * than its connection takes to fail. */
+/* Offers the version to all daemons before any status query, so that an unreachable daemon delays
+ * the others only by its connect time-out. */
 static void offer_to_all(struct handover_run *run)
 {
     for (guint i = 0; i < run->daemons->len; i++) {
@@ -128,8 +130,8 @@
     }
 }
 
-/* One round; true once there is nobody left to wait for. */
-static bool go_round(struct handover_run *run, guint round)
+/* Runs one round. True once no daemon remains to wait for. */
+static bool run_round(struct handover_run *run, guint round)
 {
     bool settled = true;
 
@@ -139,15 +141,16 @@
     for (guint i = 0; i < run->daemons->len; i++) {
         struct handover_daemon *daemon = g_ptr_array_index(run->daemons, i);
         if (!is_settled(daemon)) {
-            look(run, daemon);
+            query_version(run, daemon);
         }
         settled = settled && is_settled(daemon);
     }
     return settled;
 }
 
-/* True if somebody may still get it: one that took it, or one that has it and can tell the rest. */
-static bool is_hopeful(const GPtrArray *daemons)
+/* True if the version may still arrive: at a daemon that accepted it, or from one that has it in
+ * force and can send it to the others. */
+static bool can_still_arrive(const GPtrArray *daemons)
 {
     for (guint i = 0; i < daemons->len; i++) {
         const struct handover_daemon *daemon = g_ptr_array_index(daemons, i);
@@ -174,8 +177,8 @@
         daemon->reason = g_strdup("");
         g_ptr_array_add(run.daemons, daemon);
     }
-    for (guint round = 0; !go_round(&run, round); round++) {
-        if (g_get_monotonic_time() >= deadline || !is_hopeful(run.daemons)) {
+    for (guint round = 0; !run_round(&run, round); round++) {
+        if (g_get_monotonic_time() >= deadline || !can_still_arrive(run.daemons)) {
             break;
         }
         g_usleep(ROUND_PAUSE_MS * 1000);
--- a/src/ctl/main.c
+++ b/src/ctl/main.c
@@ -1,4 +1,4 @@
-/* swiftctl: the operators' program. */
+/* swiftctl: the operators' command. */
 #include <locale.h>
 #include <stdio.h>
 #include <unistd.h>
--- a/src/ctl/output.c
+++ b/src/ctl/output.c
@@ -34,7 +34,7 @@
     g_ptr_array_add(table->cells, g_strdup_printf("%" PRIu64, number));
 }
 
-/* Characters of the widest text in each column. The caller frees it. */
+/* Width of each column in characters. The caller frees it. */
 static glong *column_widths(const struct output_table *table)
 {
     glong *widths = g_new0(glong, table->column_count);
@@ -50,7 +50,7 @@
     return widths;
 }
 
-/* The last column is not padded. */
+/* Writes a cell, padded unless it is in the last column. */
 static void write_cell(const struct output_table *table, const glong *widths, guint column,
                        const char *text, GString *output)
 {
@@ -92,7 +92,7 @@
     g_string_append_c(output, '\n');
 }
 
-/* True for a log position: {"term", "offset"} and nothing else. */
+/* True for a log position: an object of exactly "term" and "offset". */
 static bool is_position(JsonNode *node)
 {
     if (!JSON_NODE_HOLDS_OBJECT(node)) {
@@ -103,7 +103,8 @@
            json_object_has_member(object, "offset");
 }
 
-/* A value in one line: a string bare, a position as TERM/OFFSET, all else as JSON. */
+/* A value on one line: a string without quotes, a position as TERM/OFFSET, anything else as JSON.
+ */
 static char *value_text(JsonNode *node)
 {
     if (is_position(node)) {
@@ -128,8 +129,8 @@
            JSON_NODE_HOLDS_OBJECT(json_array_get_element(array, 0));
 }
 
-/* Names of the first row's members that are (or are not) tables themselves, NULL-ended. Owned by
- * the row's object; the caller frees the array. */
+/* Names of the first row's members that are (or are not) tables themselves, NULL-terminated. The
+ * row's object owns the names; the caller frees the array. */
 static GPtrArray *member_names(JsonArray *array, bool of_tables)
 {
     JsonObject *first = json_array_get_object_element(array, 0);
@@ -145,7 +146,7 @@
     return names;
 }
 
-/* A row's member; NULL if the row lacks it. */
+/* A row's member; NULL if it is missing. */
 static JsonNode *row_member(JsonArray *array, guint row, const char *name)
 {
     JsonNode *node = json_array_get_element(array, row);
@@ -169,8 +170,9 @@
     output_table_free(table);
 }
 
-/* Columns are the members of the first row. A member that is a table itself follows after all rows,
- * under its name and the row's first value. */
+/* Writes an array of objects as a table whose columns are the members of the first row. Members
+ * that are tables themselves are written after all rows, headed by their name and the first value
+ * of their row. */
 static void write_array(JsonArray *array, GString *output)
 {
     g_autoptr(GPtrArray) columns = member_names(array, false);
@@ -193,8 +195,8 @@
     }
 }
 
-/* Adds an object's values as rows, and its tables after them; those of an object within it under
- * its name and a dot. */
+/* Adds an object's values as rows, and its tables after them. Members of a nested object get its
+ * name and a dot as prefix. */
 static void add_object(JsonObject *object, const char *prefix, struct output_table *table,
                        GString *tables)
 {
--- a/src/ctl/settled_check.c
+++ b/src/ctl/settled_check.c
@@ -1,4 +1,4 @@
-/* Asks daemons whether groups are done with their last change of databases. */
+/* Checks with daemons whether groups have completed their last change of databases. */
 #include "ctl/settled_check.h"
 
 #include <inttypes.h>
@@ -26,8 +26,8 @@
     return NULL;
 }
 
-/* True if a daemon says that the group is settled; else why it is not, or can't say, in `reason`.
- */
+/* True if a daemon reports the group as settled. Else `reason` says why it is not, or why this is
+ * unknown. */
 static bool is_settled_at(JsonNode *status, uint64_t base, uint32_t group, char **reason)
 {
     uint64_t version = daemon_status_version(status);
@@ -50,7 +50,8 @@
     return true;
 }
 
-/* Asks the daemons in turn; what they say is added to `reasons` until one says yes. */
+/* Queries the daemons one after the other until one reports the group as settled. Adds the others'
+ * reasons to `reasons`. */
 static bool is_settled(struct http_client *client, char **urls, uint64_t base, uint32_t group,
                        GString *reasons)
 {
@@ -79,8 +80,8 @@
         settled = is_settled(client, urls, base, change->group, reasons);
         if (!settled) {
             g_set_error(error, SW_ERROR, ERROR_KIND_NOT_READY,
-                        "group \"%s\" changes its databases, and no owner given by --admin says "
-                        "that its last change is done%s",
+                        "group \"%s\" changes its databases, and no owner given by --admin reports "
+                        "that its last change is complete%s",
                         change->group_name, reasons->str);
         }
     }
--- a/src/ctl/source.c
+++ b/src/ctl/source.c
@@ -1,4 +1,4 @@
-/* Where a command takes a configuration from. */
+/* Loads the configuration that a command's operand names. */
 #include "ctl/source.h"
 
 #include <inttypes.h>
@@ -9,8 +9,8 @@
 
 #define LATEST "@latest"
 
-/* One call may take this part of the whole time, so that a lost answer leaves time to resolve it.
- */
+/* Divisor of the command's time-out that gives the time-out of one call, so that after a lost reply
+ * there is time to find out the outcome. */
 #define CALLS_PER_TIMEOUT 3
 
 bool source_parse_version(const char *text, uint64_t *version)
--- a/src/ctl/source.h
+++ b/src/ctl/source.h
@@ -1,4 +1,4 @@
-/* Where a command takes a configuration from: a file, or a published version. */
+/* Loads the configuration that a command's operand names: a file, or a published version. */
 #ifndef SW_CTL_SOURCE_H
 #define SW_CTL_SOURCE_H
 
@@ -6,12 +6,12 @@
 #include "configuration/version_store.h"
 #include "ctl/command.h"
 
-/* As shown in help: operands of this form name a published version. */
+/* For help texts: the forms of an operand that names a configuration. */
 #define SOURCE_HELP "FILE, @VERSION or @latest"
 
-/* Loads a configuration: "@17" is version 17, "@latest" the head, all else a file. The caller
- * unreferences it. NULL with `error` set; faults of the configuration are one a line in its text.
- */
+/* Loads a configuration: "@17" is version 17, "@latest" the newest one, anything else a file. The
+ * caller unreferences it. NULL with `error` set; its text lists the configuration's faults, one a
+ * line. */
 struct configuration *source_load(struct invocation *invocation, const char *operand,
                                   GError **error);
 
@@ -19,10 +19,10 @@
  * (G_FILE_ERROR) or is not valid (invalid_configuration). */
 struct configuration *source_load_file(const char *path, GPtrArray *problems, GError **error);
 
-/* A store by the invocation's options; NULL with `error` set. */
+/* Opens the store by the invocation's options; NULL with `error` set. */
 struct version_store *source_open_store(struct invocation *invocation, GError **error);
 
-/* Reads "@VERSION" or "VERSION" as a number above 0; false if it is not one. */
+/* Parses "@VERSION" or "VERSION" as a number above 0; false if it is not one. */
 bool source_parse_version(const char *text, uint64_t *version);
 
 #endif
--- a/tests/ctl/test_settled_check.c
+++ b/tests/ctl/test_settled_check.c
@@ -93,13 +93,13 @@
     check_status(STATUS(4, "\"id\":7,\"owned_here\":true,\"settled\":false,"
                            "\"unsettled_reason\":\"it has no primary\""),
                  ": it has no primary");
-    check_status("{}", ": it does not tell its configuration");
+    check_status("{}", ": the status contains no configuration");
     check_status("none", ": the answer is not a JSON object");
 }
 
 static void test_nobody_asked(void)
 {
-    check((char *[]){NULL}, "no owner given by --admin says that its last change is done");
+    check((char *[]){NULL}, "no owner given by --admin reports that its last change is complete");
 }
 
 /* One owner's word is enough, whatever the others say. */
