--- a/tests/ctl/test_golden.c
+++ b/tests/ctl/test_golden.c
@@ -1,4 +1,4 @@
-/* swiftctl's whole output, exit codes included, against golden files. Runs from the root of the
+/* swiftctl's complete output, including exit codes, against golden files. Runs in the root of the
  * source tree. */
 #include "ctl/commands.h"
 #include "ctl/ctl.h"
@@ -15,18 +15,18 @@
 #define GOLDEN_DIRECTORY "tests/ctl/golden"
 #define ATLAS            "examples/atlas-huts/configuration.json"
 #define CHANGED          "tests/ctl/data/changed.json"
-/* Changes no group's databases. */
+/* A configuration that changes no group's databases. */
 #define PUBLISHED "tests/ctl/data/published.json"
 #define INVALID   "tests/ctl/data/invalid.json"
 #define WORDS_MAX 16
 
-/* A run of swiftctl and the golden file that holds its output. */
+/* A run of swiftctl and the golden file with its output. */
 struct golden_run {
     const char *golden;
     const char *words[WORDS_MAX];
 };
 
-/* Answers of a daemon's admin listener, by method and URL. */
+/* Replies of a daemon's admin listener, by method and URL. */
 struct admin_answer {
     const char *call;
     unsigned status;
@@ -94,7 +94,7 @@
      "}"},
 };
 
-/* Keeps the URL with its query, as sent. */
+/* Records the URL with its query, as sent. */
 static void *on_uri(void *user_data, const char *uri, struct MHD_Connection *connection)
 {
     return g_strdup(uri);
@@ -139,7 +139,7 @@
     return daemon;
 }
 
-/* Times, ports and temporary directories differ from run to run. */
+/* Replaces times, ports and temporary directories, which differ between runs. */
 static char *normalize(const char *text)
 {
     g_autoptr(GRegex) times = g_regex_new("[0-9]{4}-[0-9]{2}-[0-9]{2}T[0-9:]{8}Z", 0, 0, NULL);
@@ -287,7 +287,7 @@
     refusing_port_close(&refusing);
 }
 
-/* The events of two daemons and of one that is down, in one order. */
+/* The merged events of two daemons; a third one is down. */
 static void run_timeline(const char *url, const char *down)
 {
     g_autofree char *first = g_strconcat(url, "/a", NULL);
@@ -302,7 +302,7 @@
     run_all(runs, G_N_ELEMENTS(runs));
 }
 
-/* The octets of an answer are in the file; removes it. */
+/* Checks that the file holds the body of the reply, and removes it. */
 static void expect_saved(const char *file, const char *octets)
 {
     g_autofree char *saved = NULL;
--- a/tests/ctl/test_settled_check.c
+++ b/tests/ctl/test_settled_check.c
@@ -1,4 +1,4 @@
-/* Which daemons' word lets a change of databases follow. */
+/* Which daemons' reports allow a further change of a group's databases. */
 #include "ctl/settled_check.h"
 
 #include <arpa/inet.h>
@@ -13,8 +13,8 @@
 #define BASE  4
 #define GROUP 7
 
-/* A daemon's admin listener that has one answer. */
-struct told {
+/* The admin listener of a daemon that always sends the same reply. */
+struct fake {
     struct MHD_Daemon *listener;
     char *url;
     const char *status;
@@ -24,32 +24,32 @@
                                const char *method, const char *version, const char *upload,
                                size_t *upload_size, void **request_state)
 {
-    const struct told *told = user;
+    const struct fake *fake = user;
     struct MHD_Response *response = MHD_create_response_from_buffer(
-        strlen(told->status), (void *)told->status, MHD_RESPMEM_PERSISTENT);
+        strlen(fake->status), (void *)fake->status, MHD_RESPMEM_PERSISTENT);
     enum MHD_Result result = MHD_queue_response(connection, MHD_HTTP_OK, response);
 
     MHD_destroy_response(response);
     return result;
 }
 
-static void tell(struct told *told, const char *status)
+static void start_fake(struct fake *fake, const char *status)
 {
     struct sockaddr_in address = {.sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
 
-    told->status = status;
-    told->listener = MHD_start_daemon(MHD_USE_INTERNAL_POLLING_THREAD, 0, NULL, NULL, on_call, told,
+    fake->status = status;
+    fake->listener = MHD_start_daemon(MHD_USE_INTERNAL_POLLING_THREAD, 0, NULL, NULL, on_call, fake,
                                       MHD_OPTION_SOCK_ADDR, &address, MHD_OPTION_END);
-    g_assert_nonnull(told->listener);
-    told->url =
+    g_assert_nonnull(fake->listener);
+    fake->url =
         g_strdup_printf("http://127.0.0.1:%u",
-                        MHD_get_daemon_info(told->listener, MHD_DAEMON_INFO_BIND_PORT)->port);
+                        MHD_get_daemon_info(fake->listener, MHD_DAEMON_INFO_BIND_PORT)->port);
 }
 
-static void hush(struct told *told)
+static void stop_fake(struct fake *fake)
 {
-    MHD_stop_daemon(told->listener);
-    g_free(told->url);
+    MHD_stop_daemon(fake->listener);
+    g_free(fake->url);
 }
 
 static void check(char **urls, const char *expected)
@@ -69,11 +69,11 @@
 
 static void check_status(const char *status, const char *expected)
 {
-    struct told told;
+    struct fake fake;
 
-    tell(&told, status);
-    check((char *[]){told.url, NULL}, expected);
-    hush(&told);
+    start_fake(&fake, status);
+    check((char *[]){fake.url, NULL}, expected);
+    stop_fake(&fake);
 }
 
 #define STATUS(version, group)                                                                     \
@@ -97,21 +97,21 @@
     check_status("none", ": the answer is not a JSON object");
 }
 
-static void test_nobody_asked(void)
+static void test_no_daemons(void)
 {
     check((char *[]){NULL}, "no owner given by --admin reports that its last change is complete");
 }
 
-/* One owner's word is enough, whatever the others say. */
+/* The report of one owner is sufficient, whatever the others report. */
 static void test_one_of_several(void)
 {
-    struct told told;
+    struct fake fake;
     struct refusing_port port;
 
     refusing_port_open(&port);
-    tell(&told, STATUS(4, "\"id\":7,\"owned_here\":true,\"settled\":true"));
-    check((char *[]){port.url, told.url, NULL}, NULL);
-    hush(&told);
+    start_fake(&fake, STATUS(4, "\"id\":7,\"owned_here\":true,\"settled\":true"));
+    check((char *[]){port.url, fake.url, NULL}, NULL);
+    stop_fake(&fake);
     refusing_port_close(&port);
 }
 
@@ -119,7 +119,7 @@
 {
     g_test_init(&argc, &argv, NULL);
     g_test_add_func("/settled-check/words", test_words);
-    g_test_add_func("/settled-check/nobody-asked", test_nobody_asked);
+    g_test_add_func("/settled-check/no-daemons", test_no_daemons);
     g_test_add_func("/settled-check/one-of-several", test_one_of_several);
     return g_test_run();
 }
--- a/tests/load/fake_daemon.c
+++ b/tests/load/fake_daemon.c
@@ -11,7 +11,7 @@
     guint reply_count;
     struct MHD_Daemon *server;
     char *address;
-    pthread_mutex_t lock; /* guards what follows */
+    pthread_mutex_t lock; /* guards the fields below */
     guint requests;
     char *body;
     char *path;
@@ -26,7 +26,7 @@
     return MHD_YES;
 }
 
-/* Notes a whole request. Returns what to answer. */
+/* Records a complete request. Returns the reply to send. */
 static const struct fake_reply *take_request(struct fake_daemon *fake,
                                              struct MHD_Connection *connection, const char *path,
                                              const GString *body)
--- a/tests/load/test_checker.c
+++ b/tests/load/test_checker.c
@@ -1,5 +1,5 @@
-/* Replays small recorded histories, good and bad, against their stated outcomes: every .jsonl in
- * histories/ has an .expected.json beside it. */
+/* Replays small recorded histories against their expected reports: every .jsonl in histories/ has
+ * an .expected.json of the same name. */
 #include <json-glib/json-glib.h>
 #include <string.h>
 
@@ -68,7 +68,7 @@
     final_state_free(state);
 }
 
-/* Without a final state, only reads and terms are judged. */
+/* Without a final state, only reads and terms are checked. */
 static void test_without_final_state(void)
 {
     g_autoptr(GPtrArray) records = read_records("lost_write");
@@ -78,7 +78,8 @@
     check_report_free(report);
 }
 
-/* The order of the records does not matter: histories of several clients are put together. */
+/* The order of the records does not matter, because histories of several clients are concatenated.
+ */
 static void test_any_order(void)
 {
     g_autoptr(GPtrArray) records = read_records("read_your_writes");
--- a/tests/load/test_http_client.c
+++ b/tests/load/test_http_client.c
@@ -107,8 +107,7 @@
     fake_daemon_free(fake);
 }
 
-/* An answer that is cut, or is none of ours, tells nothing: a truncated one never passes as whole.
- */
+/* A truncated or foreign answer makes the attempt lost: it must never pass for a complete one. */
 static void test_invalid_answers_are_lost(void)
 {
     static const char *const BODIES[] = {
@@ -135,8 +134,8 @@
     client->free(client);
 }
 
-/* libcurl sends a request again by itself when a kept connection dies without an answer. The write
- * may have run by then, so the client must send it only once. */
+/* libcurl resends a request when a kept-alive connection closes without a reply. The write may have
+ * run by then, so the client must send it only once. */
 static void test_dead_connection_sends_once(void)
 {
     const struct fake_reply replies[] = {{200, DONE_BODY, NULL}, {0, NULL, NULL}};
@@ -185,7 +184,7 @@
     };
 }
 
-/* A run records each of its attempts, and its sessions move between the daemons. */
+/* A run records each of its attempts, and its sessions use the daemons alternately. */
 static void test_run_records_and_moves(void)
 {
     const struct fake_reply reply = {200, DONE_BODY, SERVED_HEADERS};
@@ -217,7 +216,8 @@
     fake_daemon_free(fakes[1]);
 }
 
-/* Refusals are followed as told: after a closed key comes a new one, and the id stays. */
+/* Refusals are followed as the answer says: after a closed key a new key is used, with the same id.
+ */
 static void test_run_follows_the_answer(void)
 {
     const struct fake_reply replies[] = {
--- a/tests/load/test_summary.c
+++ b/tests/load/test_summary.c
@@ -1,4 +1,4 @@
-/* Tests of the histogram and of the figures of a run. */
+/* Tests of the histogram and of a run's figures. */
 #include "core/types.h"
 #include "load/summary.h"
 
@@ -58,7 +58,7 @@
     summary_free(summary);
 }
 
-/* Writes that are never acknowledged are a gap over the whole run. */
+/* If no write is ever acknowledged, the gap spans the whole run. */
 static void test_gap_without_any_acknowledgement(void)
 {
     struct summary *summary = summary_new(STARTED_NS, 100 * MILLISECOND);
@@ -78,7 +78,8 @@
     summary_free(summary);
 }
 
-/* Only reads that were done count, and a read whose role is not said counts as the primary's. */
+/* Only successful reads count, and a read without a reported role counts as served by the primary.
+ */
 static void test_replica_share(void)
 {
     struct summary *summary = summary_new(STARTED_NS, 100 * MILLISECOND);
--- a/tests/load/test_workload.c
+++ b/tests/load/test_workload.c
@@ -1,4 +1,4 @@
-/* Tests of the sessions' operations and of the decision to send a request again. */
+/* Tests of the sessions' operations and of the retry decision. */
 #include <string.h>
 
 #include "load/database_state.h"
@@ -50,7 +50,7 @@
     workload_free(workload[0]);
 }
 
-/* The read's two bounds enclose the ids of its range, and none of range 10 for range 1. */
+/* The read's two bounds enclose the ids of its range; for range 1, none of range 10. */
 static void test_read_bounds(void)
 {
     struct operation *read = operation_read_new(1, "r-s0.1/");
@@ -63,7 +63,7 @@
     operation_free(read);
 }
 
-/* The whole table: kind, keyed, outcome, advice -> action. */
+/* The complete table: kind, keyed, outcome, advice -> action. */
 static void test_retry_table(void)
 {
     static const struct {
@@ -111,7 +111,8 @@
     return state;
 }
 
-/* A database that doesn't answer, or holds other rows, is outvoted; a tie has no majority. */
+/* A database that does not respond, or holds other rows, is in the minority. A tie has no majority.
+ */
 static void test_majority_of_states(void)
 {
     struct final_state *states[] = {state_of("a"), state_of("b"), state_of("b"), NULL};
--- a/tests/sim/overload_test.c
+++ b/tests/sim/overload_test.c
@@ -1,17 +1,17 @@
-/* Overload on virtual time, for the sizes of both deployments: goodput past saturation, the bound
- * on latency, refusals at once, and recovery. */
+/* Overload in virtual time, for the sizes of both deployments: goodput beyond saturation, bounded
+ * latency, immediate rejections, and recovery. */
 #include "sim/overload.h"
 
-/* Goodput at 4 times the capacity, as a part of that at the capacity. */
+/* Least goodput at 4 times the capacity, as a part of the goodput at the capacity. */
 #define GOODPUT_PART 0.9
 
-/* p99 of what is done, of a deadline of 1 s. */
+/* Bound of the 99th percentile of done attempts, whose deadline is 1 s. */
 #define DONE_BOUND (750 * SIM_MILLISECOND)
 
-/* A refusal is decided as the request arrives: it takes the way to the daemon and back. */
+/* A rejection is decided when the request arrives, so it takes one round trip to the daemon. */
 #define REFUSED_BOUND (10 * SIM_MILLISECOND)
 
-/* Clients of the load come back for 3 s after it; then the queues drain. */
+/* Clients retry for up to 3 s after the load; then the queues drain. */
 #define RECOVERY_BOUND (8 * SIM_SECOND)
 
 static struct sim_scenario *load(const char *name)
@@ -41,7 +41,7 @@
 static void check_bounds(const struct overload_result *result)
 {
     g_assert_cmpuint(result->slots_peak, <=, result->slots);
-    /* A given-up statement may still run when its slot has another. */
+    /* An abandoned statement may still run when its slot is in use again. */
     g_assert_cmpuint(result->running_peak, <=, result->slots + 1);
     g_assert_cmpuint(result->done_p99, <, DONE_BOUND);
     g_assert_cmpuint(result->refused_p99, <, REFUSED_BOUND);
@@ -66,7 +66,7 @@
     sim_scenario_free(scenario);
 }
 
-/* All that waited for the new primary come at once. */
+/* All requests that waited for the new primary are sent at once. */
 static void test_failover(gconstpointer name)
 {
     struct sim_scenario *scenario = load(name);
--- a/tests/sim/scale_absence_test.c
+++ b/tests/sim/scale_absence_test.c
@@ -1,15 +1,17 @@
-/* Small deployments with one daemon in each zone: nobody in its zone can find such a daemon dead.
- * Its groups get other owners within seconds all the same, and get it back when it returns. */
+/* Small deployments with one daemon in each zone: no other daemon of its zone can declare such a
+ * daemon dead. Nevertheless its groups must get other owners within seconds, and get it back when
+ * it returns. */
 #include "scale_fixture.h"
 
 #define ZONES     4
 #define DATABASES 24
 #define OWNERS    3
 
-/* A lost daemon is replaced by then: zone_timeout and a few probe periods, then the connections. */
+/* Time by which a lost daemon is replaced: zone_timeout, a few probe periods, and the time to open
+ * connections. */
 #define REPLACED_AFTER SECONDS(15)
 
-/* A daemon that is there again has its places back by then. */
+/* Time by which a daemon that has returned owns its groups again. */
 #define RETURNED_AFTER SECONDS(15)
 
 #define LOST 2
@@ -21,7 +23,7 @@
     return fleet;
 }
 
-/* True if one daemon's view has the other among the group's owners. */
+/* True if `about` is among the group's owners in the observer's view. */
 static bool owns_in_view(struct scale_fleet *fleet, uint32_t observer, uint32_t about,
                          uint32_t group)
 {
@@ -35,7 +37,7 @@
     return false;
 }
 
-/* Groups that a daemon owns in the view of another. */
+/* Number of groups that a daemon owns in the view of another. */
 static uint32_t count_owned(struct scale_fleet *fleet, uint32_t observer, uint32_t about)
 {
     uint32_t count = 0;
@@ -45,7 +47,7 @@
     return count;
 }
 
-/* In the views of all others that run. */
+/* The same, over the views of all other running daemons. */
 static uint32_t count_owned_by_others(struct scale_fleet *fleet, uint32_t about)
 {
     uint32_t count = 0;
@@ -84,7 +86,7 @@
     g_assert_cmpuint(scale_fleet_measures(fleet)->budget_violations, ==, 0);
 }
 
-/* Its groups have three owners again, and it is not declared dead. */
+/* The groups of a killed daemon have three owners again, and it is not declared dead. */
 static void test_killed(void)
 {
     for (uint32_t seed = 1; seed <= 5; seed++) {
@@ -100,8 +102,8 @@
     }
 }
 
-/* A second one that is lost as well is not taken off: of four, two are no majority. The owners, who
- * are the watchers, stay three; so no group is left to a single one of them. */
+/* A second lost daemon is not removed: two of four are no majority. The owners, who are the
+ * watchers, remain three, so no group depends on a single watcher. */
 static void test_second_loss(void)
 {
     for (uint32_t seed = 1; seed <= 5; seed++) {
@@ -119,7 +121,7 @@
     }
 }
 
-/* The cut-off side changes nothing in its own view; when it is back, all is as before. */
+/* The partitioned side changes nothing in its own view. After the partition all is as before. */
 static void test_cut_for_a_minute(void)
 {
     for (uint32_t seed = 1; seed <= 5; seed++) {
@@ -141,7 +143,7 @@
     }
 }
 
-/* A restart within the time moves nothing. */
+/* A restart within the time moves no groups. */
 static void test_short_restart(void)
 {
     struct scale_fleet *fleet = settled_fleet(7, ZONES);
@@ -175,7 +177,8 @@
     scale_fleet_free(fleet);
 }
 
-/* A new daemon in the zone makes the lost one no owner again before it is found dead. */
+/* When a new daemon starts in the zone, the lost one must not become an owner again before it is
+ * declared dead. */
 static void test_replaced_machine(void)
 {
     for (uint32_t seed = 1; seed <= 5; seed++) {
@@ -200,7 +203,7 @@
     }
 }
 
-/* Of datagrams, one in twenty is lost: nobody is taken for absent in an hour. */
+/* With one datagram in twenty lost, no daemon is taken for absent within an hour. */
 static void test_loss_moves_nothing(void)
 {
     struct scale_fleet_options options;
@@ -228,8 +231,8 @@
     scale_fleet_free(fleet);
 }
 
-/* A zone with two daemons that is cut moves nothing, as before. */
-static void test_larger_zone_is_left_alone(void)
+/* A partition of a zone with two daemons moves nothing. */
+static void test_larger_zone_keeps_owners(void)
 {
     struct scale_fleet *fleet = settled_fleet(10, 2 * ZONES);
     uint32_t before = count_owned(fleet, 0, LOST) + count_owned(fleet, 0, LOST + ZONES);
@@ -240,7 +243,7 @@
     scale_fleet_free(fleet);
 }
 
-/* A daemon that is dropped from the list after hours is no owner any more either. */
+/* A daemon that is dropped from the member list after hours is no owner any more either. */
 static void test_forgotten(void)
 {
     struct scale_fleet_options options;
@@ -270,7 +273,7 @@
     g_test_add_func("/absence/pause-and-return", test_pause_and_return);
     g_test_add_func("/absence/replaced-machine", test_replaced_machine);
     g_test_add_func("/absence/loss-moves-nothing", test_loss_moves_nothing);
-    g_test_add_func("/absence/larger-zone-is-left-alone", test_larger_zone_is_left_alone);
+    g_test_add_func("/absence/larger-zone-keeps-owners", test_larger_zone_keeps_owners);
     g_test_add_func("/absence/forgotten", test_forgotten);
     return g_test_run();
 }
--- a/tests/sim/scale_change_test.c
+++ b/tests/sim/scale_change_test.c
@@ -1,15 +1,14 @@
-/* The whole change of primary in a hollow fleet of 48 daemons, with the real control of groups: its
- * bound holds when machines, racks and a zone are lost, and when the coordinator dies with them.
- * And what a region that is cut off serves, and how a fleet starts before a store that limits its
- * rate.
- */
+/* Changes of primary in a simulated fleet of 48 daemons, with the real control of groups. Their
+ * bound holds when machines, racks and a zone are lost, also if the coordinator is lost with them.
+ * Further: what a partitioned region serves, and how a fleet starts with a store that limits its
+ * rate. */
 #include "scale_fixture.h"
 #include "sim/scale_fault.h"
 
 #define DAEMONS   48
 #define DATABASES 107
 
-/* A change of primary is over within this time. */
+/* Bound of a change of primary. */
 #define CHANGE_BOUND SECONDS(8)
 
 static struct scale_fleet *run_fault(enum scale_fault_kind kind, uint32_t repeats, uint32_t seed,
@@ -26,7 +25,7 @@
     return fleet;
 }
 
-/* Every group that lost its primary has a new one that all its owners know, in time. */
+/* Every group that lost its primary gets a new one that all its owners know, in time. */
 static void assert_changed(struct scale_fleet *fleet, uint32_t least)
 {
     struct scale_measures *measures = scale_fleet_measures(fleet);
@@ -42,9 +41,9 @@
     }
 }
 
-/* Daemons that start first own many groups until the others are there, and probe each of their
- * databases rarely. When they have handed groups over they probe the others more often, and must
- * not suspect primaries that only their own interval kept them from seeing. */
+/* Daemons that start first own many groups until the others have joined, and probe each database
+ * rarely. After they have handed groups over they probe the remaining ones more often. They must
+ * not suspect a primary whose last probe is old only because of the earlier interval. */
 static void test_handing_over_suspects_nobody(void)
 {
     for (uint32_t seed = 1; seed <= 3; seed++) {
@@ -87,8 +86,9 @@
     }
 }
 
-/* A switch fails and is mended: what is behind it is replaced, and comes back as replicas. Those
- * behind it hold nobody dead that only they can't reach, and tell nobody so when they are back. */
+/* A switch fails for a time: primaries behind it are replaced, and return as replicas. Daemons
+ * behind it must not hold those dead that only they can't reach, nor gossip that after their
+ * return. */
 static void test_switch_cut(void)
 {
     struct scale_fault_outcome outcome;
@@ -111,8 +111,8 @@
     scale_fleet_free(fleet);
 }
 
-/* Without the store and the majority a region must not serve by what may be old; its groups change
- * no primary, since all their databases are in reach. */
+/* Without the store and a majority a region must not serve by a configuration that may be outdated.
+ * Its groups change no primary, because all their databases are reachable. */
 static void test_region_cut(void)
 {
     struct scale_fault_outcome outcome;
@@ -127,8 +127,8 @@
     scale_fleet_free(fleet);
 }
 
-/* The store answers fewer reads in a second than daemons start: they come into service all the
- * same, and those that did not end never leave it. */
+/* The store answers fewer reads a second than daemons start. All daemons come into service
+ * nevertheless, and those that kept running serve throughout. */
 static void test_store_limits_its_rate(void)
 {
     struct scale_fault_outcome outcome;
--- a/tests/sim/scale_configuration_test.c
+++ b/tests/sim/scale_configuration_test.c
@@ -1,11 +1,11 @@
-/* Configuration over a modelled network: in force everywhere, never an older one, and refused
- * service where currency can't be confirmed. */
+/* Configuration over a modelled network: it comes into force everywhere, is never replaced by an
+ * older one, and daemons refuse service while they can't confirm that it is current. */
 #include "scale_fixture.h"
 
 #define ZONES   6
 #define DAEMONS 24
 
-/* A fleet that serves with the first configuration. */
+/* A fleet that serves with its first configuration. */
 static struct scale_fleet *serving_fleet(uint32_t seed)
 {
     struct scale_fleet *fleet = fixture_fleet(ZONES, DAEMONS, 0, seed);
@@ -27,8 +27,8 @@
     }
 }
 
-/* Daemons that can reach neither a majority nor the store stop within the bound, and come back with
- * the newest configuration only. */
+/* Daemons that reach neither a majority nor the store stop serving within the bound, and serve
+ * again only with the newest configuration. */
 static void test_cut_zone_stops_serving(void)
 {
     struct scale_fleet *fleet = serving_fleet(6);
@@ -45,7 +45,7 @@
     scale_fleet_free(fleet);
 }
 
-/* With the store down, a majority of the members is confirmation enough. */
+/* While the store is down, a majority of the members suffices as confirmation. */
 static void test_store_down_changes_nothing(void)
 {
     struct scale_fleet *fleet = serving_fleet(7);
@@ -67,7 +67,8 @@
     scale_fleet_free(fleet);
 }
 
-/* A fresh daemon that meets only stale, cut-off ones does not serve what they have. */
+/* A new daemon that reaches only partitioned daemons with an old configuration does not serve with
+ * it. */
 static void test_fresh_daemon_among_the_stale(void)
 {
     struct scale_fleet *fleet = serving_fleet(9);
@@ -90,11 +91,12 @@
     scale_fleet_free(fleet);
 }
 
-/* Length of the runs under faults, and the age from which a replaced configuration must be gone. */
+/* Length of the runs under faults, and the age from which a replaced configuration must no longer
+ * be served. */
 #define FAULT_SECONDS 300
 #define GONE_SECONDS  12
 
-/* Does one thing that may go wrong. A killed daemon's applied version starts anew. */
+/* Injects one random fault. The applied version of a killed daemon is counted from 0 again. */
 static void random_fault(struct scale_fleet *fleet, uint64_t *applied)
 {
     uint32_t daemon = scale_fleet_random(fleet, DAEMONS);
@@ -130,8 +132,8 @@
     }
 }
 
-/* Checks that no process went back, and returns how many daemons serve without what was accepted
- * long ago. A paused daemon does nothing, so it serves nothing. */
+/* Checks that no process applied an older version, and returns how many daemons serve without a
+ * configuration accepted long ago. A paused daemon serves nothing. */
 static uint32_t count_stale(struct scale_fleet *fleet, uint64_t *applied, uint64_t needed)
 {
     uint32_t stale = 0;
@@ -168,8 +170,9 @@
     return stale;
 }
 
-/* Under churn, cuts and pauses, what a process applied only grows, and any daemon that serves has
- * all that was accepted more than 12 s before. Without the bound on currency that fails. */
+/* Under churn, partitions and pauses, the version applied by a process only grows, and any serving
+ * daemon has all configurations accepted more than 12 s before. Without the bound on currency this
+ * fails. */
 static void test_never_reverts_under_faults(void)
 {
     uint32_t stale = 0;
--- a/tests/sim/scale_day_test.c
+++ b/tests/sim/scale_day_test.c
@@ -1,5 +1,5 @@
-/* A compressed day of a small hollow fleet, with the real codec: all settles, no limit is broken,
- * and the figures that the report needs are there. */
+/* A compressed day of a small simulated fleet, with the real codec: the fleet settles, no limit is
+ * violated, and the report contains its figures. */
 #include "scale_fixture.h"
 #include "sim/scale_day.h"
 #include "sim/scale_report.h"
--- a/tests/sim/scale_fixture.c
+++ b/tests/sim/scale_fixture.c
@@ -1,4 +1,4 @@
-/* Helpers of the tests on the hollow fleet. */
+/* Helpers for tests of the simulated fleet. */
 #include "scale_fixture.h"
 
 struct scale_fleet *fixture_fleet(uint32_t zones, uint32_t daemons, uint32_t databases,
@@ -28,7 +28,7 @@
     return count;
 }
 
-/* Live members in one daemon's view. */
+/* Number of live members in one daemon's view. */
 static uint32_t count_live(const struct membership *membership)
 {
     uint32_t count = 0;
--- a/tests/sim/scale_membership_test.c
+++ b/tests/sim/scale_membership_test.c
@@ -1,4 +1,5 @@
-/* Membership over a modelled network: join, leave, kill, pause, restart, cuts and old gossip. */
+/* Membership over a modelled network: join, leave, kill, pause, restart, partitions and old gossip.
+ */
 #include "scale_fixture.h"
 
 #define ZONES   6
@@ -72,8 +73,8 @@
     scale_fleet_free(fleet);
 }
 
-/* A daemon that was paused does not blame the others for its own silence. */
-static void test_pause_accuses_nobody(void)
+/* A daemon that was paused does not suspect the others because it received nothing meanwhile. */
+static void test_no_suspicion_after_pause(void)
 {
     struct scale_fleet *fleet = settled_fleet(5);
     scale_fleet_pause(fleet, 9);
@@ -85,8 +86,8 @@
     scale_fleet_free(fleet);
 }
 
-/* A zone that is cut off is unreachable; its members are not held dead, and all agree at once after
- * the heal. */
+/* A partitioned zone is unreachable. Its members are not held dead, and all views agree at once
+ * after the partition. */
 static void test_zone_cut_and_heal(void)
 {
     struct scale_fleet *fleet = settled_fleet(6);
@@ -109,7 +110,7 @@
     scale_fleet_free(fleet);
 }
 
-/* What happened on either side of a cut is known on both after the heal. */
+/* Changes on either side of a partition are known on both sides after its end. */
 static void test_region_cut_for_an_hour(void)
 {
     struct scale_fleet *fleet = settled_fleet(7);
@@ -128,7 +129,7 @@
     scale_fleet_free(fleet);
 }
 
-/* The halves of a split zone hear through other zones that nobody died. */
+/* The halves of a split zone learn through other zones that no daemon has died. */
 static void test_split_zone(void)
 {
     struct scale_fleet *fleet = settled_fleet(8);
@@ -140,7 +141,7 @@
     scale_fleet_free(fleet);
 }
 
-/* The same where no other zone could tell. */
+/* The same without another zone. */
 static void test_split_of_the_only_zone(void)
 {
     struct scale_fleet *fleet = fixture_fleet(1, 8, 0, 9);
@@ -154,7 +155,7 @@
     scale_fleet_free(fleet);
 }
 
-/* Takes the record of a daemon as another holds it now, as an update. */
+/* Copies the record of a daemon, as another holds it now, as a gossip update. */
 static struct gossip_member snapshot(struct scale_fleet *fleet, uint32_t observer, uint32_t about,
                                      enum member_state state)
 {
@@ -173,7 +174,7 @@
     };
 }
 
-/* Delays gossip of one time and delivers it to all at a later time. */
+/* Delivers a recorded update to all daemons at a later time. */
 static void inject_to_all(struct scale_fleet *fleet, uint32_t from, struct gossip_member *update)
 {
     struct gossip_message message;
@@ -208,7 +209,7 @@
     scale_fleet_free(fleet);
 }
 
-/* A false suspicion, told by anyone, is refuted before the daemon is held dead. */
+/* A false suspicion, from any daemon, is refuted before the suspected daemon is held dead. */
 static void test_suspicion_is_refuted(void)
 {
     struct scale_fleet *fleet = settled_fleet(11);
@@ -220,7 +221,7 @@
     scale_fleet_free(fleet);
 }
 
-/* A daemon whose list of machines names only one that is still there joins all the same. */
+/* A daemon joins even if only one address of its machine list is still in use. */
 static void test_lagging_machine_list(void)
 {
     struct scale_fleet *fleet = settled_fleet(12);
@@ -240,8 +241,8 @@
     scale_fleet_free(fleet);
 }
 
-/* A process that was paused while another took over its name ends its part in gossip. */
-static void test_superseded_process_keeps_silent(void)
+/* A process that was paused while another one took over its name stops sending gossip. */
+static void test_superseded_process_stops_gossip(void)
 {
     struct scale_fleet *fleet = settled_fleet(13);
     struct gossip_member later = snapshot(fleet, 0, 6, MEMBER_STATE_ALIVE);
@@ -266,7 +267,7 @@
     scale_fleet_free(fleet);
 }
 
-/* Same seed, same run. */
+/* The same seed gives the same run. */
 static void test_deterministic(void)
 {
     uint64_t sent[2];
@@ -294,7 +295,7 @@
     g_test_add_func("/membership/restart-under-the-same-address",
                     test_restart_under_the_same_address);
     g_test_add_func("/membership/pause-dies-and-returns", test_pause_dies_and_returns);
-    g_test_add_func("/membership/pause-accuses-nobody", test_pause_accuses_nobody);
+    g_test_add_func("/membership/no-suspicion-after-pause", test_no_suspicion_after_pause);
     g_test_add_func("/membership/zone-cut-and-heal", test_zone_cut_and_heal);
     g_test_add_func("/membership/region-cut-for-an-hour", test_region_cut_for_an_hour);
     g_test_add_func("/membership/split-zone", test_split_zone);
@@ -302,8 +303,8 @@
     g_test_add_func("/membership/old-gossip-never-reverts", test_old_gossip_never_reverts);
     g_test_add_func("/membership/suspicion-is-refuted", test_suspicion_is_refuted);
     g_test_add_func("/membership/lagging-machine-list", test_lagging_machine_list);
-    g_test_add_func("/membership/superseded-process-keeps-silent",
-                    test_superseded_process_keeps_silent);
+    g_test_add_func("/membership/superseded-process-stops-gossip",
+                    test_superseded_process_stops_gossip);
     g_test_add_func("/membership/another-deployment-is-ignored",
                     test_another_deployment_is_ignored);
     g_test_add_func("/membership/deterministic", test_deterministic);
--- a/tests/sim/scale_ownership_test.c
+++ b/tests/sim/scale_ownership_test.c
@@ -1,5 +1,5 @@
-/* Ownership and budgets over a modelled network: no database sees more connections than its limit,
- * and every group is served through planned moves. */
+/* Ownership and budgets over a modelled network: no database gets more connections than its limit,
+ * and every group is served throughout planned moves. */
 #include "scale_fixture.h"
 
 #define ZONES     6
@@ -13,7 +13,7 @@
     return fleet;
 }
 
-/* Running daemons that hold enough connections to serve the group. */
+/* Number of running daemons with enough connections to serve the group. */
 static uint32_t count_servers(struct scale_fleet *fleet, uint32_t group)
 {
     uint32_t count = 0;
@@ -33,7 +33,7 @@
     scale_fleet_free(fleet);
 }
 
-/* While daemons restart one by one, each group has two or more servers at every moment. */
+/* While daemons restart one by one, each group always has at least two daemons that serve it. */
 static void test_rolling_restart_keeps_servers(void)
 {
     struct scale_fleet *fleet = settled_fleet(2);
@@ -61,7 +61,7 @@
     scale_fleet_free(fleet);
 }
 
-/* Churn, cuts, splits and pauses, together and twice. */
+/* Churn, partitions, splits and pauses combined. */
 static void test_limit_holds_under_faults(void)
 {
     for (uint32_t seed = 1; seed <= 12; seed++) {
--- a/tests/sim/sim_entry_test.c
+++ b/tests/sim/sim_entry_test.c
@@ -1,4 +1,4 @@
-/* The tree of log entries: ancestors and common prefixes of diverging logs. */
+/* The tree of log entries: ancestors and common prefixes of logs that diverged. */
 #include "sim/sim_entry.h"
 
 #define LOG_LENGTH 200
--- a/tests/sim/sim_scenario_test.c
+++ b/tests/sim/sim_scenario_test.c
@@ -1,5 +1,5 @@
-/* Every scenario file over a few fixed seeds; and the same seed gives the same run, byte for byte.
- */
+/* Runs every scenario file over a few fixed seeds, and checks that the same seed gives the same
+ * run, byte for byte. */
 #include <glib/gstdio.h>
 
 #include "core/error.h"
@@ -56,7 +56,7 @@
     sim_scenario_free(scenario);
 }
 
-/* Bounds of design: these hold on virtual time, whatever the machine. */
+/* Bounds that follow from the design: in virtual time they hold on any machine. */
 static void test_gap_bounds(gconstpointer name)
 {
     struct sim_scenario *scenario = load(name);
--- a/tests/sim/trace_file_test.c
+++ b/tests/sim/trace_file_test.c
@@ -1,4 +1,4 @@
-/* Trace files: what is written is read back; damaged files and outcomes are refused. */
+/* Trace files: records are read back as written; damaged files and outcomes are rejected. */
 #include "trace/trace_file.h"
 
 #include <glib/gstdio.h>
@@ -109,7 +109,7 @@
     g_assert_cmpint(g_remove(path), ==, 0);
 }
 
-/* Every cut of a trace either ends between records or is refused. */
+/* A truncated trace either ends between two records or is rejected. */
 static void test_truncated(void)
 {
     g_autofree char *path = new_path();
@@ -130,7 +130,7 @@
     g_assert_cmpint(g_remove(path), ==, 0);
 }
 
-/* Of daemons on two machines, whose own clocks differ, the wall clock gives the order. */
+/* The wall clock orders the records of daemons on two machines whose own clocks differ. */
 static void write_source(const char *path, time_ns from, time_ns step, time_ns to_wall)
 {
     FILE *file = fopen(path, "wb");
@@ -147,7 +147,8 @@
         g_assert_true(trace_write(file, &record));
         trace_record_clear(&record);
     }
-    /* A write stands behind the control's records, though it began before the last. */
+    /* A write follows the control's records in the trace, even if it began before the last of them.
+     */
     struct trace_record write;
     trace_record_init(&write);
     write.at = from + step + 1;
--- a/tests/sim/trace_replay_test.c
+++ b/tests/sim/trace_replay_test.c
@@ -1,10 +1,10 @@
-/* Every kept trace holds, and fails with the mechanism off that it proves. */
+/* Every kept trace passes, and fails when the mechanism that it covers is turned off. */
 #include "sim/replay.h"
 
 struct proof {
     const char *trace;
     const char *mutation; /* NULL: the trace must hold */
-    bool decisions;       /* the mutation shows in the recorded decisions only */
+    bool decisions;       /* the mutation changes only the recorded decisions */
 };
 
 static int replay(const struct proof *proof)
@@ -14,7 +14,7 @@
     g_autofree char *path = g_test_build_filename(G_TEST_DIST, "..", "traces", trace, NULL);
     g_autofree char *outcome_path =
         g_test_build_filename(G_TEST_DIST, "..", "traces", outcome, NULL);
-    /* With a mutation other decisions are no proof by themselves: the outcomes have to fail. */
+    /* With a mutation, differing decisions alone prove nothing: the outcomes must fail. */
     struct replay_options options = {
         .mutation = proof->mutation,
         .outcomes_only = proof->mutation != NULL && !proof->decisions,
@@ -37,7 +37,7 @@
     g_assert_cmpint(replay(proof), >, 0);
 }
 
-/* No trace is left out by mistake. */
+/* Checks that the table lists every trace file. */
 static void test_all_listed(gconstpointer data)
 {
     const struct proof *proofs = data;
--- a/tests/standins/database_advisory_test.c
+++ b/tests/standins/database_advisory_test.c
@@ -1,4 +1,4 @@
-/* Advisory locks of the stand-in database, and what it takes for a control call. */
+/* Advisory locks of the stand-in database, and which statements it treats as control calls. */
 #include "database_fixture.h"
 
 struct fixture {
@@ -40,7 +40,7 @@
     fixture_expect(fixture->second, "SELECT pg_try_advisory_lock(7)", "t");
 }
 
-/* Given back as often as taken. */
+/* A lock must be released as often as it was taken. */
 static void test_taken_twice(struct fixture *fixture, const void *data)
 {
     fixture_expect(fixture->first, "SELECT pg_try_advisory_lock(7)", "t");
@@ -52,7 +52,7 @@
     fixture_expect(fixture->second, "SELECT pg_try_advisory_lock(7)", "t");
 }
 
-/* Session level: neither the end of a transaction nor its failure gives it back. */
+/* Locks belong to the session: neither the end of a transaction nor its failure releases them. */
 static void test_outlives_transactions(struct fixture *fixture, const void *data)
 {
     fixture_run(fixture->first, "BEGIN");
@@ -67,7 +67,8 @@
     fixture_expect(fixture->second, "SELECT pg_try_advisory_lock(8)", "f");
 }
 
-/* The end of the connection gives it back, no later than the connection stops to count. */
+/* The end of the connection releases its locks, no later than the connection ceases to count
+ * against the limit. */
 static void test_ends_with_the_connection(struct fixture *fixture, const void *data)
 {
     fixture_expect(fixture->first, "SELECT pg_try_advisory_lock(7)", "t");
@@ -109,7 +110,7 @@
     fixture_run_failing(fixture->first, "SELECT pg_try_advisory_lock()", "42883");
 }
 
-/* A table whose name starts like a control function's is a table. */
+/* A table whose name starts like that of a control function is treated as a table. */
 static void test_tables_are_no_control_calls(struct fixture *fixture, const void *data)
 {
     fixture_run(fixture->first, "CREATE TABLE swiftworks_ledger (key TEXT)");
--- a/tests/standins/database_faults_test.c
+++ b/tests/standins/database_faults_test.c
@@ -1,4 +1,4 @@
-/* Faults of the stand-in database, switched on by its admin listener. */
+/* Faults of the stand-in database, injected through its admin listener. */
 #include <curl/curl.h>
 #include <json-glib/json-glib.h>
 
@@ -30,7 +30,7 @@
     return size * count;
 }
 
-/* Calls the admin listener; returns its JSON answer. Free with json_node_unref. */
+/* Calls the admin listener and returns its JSON reply. Free with json_node_unref. */
 static JsonNode *call_admin(const struct fixture *fixture, bool post, const char *path,
                             long expected_status)
 {
@@ -106,7 +106,7 @@
     PQfinish(cut);
 }
 
-/* Sends a commit whose answer is lost; returns the connection it was sent on. */
+/* Sends a commit whose answer is lost. Returns the connection on which it was sent. */
 static PGconn *lose_commit(const struct fixture *fixture, const char *fault)
 {
     PGconn *connection = fixture_connect(fixture->server);
--- a/tests/standins/database_fencing_test.c
+++ b/tests/standins/database_fencing_test.c
@@ -1,4 +1,5 @@
-/* Promises of the stand-in database: who is granted what, and that no commit crosses a fence. */
+/* Promises of the stand-in database: which requests are granted, and that no commit follows a fence
+ * of a higher term. */
 #include "database_fixture.h"
 
 struct fixture {
@@ -44,7 +45,7 @@
     g_assert_cmpstr(PQgetvalue(result, 0, 7), ==, "t");
     g_assert_cmpstr(PQgetvalue(result, 0, 8), ==, "7");
     PQclear(result);
-    /* An older request changes nothing. */
+    /* A request with an older order number changes nothing. */
     result = fixture_query(connection, "SELECT * FROM swiftworks_set_leaving(false, 6)");
     g_assert_cmpstr(PQgetvalue(result, 0, 7), ==, "t");
     PQclear(result);
@@ -76,7 +77,7 @@
     int acknowledged;
 };
 
-/* Inserts rows until it is refused. */
+/* Inserts rows until an insert is rejected. */
 static void *run_writer(void *data)
 {
     struct writer *writer = data;
--- a/tests/standins/database_fixture.c
+++ b/tests/standins/database_fixture.c
@@ -1,4 +1,4 @@
-/* Stand-in databases within a test's process. See database_fixture.h. */
+/* Stand-in databases in the test's process. See database_fixture.h. */
 #include "database_fixture.h"
 
 struct server_options fixture_options(void)
--- a/tests/standins/database_fixture.h
+++ b/tests/standins/database_fixture.h
@@ -1,4 +1,4 @@
-/* Starts stand-in databases in the test's process and talks to them by libpq. */
+/* Starts stand-in databases in the test's process and connects to them with libpq. */
 #ifndef DATABASE_FIXTURE_H
 #define DATABASE_FIXTURE_H
 
@@ -6,7 +6,7 @@
 
 #include "server.h"
 
-/* Options of a primary named "a" in zone "z1", on any port and without delays. */
+/* Options of a primary named "a" in zone "z1", on any free port and without delays. */
 struct server_options fixture_options(void);
 
 /* Starts a server; fails the test if it can't. */
@@ -18,13 +18,13 @@
 /* "127.0.0.1:PORT" of a server. Free with g_free. */
 char *fixture_address(const struct server *server);
 
-/* A connection that may have failed, as a client of the given zone. */
+/* Connects as a client of the given zone; the connection may have failed. */
 PGconn *fixture_try_connect(const struct server *server, const char *zone);
 
-/* A connection; fails the test if there is none. */
+/* Connects; fails the test if that is not possible. */
 PGconn *fixture_connect(const struct server *server);
 
-/* Runs one query and returns its result, whatever it is. */
+/* Runs one query and returns its result, successful or not. */
 PGresult *fixture_query(PGconn *connection, const char *sql);
 
 /* Runs SQL that must succeed. */
@@ -36,10 +36,10 @@
 /* Runs SQL and checks the command tag. */
 void fixture_run_tag(PGconn *connection, const char *sql, const char *tag);
 
-/* The single value a query gives; NULL cells give "". Free with g_free. */
+/* The single value that a query returns; "" for NULL. Free with g_free. */
 char *fixture_value(PGconn *connection, const char *sql);
 
-/* Checks the single value a query gives. */
+/* Checks the single value that a query returns. */
 void fixture_expect(PGconn *connection, const char *sql, const char *expected);
 
 #endif
--- a/tests/standins/database_protocol_test.c
+++ b/tests/standins/database_protocol_test.c
@@ -1,4 +1,4 @@
-/* The stand-in database speaks PostgreSQL's protocol as libpq expects it. */
+/* The stand-in database implements PostgreSQL's protocol as libpq expects it. */
 #include "database_fixture.h"
 
 struct fixture {
@@ -66,7 +66,7 @@
     PQclear(result);
 }
 
-/* Takes the next result of a pipeline and checks its status. */
+/* Reads the next result of a pipeline and checks its status. */
 static PGresult *next_result(PGconn *connection, ExecStatusType status)
 {
     PGresult *result = PQgetResult(connection);
--- a/tests/standins/database_replication_test.c
+++ b/tests/standins/database_replication_test.c
@@ -1,7 +1,7 @@
-/* Replicas of the stand-in database hold and apply what their primary commits, and no more. */
+/* Replicas of the stand-in database hold and apply exactly what their primary commits. */
 #include "database_fixture.h"
 
-/* A primary "a" and a replica "b" that hold a table of one row: log offsets 1 and 2. */
+/* A primary "a" and a replica "b" that hold a table of one row, at log offsets 1 and 2. */
 struct fixture {
     struct server *a;
     struct server *b;
@@ -29,7 +29,7 @@
     server_stop(fixture->a);
 }
 
-/* Checks that "SELECT swiftworks_status()" gives the same row in its text form. */
+/* Checks that "SELECT swiftworks_status()" returns the same row in its text form. */
 static void expect_record(PGconn *connection, const PGresult *row)
 {
     PGresult *result = fixture_query(connection, "SELECT swiftworks_status()");
--- a/tests/standins/platform/test_faults.c
+++ b/tests/standins/platform/test_faults.c
@@ -1,4 +1,4 @@
-/* Which requests meet a fault of the platform stand-in. */
+/* Which requests a fault of the platform stand-in affects. */
 #include "standins/platform/fault.h"
 
 static GArray *faults_new(struct platform_fault fault)
--- a/tests/standins/platform/test_table_api.c
+++ b/tests/standins/platform/test_table_api.c
@@ -1,4 +1,4 @@
-/* The stand-in's table service: conditions, transactions, pages and listings that lag. */
+/* The stand-in's table service: conditions, transactions, pages and delayed listings. */
 #include "standins/platform/table_api.h"
 
 #include <string.h>
@@ -19,7 +19,7 @@
     return tables;
 }
 
-/* Runs a call at a time and asserts status and a piece of the body. */
+/* Runs a call at a given time and checks its status and a part of the body. */
 static void assert_call_at(GHashTable *tables, const char *operation, const char *body,
                            int64_t now_us, unsigned status, const char *piece)
 {
