--- a/tests/soak/checker.py
+++ b/tests/soak/checker.py
@@ -1,7 +1,8 @@
-"""What must hold, judged from what clients and databases saw.
+"""Checks the guarantees against the records of clients and databases.
 
-A pooler is excused while its own process, its own way to the store or the store itself is harmed, and for some seconds
-after. Harm of its links to other poolers is no excuse: whoever can ask the store can know.
+A pooler is excused while a fault affects its own process, its own link to the store or the store itself, and for some
+seconds after. Faults of its links to other poolers do not excuse it, because it can read the current state from the
+store.
 """
 
 import bisect
@@ -11,26 +12,26 @@
 
 from clients import NO_DATABASE, PREPARED
 
-BEYOND = ("limit-", "hot-2")  # routes that ask for more than can be served
+BEYOND = ("limit-", "hot-2")  # routes whose load exceeds the capacity
 PROMISES = {"BUSY", "ABORTED", "LAGGING", "READONLY", "MISROUTED", "OVERLOAD", "NODB", "UNAUTH"}
 
 
 @dataclass
 class Bounds:
-    """Of the deployment, in seconds."""
+    """Time bounds of the deployment, in seconds."""
 
-    apply: float = 3.0  # a configuration is in force everywhere
-    contact: float = 4.0  # after the end of trouble
-    rollback: float = 0.25  # after a version's effect, no older one
+    apply: float = 3.0  # until a configuration is in force everywhere
+    contact: float = 4.0  # after the end of a fault
+    rollback: float = 0.25  # after a version has taken effect no older one may, with this tolerance
 
     def later_by(self, seconds):
-        """The same where moments are known no better than this."""
+        """These bounds, extended by the inaccuracy of the recorded times."""
         return Bounds(self.apply + seconds, self.contact + seconds, self.rollback + seconds)
 
 
 @dataclass
 class Trouble:
-    """Something was harmed. `who`: a pooler's name, or "store" for all."""
+    """A fault that excuses failures. `who`: a pooler's name, or "store", which excuses all."""
 
     who: str
     begin: float
@@ -40,7 +41,7 @@
 
 @dataclass
 class Finding:
-    """One broken rule."""
+    """One violation of a rule."""
 
     rule: str
     text: str
@@ -48,7 +49,7 @@
 
 
 class Checker:
-    """Collects, and judges at the end."""
+    """Collects the records of a run and checks them at its end."""
 
     def __init__(self, bounds):
         self.bounds = bounds
@@ -56,7 +57,7 @@
         self.troubles = []
 
     def excused(self, pooler, begin, end):
-        """Whether something was harmed that excuses this pooler."""
+        """Whether a fault excuses this pooler."""
         for trouble in self.troubles:
             concerns = trouble.who in (pooler, "store")
             if concerns and trouble.begin <= end and trouble.end + self.bounds.contact >= begin:
@@ -74,7 +75,7 @@
         ]
 
     def check_dump(self, path):
-        """What the databases tell of themselves."""
+        """Findings from the databases' dump."""
         entries = [json.loads(line) for line in open(path, encoding="utf-8")]
         yield from self.check_writes([entry["commit"] for entry in entries if "commit" in entry])
         yield from self.check_runs([entry["run"] for entry in entries if "run" in entry])
@@ -85,7 +86,7 @@
                 yield Finding("one", "two poolers promoted under the same token", 0.0)
 
     def answered(self):
-        """Operations whose end tells by which configuration they were handled, with what they tell."""
+        """Operations whose result shows the route in force, with its service (None: no route)."""
         for operation in self.operations:
             if operation.text == "READ service" and operation.result == "ok":
                 yield operation, operation.row
@@ -93,7 +94,7 @@
                 yield operation, None
 
     def check_in_force(self, acknowledged, versions):
-        """No operation is handled as only a version allows that was replaced long before."""
+        """No operation is routed by a version that was replaced longer ago than the bound."""
         times = [version.acknowledged for version in acknowledged]
         for operation, service in self.answered():
             newest = bisect.bisect_right(times, operation.sent - self.bounds.apply) - 1
@@ -111,7 +112,7 @@
             )
 
     def check_regress(self, versions):
-        """Within one life of a pooler, no operation is handled by an older version than an earlier one was."""
+        """Within one process of a pooler, no operation is routed by an older version than an earlier one was."""
         by_life = collections.defaultdict(list)
         for operation, service in self.answered():
             by_life[(operation.pooler, operation.life)].append((operation, service))
@@ -119,8 +120,8 @@
             yield from self.check_regress_of(pooler, life, pairs, versions)
 
     def check_regress_of(self, pooler, life, pairs, versions):
-        """The same for one life."""
-        shown = []  # (when, version's index), both rising: the least version that explains what was seen
+        """The same for one process of a pooler."""
+        shown = []  # (time, version's index), both rising: the lowest version that explains the results so far
         for operation, service in sorted(pairs, key=lambda pair: pair[0].ended):
             place = bisect.bisect_right(shown, (operation.sent - self.bounds.rollback, len(versions))) - 1
             least = shown[place][1] if place >= 0 else 0
@@ -138,7 +139,7 @@
                 shown.append((operation.ended, fitting[0]))
 
     def check_writes(self, committed):
-        """What was acknowledged is there once, what was promised not to be kept is not, nothing is there twice."""
+        """An acknowledged write is present once, one that was answered as not kept is absent, and none is present twice."""
         kept = collections.Counter((commit["thing"], commit["data"]) for commit in committed)
         ends = {one.transaction: one for one in self.operations if one.transaction and is_end(one)}
         for operation in self.operations:
@@ -149,10 +150,10 @@
             end = ends.get(operation.transaction) if operation.transaction else operation
             fate = fate_of(operation, end)
             if (fate == "kept" and count != 1) or (fate == "dropped" and count != 0) or count > 1:
-                yield Finding("write", f"{fate}, but there {count} times: {operation}", operation.sent)
+                yield Finding("write", f"{fate}, but present {count} times: {operation}", operation.sent)
 
     def check_own_reads(self):
-        """A read of a thing shows its last acknowledged write, or one whose end is not known."""
+        """A read of a thing returns its last acknowledged write, or one whose outcome is unknown."""
         last, unknown, open_writes = {}, collections.defaultdict(set), collections.defaultdict(list)
         for operation in sorted(self.operations, key=lambda one: one.ended):
             words = operation.text.split()
@@ -174,8 +175,8 @@
                         unknown[thing].add(value)
 
     def check_runs(self, runs):
-        """Databases run what was asked, with the session's values, and a transaction on the connection that commits it.
-        Its first statement may have run elsewhere before, in a transaction that was dropped there."""
+        """Databases run only what clients sent, with the session's values, and a transaction on the connection that commits
+        it. Its first statement may have run elsewhere before, in a transaction that was rolled back there."""
         asked = {operation.identity: operation for operation in self.operations}
         places = collections.defaultdict(lambda: collections.defaultdict(set))  # transaction -> id -> connections
         commits = {}
@@ -197,7 +198,7 @@
                     yield Finding("pinned", f"{identity} of {transaction} ran at {at}, its commit at {place}", 0.0)
 
     def calm_answers(self, begin):
-        """How many operations sent since then were served, and how many in all, by pooler."""
+        """Numbers of operations sent since then, by pooler: those served, and all."""
         served = collections.Counter()
         asked = collections.Counter()
         for operation in self.operations:
@@ -208,12 +209,12 @@
         return {name: (served[name], asked[name]) for name in sorted(asked)}
 
     def results(self):
-        """Operations by their end."""
+        """Number of operations by result."""
         return collections.Counter(operation.result for operation in self.operations)
 
 
 def written_by(operation):
-    """The thing and the value that an operation writes; None if it is no write."""
+    """The thing and the value that an operation writes; None for other operations."""
     words = operation.text.split()
     if words[0] == "WRITE":
         return words[1], words[2]
@@ -221,20 +222,20 @@
 
 
 def is_end(operation):
-    """Whether it ends a transaction."""
+    """Whether the operation ends a transaction."""
     return operation.text in ("COMMIT", "ROLLBACK")
 
 
 def fate_of(operation, end):
-    """Whether a write must be there, by the operation that decides it: "kept", "dropped" or "unknown". A transaction
-    that its client never asked to commit is dropped."""
+    """Whether a write must be present, by the operation `end` that decides it: "kept", "dropped" or "unknown". A
+    transaction without a commit from its client is dropped."""
     if end is None or end.text == "ROLLBACK" or end.result in PROMISES:
         return "dropped"
     return "kept" if end.result == "ok" and operation.result == "ok" else "unknown"
 
 
 def same_text(run, asked):
-    """Whether a database ran what was asked. A pooler may rename prepared names, but not what they stand for."""
+    """Whether a database ran the statement that was sent. A pooler may rename prepared statements, but not change them."""
     words, wanted = run["text"].split(), asked.split()
     if wanted[0] == "EXECUTE":
         return words[0] == "EXECUTE" and words[2:] == wanted[2:] and run["shape"] == PREPARED
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a soak: sessions that stay open as long as their pooler's process does, on the line wire."""
+"""Clients of a soak: sessions over the line protocol that stay open as long as their pooler's process runs."""
 
 import asyncio
 import itertools
@@ -7,20 +7,20 @@
 from crowd import USUAL_KEY
 from deployment import now
 
-ANSWER_S = 6.0  # a client waits so long for an answer
-REOPEN_S = 0.25  # a session that could not be opened is tried again
-LOST = "lost"  # the connection broke, or no answer came
+ANSWER_S = 6.0  # time-out of an answer
+REOPEN_S = 0.25  # pause before another attempt to open a session
+LOST = "lost"  # the connection broke, or there was no answer
 NO_DATABASE = "NODB"
-PREPARED = "WRITE shape"  # what the prepared name stands for
+PREPARED = "WRITE shape"  # the prepared statement
 numbers = itertools.count(1)
 
 
 @dataclass
 class Operation:
-    """One statement as its client saw it."""
+    """One statement and its result at the client."""
 
     pooler: str
-    life: int  # of the pooler's process, as it was sent
+    life: int  # number of the pooler's process when it was sent
     database: str
     text: str
     identity: str
@@ -28,8 +28,8 @@
     ended: float
     result: str  # "ok", an error's code, or LOST
     row: str
-    values: str = ""  # of the session, as acknowledged, in the form in which a database notes them
-    transaction: str = ""  # names the one it is part of
+    values: str = ""  # acknowledged values of the session, in the form of a database's records
+    transaction: str = ""  # name of the transaction it is part of
 
 
 class Session:
@@ -48,7 +48,7 @@
         self.transaction = ""
 
     async def open(self):
-        """Connects and starts; notes a refused start. False if there is no session."""
+        """Connects and starts the session; records a rejected start. False if there is no session."""
         sent, life = now(), self.pooler.life
         try:
             self.reader, self.writer = await asyncio.wait_for(asyncio.open_connection(*self.address), ANSWER_S)
@@ -66,7 +66,7 @@
         return False
 
     def close(self):
-        """Leaves."""
+        """Closes the connection."""
         if self.writer is not None:
             self.writer.close()
         self.reader = self.writer = None
@@ -88,7 +88,7 @@
         return operation
 
     async def ask(self, text):
-        """Asks one statement, and records its end."""
+        """Sends one statement and records its result."""
         identity = f"{next(numbers):016x}"
         sent, life = now(), self.pooler.life
         result, row = LOST, ""
@@ -111,7 +111,7 @@
 
 
 async def keep_open(session, act, pause_s, until):
-    """Acts again and again on one open session until the end; opens another one when it is lost."""
+    """Calls `act` repeatedly on an open session until the end, and opens another session when one is lost."""
     while now() < until():
         if session.writer is None and not await session.open():
             await asyncio.sleep(REOPEN_S)
@@ -122,13 +122,13 @@
 
 
 async def ask_service(session):
-    """Asks which service the route leads to."""
+    """Reads the name of the service that the route leads to."""
     await session.ask("READ service")
 
 
 class Writer:
-    """Writes a thing that nobody else writes, and reads it back; now and then inside transactions, by a prepared name,
-    with session values."""
+    """Writes a thing that no other client writes, and reads it back; sometimes in transactions, by a prepared statement,
+    or with session values."""
 
     def __init__(self, thing, chance):
         self.thing = thing
@@ -153,7 +153,7 @@
         await session.ask(f"READ {self.thing}")
 
     async def set_value(self, session):
-        """Sets a session value; a client leaves after an error here."""
+        """Sets a session value; closes the session after an error, as its values are then unknown."""
         name, value = self.chance.choice("ab"), self.next_value()
         if (await session.ask(f"SET {name} {value}")).result == "ok":
             session.values[name] = value
@@ -161,7 +161,7 @@
             session.close()
 
     async def execute(self, session):
-        """A write by a prepared name."""
+        """A write by a prepared statement."""
         if not session.prepared:
             session.prepared = (await session.ask(f"PREPARE mine {PREPARED}")).result == "ok"
             if not session.prepared:
@@ -170,7 +170,7 @@
         await session.ask(f"EXECUTE mine {self.thing} {self.next_value()}")
 
     async def transact(self, session):
-        """Two writes that are kept or dropped together."""
+        """A transaction of two writes."""
         session.transaction = self.next_value()
         if (await session.ask("BEGIN")).result == "ok":
             good = True
--- a/tests/soak/crowd.py
+++ b/tests/soak/crowd.py
@@ -1,5 +1,5 @@
-"""The hard load of a soak: one group has most of the clients, kinds of requests compete for it, its databases are uneven,
-and one tenant asks for several times its limit."""
+"""The hard load of a soak: most clients use one group, kinds of requests of different priority compete for it, its
+databases differ in capacity, and one tenant sends several times its limit."""
 
 import asyncio
 from dataclasses import dataclass
@@ -8,12 +8,12 @@
 USUAL_KEY, GREEDY_KEY = "soak", "greedy"
 LIMIT = {"ratePerS": 20, "burst": 10}
 TENANTS = [{"name": "usual", "apiKeys": [USUAL_KEY]}, {"name": "greedy", "apiKeys": [GREEDY_KEY], **LIMIT}]
-UNEVEN = {f"{HOT}-0": "4 1", f"{HOT}-1": "2 1", f"{HOT}-2": "4 3"}  # slots, and how many times longer work takes
+UNEVEN = {f"{HOT}-0": "4 1", f"{HOT}-1": "2 1", f"{HOT}-2": "4 3"}  # slots, and the factor on the duration of statements
 
 
 @dataclass(frozen=True)
 class Kind:
-    """One kind of request, which has a route of its own."""
+    """One kind of request, with a route of its own."""
 
     name: str
     service: str
@@ -23,8 +23,8 @@
     work_ms: int
     key: str
     sessions: int  # at each pooler
-    pause: float  # mean seconds between two of a session
-    floods: bool = False  # asks only during a flood
+    pause: float  # mean seconds between two requests of a session
+    floods: bool = False  # sent only during a flood
 
 
 KINDS = {
@@ -40,7 +40,7 @@
 
 
 async def ask_kind(kind, rig, session):
-    """One read of this kind, unless it waits for a flood."""
+    """Sends one read of this kind, unless the kind waits for a flood."""
     if rig.floods or not kind.floods:
         await session.ask(f"READ load@{kind.work_ms}")
     else:
--- a/tests/soak/deployment.py
+++ b/tests/soak/deployment.py
@@ -1,4 +1,4 @@
-"""The deployment that a soak runs: its services, its routes, and how the operator changes them."""
+"""The deployment of a soak: its services and routes, and the operator's changes of them."""
 
 import random
 import time
@@ -7,17 +7,17 @@
 import crowd
 
 SERVICES = ("ledger-a", "ledger-b", "ledger-c")
-MOVING = ("move-1", "move-2", "move-3")  # routes that go from service to service
-COMING = ("come-1", "come-2")  # routes that are there, and not
-STILL = {"still-a": "ledger-a", "still-b": "ledger-b"}  # routes that stay, for writes
+MOVING = ("move-1", "move-2", "move-3")  # routes that change their service
+COMING = ("come-1", "come-2")  # routes that are added and removed
+STILL = {"still-a": "ledger-a", "still-b": "ledger-b"}  # constant routes, for writes
 KINDS = {"still-a": "primary", "still-b": "read_your_writes"}
 TIMEOUT_MS = 1500
-CHANGE_PAUSES_S = (0.3, 0.8, 1.5, 3.0, 5.0)  # between two changes, one of these, more or less
+CHANGE_PAUSES_S = (0.3, 0.8, 1.5, 3.0, 5.0)  # pauses between two changes; one is drawn and varied
 
 
 @dataclass
 class Version:
-    """One configuration, and when the store had it."""
+    """One configuration, and when the store accepted it."""
 
     number: int
     routes: dict  # database -> service
@@ -27,16 +27,16 @@
 
 @dataclass
 class Operator:
-    """Changes the configuration, and remembers what was in force when."""
+    """Changes the configuration and records when each version was in force."""
 
     random: random.Random
     connections: int
-    filler: int = 0  # routes that nobody uses, for large configurations
+    filler: int = 0  # unused routes, for large configurations
     hard: bool = False  # with the routes and tenants of the hard load
     versions: list = field(default_factory=list)
 
     def next_version(self):
-        """Moves one route, or lets one come or go."""
+        """The next version: moves, adds or removes one route."""
         last = self.versions[-1] if self.versions else None
         routes = dict(last.routes) if last else dict(STILL) | {name: SERVICES[0] for name in MOVING}
         name = self.random.choice(MOVING + COMING) if last else None
@@ -51,7 +51,7 @@
         return version
 
     def text_of(self, version):
-        """The configuration as the operator writes it."""
+        """The configuration in the operator's format."""
         routes = [route(name, service) for name, service in version.routes.items()]
         routes += [route(f"filler-{i}", SERVICES[i % len(SERVICES)]) for i in range(self.filler)]
         services = [{"name": name, "maxConns": self.connections, "syncReplicas": 1} for name in SERVICES]
@@ -65,7 +65,7 @@
 
 
 def route(name, service):
-    """One route as the operator writes it."""
+    """One route in the operator's format."""
     kind = KINDS.get(name, "bounded_staleness")
     return {
         "name": name,
@@ -81,5 +81,5 @@
 
 
 def now():
-    """Seconds on the clock of all records."""
+    """Seconds of the clock that all records use."""
     return time.monotonic()
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a soak, drawn from a seed before it begins: in series and overlapping, with calm between."""
+"""The faults of a soak, drawn from a seed before it starts: in sequence and overlapping, with fault-free times between."""
 
 import asyncio
 import signal
@@ -12,10 +12,10 @@
 
 STORM_S = (8.0, 20.0)
 CALM_S = (6.0, 12.0)
-GAP_S = 1.2  # mean time between two faults in a storm
+GAP_S = 1.2  # mean time between two faults of a series
 FIRST_S = 6.0
 ZONES = 3
-SETTLING_S = 6.0  # at most, a drain before the loss and the return after it
+SETTLING_S = 6.0  # longest time of the drain before the loss and of the return after it
 
 
 @dataclass
@@ -30,12 +30,12 @@
     options: dict = field(default_factory=dict)
 
     def line(self):
-        """As the timeline shows it."""
+        """The fault as a line of the timeline."""
         return " ".join(f"{key}={value}" for key, value in asdict(self).items() if value not in ("", {}))
 
 
-# How often each kind is drawn, beside the others: of processes, links and the store. Not to be changed: kept seeds
-# stand for what is drawn from these.
+# Weights of the kinds of faults of processes, links and the store. They must not change, because the kept seeds
+# reproduce their faults only with these.
 INCIDENT = {
     "kill": 3,
     "stop": 2,
@@ -59,7 +59,7 @@
     "database_link": 2,
 }
 
-# The same, with more that databases do.
+# The same, with more faults of databases.
 WEIGHTS = INCIDENT | {
     "database_lags": 2,
     "database_deaf": 1,
@@ -69,7 +69,7 @@
     "database_cut": 2,
 }
 
-# The store comes back from an older copy of itself, beside what else its users meet then.
+# The store is restored from an older copy, together with other faults.
 RESTORED = {
     "store_restored": 6,
     "kill": 2,
@@ -89,14 +89,14 @@
     "database_link": 1,
 }
 
-# What else happens as the store comes back, one of these each time.
+# The event that accompanies a restore of the store; one is drawn each time.
 RESTORED_WITH = ("", "start", "coordinator", "failover", "cut", "twice")
 
 KINDS = WEIGHTS | RESTORED
 
 
 def draw(chance, seconds, poolers, databases, weights=None):
-    """The faults of a run, and the spans of time without any."""
+    """The faults of a run, and its fault-free times."""
     weights = weights or WEIGHTS
     faults, calms = [], []
     at = FIRST_S
@@ -110,7 +110,7 @@
     return faults, calms
 
 
-# Of the hard load, one after the other: whose zone is cut, or what else happens; and how long.
+# Faults of the hard load, one after the other: kind, options, and bounds of the length.
 HARD = (
     ("zone_cut", {"whose": "coordinator"}, (5.5, 7.0)),
     ("flood", {}, (7.0, 9.0)),
@@ -119,12 +119,12 @@
     ("flood_kill_all", {}, (5.0, 6.0)),
 )
 HARD_CALM_S = (4.5, 6.5)
-HARD_END_S = 15.0  # the calm at the end: poolers that came back count a limit 8 s later, and then some must be seen
+HARD_END_S = 15.0  # fault-free time at the end: restarted poolers count a limit after 8 s, and some of that must be checked
 
 
 def draw_hard(chance, seconds, only=()):
-    """The same for the hard load: all of its faults, in an order from the seed, while there is time.
-    `only`: kinds, in place of all."""
+    """The same for the hard load: all of its faults, in an order from the seed, until the run's end.
+    `only`: use only these kinds."""
     hard = [one for one in HARD if not only or one[0] in only]
     faults, calms, kinds = [], [], []
     at = FIRST_S
@@ -142,7 +142,7 @@
 
 
 def draw_one(chance, at, end, poolers, databases, weights):
-    """One fault that ends with its storm."""
+    """One fault, which ends with its series at the latest."""
     kind = chance.choices(list(weights), list(weights.values()))[0]
     target, other = chance.sample(poolers, 2)
     length = min(chance.choice([0.3, 0.8, 1.5, 3.0, 6.0]) * chance.uniform(0.7, 1.3), max(0.1, end - at))
@@ -163,7 +163,7 @@
 
 
 def draw_restored(chance):
-    """How long the store is away, how old its copy is, and when the operator has written again, in seconds."""
+    """Duration of the store's outage, age of its copy, and time until the operator has written again, in seconds."""
     return {
         "away_s": round(chance.choice([0.05, 0.3, 1.0, 2.5]) * chance.uniform(0.7, 1.3), 3),
         "age_s": round(chance.choice([0.5, 2.0, 5.0, 10.0]) * chance.uniform(0.7, 1.3), 3),
@@ -173,7 +173,7 @@
 
 
 class Player:
-    """Plays faults on a rig, and notes for the checker what is harmed meanwhile."""
+    """Injects faults into a rig, and records for the checker what they affect."""
 
     def __init__(self, rig, checker, note):
         self.rig = rig
@@ -182,7 +182,7 @@
         self.faulty = set()  # databases
 
     async def play(self, faults, start):
-        """Plays all of them, each beside the others."""
+        """Injects all faults concurrently."""
         tasks = []
         for fault in faults:
             await asyncio.sleep(max(0.0, start + fault.at - now()))
@@ -190,7 +190,7 @@
         await asyncio.gather(*tasks)
 
     async def play_one(self, fault):
-        """Plays one to its end."""
+        """Injects one fault and waits for its end."""
         self.note(f"begins {fault.line()}")
         trouble = Trouble("", now(), float("inf"), fault.kind)
         self.checker.troubles.append(trouble)
@@ -203,17 +203,17 @@
     # Processes.
 
     async def kill(self, fault, trouble):
-        """A process is killed; another one starts soon."""
+        """A process is killed; it is restarted soon."""
         trouble.who = fault.target
         await self.end_process(fault.target, signal.SIGKILL)
 
     async def stop(self, fault, trouble):
-        """A planned stop, and a new start."""
+        """A planned stop, followed by a restart."""
         trouble.who = fault.target
         await self.end_process(fault.target, signal.SIGTERM)
 
     async def end_process(self, name, number):
-        """Ends it, and waits until another one has started."""
+        """Ends a process, and waits until it has been restarted."""
         pooler = self.rig.poolers[name]
         life = pooler.life
         pooler.send(number)
@@ -222,11 +222,11 @@
 
     async def kill_all(self, fault, trouble):
         """All processes are killed at once."""
-        trouble.who = "store"  # excuses all
+        trouble.who = "store"  # excuses all poolers
         await asyncio.gather(*(self.end_process(name, signal.SIGKILL) for name in self.rig.poolers))
 
     async def freeze(self, fault, trouble):
-        """A process stands still."""
+        """A process is suspended."""
         trouble.who = fault.target
         pooler = self.rig.poolers[fault.target]
         pooler.send(signal.SIGSTOP)
@@ -237,10 +237,10 @@
         """The settings are read again."""
         self.rig.poolers[fault.target].send(signal.SIGHUP)
 
-    # Links. Harm between poolers excuses nobody.
+    # Links. Faults between poolers excuse no pooler.
 
     async def harm_link(self, links, fault, direction):
-        """Harms links in the ways that the fault names, for its length."""
+        """Sets links to this state, in the directions that the fault names, for its length."""
         ways = fault.options.get("ways", "both")
         forth = direction if ways in ("both", "forth") else Direction()
         back = direction if ways in ("both", "back") else Direction()
@@ -252,19 +252,19 @@
                 link.change(Direction(), Direction())
 
     def between(self, fault):
-        """The two links between two poolers, seen from the target: its connections, and the other's."""
+        """The link of the target's connections to the other pooler."""
         return [self.rig.links.get(fault.target, fault.other)]
 
     async def peer_slow(self, fault, trouble):
-        """What two poolers say to each other comes late."""
+        """Messages between two poolers are delayed."""
         await self.harm_link(self.between(fault), fault, Direction(delay_s=fault.options["delay_s"]))
 
     async def peer_silent(self, fault, trouble):
-        """Nothing passes between two poolers, in one way or both."""
+        """Messages between two poolers are held back, in one direction or both."""
         await self.harm_link(self.between(fault), fault, Direction(silent=True))
 
     async def pooler_slow(self, fault, trouble):
-        """All that a pooler says to the others, or hears from them, comes late."""
+        """All messages between a pooler and the others are delayed."""
         links = self.rig.peer_links(fault.target)
         await self.harm_link(links, fault, Direction(delay_s=fault.options["delay_s"]))
 
@@ -273,22 +273,22 @@
         self.rig.links.get(fault.target, fault.other).reset()
 
     async def peer_hush(self, fault, trouble):
-        """Open connections between two poolers say nothing more."""
+        """Open connections between two poolers pass no more data."""
         self.rig.links.get(fault.target, fault.other).hush()
 
     async def store_link_silent(self, fault, trouble):
-        """A pooler's way to the store is cut."""
+        """A pooler is partitioned from the store."""
         trouble.who = fault.target
         await self.harm_link([self.rig.links.get(fault.target, "store")], fault, Direction(silent=True))
 
     async def store_link_slow(self, fault, trouble):
-        """A pooler's calls at the store take long."""
+        """A pooler's calls of the store are delayed."""
         trouble.who = fault.target
         direction = Direction(delay_s=fault.options["delay_s"])
         await self.harm_link([self.rig.links.get(fault.target, "store")], fault, direction)
 
     async def harm_calls(self, how, fault, trouble):
-        """A pooler's calls at the store fail in a way that its link knows."""
+        """A pooler's calls of the store fail in a way that is a flag of its link."""
         trouble.who = fault.target
         link = self.rig.links.get(fault.target, "store")
         setattr(link, how, True)
@@ -296,11 +296,11 @@
         setattr(link, how, False)
 
     async def store_link_refuses(self, fault, trouble):
-        """The store turns a pooler away."""
+        """The store rejects a pooler's calls."""
         await self.harm_calls("refuses", fault, trouble)
 
     async def store_link_loses(self, fault, trouble):
-        """The store does a pooler's calls and does not answer."""
+        """The store carries out a pooler's calls and does not answer."""
         await self.harm_calls("loses_answers", fault, trouble)
 
     async def store_link_reset(self, fault, trouble):
@@ -309,17 +309,17 @@
         self.rig.links.get(fault.target, "store").reset()
 
     async def database_link(self, fault, trouble):
-        """Nothing passes between a pooler and a database."""
+        """A pooler is partitioned from a database."""
         link = self.rig.links.get(fault.target, fault.other)
         await self.harm_link([link], fault, Direction(silent=True))
 
     async def database_cut(self, fault, trouble):
-        """A database is cut off from all poolers but one, which may still take it for the primary."""
+        """A database is partitioned from all poolers but one, which may still take it for the primary."""
         links = [self.rig.links.get(name, fault.target) for name in self.rig.poolers if name != fault.other]
         await self.harm_link(links, fault, Direction(silent=True))
 
     async def database_link_loses(self, fault, trouble):
-        """A database runs what a pooler sends, its answers are lost, and then the connections are reset."""
+        """A database runs a pooler's statements, its answers are lost, and then the connections are reset."""
         link = self.rig.links.get(fault.target, fault.other)
         link.loses_answers = True
         await asyncio.sleep(min(fault.length, 0.8))
@@ -329,11 +329,11 @@
     # The store and the databases.
 
     async def store_forgets(self, fault, trouble):
-        """The store forgets its history: nobody is excused."""
+        """The store discards its history. No pooler is excused."""
         await self.rig.standin.command("store forget")
 
     async def store_restored(self, fault, trouble):
-        """The store is away for a moment and comes back from an older copy; what was lost is written again."""
+        """The store fails briefly and is restored from an older copy; then the operator writes the newest version again."""
         trouble.who = "store"
         options = fault.options
         beside = asyncio.create_task(self.beside_restore(options))
@@ -348,7 +348,7 @@
         await beside
 
     async def beside_restore(self, options):
-        """What else happens then."""
+        """Injects the accompanying event of a restore."""
         others = list(self.rig.poolers)
         leaders, coordinator = await self.look()
         if options["with"] == "start":
@@ -365,7 +365,7 @@
             await self.harm_link(links, cut, Direction(silent=True))
 
     async def fault_store(self, word, fault, trouble):
-        """The store serves nobody for a while; the operator neither."""
+        """The store serves no requests for a time, the operator's included."""
         trouble.who = "store"
         async with self.rig.operator_lock:
             await self.rig.standin.command(f"store {word}")
@@ -377,11 +377,11 @@
         await self.fault_store("refuse", fault, trouble)
 
     async def store_silent(self, fault, trouble):
-        """The store answers nobody."""
+        """The store answers no calls."""
         await self.fault_store("silent", fault, trouble)
 
     async def fault_database(self, word, fault):
-        """A database does something wrong for a while; one that does already goes on with that."""
+        """A database has a fault for a time. A second fault of the same database is ignored."""
         if fault.target in self.faulty:
             return
         self.faulty.add(fault.target)
@@ -391,42 +391,42 @@
         self.faulty.discard(fault.target)
 
     async def database_down(self, fault, trouble):
-        """A database crashes, and returns with its log."""
+        """A database crashes and restarts with its log."""
         await self.fault_database("down", fault)
 
     async def database_lags(self, fault, trouble):
-        """A replica receives and does not apply."""
+        """A replica receives entries and does not apply them."""
         await self.fault_database("lagging", fault)
 
     async def database_deaf(self, fault, trouble):
-        """A database receives nothing, and as a primary is not received from."""
+        """A database receives no entries; as a primary, it sends none."""
         await self.fault_database("deaf", fault)
 
     async def database_silent(self, fault, trouble):
-        """A database takes statements and answers nothing."""
+        """A database accepts statements and answers none."""
         await self.fault_database("silent", fault)
 
     async def database_loses(self, fault, trouble):
-        """A database runs statements, and their answers are lost."""
+        """A database runs statements and their answers are lost."""
         await self.fault_database("lose", fault)
 
-    # The hard load's.
+    # Faults of the hard load.
 
     async def flood(self, fault, trouble):
-        """The least urgent kind asks for more than the hot group can do: no excuse."""
+        """The low-priority kind sends more than the hot group can serve. This excuses no failures."""
         self.rig.floods += 1
         await asyncio.sleep(fault.length)
         self.rig.floods -= 1
 
     async def flood_kill_all(self, fault, trouble):
-        """All processes are lost during a flood."""
+        """All processes are killed during a flood."""
         flood = asyncio.create_task(self.flood(fault, trouble))
         await asyncio.sleep(fault.length / 3)
         await self.kill_all(fault, trouble)
         await flood
 
     async def look(self):
-        """Who leads which service, and the coordinator's name."""
+        """Each service's primary, and the coordinator's name."""
         said = [line.partition(" ") for line in await self.rig.standin.command("look")]
         leaders = dict(rest.split() for word, _, rest in said if word == "leads")
         lease = "".join(rest for word, _, rest in said if word == "lease")
@@ -434,7 +434,7 @@
         return leaders, holders[0] if holders else next(iter(self.rig.poolers))
 
     async def zone_cut(self, fault, trouble):
-        """A zone is cut off from all else, with the coordinator or a primary inside. The store is in none."""
+        """A zone is partitioned, with the coordinator or a primary inside. The store is in no zone."""
         leaders, coordinator = await self.look()
         whose = coordinator if fault.options["whose"] == "coordinator" else leaders[HOT]
         zone = int(whose.rsplit("-", 1)[1]) % ZONES
@@ -457,13 +457,13 @@
             one.end = cut.end
 
     def links_across(self, inside):
-        """All links between what is inside and what is not."""
+        """All links between the inside and the outside."""
         names = list(self.rig.poolers) + list(self.rig.standin.databases) + ["store"]
         pairs = [(source, target) for source in self.rig.poolers for target in names]
         return [self.rig.links.get(*pair) for pair in pairs if (pair[0] in inside) != (pair[1] in inside)]
 
     async def drain_loss(self, fault, trouble):
-        """A replica drains and leaves as planned, and within seconds the primary is lost."""
+        """A replica drains and leaves as planned, and the primary is lost shortly after."""
         leaders, _ = await self.look()
         primary = leaders[HOT]
         others = [f"{HOT}-{i}" for i in range(ZONES) if f"{HOT}-{i}" != primary]
--- a/tests/soak/links.py
+++ b/tests/soak/links.py
@@ -1,7 +1,7 @@
-"""Loopback proxies: every connection of a soak passes one, which can be made slow, silent, or cut.
+"""Loopback proxies: every connection of a soak passes through one, which can delay, hold back or reset it.
 
-A proxy listens where its target is announced. Who connects is found by the socket's owner among the processes of the
-rig, so that the link between two processes can be harmed alone, and in one direction alone.
+A proxy listens at its target's announced address. It identifies the connecting process by the owner of the socket, so
+that faults can be injected into the link between two processes, and into one direction of it.
 """
 
 import asyncio
@@ -12,10 +12,10 @@
 import time
 from dataclasses import dataclass, field
 
-# A connection that is reset sends no end of stream.
+# SO_LINGER with time 0: closing resets the connection.
 LINGER_RESET = struct.pack("ii", 1, 0)
 
-# The kernel's answer to who holds a socket: sock_diag(7).
+# Constants of sock_diag(7), by which the inode of a socket is found.
 NETLINK_SOCK_DIAG = 4
 SOCK_DIAG_BY_FAMILY = 20
 ANY_STATE = 0xFFFFFFFF
@@ -27,11 +27,11 @@
 
 @dataclass
 class Direction:
-    """How one direction of a link is at the moment."""
+    """The state of one direction of a link."""
 
     delay_s: float = 0.0
-    bytes_per_s: float = 0.0  # 0: as fast as it comes
-    silent: bool = False  # what is sent waits until this is over
+    bytes_per_s: float = 0.0  # 0: no limit
+    silent: bool = False  # data is held back until this is reset
 
     def is_plain(self):
         """Whether data may pass at once."""
@@ -47,23 +47,23 @@
     forth: Direction = field(default_factory=Direction)
     back: Direction = field(default_factory=Direction)
     refuses: bool = False  # calls get 503
-    loses_answers: bool = False  # calls are done, their connections say nothing more
+    loses_answers: bool = False  # calls are carried out, but the replies are held back for good
     accepted: int = 0  # connections so far
     pipes: set = field(default_factory=set)
 
     def change(self, forth, back):
-        """Both directions are so from now on."""
+        """Sets the state of both directions."""
         self.forth, self.back = forth, back
         for pipe in list(self.pipes):
             pipe.pump()
 
     def reset(self):
-        """Ends all connections without a farewell, also in the middle of a message."""
+        """Resets all connections, even in the middle of a message."""
         for pipe in list(self.pipes):
             pipe.abort()
 
     def hush(self):
-        """Open connections say nothing more, for good; new ones work."""
+        """Open connections pass no more data, for good; new ones work."""
         for pipe in list(self.pipes):
             pipe.hushed = True
 
@@ -83,11 +83,11 @@
         link.pipes.add(self)
 
     def state(self):
-        """How this direction is at the moment."""
+        """The state of this direction."""
         return self.link.forth if self.forth else self.link.back
 
     def feed(self, data):
-        """Takes what the source sent; None for its end."""
+        """Accepts data from the source; None for the end of stream."""
         state = self.state()
         if state.is_plain() and not self.queue and not self.hushed and self.sink is not None:
             self.send(data)
@@ -100,7 +100,7 @@
         self.pump()
 
     def pump(self):
-        """Sends what is due."""
+        """Sends the data that is due."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -112,7 +112,7 @@
             self.send(self.queue.popleft()[1])
 
     def send(self, data):
-        """Hands data on; ends the sink's connection after the end of stream."""
+        """Writes data to the sink; closes the sink's connection at the end of stream."""
         if data is not None:
             self.sink.write(data)
         else:
@@ -137,22 +137,22 @@
 
 
 class End(asyncio.Protocol):
-    """One end of a proxied connection: what comes in goes into its pipe."""
+    """One end of a proxied connection: received data goes into its pipe."""
 
     def __init__(self, pipe, back):
-        self.pipe = pipe  # what this end's process sends
-        self.back = back  # what it is sent
+        self.pipe = pipe  # data sent by this end's process
+        self.back = back  # data sent to it
         self.transport = None
 
     def connection_made(self, transport):
-        """Joins the two pipes to this end."""
+        """Attaches the two pipes to this end."""
         self.transport = transport
         self.pipe.source = transport
         self.back.sink = transport
         self.back.pump()
 
     def data_received(self, data):
-        """Something was sent."""
+        """Passes received data to the pipe, or applies a fault of the link."""
         link = self.pipe.link
         if self.pipe.forth and link.refuses:
             self.transport.write(REFUSAL)
@@ -162,12 +162,12 @@
         self.pipe.feed(data)
 
     def eof_received(self):
-        """The process will send no more."""
+        """Passes the end of stream on."""
         self.pipe.feed(None)
         return True
 
     def connection_lost(self, exc):
-        """The connection is over."""
+        """Passes the end of the connection on, as a reset if it was one."""
         if exc is not None:
             reset(self.pipe.sink)
         elif self.pipe in self.pipe.link.pipes:
@@ -187,12 +187,12 @@
         self.server = None
 
     async def start(self):
-        """Begins to listen."""
+        """Starts to listen."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(self.accept, *self.listen, backlog=512)
 
     def accept(self):
-        """Makes the near end of a new connection."""
+        """Creates the near end of a new connection."""
         return NearEnd(self)
 
 
@@ -204,7 +204,7 @@
         self.proxy = proxy
 
     def connection_made(self, transport):
-        """Finds out who it is, and connects to the target."""
+        """Identifies the connecting process, and connects to the target."""
         proxy = self.proxy
         source = proxy.source
         if callable(source):
@@ -216,7 +216,7 @@
         asyncio.get_running_loop().create_task(self.connect())
 
     async def connect(self):
-        """Connects to the target; a refusal there is a reset here."""
+        """Connects to the target; a refused connect resets the near end."""
         loop = asyncio.get_running_loop()
         try:
             await loop.create_connection(lambda: End(self.back, self.pipe), *self.proxy.target)
@@ -243,7 +243,7 @@
         self.pids = pids  # a function that gives name -> pid
 
     def name_of(self, peer, local):
-        """The process that connects from `peer` to `local`; "?" if it is gone."""
+        """The process that connects from `peer` to `local`; "?" if it has ended."""
         inode = find_inode(peer, local)
         if inode is not None:
             wanted = f"socket:[{inode}]"
@@ -254,7 +254,7 @@
 
 
 def find_inode(peer, local):
-    """The inode of the socket that is connected from `peer` to `local`; None if it is gone."""
+    """The inode of the socket that is connected from `peer` to `local`; None if it was closed."""
     numbers = struct.pack(">HH", peer[1], local[1])
     addresses = [socket.inet_aton(host) + bytes(12) for host in (peer[0], local[0])]
     identity = numbers + addresses[0] + addresses[1] + bytes(4) + NO_COOKIE
@@ -268,7 +268,7 @@
 
 
 def holds(pid, wanted):
-    """Whether the process has this descriptor."""
+    """Whether the process has the socket open."""
     try:
         names = os.listdir(f"/proc/{pid}/fd")
     except OSError:
--- a/tests/soak/mutations.py
+++ b/tests/soak/mutations.py
@@ -1,12 +1,12 @@
 #!/usr/bin/env python3
-"""Breaks the pooler on purpose, one mechanism at a time, and looks whether the soak finds it.
+"""Disables the pooler's mechanisms one at a time, and checks whether the soak detects it.
 
 Use:  tests/soak/mutations.py --scratch DIR [--only NAME]... [--seeds N] [--seconds S]
       tests/soak/mutations.py --check
 
-The product has no switches for this: each mutation is a replacement of source text, in a copy of the sources below DIR,
-built alone. Seeds are played until one finds something. Prints a line for each: the seed, and the rule that broke.
---check holds that each text to be replaced stands in the sources once.
+The product has no switches for this: each mutation replaces source text in a copy of the sources below DIR, which is
+built separately. Seeds are run until one has findings. Prints for each mutation the seed and the violated rules.
+--check verifies that each text to be replaced is in the sources exactly once.
 """
 
 import argparse
@@ -25,7 +25,7 @@
 
 @dataclass
 class Mutation:
-    """A mechanism, and how it is broken. `options`: of the soak, where its usual faults seldom meet it."""
+    """A mechanism, and the text that disables it. `options`: of the soak, if its default faults rarely detect it."""
 
     name: str
     file: str
@@ -37,22 +37,22 @@
 MUTATIONS = [
     Mutation("known version falls with the store's history", "src/pooler/control/control_store.c",
              "    feed->history_gone = true;\n    feed->next_at", "    feed->version = 0;\n    feed->next_at", "--faults=kill_all=1,store_forgets=3"),
-    Mutation("relied on from the receipt of a message", "src/pooler/control/control_reliance.c",
+    Mutation("relayed state valid from the receipt of a message", "src/pooler/control/control_reliance.c",
              "time_ns until = known_at + (time_ns)(bound * RELIED_ON_PART);",
              "time_ns until = backend_now() + (time_ns)(bound * RELIED_ON_PART) + 0 * known_at;",
              "--faults=store_link_silent=3,peer_slow=3,peer_silent=3"),
-    Mutation("relied on though something is left out", "src/pooler/control/control_relay.c",
+    Mutation("relayed state used though it is incomplete", "src/pooler/control/control_relay.c",
              "return comparable ? proof_age_ms(feed->as_of, now) : 0;",
              "return comparable || true ? proof_age_ms(feed->as_of, now) : 0;", "--faults=peer_slow=3,pooler_slow=3"),
-    Mutation("rows taken for known below their base", "src/pooler/control/control_relay.c",
+    Mutation("rows accepted below their base", "src/pooler/control/control_relay.c",
              "if (base <= feed->version && version > feed->version) {", "if (version > feed->version) {"),
     Mutation("a write that may have run is sent again", "src/pooler/client/session_answer.c",
              "bool single_read = session->transaction == SESSION_TRANSACTION_NONE && !session->request.writes;",
              "bool single_read = session->transaction == SESSION_TRANSACTION_NONE;", "--faults=database_link_loses=5"),
-    Mutation("own commits forgotten at forwarding", "src/pooler/forwarding/forward.c",
+    Mutation("own commits not remembered at forwarding", "src/pooler/forwarding/forward.c",
              "    ask->has_own_commit = session->has_own_commit;", "    ask->has_own_commit = false;",
              "--faults=database_lags=5,database_down=1 --connections=16"),
-    Mutation("own commits forgotten", "src/pooler/client/session_answer.c",
+    Mutation("own commits not remembered", "src/pooler/client/session_answer.c",
              "        session->has_own_commit = true;", "        session->has_own_commit = false;",
              "--faults=database_lags=5,database_down=1"),
     Mutation("reads at a primary without a permit or proof", "src/pooler/routing/router.c",
@@ -63,42 +63,42 @@
     Mutation("versions of another era compared with this one's", "platform/store_client.c",
              "    uint64_t era = note_era(pending->store, reply);", "    uint64_t era = 0 * note_era(pending->store, reply);",
              "--faults=restored"),
-    Mutation("tokens count on from a restored lease", "src/pooler/control/control_lease.c",
+    Mutation("tokens continue from a restored lease", "src/pooler/control/control_lease.c",
              "return MAX(control->lease.record.token, control->store_era << TOKEN_ERA_SHIFT) + 1;",
              "return control->lease.record.token + 1;", "--faults=restored"),
     Mutation("promotion before replicas are paused", "src/pooler/control/failover_change.c",
              "fenced >= failover_pauses_needed(failover) &&", "fenced + 9 >= failover_pauses_needed(failover) &&",
              "--faults=database_cut=5,database_deaf=2"),
-    Mutation("urgency ignored in a tenant's limit", "src/pooler/rate/share.c",
+    Mutation("priority ignored in a tenant's limit", "src/pooler/rate/share.c",
              "double reserved = is_starving(share, priority) ? 0 : reserved_for_higher(share, priority);",
              "double reserved = 0 * reserved_for_higher(share, priority);", "--hard --faults=flood"),
-    Mutation("urgency ignored in a group's queue", "src/pooler/routing/router.c",
+    Mutation("priority ignored in a group's queue", "src/pooler/routing/router.c",
              "    if (a->route.priority != b->route.priority) {", "    if (a == b) {", "--hard --faults=flood"),
-    Mutation("each share of a limit as large as the limit", "src/pooler/rate/counting.c",
+    Mutation("each share of a limit is the whole limit", "src/pooler/rate/counting.c",
              "return (bucket_limit_t){tenant->rate_per_s / ROSTER_SHARES,", "return (bucket_limit_t){tenant->rate_per_s,",
              "--hard --faults=flood"),
-    Mutation("a zone is never cut off", "src/pooler/control/zone_reach.c",
+    Mutation("a zone is never taken for partitioned", "src/pooler/control/zone_reach.c",
              "reach->cut_off = most_outside && store_unknown && nobody_answers(reach, now);",
              "reach->cut_off = most_outside && store_unknown && nobody_answers(reach, now) && now == 0;",
              "--hard --faults=zone_cut"),
-    Mutation("a member that drained and left is counted on", "src/pooler/control/directory.c",
+    Mutation("a member that drained and left still counts", "src/pooler/control/directory.c",
              "        if (away && !entry->stays_away) {", "        if (away && entry->stays_away) {", "--hard --faults=drain_loss"),
 ]
 
 
 def check():
-    """Whether each text stands once."""
+    """Whether each text is in its file exactly once."""
     good = True
     for one in MUTATIONS:
         count = (ROOT / one.file).read_text(encoding="utf-8").count(one.text)
         if count != 1:
-            print(f"{one.name}: its text stands {count} times in {one.file}")
+            print(f"{one.name}: its text is {count} times in {one.file}")
             good = False
     return good
 
 
 def build(one, scratch):
-    """A build of the sources with the mutation; its folder."""
+    """Builds the sources with the mutation; returns the build directory."""
     folder = scratch / re.sub(r"\W+", "-", one.name)
     if not folder.exists():
         shutil.copytree(ROOT, folder, ignore=shutil.ignore_patterns(".git", "build*", "journal", "target"))
@@ -115,7 +115,7 @@
 
 
 def find(one, made, seeds, seconds):
-    """Plays seeds until one finds something: its number and what it said; None if none does."""
+    """Runs seeds until one has findings: its number and the rules; None if none has."""
     for seed in range(1, seeds + 1):
         command = [sys.executable, HERE / "soak.py", "--build", made, "--seed", str(seed), "--seconds", str(seconds)]
         done = subprocess.run([*command, *one.options.split()], capture_output=True, text=True, check=False)
--- a/tests/soak/processes.py
+++ b/tests/soak/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a soak: the session stand-ins and the poolers, each with its log in a file."""
+"""The processes of a soak: the session stand-ins, and the poolers with their log files."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 
 
 class Standin:
-    """The store and the databases, commanded by lines on standard input."""
+    """The stand-in of store and databases, controlled by commands on its standard input."""
 
     def __init__(self, build, directory, configuration, announce):
         self.directory = directory
@@ -41,7 +41,7 @@
                 self.store = address_of(words[1])
 
     async def command(self, text):
-        """Gives a command and waits until it is done; what was said meanwhile."""
+        """Sends a command and waits until it is done. Returns the lines printed meanwhile."""
         said = []
         async with self.lock:
             self.process.stdin.write(text.encode() + b"\n")
@@ -51,11 +51,11 @@
                 if line == "done":
                     return said
                 if not line or line.startswith("error"):
-                    raise RuntimeError(f"{text[:80]}: {line or 'the stand-in is gone'}")
+                    raise RuntimeError(f"{text[:80]}: {line or 'the stand-in has ended'}")
                 said.append(line)
 
     def end(self):
-        """Ends it."""
+        """Terminates the process."""
         self.process.terminate()
         self.process.wait()
 
@@ -67,7 +67,7 @@
 
 
 class Pooler:
-    """One pooler, which is started again when it ends."""
+    """One pooler, which is restarted when it ends."""
 
     def __init__(self, build, directory, name, settings):
         self.program = build / "platform/swiftworks-pooler"
@@ -75,11 +75,11 @@
         self.name = name
         self.settings = settings
         self.process = None
-        self.life = 0  # counts its processes
+        self.life = 0  # number of processes started so far
         self.started_at = 0.0
         self.wanted = True
-        self.exits = []  # (time, code) of ends that nobody asked for
-        self.expected = False  # an end is on its way that the rig asked for
+        self.exits = []  # (time, code) of unexpected ends
+        self.expected = False  # the rig has sent a signal that ends the process
 
     def start(self):
         """Starts a process."""
@@ -93,21 +93,21 @@
             )
 
     def pid(self):
-        """Of the process that runs, or ran last."""
+        """The process id of the current or last process."""
         return self.process.pid
 
     def is_running(self):
-        """Whether there is a process."""
+        """Whether the process runs."""
         return self.process is not None and self.process.poll() is None
 
     def send(self, number):
-        """Sends a signal, if there is a process."""
+        """Sends a signal if the process runs."""
         if self.is_running():
             self.expected = self.expected or number in (signal.SIGKILL, signal.SIGTERM)
             os.kill(self.process.pid, number)
 
     async def supervise(self, pause_s):
-        """Starts a new process soon after one has ended."""
+        """Restarts the process soon after it has ended."""
         while self.wanted:
             if not self.is_running():
                 if not self.expected:
@@ -118,7 +118,7 @@
             await asyncio.sleep(0.02)
 
     def end(self):
-        """Ends it for good."""
+        """Ends the process without a restart."""
         self.wanted = False
         if self.is_running():
             os.kill(self.process.pid, signal.SIGCONT)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,12 +1,12 @@
 #!/usr/bin/env python3
-"""Soak of real processes: poolers before stand-ins, every connection through a loopback proxy, faults from a seed.
+"""Soak test of real processes: poolers with stand-ins, every connection through a loopback proxy, faults from a seed.
 
 Use:  tests/soak/soak.py --build DIRECTORY [--seed N] [--seconds S] [--poolers N] [--connections N]
       [--faults KIND=WEIGHT,...] [--filler ROUTES] [--keep DIRECTORY] [--load PROCESSES]
 
-Faults, changes of the configuration and clients are drawn from the seed. What clients and databases saw is judged at
-the end (checker.py). Exit code 0: nothing was broken; 1: something was, its seed, timeline, history and logs are kept;
-3: the rig itself stood still, so that its times are worth nothing.
+Faults, changes of the configuration and clients are drawn from the seed. The records of clients and databases are
+checked at the end (checker.py). Exit code 0: no violation; 1: violations were found, and seed, timeline, history and
+logs are kept; 3: the rig itself was delayed too long for its times to be valid.
 """
 
 import argparse
@@ -34,7 +34,7 @@
 from processes import HEARTBEAT_MS, Pooler, Standin
 
 FRONT, PEER, FORWARD, PROBE, STORE, DATABASES = 6501, 6502, 6503, 6504, 6600, 6700
-STOOD_STILL_S = 1.5  # a rig that is late by more has seen nothing in time; less is added to all bounds
+STOOD_STILL_S = 1.5  # largest delay of the rig's own scheduling for a valid run; smaller ones are added to all bounds
 RESTART_S = 0.4
 SERVED_IN_CALM = 0.9
 CALM_SETTLED_S = 5.0
@@ -52,22 +52,22 @@
         self.proxies = []
         self.standin = None
         self.operator_lock = asyncio.Lock()
-        self.newest = ""  # the operator's configuration, as it was written last
+        self.newest = ""  # the operator's last configuration
         self.seen = hard_checks.Seen()
-        self.floods = 0  # at the moment
+        self.floods = 0  # number in progress
         chance = random.Random(f"addresses {options.seed} {directory}")
         self.net = f"127.{chance.randint(16, 250)}.{chance.randint(1, 250)}"
 
     def host(self, index):
-        """Where the pooler's process listens."""
+        """Address at which the pooler's process listens."""
         return f"{self.net}.{1 + index}"
 
     def announced(self, index):
-        """Where others reach it."""
+        """Address of its proxies, which it announces to others."""
         return f"{self.net}.{101 + index}"
 
     def peer_links(self, name):
-        """The links of a pooler's own connections to the others, and of theirs to it."""
+        """The links of a pooler's connections to the others, and of theirs to it."""
         others = [other for other in self.poolers if other != name]
         return [self.links.get(name, other) for other in others] + [self.links.get(other, name) for other in others]
 
@@ -92,7 +92,7 @@
         self.proxies.append(Proxy(self.links, listen, target, target_name, source))
 
     def add_pooler(self, build, index, owners):
-        """Adds a pooler and the proxies that lead to it, and from it to the store."""
+        """Adds a pooler, the proxies before it, and its proxy to the store."""
         name, host, announced = f"pooler-{index}", self.host(index), self.announced(index)
         self.add_proxy((announced, FRONT), (host, FRONT), name, "clients")
         self.add_proxy((announced, PEER), (host, PEER), name, owners.name_of)
@@ -117,7 +117,7 @@
         self.poolers[name] = Pooler(build, self.directory, name, settings)
 
     def end(self):
-        """Ends everything."""
+        """Ends all processes."""
         for pooler in self.poolers.values():
             pooler.end()
         if self.standin is not None:
@@ -125,7 +125,7 @@
 
 
 class Run:
-    """One run of a rig: clients, operator, faults, and the judgement."""
+    """One run of a rig: clients, operator, faults, and the checks."""
 
     def __init__(self, options, directory):
         self.options = options
@@ -135,20 +135,20 @@
         self.chance = random.Random(options.seed)
         self.operator = Operator(random.Random(f"operator {options.seed}"), options.connections, options.filler, options.hard)
         self.started = 0.0
-        self.latest = 0.0  # of the rig's own turns, in seconds
+        self.latest = 0.0  # largest delay of the rig's own scheduling, in seconds
         self.timeline = []
         self.over = False
 
     def note(self, text):
-        """A line of the timeline."""
+        """Adds a line to the timeline."""
         self.timeline.append(f"{now() - self.started:8.3f} {text}")
 
     def end_of_clients(self):
-        """When clients ask no more."""
+        """The time at which clients stop."""
         return self.started + self.options.seconds
 
     async def change_configuration(self):
-        """The operator changes something again and again."""
+        """The operator changes the configuration repeatedly."""
         chance = self.operator.random
         while now() < self.end_of_clients() - 1:
             await asyncio.sleep(chance.choice(CHANGE_PAUSES_S) * chance.uniform(0.7, 1.3))
@@ -161,14 +161,14 @@
             self.note(f"version {version.number}: {version.routes}")
 
     async def watch_self(self):
-        """Notes how late the rig's own turns are."""
+        """Records the largest delay of the rig's own scheduling."""
         while not self.over:
             begin = now()
             await asyncio.sleep(0.05)
             self.latest = max(self.latest, now() - begin - 0.05)
 
     def start_clients(self):
-        """Some sessions for each pooler, which stay open."""
+        """Starts several sessions for each pooler, which stay open."""
         tasks = []
         for index, pooler in enumerate(self.rig.poolers.values()):
             for database in MOVING + COMING + tuple(STILL):
@@ -181,7 +181,7 @@
         return tasks
 
     def start_crowd(self):
-        """The sessions of the hard load."""
+        """Starts the sessions of the hard load."""
         tasks = []
         for index, pooler in enumerate(self.rig.poolers.values()):
             for kind in crowd.KINDS.values():
@@ -195,7 +195,7 @@
         return tasks
 
     async def watch_ready(self, index, pooler):
-        """Asks a pooler whether it is ready, as the entry does."""
+        """Probes a pooler's readiness, as a load balancer does."""
         question = b"GET /swiftworks/readiness HTTP/1.0\r\n\r\n"
         while not self.over:
             try:
@@ -209,7 +209,7 @@
             await asyncio.sleep(PROBE_EVERY_S)
 
     def draw(self):
-        """The faults and the calms of this run."""
+        """The faults and the fault-free times of this run."""
         chance = random.Random(f"faults {self.options.seed}")
         if self.options.hard:
             only = [name for name in self.options.faults.split(",") if name]
@@ -222,7 +222,7 @@
         return self.chance.uniform(0.5, 1.5) * self.options.pause
 
     async def play(self):
-        """The whole run; what is wrong at its end."""
+        """Plays the complete run and returns its findings."""
         first = self.operator.next_version()
         self.started = first.sent = now()
         self.rig.newest = json.dumps(self.operator.text_of(first))
@@ -256,13 +256,13 @@
         lines = [f"{one.at - self.started:8.3f} {one.rule}: {one.text}" for one in findings]
         for name, (served, asked) in self.checker.calm_answers(self.started + calms[-1][0] + CALM_SETTLED_S).items():
             if served < asked * SERVED_IN_CALM:
-                lines.append(f"calm: {name} served {served} of {asked} in the calm at the end")
+                lines.append(f"calm: {name} served {served} of {asked} in the fault-free time at the end")
         for pooler in self.rig.poolers.values():
             lines += [f"{at - self.started:8.3f} exit: {pooler.name} ended by itself, code {code}" for at, code in pooler.exits]
         return lines
 
     def keep(self, lines):
-        """Writes what was seen, for whoever looks into it."""
+        """Writes the records of the run, for analysis."""
         (self.directory / "timeline.txt").write_text("\n".join(self.timeline + lines) + "\n")
         (self.directory / "links.txt").write_text(
             "".join(f"{link.accepted:8} {key}\n" for key, link in sorted(self.rig.links.links.items()))
@@ -276,7 +276,7 @@
 
 
 def runs_of(dump):
-    """What databases ran."""
+    """The statements that databases ran."""
     return [entry["run"] for entry in map(json.loads, open(dump, encoding="utf-8")) if "run" in entry]
 
 
@@ -289,7 +289,7 @@
     for item in text.split(","):
         kind, _, weight = item.partition("=")
         if kind not in KINDS:
-            sys.exit(f"soak: no such fault: {kind}; there are {', '.join(KINDS)}")
+            sys.exit(f"soak: unknown fault: {kind}; known are {', '.join(KINDS)}")
         weights[kind] = float(weight or 1)
     return weights
 
@@ -301,13 +301,13 @@
     parser.add_argument("--seed", type=int, default=random.randrange(10**9))
     parser.add_argument("--seconds", type=float, default=60)
     parser.add_argument("--poolers", type=int, default=8)
-    parser.add_argument("--connections", type=int, default=32, help="that each database takes")
+    parser.add_argument("--connections", type=int, default=32, help="connections that each database accepts")
     parser.add_argument("--pause", type=float, default=0.2, help="mean seconds between two statements of a session")
-    parser.add_argument("--faults", default="", help="KIND[=WEIGHT],... in place of all, or incident: without most of the databases'; or restored: the store comes back from older copies")
-    parser.add_argument("--hard", action="store_true", help="a hot group, competing kinds, faults of its own")
-    parser.add_argument("--filler", type=int, default=0, help="routes that nobody uses")
-    parser.add_argument("--load", type=int, default=0, help="busy processes beside")
-    parser.add_argument("--keep", default="", help="where logs are kept, also of a good run")
+    parser.add_argument("--faults", default="", help="only KIND[=WEIGHT],...; or incident: without most faults of databases; or restored: the store is restored from older copies")
+    parser.add_argument("--hard", action="store_true", help="a hot group, kinds of requests of different priority, and faults of its own")
+    parser.add_argument("--filler", type=int, default=0, help="number of unused routes")
+    parser.add_argument("--load", type=int, default=0, help="number of processes that only use processor time")
+    parser.add_argument("--keep", default="", help="directory of the logs, which is kept even if the run passes")
     return parser.parse_args()
 
 
@@ -316,7 +316,7 @@
     options = read_options()
     directory = pathlib.Path(options.keep or tempfile.mkdtemp(prefix="soak-"))
     directory.mkdir(parents=True, exist_ok=True)
-    gc.disable()  # its pauses would be the rig's
+    gc.disable()  # its pauses would delay the rig
     run = Run(options, directory.resolve())
     busy = [subprocess.Popen([sys.executable, "-c", "while True: pass"]) for _ in range(options.load)]
     try:
@@ -330,13 +330,13 @@
     results = dict(run.checker.results())
     summary = (
         f"seed {options.seed}: {len(lines)} findings, {len(run.checker.operations)} operations {results}, "
-        f"{len(run.operator.versions)} versions, rig late by {run.latest:.2f} s at most"
+        f"{len(run.operator.versions)} versions, largest delay of the rig {run.latest:.2f} s"
     )
     print(summary)
     for line in lines[:40]:
         print(line)
     if run.latest > STOOD_STILL_S:
-        print("the rig stood still: its times are worth nothing")
+        print("the rig was delayed too long: the times of this run are not valid")
         sys.exit(3)
     if lines:
         print(f"kept in {directory}")
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,17 +1,17 @@
 #!/usr/bin/env python3
-"""Plays the kept seeds of the soak for a bounded time each. Prints TAP. Usage: test_soak.py BUILD"""
+"""Runs the soak with the kept seeds, each for a bounded time. Prints TAP. Usage: test_soak.py BUILD"""
 
 import pathlib
 import subprocess
 import sys
 
 HERE = pathlib.Path(__file__).resolve().parent
-SLACK_S = 60  # to start, and to judge
-BY_HAND = "hand "  # starts the line of a seed that takes long, and is played by hand
+SLACK_S = 60  # for the start and the checks
+BY_HAND = "hand "  # prefix of seeds that take long, and are run by hand
 
 
 def read_seeds():
-    """The kept seeds: the arguments of a run, and what it is for."""
+    """The kept seeds: the arguments of a run, and its purpose."""
     for line in (HERE / "seeds.txt").read_text(encoding="utf-8").splitlines():
         words, _, purpose = line.partition("#")
         if words.strip() and not words.startswith(BY_HAND):
@@ -19,7 +19,7 @@
 
 
 def play(build, words):
-    """One run; its output, and whether it was good."""
+    """One run: its output, and whether it passed."""
     seed, seconds, *options = words
     command = [sys.executable, HERE / "soak.py", "--build", build, "--seed", seed, "--seconds", seconds, *options]
     done = subprocess.run(command, capture_output=True, text=True, timeout=float(seconds) + SLACK_S, check=False)
@@ -27,7 +27,7 @@
 
 
 def main():
-    """Plays one after the other."""
+    """Runs the seeds one after the other."""
     seeds = list(read_seeds())
     all_good = True
     print(f"1..{len(seeds)}")
