--- a/bench/common.sh
+++ b/bench/common.sh
@@ -1,6 +1,6 @@
-# What the benchmarks share: a deployment per measurement, a load in the foreground, processor time.
-# Source it after tools/cluster.sh. Benchmarks print one JSON object on the standard output and their
-# progress on the standard error. Only ratios within one run are results; the rest are figures.
+# Functions shared by the benchmarks: a deployment for each measurement, a load in the foreground, processor time.
+# Source it after tools/cluster.sh. Benchmarks print one JSON object to standard output and their progress to
+# standard error. Only ratios within one run are results; all other numbers are figures.
 # shellcheck shell=bash
 
 BENCH_CLOCK_TICKS=$(getconf CLK_TCK)
@@ -25,22 +25,22 @@
     cluster_start_daemons "$daemons" "$@"
 }
 
-# bench_load NAME ARGUMENT...: swiftworks-load to its end, over all daemons.
+# bench_load NAME ARGUMENT...: runs swiftworks-load to its end, over all daemons.
 bench_load() {
     local name=$1
     cluster_start_load "$@"
     cluster_await_load "$name"
 }
 
-# bench_cpu_us NAME: processor time that a process has used, user and system, in microseconds.
+# bench_cpu_us NAME: processor time used by a process, user and system, in microseconds.
 bench_cpu_us() {
     local pid
     pid=$(cluster_pid "$1") || cluster_fail "$1 does not run"
     awk -v ticks="$BENCH_CLOCK_TICKS" '{printf "%d", ($14 + $15) * 1000000 / ticks}' "/proc/$pid/stat"
 }
 
-# The figures of the last measurement. Measurements start processes, so they run in the main shell and
-# leave their figures here.
+# The figures of the last measurement. Measurements start processes and therefore must run in the main shell, so
+# they return their figures in this variable.
 BENCH_POINT=
 
 # bench_figures NAME: the figures of a load that benchmarks report.
--- a/bench/configuration.sh
+++ b/bench/configuration.sh
@@ -1,8 +1,7 @@
 #!/usr/bin/env bash
-# Spread of configurations: the time from the start of `swiftctl publish` until every daemon's status
-# shows the new version, with the store healthy, and with a store that only one daemon reaches and that
-# goes down as soon as that one has the version. Also the time from the first daemon's taking it to the
-# last one's, by their journals.
+# Distribution of configurations: the time from the start of `swiftctl publish` until every daemon's status shows the
+# new version, with a healthy store, and with a store that only one daemon reaches and that fails as soon as that one
+# has the version. Also the time between the first and the last daemon's application of it, from their journals.
 # Usage: bench/configuration.sh BUILD_DIRECTORY
 set -euo pipefail
 
@@ -14,14 +13,14 @@
 
 readonly DAEMONS=${BENCH_DAEMONS:-12}
 readonly PUBLISHES=${BENCH_PUBLISHES:-20}
-readonly PATIENCE_MS=30000
+readonly TIMEOUT_MS=30000
 readonly FIRST_VERSION=1
 
 now_ms() {
     echo $(($(date +%s%N) / 1000000))
 }
 
-# publish VERSION: the configuration with another description.
+# publish VERSION: publishes the configuration with a changed description.
 publish() {
     local bundle="$CLUSTER_DIRECTORY/version-$1.json"
     jq --arg text "version $1" '.description = $text' "$CLUSTER_DIRECTORY/configuration.json" >"$bundle"
@@ -29,7 +28,7 @@
         --base $(($1 - 1)) --message "benchmark" "$bundle" >&2
 }
 
-# statuses: one JSON status a daemon.
+# statuses: prints one JSON status for each daemon.
 statuses() {
     local index
     local -a urls=()
@@ -39,17 +38,17 @@
     curl -s -m 5 --no-progress-meter --parallel --parallel-immediate --parallel-max "$DAEMONS" "${urls[@]}" 2>/dev/null
 }
 
-# await_version VERSION all|any: until the daemons serve under it.
+# await_version VERSION all|any: waits until the daemons have it in force.
 await_version() {
     local since filter
     since=$(now_ms)
     filter="length == $DAEMONS and ([.[].configuration | .serving and .version == $1] | $2)"
     until statuses | jq -es "$filter" >/dev/null; do
-        [ $(($(now_ms) - since)) -lt "$PATIENCE_MS" ] || cluster_fail "version $1 is not in force everywhere"
+        [ $(($(now_ms) - since)) -lt "$TIMEOUT_MS" ] || cluster_fail "version $1 is not in force everywhere"
     done
 }
 
-# applied_times VERSION: when each daemon put it in force, in milliseconds of the wall clock.
+# applied_times VERSION: the time at which each daemon applied it, in milliseconds of the wall clock.
 applied_times() {
     local index
     for ((index = 0; index < DAEMONS; index++)); do
@@ -60,7 +59,7 @@
     done
 }
 
-# measure VERSION healthy|down: publishes it; the times go to the arrays of the figures.
+# measure VERSION healthy|down: publishes it and appends the times to the arrays of the figures.
 measure() {
     local version=$1 started spread
     started=$(now_ms)
@@ -77,7 +76,7 @@
     cluster_platform_fault name=heal
 }
 
-# start_daemons healthy|down: with a store, or without one but for the first daemon.
+# start_daemons healthy|down: all with a store, or only the first one.
 start_daemons() {
     local index store="http://127.0.0.1:$CLUSTER_PLATFORM_PORT" nobody
     nobody="http://127.0.0.1:$(cluster_free_ports 1)"
@@ -98,8 +97,8 @@
     printf '%s\n' "$@" | jq -s 'sort | {p50: .[length / 2 | floor], worst: .[-1], all: .}'
 }
 
-# run_phase healthy|down: leaves its figures in BENCH_POINT. Publishers don't keep step with the
-# daemons' reading of the store, so there is a random pause between two versions.
+# run_phase healthy|down: sets BENCH_POINT to its figures. A random pause between two versions avoids a fixed phase
+# relative to the daemons' reads of the store.
 run_phase() {
     local version
     TOTALS=()
--- a/bench/configuration_memory.sh
+++ b/bench/configuration_memory.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Memory and processor time that changes of a large configuration cost a daemon: three daemons, a bundle of
-# many tenants, one tenant changed by each publish. Per daemon: resident size before and after each change,
-# its peak meanwhile (the kernel's VmHWM, reset before each), and processor time of the change.
+# Memory and processor time that a daemon uses for changes of a large configuration: three daemons, a bundle with
+# many tenants, one tenant changed by each publish. For each daemon: resident size before and after each change, its
+# peak during the change (the kernel's VmHWM, reset before), and processor time of the change.
 # Usage: bench/configuration_memory.sh [BUILD_DIRECTORY]   BENCH_TENANTS (20000), BENCH_PUBLISHES (6)
 set -euo pipefail
 
@@ -12,7 +12,7 @@
 readonly DAEMONS=3
 readonly TENANTS=${BENCH_TENANTS:-20000}
 readonly PUBLISHES=${BENCH_PUBLISHES:-6}
-readonly PATIENCE_SECONDS=60
+readonly TIMEOUT_SECONDS=60
 readonly QUIET_SECONDS=3
 readonly RESET_PEAK=5
 
@@ -26,7 +26,7 @@
     awk '{print ($14 + $15) * 10}' "/proc/$(cluster_pid "daemon-$(($1 + 1))")/stat"
 }
 
-# publish VERSION: with one tenant's weight changed.
+# publish VERSION: publishes the configuration with one tenant's weight changed.
 publish() {
     cluster_edit_configuration ".tenants[\"tenant-$1\"].parameters.weight = 60"
     cluster_publish $(($1 - 1)) "change $1" --admin "http://127.0.0.1:$(cluster_daemon_port 0 1)" >&2
@@ -35,15 +35,15 @@
 await_version() {
     local index tenths
     for ((index = 0; index < DAEMONS; index++)); do
-        for ((tenths = 0; tenths < PATIENCE_SECONDS * 10; tenths++)); do
+        for ((tenths = 0; tenths < TIMEOUT_SECONDS * 10; tenths++)); do
             [ "$(cluster_ctl "$index" status --output json | jq .configuration.version)" != "$1" ] || break
             sleep 0.1
         done
-        [ "$tenths" -lt $((PATIENCE_SECONDS * 10)) ] || cluster_fail "version $1 is not in force at daemon $index"
+        [ "$tenths" -lt $((TIMEOUT_SECONDS * 10)) ] || cluster_fail "version $1 is not in force at daemon $index"
     done
 }
 
-# measure VERSION: one JSON line a daemon.
+# measure VERSION: prints one JSON line for each daemon.
 measure() {
     local index
     local -a before=() spent=()
--- a/bench/failover_gap.sh
+++ b/bench/failover_gap.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The failover gap: the longest time without an acknowledged write, seen by clients that write without
-# pause, over kills of the primary; each kill in a fresh deployment.
+# The failover gap: the longest time without an acknowledged write for clients that write without pause, over several
+# kills of the primary, each in a fresh deployment.
 # Usage: bench/failover_gap.sh BUILD_DIRECTORY
 set -euo pipefail
 
--- a/bench/hop.jq
+++ b/bench/hop.jq
@@ -1,4 +1,4 @@
-# Ratios of a latency through daemons to the one straight to the database.
+# Ratios of the latency through daemons to that directly to the database.
 def ratios($direct; $through; $latency):
   {p50: ($through[$latency].p50_ms / $direct[$latency].p50_ms),
    p99: ($through[$latency].p99_ms / $direct[$latency].p99_ms),
--- a/bench/hop.sh
+++ b/bench/hop.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Overhead of one hop (caller, daemon, database) and of two (caller, daemon, owner, database) against
-# libpq straight to the database: the same reads and writes, in closed loops.
+# libpq directly to the database: the same reads and writes, in closed loops.
 # Usage: bench/hop.sh BUILD_DIRECTORY
 set -euo pipefail
 
@@ -38,7 +38,7 @@
     bench_figures "$name"
 }
 
-# The index of the daemon that owns the group: it serves what others are asked.
+# The index of the daemon that owns the group and serves the requests that others forward.
 find_owner() {
     cluster_sql_until_done 0 "$TENANT" '{"sql":"SELECT 1","access":"read"}' || return 1
     local owner
--- a/bench/overload.jq
+++ b/bench/overload.jq
@@ -1,4 +1,4 @@
-# Ratios of an overload curve: goodput to its peak, and p99 of what was done to that at half the capacity.
+# Ratios of an overload curve: goodput to its peak, and p99 of done requests to that at half the capacity.
 (map(.done_per_s) | max) as $peak
 | .[0][$latency].p99_ms as $half
 | def at(value): map({key: "at_\(.offered_factor)", value: value}) | from_entries;
--- a/bench/overload.sh
+++ b/bench/overload.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Overload, for reads and for writes: goodput and latency at 0.5 to 4 times the capacity, offered whatever
-# the answers (open loop) by clients that retry as they are told; and the time to recover afterwards.
+# Overload, for reads and for writes: goodput and latency at 0.5 to 4 times the capacity, offered in an open loop by
+# clients that retry as the answers allow; and the time to recover afterwards.
 # Usage: bench/overload.sh BUILD_DIRECTORY
 set -euo pipefail
 
@@ -25,13 +25,13 @@
     capacity=$(jq '.done_per_s' "$CLUSTER_DIRECTORY/capacity.json")
 }
 
-# offer NAME READ_SHARE RATE SECONDS: clients that come at a rate, with a deadline of 1 s a request.
+# offer NAME READ_SHARE RATE SECONDS: offers load at a fixed rate, with a deadline of 1 s for each request.
 offer() {
     bench_load "$1" --tenant "$TENANT" --read-share "$2" --batch-share 0 --rate "$3" --duration "$4" \
         --sessions "$OPEN_SESSIONS" --timeout-ms 1000 --operation-timeout-ms 3000
 }
 
-# Right after the heaviest load. Sets recovery: the first second in which 95% of the requests were done.
+# Run right after the heaviest load. Sets recovery: the first second in which 95% of the requests were done.
 measure_recovery() {
     offer recovery "$1" "$(jq -n "0.5 * $capacity")" "$RECOVERY_SECONDS"
     recovery=$(jq '[.seconds[] | .done / ([.done + .not_done, 1] | max) >= 0.95] | index(true)' \
--- a/bench/ownership.sh
+++ b/bench/ownership.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Moves of groups between daemons under load: all daemons but one are restarted in turn, planned (SIGTERM)
-# and killed (SIGKILL); clients of the one that stays write and read without a stop. What is counted: connections
-# over a database's limit (must be 0), the peak of connections, requests that were not done, and the longest
-# time without an acknowledged write. BENCH_DAEMONS=5, BENCH_ROUNDS=2 restarts of each, set the size.
+# Moves of groups between daemons under load: all daemons but one are restarted one after the other, by planned stops
+# (SIGTERM) and by kills (SIGKILL). Clients of the remaining one write and read throughout. Counted are connections
+# above a database's limit (must be 0), the peak of connections, failed requests, and the longest time without an
+# acknowledged write. BENCH_DAEMONS=5, BENCH_ROUNDS=2 restarts of each, set the size.
 # Usage: bench/ownership.sh BUILD_DIRECTORY
 set -euo pipefail
 
@@ -17,11 +17,11 @@
 readonly ROUNDS=${BENCH_ROUNDS:-2}
 readonly STAYS=$((DAEMONS - 1))
 readonly SETTLE_SECONDS=3
-readonly DOWN_SECONDS=${BENCH_DOWN_SECONDS:-8} # long enough for a killed daemon to be given up
+readonly DOWN_SECONDS=${BENCH_DOWN_SECONDS:-8} # long enough for a killed daemon to be declared dead
 readonly LOAD_MAX_SECONDS=600
-readonly SESSIONS=${BENCH_SESSIONS:-12} # within what the databases can serve
+readonly SESSIONS=${BENCH_SESSIONS:-12} # within the capacity of the databases
 
-# The load goes to the daemon that stays, so that only the moves of groups can fail its requests.
+# The load goes to the daemon that is not restarted, so that only moves of groups can make its requests fail.
 start_load() {
     cluster_start moves "$CLUSTER_BUILD/src/load/swiftworks-load" \
         --daemon "127.0.0.1:$(cluster_daemon_port "$STAYS" 0)" --run moves --tenant "$TENANT" --prepare \
@@ -30,7 +30,7 @@
         --summary "$CLUSTER_DIRECTORY/moves.json"
 }
 
-# restart INDEX SIGNAL: ends a daemon, and starts it again when the groups have moved.
+# restart INDEX SIGNAL: ends a daemon, and restarts it when the groups have moved.
 restart() {
     local index=$1 name="daemon-$(($1 + 1))" status=0
     cluster_signal "$name" "$2"
@@ -54,12 +54,12 @@
         peak_connections: (map(.peak_connections) | max)}'
 }
 
-# How often a daemon took a group over, by the daemons' logs.
+# The number of takeovers of groups, from the daemons' logs.
 ownerships_gained() {
     cat "$CLUSTER_DIRECTORY"/log/daemon-* | grep -c 'ownership_gained' || true
 }
 
-# measure SIGNAL: restarts under load.
+# measure SIGNAL: measures restarts under load.
 measure() {
     local round index verdict=0 limit gained
     bench_deploy atlas-huts bookings-toubkal "$DAEMONS" \
--- a/bench/plot.sh
+++ b/bench/plot.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Draws SVG plots of a result beside it, one for each benchmark that has points.
+# Writes SVG plots next to a result file, one for each benchmark with points.
 # Usage: bench/plot.sh RESULT.json
 set -euo pipefail
 
--- a/bench/replica_share.sh
+++ b/bench/replica_share.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Share of reads served by replicas against replication lag, beside the baseline "primary when unsure"
-# (no wait at a replica, and as many reads by the primary as it takes), and beside the share that a replica
-# could serve without any wait.
+# Share of reads served by replicas as a function of the replication lag, compared with the baseline "primary when
+# unsure" (no wait at a replica, any number of reads at the primary), and with the share that a replica could serve
+# without any wait.
 # Usage: bench/replica_share.sh BUILD_DIRECTORY
 set -euo pipefail
 
@@ -19,7 +19,7 @@
 readonly BASELINE_FILTER='.templates.resident.parameters.read_primary_share_percent.maximum = 100
     | .templates.resident.parameters.read_primary_share_percent.default = 100'
 
-# measure LAG_MS GUARD_WAIT_MAX_MS FILTER: one load of residents.
+# measure LAG_MS GUARD_WAIT_MAX_MS FILTER: measures one load.
 measure() {
     local lag=$1 guard=$2
     BENCH_CONFIGURATION_FILTER=$3
--- a/bench/run.sh
+++ b/bench/run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Runs the benchmarks with real processes and writes bench/results/DATE-COMMIT.json with commit and
-# machine, and plots beside it. A benchmark that fails is named in the result and fails the run.
+# machine, and plots next to it. A failed benchmark is named in the result and makes the run fail.
 # Usage: bench/run.sh [BUILD_DIRECTORY [BENCHMARK...]]
 #        benchmarks: hop scaling replica_share failover_gap overload ownership configuration
 set -euo pipefail
--- a/bench/scaling.sh
+++ b/bench/scaling.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Throughput of one daemon's request path over its worker threads, as a ratio to one thread. Reads, with
-# databases that answer at once.
+# Throughput of one daemon's request path as a function of its worker threads, relative to one thread. Reads, with
+# databases that reply without delay.
 # Usage: bench/scaling.sh BUILD_DIRECTORY
 set -euo pipefail
 
--- a/bench/trace_cost.c
+++ b/bench/trace_cost.c
@@ -1,5 +1,5 @@
-/* What traces cost: steps of a group's control on made-up probes and opinions, and plain writes,
- * with and without a recorder. Prints nanoseconds and octets. Usage: trace-cost [STEPS] */
+/* The cost of traces: steps of a group's control with synthetic probes and opinions, and plain
+ * writes, with and without a recorder. Prints nanoseconds and bytes. Usage: trace-cost [STEPS] */
 #include <stdio.h>
 #include <stdlib.h>
 #include <time.h>
@@ -12,8 +12,8 @@
 #define STEPS_DEFAULT 400000
 #define MEMORY        (1024 * 1024)
 
-/* Probes of three databases each 100 ms, and opinions of two watchers each second: the usual mix.
- */
+/* The usual mix of events: probes of three databases every 100 ms, and opinions of two watchers
+ * every second. */
 #define STEP_NS       ((time_ns)30 * NANOSECONDS_PER_MILLISECOND)
 #define OPINION_EVERY 16
 
@@ -46,7 +46,7 @@
     };
 }
 
-/* Processor time of `steps` steps. */
+/* Processor time of `steps` steps, in nanoseconds. */
 static uint64_t run(struct trace_recorder *recorder, uint64_t steps)
 {
     struct group_control_options options;
@@ -74,7 +74,7 @@
     return spent;
 }
 
-/* A write that is committed, and confirmed by the first two databases. */
+/* A write that is committed and confirmed by the first two databases. */
 static void run_write(struct trace_recorder *recorder)
 {
     static const enum write_event_kind EVENTS[] = {WRITE_EVENT_START, WRITE_EVENT_COMMITTED,
@@ -103,7 +103,7 @@
     write_trace_end(trace);
 }
 
-/* Processor time of `writes` plain writes. */
+/* Processor time of `writes` plain writes, in nanoseconds. */
 static uint64_t run_writes(struct trace_recorder *recorder, uint64_t writes)
 {
     uint64_t began = thread_time_ns();
@@ -129,13 +129,13 @@
     printf("step with recorder:    %.0f ns\n", (double)with / (double)steps);
     printf("plain write without recorder: %.0f ns\n", (double)writes_without / (double)steps);
     printf("plain write with recorder:    %.0f ns\n", (double)writes_with / (double)steps);
-    /* Few enough steps to lose none: the octets of each. */
+    /* Few enough steps to fit in the recorder's memory, to measure the bytes of each. */
     trace_recorder_free(recorder);
     recorder = trace_recorder_new(MEMORY);
     run(recorder, 1000);
     g_autoptr(GByteArray) few = trace_recorder_copy(recorder, 1);
-    printf("octets a step:         %.1f\n", (double)few->len / 1000.0);
-    printf("kept of %" G_GUINT64_FORMAT " steps:  %u octets of %u\n", steps, copy->len, MEMORY);
+    printf("bytes a step:          %.1f\n", (double)few->len / 1000.0);
+    printf("kept of %" G_GUINT64_FORMAT " steps:  %u bytes of %u\n", steps, copy->len, MEMORY);
     trace_recorder_free(recorder);
     trace_recorder_free(none);
     return 0;
