--- a/bench/configuration.sh
+++ b/bench/configuration.sh
@@ -78,13 +78,13 @@
 
 # start_daemons healthy|down: all with a store, or only the first one.
 start_daemons() {
-    local index store="http://127.0.0.1:$CLUSTER_PLATFORM_PORT" nobody
-    nobody="http://127.0.0.1:$(cluster_free_ports 1)"
+    local index store="http://127.0.0.1:$CLUSTER_PLATFORM_PORT" unreachable
+    unreachable="http://127.0.0.1:$(cluster_free_ports 1)"
     cluster_configure_daemons "$DAEMONS"
     for ((index = 0; index < DAEMONS; index++)); do
         CLUSTER_DAEMON_SETTINGS=("configuration.file=" "platform.table_endpoint=$store")
         if [ "$1" = down ] && [ "$index" -gt 0 ]; then
-            CLUSTER_DAEMON_SETTINGS[1]="platform.table_endpoint=$nobody"
+            CLUSTER_DAEMON_SETTINGS[1]="platform.table_endpoint=$unreachable"
         fi
         cluster_start_daemon "$index"
     done
--- a/src/sim/scale_observe.c
+++ b/src/sim/scale_observe.c
@@ -109,23 +109,23 @@
            now < fleet->rack_healed_at + REFUTE_TIME;
 }
 
-static void observe_gone(struct scale_fleet *fleet, const struct scale_daemon *observer,
-                         const struct scale_daemon *gone, const struct member *member)
+static void observe_removed(struct scale_fleet *fleet, const struct scale_daemon *observer,
+                            const struct scale_daemon *removed, const struct member *member)
 {
     time_ns now = scale_network_now(fleet->network);
-    if (member->state != MEMBER_STATE_DEAD || gone->start != member->start) {
+    if (member->state != MEMBER_STATE_DEAD || removed->start != member->start) {
         return;
     }
-    if (is_reachable(fleet, observer, gone) && !was_in_cut_rack(fleet, gone)) {
+    if (is_reachable(fleet, observer, removed) && !was_in_cut_rack(fleet, removed)) {
         fleet->measures.false_deaths++;
         return;
     }
-    bool counts = !gone->running && gone->ended_at >= fleet->measures.started &&
-                  gone->ended_at >= observer->started_at &&
-                  !scale_daemon_was_cut(fleet, observer, gone->ended_at) &&
-                  !scale_daemon_was_cut(fleet, gone, gone->ended_at);
+    bool counts = !removed->running && removed->ended_at >= fleet->measures.started &&
+                  removed->ended_at >= observer->started_at &&
+                  !scale_daemon_was_cut(fleet, observer, removed->ended_at) &&
+                  !scale_daemon_was_cut(fleet, removed, removed->ended_at);
     if (counts) {
-        scale_samples_add(&fleet->measures.death_detected, now - gone->ended_at);
+        scale_samples_add(&fleet->measures.death_detected, now - removed->ended_at);
     }
 }
 
@@ -153,7 +153,7 @@
         return;
     }
     if (action->kind == MEMBERSHIP_ACTION_MEMBER_REMOVED) {
-        observe_gone(fleet, daemon, about, &action->member);
+        observe_removed(fleet, daemon, about, &action->member);
         return;
     }
     if (action->kind == MEMBERSHIP_ACTION_MEMBER_CHANGED) {
--- a/tests/ctl/test_golden.c
+++ b/tests/ctl/test_golden.c
@@ -303,12 +303,12 @@
 }
 
 /* Checks that the file holds the body of the reply, and removes it. */
-static void expect_saved(const char *file, const char *octets)
+static void expect_saved(const char *file, const char *content)
 {
     g_autofree char *saved = NULL;
 
     g_assert_true(g_file_get_contents(file, &saved, NULL, NULL));
-    g_assert_cmpstr(saved, ==, octets);
+    g_assert_cmpstr(saved, ==, content);
     g_assert_cmpint(g_remove(file), ==, 0);
 }
 
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -239,7 +239,7 @@
 
     # Links. Faults between poolers excuse no pooler.
 
-    async def harm_link(self, links, fault, direction):
+    async def set_links(self, links, fault, direction):
         """Sets links to this state, in the directions that the fault names, for its length."""
         ways = fault.options.get("ways", "both")
         forth = direction if ways in ("both", "forth") else Direction()
@@ -257,16 +257,16 @@
 
     async def peer_slow(self, fault, trouble):
         """Messages between two poolers are delayed."""
-        await self.harm_link(self.between(fault), fault, Direction(delay_s=fault.options["delay_s"]))
+        await self.set_links(self.between(fault), fault, Direction(delay_s=fault.options["delay_s"]))
 
     async def peer_silent(self, fault, trouble):
         """Messages between two poolers are held back, in one direction or both."""
-        await self.harm_link(self.between(fault), fault, Direction(silent=True))
+        await self.set_links(self.between(fault), fault, Direction(held=True))
 
     async def pooler_slow(self, fault, trouble):
         """All messages between a pooler and the others are delayed."""
         links = self.rig.peer_links(fault.target)
-        await self.harm_link(links, fault, Direction(delay_s=fault.options["delay_s"]))
+        await self.set_links(links, fault, Direction(delay_s=fault.options["delay_s"]))
 
     async def peer_reset(self, fault, trouble):
         """Connections between two poolers are reset."""
@@ -274,20 +274,20 @@
 
     async def peer_hush(self, fault, trouble):
         """Open connections between two poolers pass no more data."""
-        self.rig.links.get(fault.target, fault.other).hush()
+        self.rig.links.get(fault.target, fault.other).block()
 
     async def store_link_silent(self, fault, trouble):
         """A pooler is partitioned from the store."""
         trouble.who = fault.target
-        await self.harm_link([self.rig.links.get(fault.target, "store")], fault, Direction(silent=True))
+        await self.set_links([self.rig.links.get(fault.target, "store")], fault, Direction(held=True))
 
     async def store_link_slow(self, fault, trouble):
         """A pooler's calls of the store are delayed."""
         trouble.who = fault.target
         direction = Direction(delay_s=fault.options["delay_s"])
-        await self.harm_link([self.rig.links.get(fault.target, "store")], fault, direction)
+        await self.set_links([self.rig.links.get(fault.target, "store")], fault, direction)
 
-    async def harm_calls(self, how, fault, trouble):
+    async def fail_calls(self, how, fault, trouble):
         """A pooler's calls of the store fail in a way that is a flag of its link."""
         trouble.who = fault.target
         link = self.rig.links.get(fault.target, "store")
@@ -297,11 +297,11 @@
 
     async def store_link_refuses(self, fault, trouble):
         """The store rejects a pooler's calls."""
-        await self.harm_calls("refuses", fault, trouble)
+        await self.fail_calls("refuses", fault, trouble)
 
     async def store_link_loses(self, fault, trouble):
         """The store carries out a pooler's calls and does not answer."""
-        await self.harm_calls("loses_answers", fault, trouble)
+        await self.fail_calls("loses_answers", fault, trouble)
 
     async def store_link_reset(self, fault, trouble):
         """A pooler's connections to the store are reset."""
@@ -311,12 +311,12 @@
     async def database_link(self, fault, trouble):
         """A pooler is partitioned from a database."""
         link = self.rig.links.get(fault.target, fault.other)
-        await self.harm_link([link], fault, Direction(silent=True))
+        await self.set_links([link], fault, Direction(held=True))
 
     async def database_cut(self, fault, trouble):
         """A database is partitioned from all poolers but one, which may still take it for the primary."""
         links = [self.rig.links.get(name, fault.target) for name in self.rig.poolers if name != fault.other]
-        await self.harm_link(links, fault, Direction(silent=True))
+        await self.set_links(links, fault, Direction(held=True))
 
     async def database_link_loses(self, fault, trouble):
         """A database runs a pooler's statements, its answers are lost, and then the connections are reset."""
@@ -362,7 +362,7 @@
         elif options["with"] == "cut":
             cut = Fault(0.0, "store_link_silent", others[-1], length=options["away_s"] + 2.5)
             links = [self.rig.links.get(name, "store") for name in others[-2:]]
-            await self.harm_link(links, cut, Direction(silent=True))
+            await self.set_links(links, cut, Direction(held=True))
 
     async def fault_store(self, word, fault, trouble):
         """The store serves no requests for a time, the operator's included."""
@@ -448,7 +448,7 @@
         self.rig.floods += fault.options.get("flood", False)
         for name in databases:
             await self.rig.standin.command(f"database {name} cut")
-        await self.harm_link(self.links_across(set(inside + databases)), fault, Direction(silent=True))
+        await self.set_links(self.links_across(set(inside + databases)), fault, Direction(held=True))
         for name in databases:
             await self.rig.standin.command(f"database {name} well")
         self.rig.floods -= fault.options.get("flood", False)
--- a/tests/soak/links.py
+++ b/tests/soak/links.py
@@ -31,11 +31,11 @@
 
     delay_s: float = 0.0
     bytes_per_s: float = 0.0  # 0: no limit
-    silent: bool = False  # data is held back until this is reset
+    held: bool = False  # data is held back until this is reset
 
     def is_plain(self):
         """Whether data may pass at once."""
-        return not (self.silent or self.delay_s or self.bytes_per_s)
+        return not (self.held or self.delay_s or self.bytes_per_s)
 
 
 @dataclass
@@ -62,10 +62,10 @@
         for pipe in list(self.pipes):
             pipe.abort()
 
-    def hush(self):
+    def block(self):
         """Open connections pass no more data, for good; new ones work."""
         for pipe in list(self.pipes):
-            pipe.hushed = True
+            pipe.blocked = True
 
 
 class Pipe:
@@ -74,7 +74,7 @@
     def __init__(self, link, forth):
         self.link = link
         self.forth = forth
-        self.hushed = False
+        self.blocked = False
         self.queue = collections.deque()  # of (due, data); data None: end of stream
         self.last_due = 0.0
         self.source = None
@@ -89,7 +89,7 @@
     def feed(self, data):
         """Accepts data from the source; None for the end of stream."""
         state = self.state()
-        if state.is_plain() and not self.queue and not self.hushed and self.sink is not None:
+        if state.is_plain() and not self.queue and not self.blocked and self.sink is not None:
             self.send(data)
             return
         due = max(self.last_due, time.monotonic() + state.delay_s)
@@ -104,7 +104,7 @@
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        while self.queue and self.sink is not None and not self.hushed and not self.state().silent:
+        while self.queue and self.sink is not None and not self.blocked and not self.state().held:
             wait = self.queue[0][0] - time.monotonic()
             if wait > 0 and not self.state().is_plain():
                 self.timer = asyncio.get_running_loop().call_later(wait, self.pump)
@@ -158,7 +158,7 @@
             self.transport.write(REFUSAL)
             return
         if not self.pipe.forth and link.loses_answers:
-            self.pipe.hushed = True
+            self.pipe.blocked = True
         self.pipe.feed(data)
 
     def eof_received(self):
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -258,7 +258,7 @@
             if served < asked * SERVED_IN_CALM:
                 lines.append(f"calm: {name} served {served} of {asked} in the fault-free time at the end")
         for pooler in self.rig.poolers.values():
-            lines += [f"{at - self.started:8.3f} exit: {pooler.name} ended by itself, code {code}" for at, code in pooler.exits]
+            lines += [f"{at - self.started:8.3f} exit: {pooler.name} ended unexpectedly, code {code}" for at, code in pooler.exits]
         return lines
 
     def keep(self, lines):
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -190,7 +190,7 @@
     parser.add_argument("--jobs", type=int, default=4, help="plays at once (4)")
     parser.add_argument("--save", help="keep the figures in this file")
     parser.add_argument("--load", help="show the figures of this file, play nothing")
-    parser.add_argument("--check", action="store_true", help="hold that each text stands once")
+    parser.add_argument("--check", action="store_true", help="verify that each text occurs once")
     options = parser.parse_args(arguments)
     if options.check:
         return 0 if check() else 1
