--- a/tests/sim/sim_scenario_test.c
+++ b/tests/sim/sim_scenario_test.c
@@ -1,5 +1,5 @@
-/* Every scenario file over a few fixed seeds; and the same seed gives the same run, byte for byte.
- */
+/* Runs every scenario file over a few fixed seeds, and checks that the same seed gives the same
+ * run, byte for byte. */
 #include <glib/gstdio.h>
 
 #include "core/error.h"
@@ -27,7 +27,7 @@
         struct checker_result result;
 
         sim_run_execute(run);
-        checker_judge(run, &result);
+        checker_evaluate(run, &result);
         if (result.total > 0) {
             g_test_message("%s, seed %" G_GUINT64_FORMAT ": %s", scenario->name, seed,
                            result.first);
@@ -56,7 +56,7 @@
     sim_scenario_free(scenario);
 }
 
-/* Bounds of design: these hold on virtual time, whatever the machine. */
+/* Bounds that follow from the design: in virtual time they hold on any machine. */
 static void test_gap_bounds(gconstpointer name)
 {
     struct sim_scenario *scenario = load(name);
