--- a/tests/pooler/test_access.c
+++ b/tests/pooler/test_access.c
@@ -81,8 +81,8 @@
     struct client *first = client_open_as(fixture, "strict", "key-t");
     struct client *second = client_open_as(fixture, "strict", "key-i");
     for (unsigned i = 0; i < 6; i++) {
-        good(first, "WRITE a of-toubkal", 'I');
-        good(second, "WRITE b of-imlil", 'I');
+        expect_success(first, "WRITE a of-toubkal", 'I');
+        expect_success(second, "WRITE b of-imlil", 'I');
     }
     g_autoptr(GPtrArray) runs = line_group_runs(fixture->group);
     for (guint i = 0; i < runs->len; i++) {
@@ -103,9 +103,9 @@
     publish(fixture);
     struct client *first = client_open_as(fixture, "strict", "key-t");
     struct client *second = client_open_as(fixture, "strict", "key-i");
-    good(first, "WRITE a 1", 'I');
-    good(second, "WRITE b 2", 'I');
-    good(first, "WRITE c 3", 'I');
+    expect_success(first, "WRITE a 1", 'I');
+    expect_success(second, "WRITE b 2", 'I');
+    expect_success(first, "WRITE c 3", 'I');
     g_assert_cmpuint(line_group_connections(fixture->group, 0), <=, 2);
     client_close(first);
     client_close(second);
@@ -134,12 +134,12 @@
 test_opened_ahead_for_session(struct fixture *fixture, gconstpointer unused)
 {
     struct client *first = client_open_as(fixture, "strict", "key-t");
-    good(first, "WRITE a 1", 'I'); /* the link to an owner works */
+    expect_success(first, "WRITE a 1", 'I'); /* the link to an owner works */
     uint64_t ahead = count_at_databases(fixture, METRICS_OPENED_AHEAD);
     uint64_t for_statement = count_at_databases(fixture, METRICS_OPENED_STATEMENT);
     struct client *second = client_open_as(fixture, "strict", "key-i");
     wait_for_opened_ahead(fixture, ahead + 1);
-    good(second, "WRITE b 2", 'I');
+    expect_success(second, "WRITE b 2", 'I');
     g_assert_cmpuint(count_at_databases(fixture, METRICS_OPENED_STATEMENT), ==, for_statement);
     g_assert_cmpuint(count_at_databases(fixture, METRICS_AHEAD_USED), ==, ahead + 1);
     g_autoptr(GPtrArray) runs = line_group_runs(fixture->group);
@@ -153,13 +153,13 @@
 test_not_opened_beside_idle(struct fixture *fixture, gconstpointer unused)
 {
     struct client *first = client_open_as(fixture, "strict", "key-t");
-    good(first, "WRITE a 1", 'I');
+    expect_success(first, "WRITE a 1", 'I');
     uint64_t opened = count_at_databases(fixture, METRICS_CONNECTIONS_OPENED);
     for (unsigned i = 0; i < 5; i++) {
         struct client *next = client_open_as(fixture, "strict", "key-t");
-        good(next, "BEGIN", 'T');
-        good(next, "WRITE a 2", 'T');
-        good(next, "COMMIT", 'I');
+        expect_success(next, "BEGIN", 'T');
+        expect_success(next, "WRITE a 2", 'T');
+        expect_success(next, "COMMIT", 'I');
         client_close(next);
     }
     g_assert_cmpuint(count_at_databases(fixture, METRICS_CONNECTIONS_OPENED), ==, opened);
@@ -172,10 +172,10 @@
 {
     struct client *first = client_open_as(fixture, "strict", "key-t");
     struct client *second = client_open_as(fixture, "strict", "key-i");
-    good(first, "BEGIN", 'T');
-    good(first, "WRITE a 1", 'T');
-    good(second, "WRITE b 2", 'I');
-    good(first, "COMMIT", 'I');
+    expect_success(first, "BEGIN", 'T');
+    expect_success(first, "WRITE a 1", 'T');
+    expect_success(second, "WRITE b 2", 'I');
+    expect_success(first, "COMMIT", 'I');
     g_assert_cmpuint(line_group_committed(fixture->group, "a", "1"), ==, 1);
     client_close(first);
     client_close(second);
@@ -192,7 +192,7 @@
 {
     prove_until(fixture, 1); /* and no proof */
     struct client *client = client_open_as(fixture, "public", "key-of-nobody");
-    good(client, "READ a", 'I');
+    expect_success(client, "READ a", 'I');
     g_autoptr(GPtrArray) runs = line_group_runs(fixture->group);
     g_assert_cmpstr(find_run(runs, "READ a")->tenant, ==, "public");
     client_close(client);
@@ -206,13 +206,13 @@
     struct client *idle = client_open_as(fixture, "strict", "key-t");
     struct client *open = client_open_as(fixture, "strict", "key-t");
     struct client *other = client_open_as(fixture, "strict", "key-i");
-    good(idle, "WRITE a 1", 'I');
-    good(open, "BEGIN", 'T');
-    good(open, "WRITE b 2", 'T');
+    expect_success(idle, "WRITE a 1", 'I');
+    expect_success(open, "BEGIN", 'T');
+    expect_success(open, "WRITE b 2", 'T');
     set_keys(fixture, imlil_only);
-    bad(idle, "WRITE c 3", "UNAUTH", 'I');
-    bad(open, "COMMIT", "ABORTED", 'I');
-    good(other, "WRITE d 4", 'I');
+    expect_error(idle, "WRITE c 3", "UNAUTH", 'I');
+    expect_error(open, "COMMIT", "ABORTED", 'I');
+    expect_success(other, "WRITE d 4", 'I');
     g_assert_cmpuint(line_group_committed(fixture->group, "b", "2"), ==, 0);
     g_assert_cmpuint(line_group_committed(fixture->group, "c", "3"), ==, 0);
     expect_refused_start(fixture, "key-t", "UNAUTH");
@@ -228,7 +228,7 @@
     struct line_faults busy = {.busy = true};
     struct line_faults none = {0};
     struct client *client = client_open_as(fixture, "strict", "key-t");
-    good(client, "WRITE a 1", 'I');
+    expect_success(client, "WRITE a 1", 'I');
     line_group_set_faults(fixture->group, 0, &busy);
     client_send(client, "WRITE b 2");
     g_usleep(60 * 1000);
@@ -247,15 +247,15 @@
 {
     prove_until(fixture, in_an_hour());
     struct client *client = client_open_as(fixture, "strict", "key-t");
-    good(client, "WRITE a 1", 'I');
+    expect_success(client, "WRITE a 1", 'I');
     prove_until(fixture, 1);
     time_ns before = backend_now();
-    bad(client, "WRITE b 2", "BUSY", 'I');
+    expect_error(client, "WRITE b 2", "BUSY", 'I');
     g_assert_cmpuint(backend_now() - before, <, NANOSECONDS_PER_SECOND);
     g_assert_nonnull(strstr(client->result, "retry in"));
     expect_refused_start(fixture, "key-t", "BUSY");
     prove_until(fixture, in_an_hour());
-    good(client, "WRITE c 3", 'I');
+    expect_success(client, "WRITE c 3", 'I');
     g_assert_cmpuint(line_group_committed(fixture->group, "b", "2"), ==, 0);
     client_close(client);
 }
@@ -266,11 +266,11 @@
 {
     prove_until(fixture, in_an_hour());
     struct client *client = client_open_as(fixture, "strict", "key-t");
-    good(client, "BEGIN", 'T');
-    good(client, "WRITE a 1", 'T');
+    expect_success(client, "BEGIN", 'T');
+    expect_success(client, "WRITE a 1", 'T');
     prove_until(fixture, 1);
-    bad(client, "WRITE b 2", "ABORTED", 'E');
-    good(client, "ROLLBACK", 'I');
+    expect_error(client, "WRITE b 2", "ABORTED", 'E');
+    expect_success(client, "ROLLBACK", 'I');
     g_assert_cmpuint(line_group_committed(fixture->group, "a", "1"), ==, 0);
     client_close(client);
 }
@@ -302,10 +302,10 @@
 test_owner_knows_of_revocation(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open_as(fixture, "strict", "key-t");
-    good(client, "WRITE a 1", 'I');
+    expect_success(client, "WRITE a 1", 'I');
     fixture->owners_keys = imlil_only;
     publish(fixture);
-    bad(client, "WRITE b 2", "UNAUTH", 'I');
+    expect_error(client, "WRITE b 2", "UNAUTH", 'I');
     g_assert_cmpuint(line_group_committed(fixture->group, "b", "2"), ==, 0);
     client_close(client);
 }
@@ -315,10 +315,10 @@
 test_owner_without_proof(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open_as(fixture, "strict", "key-t");
-    good(client, "WRITE a 1", 'I');
+    expect_success(client, "WRITE a 1", 'I');
     fixture->owners[0].shared.proof_lifetime = NANOSECONDS_PER_SECOND;
     atomic_store(&fixture->owners[0].shared.configuration_proven_at, 1);
-    ask(client, "WRITE b 2");
+    execute(client, "WRITE b 2");
     g_assert_true(g_str_has_prefix(client->result, "ERROR "));
     g_assert_cmpuint(line_group_committed(fixture->group, "b", "2"), ==, 0);
     client_close(client);
@@ -398,12 +398,12 @@
     struct client *client = client_open_as(fixture, "strict", "key-t");
     struct client *other = client_open_as(fixture, "strict", "key-i");
     for (unsigned i = 0; i < 10; i++) {
-        good(client, "WRITE a 1", 'I');
+        expect_success(client, "WRITE a 1", 'I');
     }
-    bad(client, "WRITE b 2", "OVERLOAD", 'I');
+    expect_error(client, "WRITE b 2", "OVERLOAD", 'I');
     g_assert_nonnull(strstr(client->result, "retry in"));
-    bad(client, "READ a", "OVERLOAD", 'I');
-    good(other, "WRITE c 3", 'I');
+    expect_error(client, "READ a", "OVERLOAD", 'I');
+    expect_success(other, "WRITE c 3", 'I');
     g_assert_cmpuint(line_group_committed(fixture->group, "b", "2"), ==, 0);
     g_usleep(20 * 1000);
     g_assert_cmpuint(fixture->worker->busy, ==, 0); /* no session is left queued or running */
@@ -419,9 +419,9 @@
     set_limit_here(fixture, RATE_NONE, 10);
     struct client *client = client_open_as(fixture, "strict", "key-t");
     for (unsigned i = 0; i < 10; i++) {
-        good(client, "WRITE a 1", 'I');
+        expect_success(client, "WRITE a 1", 'I');
     }
-    bad(client, "WRITE b 2", "OVERLOAD", 'I');
+    expect_error(client, "WRITE b 2", "OVERLOAD", 'I');
     const char *advice = strstr(client->result, "retry in ");
     g_assert_nonnull(advice);
     g_assert_cmpint(atoi(advice + strlen("retry in ")), >=, 1000);
@@ -436,14 +436,14 @@
     set_limit_here(fixture, 0.05, 5);
     struct client *client = client_open_as(fixture, "strict", "key-t");
     for (unsigned i = 0; i < 5; i++) {
-        good(client, "BEGIN", 'T');
-        good(client, "WRITE a 1", 'T');
-        good(client, "READ a", 'T');
-        good(client, "COMMIT", 'I');
+        expect_success(client, "BEGIN", 'T');
+        expect_success(client, "WRITE a 1", 'T');
+        expect_success(client, "READ a", 'T');
+        expect_success(client, "COMMIT", 'I');
     }
-    good(client, "BEGIN", 'T');
-    bad(client, "WRITE a 1", "ABORTED", 'E');
-    good(client, "ROLLBACK", 'I');
+    expect_success(client, "BEGIN", 'T');
+    expect_error(client, "WRITE a 1", "ABORTED", 'E');
+    expect_success(client, "ROLLBACK", 'I');
     client_close(client);
     remove_limit(fixture);
 }
@@ -457,7 +457,7 @@
     const rate_bounds_t bounds = {5, 0, 0};
     fixture->shared.counting = counting_new(&bounds, backend_now()); /* without a valid roster */
     struct client *client = client_open_as(fixture, "strict", "key-t");
-    bad(client, "WRITE a 1", "BUSY", 'I');
+    expect_error(client, "WRITE a 1", "BUSY", 'I');
     g_assert_nonnull(strstr(client->result, "retry in"));
     client_close(client);
     remove_limit(fixture);
@@ -512,7 +512,7 @@
     bool refused = false;
     for (unsigned i = 0; i < 20 && !refused; i++) {
         time_ns before = backend_now();
-        ask(client, "WRITE a 1");
+        execute(client, "WRITE a 1");
         refused = g_str_has_prefix(client->result, "ERROR ");
         g_assert_cmpuint(backend_now() - before, <, 2 * NANOSECONDS_PER_SECOND);
     }
@@ -521,7 +521,7 @@
     /* From then on, refusals do not wait for the home, and are because of the limit. */
     for (unsigned i = 0; i < 3; i++) {
         time_ns before = backend_now();
-        bad(client, "WRITE a 1", "OVERLOAD", 'I');
+        expect_error(client, "WRITE a 1", "OVERLOAD", 'I');
         g_assert_cmpuint(backend_now() - before, <, 50 * MS);
     }
     client_close(client);
@@ -648,7 +648,7 @@
     unsigned soon = 0;
     for (unsigned i = 0; i < 20; i++) {
         time_ns before = backend_now();
-        ask(client, "WRITE a 1");
+        execute(client, "WRITE a 1");
         served += g_str_has_prefix(client->result, "COMPLETE ");
         soon += backend_now() - before < 50 * MS;
     }
@@ -676,7 +676,7 @@
     publish(fixture);
     struct client *client = client_open_as(fixture, "strict", "key-t");
     time_ns start = backend_now();
-    good(client, "READ hut", 'I');
+    expect_success(client, "READ hut", 'I');
     g_assert_cmpuint((backend_now() - start) / MS, <, 150);
     client_close(client);
 }
@@ -695,7 +695,7 @@
     }
     struct client *client = client_open_as(fixture, "strict", "key-t");
     time_ns start = backend_now();
-    bad(client, "READ hut", "BUSY", 'I');
+    expect_error(client, "READ hut", "BUSY", 'I');
     g_assert_cmpuint((backend_now() - start) / MS, <, 1500);
     client_close(client);
 }
--- a/tests/pooler/test_forward.c
+++ b/tests/pooler/test_forward.c
@@ -29,7 +29,7 @@
     publish(fixture);
     struct client *client = client_open(fixture, "strict");
     while (count_served(fixture, 0) == 0) {
-        good(client, "READ first", 'I');
+        expect_success(client, "READ first", 'I');
     }
     client_close(client);
 }
@@ -61,8 +61,8 @@
     uint64_t near = count_served(fixture, 0);
     uint64_t far = count_served(fixture, 1);
     struct client *client = client_open(fixture, "strict");
-    good(client, "WRITE hut 4", 'I');
-    good(client, "READ hut", 'I');
+    expect_success(client, "WRITE hut 4", 'I');
+    expect_success(client, "READ hut", 'I');
     g_assert_cmpstr(client->row, ==, "4");
     g_assert_cmpuint(count_served(fixture, 0), ==, near + 2);
     g_assert_cmpuint(count_served(fixture, 1), ==, far);
@@ -74,12 +74,12 @@
 test_loss_in_a_transaction(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "strict");
-    good(client, "BEGIN", 'T');
-    good(client, "WRITE hut open", 'T');
+    expect_success(client, "BEGIN", 'T');
+    expect_success(client, "WRITE hut open", 'T');
     stop_owner(fixture, 0);
-    ask(client, "COMMIT");
+    execute(client, "COMMIT");
     g_assert_true(g_str_has_prefix(client->result, "ERROR ABORTED"));
-    good(client, "READ hut", 'I');
+    expect_success(client, "READ hut", 'I');
     g_assert_cmpstr(client->row, ==, "none");
     g_assert_cmpuint(line_group_committed(fixture->group, "hut", "open"), ==, 0);
     client_close(client);
@@ -90,7 +90,7 @@
 test_loss_in_a_write(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "strict");
-    good(client, "READ warm", 'I');
+    expect_success(client, "READ warm", 'I');
     line_group_set_faults(fixture->group, 0, &(struct line_faults){.lose_answers = true});
     client_send(client, "WRITE hut lost");
     wait_for_run(fixture, "WRITE hut lost");
@@ -106,7 +106,7 @@
 test_loss_in_a_read(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "strict");
-    good(client, "WRITE hut 4", 'I');
+    expect_success(client, "WRITE hut 4", 'I');
     line_group_set_faults(fixture->group, 0, &(struct line_faults){.lose_answers = true});
     client_send(client, "READ hut");
     wait_for_run(fixture, "READ hut");
@@ -124,10 +124,10 @@
     fixture->owners[0].declines = true;
     publish(fixture);
     struct client *client = client_open(fixture, "strict");
-    good(client, "BEGIN", 'T');
-    good(client, "WRITE hut 4", 'T');
-    good(client, "COMMIT", 'I');
-    good(client, "READ hut", 'I');
+    expect_success(client, "BEGIN", 'T');
+    expect_success(client, "WRITE hut 4", 'T');
+    expect_success(client, "COMMIT", 'I');
+    expect_success(client, "READ hut", 'I');
     g_assert_cmpstr(client->row, ==, "4");
     client_close(client);
 }
@@ -138,16 +138,16 @@
 {
     struct client *open = client_open(fixture, "strict");
     struct client *other = client_open(fixture, "strict");
-    good(open, "BEGIN", 'T');
-    good(open, "WRITE hut open", 'T');
+    expect_success(open, "BEGIN", 'T');
+    expect_success(open, "WRITE hut open", 'T');
     atomic_store(&fixture->owners[0].shared.stop_at, backend_now());
     worker_wake(fixture->owners[0].worker);
     for (unsigned i = 0; i < 5; i++) {
-        good(other, "WRITE inn 1", 'I');
+        expect_success(other, "WRITE inn 1", 'I');
     }
-    good(open, "WRITE hut still-open", 'T');
-    good(open, "COMMIT", 'I');
-    good(open, "READ hut", 'I');
+    expect_success(open, "WRITE hut still-open", 'T');
+    expect_success(open, "COMMIT", 'I');
+    expect_success(open, "READ hut", 'I');
     g_assert_cmpstr(open->row, ==, "still-open");
     client_close(open);
     client_close(other);
@@ -171,16 +171,16 @@
 {
     struct sockaddr_in address = fixture->owners[0].shared.forward_listen;
     struct client *client = client_open(fixture, "strict");
-    good(client, "WRITE hut 4", 'I');
+    expect_success(client, "WRITE hut 4", 'I');
     stop_owner(fixture, 0);
     int listener = listen_without_answering(&address);
-    good(client, "READ hut", 'I');
+    expect_success(client, "READ hut", 'I');
     g_assert_cmpstr(client->row, ==, "4");
     /* From now on it is only pinged, and no statement is sent to it. */
     const _Atomic uint64_t *retries = &worker_metrics(fixture->worker)->counters[METRICS_RETRIES];
     uint64_t before = atomic_load(retries);
     for (unsigned i = 0; i < 60; i++) {
-        good(client, "READ hut", 'I');
+        expect_success(client, "READ hut", 'I');
         g_usleep(20000);
     }
     g_assert_cmpuint(atomic_load(retries), ==, before);
@@ -195,11 +195,11 @@
     fixture->timeout_ms = 300;
     publish(fixture);
     struct client *client = client_open(fixture, "strict");
-    good(client, "WRITE hut 4", 'I');
+    expect_success(client, "WRITE hut 4", 'I');
     stop_owner(fixture, 0);
     stop_owner(fixture, 1);
-    bad(client, "READ hut", "BUSY", 'I');
-    bad(client, "WRITE hut 5", "BUSY", 'I');
+    expect_error(client, "READ hut", "BUSY", 'I');
+    expect_error(client, "WRITE hut 5", "BUSY", 'I');
     g_assert_cmpuint(count_runs(fixture, "WRITE hut 5"), ==, 0);
     client_close(client);
 }
@@ -218,20 +218,20 @@
     fixture->fallback_connections = 1;
     publish(fixture);
     struct client *client = client_open(fixture, "strict");
-    good(client, "WRITE hut 4", 'I');
+    expect_success(client, "WRITE hut 4", 'I');
     uint64_t forwarded = count_forwarded(fixture);
     stop_owner(fixture, 0);
     stop_owner(fixture, 1);
-    good(client, "READ hut", 'I');
+    expect_success(client, "READ hut", 'I');
     g_assert_cmpstr(client->row, ==, "4");
-    good(client, "WRITE hut 5", 'I');
+    expect_success(client, "WRITE hut 5", 'I');
     g_assert_cmpuint(count_runs(fixture, "WRITE hut 5"), ==, 1);
     g_assert_cmpuint(count_forwarded(fixture), <=, forwarded + 2);
     start_owner(fixture, 0);
     publish(fixture);
     forwarded = count_forwarded(fixture);
     while (count_forwarded(fixture) == forwarded) {
-        good(client, "READ hut", 'I');
+        expect_success(client, "READ hut", 'I');
         g_usleep(10000);
     }
     client_close(client);
@@ -251,7 +251,7 @@
     fixture->fallback_connections = 2;
     publish(fixture);
     struct client *client = client_open(fixture, "strict");
-    good(client, "WRITE hut 4", 'I');
+    expect_success(client, "WRITE hut 4", 'I');
     for (unsigned round = 0; round < 3; round++) {
         stop_owner(fixture, 0);
         stop_owner(fixture, 1);
@@ -275,11 +275,11 @@
     fixture->connections = 1;
     publish(fixture);
     struct client *client = client_open(fixture, "strict");
-    good(client, "BEGIN", 'T');
-    good(client, "WRITE hut gone", 'T');
+    expect_success(client, "BEGIN", 'T');
+    expect_success(client, "WRITE hut gone", 'T');
     client_close(client);
     client = client_open(fixture, "strict");
-    good(client, "WRITE hut kept", 'I');
+    expect_success(client, "WRITE hut kept", 'I');
     g_assert_cmpuint(line_group_committed(fixture->group, "hut", "gone"), ==, 0);
     client_close(client);
 }
@@ -312,10 +312,10 @@
     uint64_t hop_before = atomic_load(&stages_of(here)[STAGE_HOP].sum_us);
     struct client *client = client_open(fixture, "strict");
     line_group_set_faults(fixture->group, 0, &(struct line_faults){.slow_ms = 20});
-    good(client, "BEGIN", 'T');
-    good(client, "WRITE hut 4", 'T');
-    good(client, "READ hut", 'T');
-    good(client, "COMMIT", 'I');
+    expect_success(client, "BEGIN", 'T');
+    expect_success(client, "WRITE hut 4", 'T');
+    expect_success(client, "READ hut", 'T');
+    expect_success(client, "COMMIT", 'I');
     g_assert_cmpuint(count_operations(here), ==, before + 1);
     g_assert_cmpuint(count_operations(there), ==, 0);
     uint64_t at_database = atomic_load(&stages_of(here)[STAGE_DATABASE].sum_us) - database_before;
@@ -367,7 +367,7 @@
     for (unsigned i = 0; i < TENANTS; i++) {
         g_autofree char *key = g_strdup_printf("key-%u", i);
         struct client *client = client_open_as(fixture, database, key);
-        good(client, "READ hut", 'I');
+        expect_success(client, "READ hut", 'I');
         client_close(client);
     }
 }
--- a/tests/pooler/test_worker.c
+++ b/tests/pooler/test_worker.c
@@ -25,7 +25,7 @@
     publish(fixture);
     client_read(client);
     g_assert_true(client->state == 'I');
-    good(client, "WRITE hut 4", 'I');
+    expect_success(client, "WRITE hut 4", 'I');
     client_close(client);
 }
 
@@ -43,13 +43,13 @@
 test_removed_route(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "strict");
-    good(client, "BEGIN", 'T');
-    good(client, "WRITE hut 4", 'T');
+    expect_success(client, "BEGIN", 'T');
+    expect_success(client, "WRITE hut 4", 'T');
     fixture->with_route = false;
     publish(fixture);
     wait_until_applied(fixture);
-    good(client, "COMMIT", 'I'); /* a transaction keeps the route that it began with */
-    bad(client, "READ hut", "NODB", 'I');
+    expect_success(client, "COMMIT", 'I'); /* a transaction keeps the route that it began with */
+    expect_error(client, "READ hut", "NODB", 'I');
     client_close(client);
 }
 
@@ -58,8 +58,8 @@
 {
     struct client *writer = client_open(fixture, "strict");
     struct client *reader = client_open(fixture, "strict");
-    good(writer, "WRITE hut 4", 'I');
-    good(reader, "READ hut", 'I');
+    expect_success(writer, "WRITE hut 4", 'I');
+    expect_success(reader, "READ hut", 'I');
     g_assert_cmpstr(reader->row, ==, "4");
     client_close(writer);
     client_close(reader);
@@ -86,16 +86,16 @@
 {
     struct client *a = client_open(fixture, "strict");
     struct client *b = client_open(fixture, "strict");
-    good(a, "SET colour red", 'I');
-    good(a, "PREPARE s1 WRITE shape-a", 'I');
-    good(b, "PREPARE s1 READ shape-b", 'I');
-    good(b, "SET size 9", 'I');
+    expect_success(a, "SET colour red", 'I');
+    expect_success(a, "PREPARE s1 WRITE shape-a", 'I');
+    expect_success(b, "PREPARE s1 READ shape-b", 'I');
+    expect_success(b, "SET size 9", 'I');
     for (int i = 0; i < 3; i++) {
-        good(a, "EXECUTE s1 hut first", 'I');
-        good(b, "EXECUTE s1 hut", 'I');
+        expect_success(a, "EXECUTE s1 hut first", 'I');
+        expect_success(b, "EXECUTE s1 hut", 'I');
         g_assert_cmpstr(b->row, ==, "first");
     }
-    good(b, "READ plain", 'I');
+    expect_success(b, "READ plain", 'I');
     g_autoptr(GPtrArray) runs = line_group_runs(fixture->group);
     for (guint i = 0; i < runs->len; i++) {
         const struct line_run *run = g_ptr_array_index(runs, i);
@@ -113,9 +113,9 @@
 test_unknown_prepared_name(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "strict");
-    good(client, "PREPARE s1 READ shape", 'I');
-    good(client, "DEALLOCATE s1", 'I');
-    bad(client, "EXECUTE s1 hut", "NOSTMT", 'I');
+    expect_success(client, "PREPARE s1 READ shape", 'I');
+    expect_success(client, "DEALLOCATE s1", 'I');
+    expect_error(client, "EXECUTE s1 hut", "NOSTMT", 'I');
     client_close(client);
 }
 
@@ -124,14 +124,14 @@
 {
     struct client *a = client_open(fixture, "strict");
     struct client *b = client_open(fixture, "strict");
-    good(a, "BEGIN", 'T');
-    good(a, "WRITE hut in-a", 'T');
-    good(b, "WRITE inn in-b", 'I');
-    good(b, "READ hut", 'I');
+    expect_success(a, "BEGIN", 'T');
+    expect_success(a, "WRITE hut in-a", 'T');
+    expect_success(b, "WRITE inn in-b", 'I');
+    expect_success(b, "READ hut", 'I');
     g_assert_cmpstr(b->row, ==, "none");
-    good(a, "WRITE hut in-a-again", 'T');
-    good(a, "COMMIT", 'I');
-    good(b, "READ hut", 'I');
+    expect_success(a, "WRITE hut in-a-again", 'T');
+    expect_success(a, "COMMIT", 'I');
+    expect_success(b, "READ hut", 'I');
     g_assert_cmpstr(b->row, ==, "in-a-again");
     g_autoptr(GPtrArray) runs = line_group_runs(fixture->group);
     unsigned connection = find_run(runs, "in-a-again")->connection;
@@ -145,16 +145,16 @@
 test_rollback_and_disconnect(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "strict");
-    good(client, "BEGIN", 'T');
-    good(client, "WRITE hut rolled-back", 'T');
-    good(client, "ROLLBACK", 'I');
-    good(client, "BEGIN", 'T');
-    good(client, "WRITE hut gone", 'T');
+    expect_success(client, "BEGIN", 'T');
+    expect_success(client, "WRITE hut rolled-back", 'T');
+    expect_success(client, "ROLLBACK", 'I');
+    expect_success(client, "BEGIN", 'T');
+    expect_success(client, "WRITE hut gone", 'T');
     client_close(client);
     client = client_open(fixture, "strict");
-    good(client, "READ hut", 'I');
+    expect_success(client, "READ hut", 'I');
     g_assert_cmpstr(client->row, ==, "none");
-    good(client, "WRITE hut kept", 'I');
+    expect_success(client, "WRITE hut kept", 'I');
     g_assert_cmpuint(line_group_committed(fixture->group, "hut", "gone"), ==, 0);
     client_close(client);
 }
@@ -163,12 +163,12 @@
 test_transaction_errors(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "strict");
-    bad(client, "COMMIT", "MALFORMED", 'I');
-    bad(client, "ROLLBACK", "MALFORMED", 'I');
-    bad(client, "NONSENSE", "MALFORMED", 'I');
-    good(client, "BEGIN", 'T');
-    bad(client, "BEGIN", "MALFORMED", 'T');
-    good(client, "ROLLBACK", 'I');
+    expect_error(client, "COMMIT", "MALFORMED", 'I');
+    expect_error(client, "ROLLBACK", "MALFORMED", 'I');
+    expect_error(client, "NONSENSE", "MALFORMED", 'I');
+    expect_success(client, "BEGIN", 'T');
+    expect_error(client, "BEGIN", "MALFORMED", 'T');
+    expect_success(client, "ROLLBACK", 'I');
     client_close(client);
 }
 
@@ -177,11 +177,11 @@
 test_lost_answer_of_a_write(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "strict");
-    good(client, "READ warm", 'I');
+    expect_success(client, "READ warm", 'I');
     line_group_set_faults(fixture->group, 0, &(struct line_faults){.lose_answers = true});
     fixture->timeout_ms = 400;
     publish(fixture);
-    bad(client, "WRITE hut lost", "INDOUBT", 'I');
+    expect_error(client, "WRITE hut lost", "INDOUBT", 'I');
     line_group_set_faults(fixture->group, 0, &(struct line_faults){0});
     g_assert_cmpuint(line_group_committed(fixture->group, "hut", "lost"), ==, 1);
     client_close(client);
@@ -192,11 +192,11 @@
 {
     struct client *client = client_open(fixture, "stale");
     struct client *writer = client_open(fixture, "strict");
-    good(writer, "WRITE hut 4", 'I');
-    good(client, "READ hut", 'I');
+    expect_success(writer, "WRITE hut 4", 'I');
+    expect_success(client, "READ hut", 'I');
     line_group_set_faults(fixture->group, 1, &(struct line_faults){.silent = true});
     for (int i = 0; i < 4; i++) {
-        good(client, "READ hut", 'I');
+        expect_success(client, "READ hut", 'I');
         g_assert_cmpstr(client->row, ==, "4");
     }
     client_close(client);
@@ -211,7 +211,7 @@
     fixture->connections = 1;
     publish(fixture);
     struct client *client = client_open(fixture, "strict");
-    good(client, "READ warm", 'I');
+    expect_success(client, "READ warm", 'I');
     line_group_set_faults(fixture->group, 0, &(struct line_faults){.lose_answers = true});
     client_send(client, "WRITE hut lost");
     while (line_group_committed(fixture->group, "hut", "lost") == 0) {
@@ -223,7 +223,7 @@
     gint64 end = g_get_monotonic_time() + ANSWER_WAIT_S * G_USEC_PER_SEC;
     do {
         g_assert_cmpint(g_get_monotonic_time(), <, end);
-        ask(client, "WRITE hut kept");
+        execute(client, "WRITE hut kept");
     } while (!g_str_has_prefix(client->result, "COMPLETE"));
     client_close(client);
 }
@@ -233,11 +233,11 @@
 {
     struct client *client = client_open(fixture, "stale");
     struct client *writer = client_open(fixture, "strict");
-    good(writer, "WRITE hut 4", 'I');
-    good(client, "READ hut", 'I');
+    expect_success(writer, "WRITE hut 4", 'I');
+    expect_success(client, "READ hut", 'I');
     for (int i = 0; i < 10; i++) {
         g_usleep(20000); /* time for opening a connection and for the replica to catch up */
-        good(client, "READ hut replica", 'I');
+        expect_success(client, "READ hut replica", 'I');
     }
     g_autoptr(GPtrArray) runs = line_group_runs(fixture->group);
     g_assert_cmpuint(find_run(runs, "READ hut replica")->database, !=, 0);
@@ -250,14 +250,14 @@
 {
     struct client *client = client_open(fixture, "own");
     const struct line_faults lagging = {.lagging = true};
-    good(client, "WRITE hut 1", 'I');
+    expect_success(client, "WRITE hut 1", 'I');
     line_group_set_faults(fixture->group, 1, &lagging);
     line_group_set_faults(fixture->group, 2, &lagging);
     for (int i = 2; i < 6; i++) {
         g_autofree char *write = g_strdup_printf("WRITE hut %d", i);
         g_autofree char *value = g_strdup_printf("%d", i);
-        good(client, write, 'I');
-        good(client, "READ hut", 'I');
+        expect_success(client, write, 'I');
+        expect_success(client, "READ hut", 'I');
         g_assert_cmpstr(client->row, ==, value);
     }
     client_close(client);
@@ -272,15 +272,15 @@
     unsigned at_replica = 0;
     struct client *client = client_open(fixture, "own");
     for (int i = 0; i < 4; i++) {
-        good(client, "READ warm", 'I');
+        expect_success(client, "READ warm", 'I');
     }
     line_group_set_faults(fixture->group, 0, &(struct line_faults){.slow_ms = 120});
     for (unsigned i = 0; i < rounds; i++) {
         g_autofree char *write = g_strdup_printf("WRITE hut %u", i);
         g_autofree char *read = g_strdup_printf("READ hut round %u", i);
         g_autofree char *value = g_strdup_printf("%u", i);
-        good(client, write, 'I');
-        good(client, read, 'I');
+        expect_success(client, write, 'I');
+        expect_success(client, read, 'I');
         g_assert_cmpstr(client->row, ==, value);
         g_autoptr(GPtrArray) runs = line_group_runs(fixture->group);
         at_replica += find_run(runs, read)->database != 0;
@@ -294,16 +294,16 @@
 test_own_write_in_a_transaction(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "own");
-    good(client, "WRITE hut 0", 'I');
+    expect_success(client, "WRITE hut 0", 'I');
     line_group_set_faults(fixture->group, 1, &(struct line_faults){.lagging = true});
     line_group_set_faults(fixture->group, 2, &(struct line_faults){.lagging = true});
-    good(client, "BEGIN", 'T');
-    good(client, "WRITE hut 7", 'T');
-    good(client, "COMMIT", 'I');
-    good(client, "BEGIN READ", 'T');
-    good(client, "READ hut", 'T');
+    expect_success(client, "BEGIN", 'T');
+    expect_success(client, "WRITE hut 7", 'T');
+    expect_success(client, "COMMIT", 'I');
+    expect_success(client, "BEGIN READ", 'T');
+    expect_success(client, "READ hut", 'T');
     g_assert_cmpstr(client->row, ==, "7");
-    good(client, "COMMIT", 'I');
+    expect_success(client, "COMMIT", 'I');
     client_close(client);
 }
 
@@ -312,9 +312,9 @@
 test_leadership_without_a_coordinator(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "strict");
-    good(client, "WRITE hut 4", 'I');
+    expect_success(client, "WRITE hut 4", 'I');
     permit(fixture, 0);
-    good(client, "READ hut", 'I');
+    expect_success(client, "READ hut", 'I');
     g_assert_cmpstr(client->row, ==, "4");
     client_close(client);
 }
@@ -325,13 +325,13 @@
 test_no_read_without_proof_of_leadership(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "strict");
-    good(client, "WRITE hut 4", 'I');
+    expect_success(client, "WRITE hut 4", 'I');
     permit(fixture, 0);
     fixture->timeout_ms = 600;
     publish(fixture);
     line_group_set_faults(fixture->group, 0, &(struct line_faults){.deaf = true});
     g_assert_true(line_group_promote(fixture->group, line_group_id(fixture->group, 1)));
-    bad(client, "READ hut", "BUSY", 'I');
+    expect_error(client, "READ hut", "BUSY", 'I');
     client_close(client);
 }
 
@@ -347,16 +347,16 @@
     fixture->timeout_ms = 600;
     publish(fixture);
     if (after_a_write) {
-        good(client, "WRITE hut 4", 'I');
+        expect_success(client, "WRITE hut 4", 'I');
     }
-    good(client, "BEGIN", 'T');
-    good(client, "READ hut", 'T');
+    expect_success(client, "BEGIN", 'T');
+    expect_success(client, "READ hut", 'T');
     permit(fixture, 0);
     line_group_set_faults(fixture->group, 0, &(struct line_faults){.deaf = true});
     g_assert_true(line_group_promote(fixture->group, line_group_id(fixture->group, 1)));
     g_usleep(300000); /* longer than the staleness bound: earlier samples are too old */
-    good(client, "COMMIT", 'I');
-    bad(client, "READ hut", "BUSY", 'I');
+    expect_success(client, "COMMIT", 'I');
+    expect_error(client, "READ hut", "BUSY", 'I');
     client_close(client);
 }
 
@@ -389,7 +389,7 @@
 test_change_of_primary(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "strict");
-    good(client, "WRITE hut 4", 'I');
+    expect_success(client, "WRITE hut 4", 'I');
     fixture->phase = GROUP_PHASE_CLOSED;
     publish(fixture);
     client_send(client, "WRITE hut 5");
@@ -433,17 +433,17 @@
     struct client *reading = client_open(fixture, "stale");
     fixture->timeout_ms = 400;
     evacuate(fixture, 1U << 1 | 1U << 2);
-    good(client, "WRITE hut 4", 'I');
-    good(reading, "READ hut", 'I');
-    good(in_transaction, "BEGIN", 'T');
-    good(in_transaction, "WRITE hut 5", 'T');
+    expect_success(client, "WRITE hut 4", 'I');
+    expect_success(reading, "READ hut", 'I');
+    expect_success(in_transaction, "BEGIN", 'T');
+    expect_success(in_transaction, "WRITE hut 5", 'T');
     evacuate(fixture, 1U << 0); /* the primary */
-    bad(client, "WRITE hut 6", "BUSY", 'I');
-    bad(in_transaction, "COMMIT", "ABORTED", 'I');
+    expect_error(client, "WRITE hut 6", "BUSY", 'I');
+    expect_error(in_transaction, "COMMIT", "ABORTED", 'I');
     g_assert_cmpuint(line_group_committed(fixture->group, "hut", "5"), ==, 0);
     g_assert_cmpuint(line_group_committed(fixture->group, "hut", "6"), ==, 0);
     evacuate(fixture, 0);
-    good(client, "WRITE hut 7", 'I');
+    expect_success(client, "WRITE hut 7", 'I');
     client_close(reading);
     client_close(in_transaction);
     client_close(client);
@@ -458,13 +458,13 @@
     fixture->timeout_ms = 400;
     publish(fixture);
     wait_until_applied(fixture);
-    good(client, "WRITE hut 4", 'I');
+    expect_success(client, "WRITE hut 4", 'I');
     const struct line_faults deaf = {.deaf = true};
     line_group_set_faults(fixture->group, 1, &deaf);
     line_group_set_faults(fixture->group, 2, &deaf);
     line_group_lose_log(fixture->group, 0);
     for (int i = 0; i < 3; i++) {
-        bad(client, "READ hut", "BUSY", 'I');
+        expect_error(client, "READ hut", "BUSY", 'I');
     }
     g_autoptr(GPtrArray) runs = line_group_runs(fixture->group);
     g_assert_cmpuint(runs->len, ==, 1);
@@ -481,11 +481,11 @@
     fixture->phase = GROUP_PHASE_CLOSED;
     publish(fixture);
     wait_until_applied(fixture);
-    bad(client, "WRITE hut 5", "BUSY", 'I');
+    expect_error(client, "WRITE hut 5", "BUSY", 'I');
     g_assert_nonnull(strstr(client->result, "retry in"));
-    good(client, "BEGIN", 'T');
-    bad(client, "WRITE hut 6", "ABORTED", 'E');
-    good(client, "ROLLBACK", 'I');
+    expect_success(client, "BEGIN", 'T');
+    expect_error(client, "WRITE hut 6", "ABORTED", 'E');
+    expect_success(client, "ROLLBACK", 'I');
     g_assert_cmpuint(line_group_committed(fixture->group, "hut", "5"), ==, 0);
     client_close(client);
 }
@@ -501,7 +501,7 @@
     publish(fixture);
     g_usleep(900 * 1000);
     time_ns sent = backend_now();
-    bad(client, "WRITE hut 5", "BUSY", 'I');
+    expect_error(client, "WRITE hut 5", "BUSY", 'I');
     g_assert_cmpuint(backend_now() - sent, <, 5000 * MS);
     g_assert_nonnull(strstr(client->result, "retry in"));
     fixture->phase = GROUP_PHASE_OPEN;
@@ -521,12 +521,12 @@
 test_transaction_aborted_by_a_change(struct fixture *fixture, gconstpointer unused)
 {
     struct client *client = client_open(fixture, "strict");
-    good(client, "BEGIN", 'T');
-    good(client, "WRITE hut 5", 'T');
+    expect_success(client, "BEGIN", 'T');
+    expect_success(client, "WRITE hut 5", 'T');
     fixture->phase = GROUP_PHASE_CLOSED;
     publish(fixture);
     wait_until_applied(fixture);
-    bad(client, "COMMIT", "ABORTED", 'I');
+    expect_error(client, "COMMIT", "ABORTED", 'I');
     g_assert_cmpuint(line_group_committed(fixture->group, "hut", "5"), ==, 0);
     client_close(client);
 }
@@ -594,8 +594,8 @@
     line_group_set_faults(fixture->group, 0, &(struct line_faults){.slow_ms = 40});
     for (size_t i = 0; i < G_N_ELEMENTS(clients); i++) {
         clients[i] = client_open(fixture, "strict");
-        good(clients[0], "WRITE hut warm",
-             'I'); /* so that the worker knows how long a statement takes */
+        expect_success(clients[0], "WRITE hut warm",
+                       'I'); /* so that the worker knows how long a statement takes */
     }
     for (size_t i = 0; i < G_N_ELEMENTS(clients); i++) {
         client_send(clients[i], "WRITE hut crowd");
@@ -632,8 +632,8 @@
         high[i] = client_open(fixture, "own");
     }
     for (size_t i = 0; i < 16; i++) {
-        good(waiting[0], "WRITE hut warm",
-             'I'); /* so that the worker knows how long a statement takes */
+        expect_success(waiting[0], "WRITE hut warm",
+                       'I'); /* so that the worker knows how long a statement takes */
     }
     for (size_t i = 0; i < G_N_ELEMENTS(waiting); i++) {
         client_send(waiting[i], "WRITE hut waiting");
@@ -735,7 +735,7 @@
     }
     line_group_set_faults(fixture->group, 0, &(struct line_faults){.slow_ms = 30});
     for (int i = 0; i < 20; i++) {
-        good(clients[0], "WRITE warm 1", 'I');
+        expect_success(clients[0], "WRITE warm 1", 'I');
     }
     for (size_t i = 0; i < G_N_ELEMENTS(clients); i++) {
         client_send(clients[i], "WRITE hut 1");
@@ -776,12 +776,12 @@
 {
     struct client *idle = client_open(fixture, "strict");
     struct client *open = client_open(fixture, "strict");
-    good(open, "BEGIN", 'T');
-    good(open, "WRITE hut 5", 'T');
+    expect_success(open, "BEGIN", 'T');
+    expect_success(open, "WRITE hut 5", 'T');
     atomic_store(&fixture->shared.stop_at, backend_now());
     worker_wake(fixture->worker);
     g_assert_null(fgets(idle->line, sizeof idle->line, idle->stream) == idle->line ? "line" : NULL);
-    good(open, "COMMIT", 'I');
+    expect_success(open, "COMMIT", 'I');
     g_assert_cmpuint(line_group_committed(fixture->group, "hut", "5"), ==, 1);
     client_close(idle);
     client_close(open);
@@ -826,16 +826,16 @@
 {
     struct client *client = client_open(fixture, "strict");
     atomic_store(&late_lines, 0);
-    good(client, "BEGIN", 'T');
-    good(client, "WRITE hut 1", 'T');
+    expect_success(client, "BEGIN", 'T');
+    expect_success(client, "WRITE hut 1", 'T');
     g_usleep(400 * 1000);
-    good(client, "COMMIT", 'I');
+    expect_success(client, "COMMIT", 'I');
     g_assert_cmpuint(count_late(fixture), ==, 0);
     line_group_set_faults(fixture->group, 0, &(struct line_faults){.slow_ms = 90});
-    good(client, "BEGIN", 'T');
-    good(client, "WRITE hut 1", 'T');
-    good(client, "READ hut", 'T');
-    good(client, "COMMIT", 'I');
+    expect_success(client, "BEGIN", 'T');
+    expect_success(client, "WRITE hut 1", 'T');
+    expect_success(client, "READ hut", 'T');
+    expect_success(client, "COMMIT", 'I');
     g_assert_cmpuint(count_late(fixture), ==, 1);
     g_assert_cmpuint(atomic_load(&late_lines), ==, 1);
     line_group_set_faults(fixture->group, 0, &(struct line_faults){0});
@@ -845,7 +845,7 @@
     struct client *late = client_open(fixture, "own");
     time_ns began = backend_now();
     for (int i = 0; i < 60; i++) {
-        good(late, "WRITE hut 1", 'I');
+        expect_success(late, "WRITE hut 1", 'I');
     }
     uint64_t seconds = (backend_now() - began) / NANOSECONDS_PER_SECOND + 1;
     g_assert_cmpuint(count_late(fixture), ==, 61);
@@ -886,10 +886,10 @@
     struct client *open = client_open(fixture, "strict");
     for (unsigned i = 0; i < IDLE_CLIENTS; i++) {
         clients[i] = client_open(fixture, "strict");
-        good(clients[i], "READ hut", 'I');
+        expect_success(clients[i], "READ hut", 'I');
     }
-    good(open, "BEGIN", 'T');
-    good(open, "WRITE hut open", 'T');
+    expect_success(open, "BEGIN", 'T');
+    expect_success(open, "WRITE hut open", 'T');
     atomic_store(&fixture->shared.partitioned_since, backend_now());
     worker_wake(fixture->worker);
     g_usleep(200 * 1000);
@@ -904,8 +904,8 @@
     time_ns ticks = (backend_now() - before) / (50 * NANOSECONDS_PER_MILLISECOND);
     g_assert_cmpuint(closed, <=, 4 * (ticks + 1));
     wait_for_closed_idle(fixture, IDLE_CLIENTS);
-    good(open, "WRITE hut still-open", 'T');
-    good(open, "COMMIT", 'I');
+    expect_success(open, "WRITE hut still-open", 'T');
+    expect_success(open, "COMMIT", 'I');
     wait_for_closed_idle(fixture, IDLE_CLIENTS + 1);
     atomic_store(&fixture->shared.partitioned_since, 0);
     g_assert_cmpuint(line_group_committed(fixture->group, "hut", "still-open"), ==, 1);
--- a/tests/pooler/worker_fixture.c
+++ b/tests/pooler/worker_fixture.c
@@ -378,16 +378,16 @@
 }
 
 void
-ask(struct client *client, const char *text)
+execute(struct client *client, const char *text)
 {
     client_send(client, text);
     client_read(client);
 }
 
 void
-good(struct client *client, const char *text, char state)
+expect_success(struct client *client, const char *text, char state)
 {
-    ask(client, text);
+    execute(client, text);
     g_assert_cmpstr(client->line, !=, "");
     if (!g_str_has_prefix(client->result, "COMPLETE ")) {
         g_test_message("%s: %s", text, client->result);
@@ -397,9 +397,9 @@
 }
 
 void
-bad(struct client *client, const char *text, const char *code, char state)
+expect_error(struct client *client, const char *text, const char *code, char state)
 {
-    ask(client, text);
+    execute(client, text);
     g_autofree char *start = g_strdup_printf("ERROR %s", code);
     if (!g_str_has_prefix(client->result, start)) {
         g_test_message("%s: %s", text, client->result);
--- a/tests/pooler/worker_fixture.h
+++ b/tests/pooler/worker_fixture.h
@@ -104,11 +104,11 @@
 /** @brief Reads one answer up to READY or the end of the connection. */
 void client_read(struct client *client);
 /** @brief Executes a statement: sends it and reads the answer. */
-void ask(struct client *client, const char *text);
+void execute(struct client *client, const char *text);
 /** @brief Executes a statement and asserts success and this transaction state. */
-void good(struct client *client, const char *text, char state);
+void expect_success(struct client *client, const char *text, char state);
 /** @brief Executes a statement and asserts this error and this transaction state. */
-void bad(struct client *client, const char *text, const char *code, char state);
+void expect_error(struct client *client, const char *text, const char *code, char state);
 /** @return the last statement that a database ran and whose text contains `text`; the test fails if
  * there is none. */
 const struct line_run *find_run(GPtrArray *runs, const char *text);
