--- a/src/pooler/control/control_reachability.c
+++ b/src/pooler/control/control_reachability.c
@@ -154,16 +154,16 @@
 static void
 log_change(const struct control *control, const zone_reachability_inputs_t *inputs, time_ns now)
 {
-    const zone_reachability_t *reach = &control->zone_reachability;
-    g_autofree char *contact = age_text(reach->last_contact_at, now);
+    const zone_reachability_t *reachability = &control->zone_reachability;
+    g_autofree char *contact = age_text(reachability->last_contact_at, now);
     g_autofree char *store = age_text(inputs->store_known_at, now);
-    g_autofree char *timeouts = g_strdup_printf("%u", reach->timeouts);
+    g_autofree char *timeouts = g_strdup_printf("%u", reachability->timeouts);
     g_log_structured(
         G_LOG_DOMAIN, G_LOG_LEVEL_MESSAGE, "SW_HEARD", contact, "SW_STORE", store, "SW_UNANSWERED",
         timeouts, "MESSAGE",
         "Zone %s is %s; last contact with another zone %s, store known as of %s.",
         control->settings->pooler.zone,
-        reach->partitioned
+        reachability->partitioned
             ? "partitioned from all other zones and reports not ready, so that clients go there"
             : "no longer partitioned",
         contact, store);
@@ -172,9 +172,9 @@
 void
 control_reachability_tick(struct control *control, time_ns now)
 {
-    zone_reachability_t *reach = &control->zone_reachability;
+    zone_reachability_t *reachability = &control->zone_reachability;
     bool due = now >= control->reachability_due_at &&
-               (zone_reachability_needs_ping(reach, now) || reach->partitioned);
+               (zone_reachability_needs_ping(reachability, now) || reachability->partitioned);
     if (!due) {
         return;
     }
@@ -183,17 +183,17 @@
     for (unsigned i = 0; i < REACHABILITY_PINGS; i++) {
         reachability_ping_t *ping = &control->reachability_pings[i];
         if (ping->sent_at != 0 && now >= ping->sent_at + PING_TIMEOUT_NS) {
-            zone_reachability_note_timeout(reach, ping->sent_at);
+            zone_reachability_note_timeout(reachability, ping->sent_at);
             close_ping(ping);
         }
-        bool enough = i > 0 && reach->timeouts == 0; /* one pooler that responds is enough */
-        if (ping->sent_at == 0 && !enough && zone_reachability_needs_ping(reach, now)) {
+        bool enough = i > 0 && reachability->timeouts == 0; /* one pooler that responds is enough */
+        if (ping->sent_at == 0 && !enough && zone_reachability_needs_ping(reachability, now)) {
             send_ping(control, ping, &inputs, now);
         }
     }
-    if (zone_reachability_evaluate(reach, &inputs, now)) {
+    if (zone_reachability_evaluate(reachability, &inputs, now)) {
         log_change(control, &inputs, now);
-        atomic_store(&control->shared.partitioned_since, reach->partitioned ? now : 0);
+        atomic_store(&control->shared.partitioned_since, reachability->partitioned ? now : 0);
         for (unsigned i = 0; i < control->workers_count; i++) {
             worker_wake(control->workers[i]);
         }
--- a/src/pooler/control/zone_reachability.c
+++ b/src/pooler/control/zone_reachability.c
@@ -18,50 +18,51 @@
 #define STORE_RECENT_NS (1500 * MS)
 
 void
-zone_reachability_note_contact(zone_reachability_t *reach, time_ns now)
+zone_reachability_note_contact(zone_reachability_t *reachability, time_ns now)
 {
-    reach->last_contact_at = now;
-    reach->timeouts_since = 0;
-    reach->timeouts = 0;
+    reachability->last_contact_at = now;
+    reachability->timeouts_since = 0;
+    reachability->timeouts = 0;
 }
 
 void
-zone_reachability_note_timeout(zone_reachability_t *reach, time_ns sent_at)
+zone_reachability_note_timeout(zone_reachability_t *reachability, time_ns sent_at)
 {
-    if (sent_at <= reach->last_contact_at) {
+    if (sent_at <= reachability->last_contact_at) {
         return; /* a later message came from another zone */
     }
-    if (reach->timeouts_since == 0) {
-        reach->timeouts_since = sent_at;
+    if (reachability->timeouts_since == 0) {
+        reachability->timeouts_since = sent_at;
     }
-    reach->timeouts++;
+    reachability->timeouts++;
 }
 
 bool
-zone_reachability_needs_ping(const zone_reachability_t *reach, time_ns now)
+zone_reachability_needs_ping(const zone_reachability_t *reachability, time_ns now)
 {
-    return now >= reach->last_contact_at + PING_AFTER_NS;
+    return now >= reachability->last_contact_at + PING_AFTER_NS;
 }
 
 /* Without any contact since the process started, the zone counts as unreachable at once: a pooler
  * that starts inside a partitioned zone and reported ready would attract the zone's clients again.
  */
 static bool
-none_responds(const zone_reachability_t *reach, time_ns now)
+none_responds(const zone_reachability_t *reachability, time_ns now)
 {
-    if (reach->last_contact_at == 0) {
+    if (reachability->last_contact_at == 0) {
         return true;
     }
-    return reach->timeouts >= TIMEOUTS_MIN && now >= reach->timeouts_since + TIMEOUTS_SPAN_NS;
+    return reachability->timeouts >= TIMEOUTS_MIN &&
+           now >= reachability->timeouts_since + TIMEOUTS_SPAN_NS;
 }
 
 bool
-zone_reachability_evaluate(zone_reachability_t *reach, const zone_reachability_inputs_t *inputs,
-                           time_ns now)
+zone_reachability_evaluate(zone_reachability_t *reachability,
+                           const zone_reachability_inputs_t *inputs, time_ns now)
 {
-    bool before = reach->partitioned;
+    bool before = reachability->partitioned;
     bool most_elsewhere = inputs->in_other_zones * 2 > inputs->members;
     bool store_unknown = now > inputs->store_known_at + STORE_RECENT_NS;
-    reach->partitioned = most_elsewhere && store_unknown && none_responds(reach, now);
-    return reach->partitioned != before;
+    reachability->partitioned = most_elsewhere && store_unknown && none_responds(reachability, now);
+    return reachability->partitioned != before;
 }
--- a/src/pooler/control/zone_reachability.h
+++ b/src/pooler/control/zone_reachability.h
@@ -42,17 +42,17 @@
 } zone_reachability_inputs_t;
 
 /** @brief Notes a message from a pooler of another zone. */
-void zone_reachability_note_contact(zone_reachability_t *reach, time_ns now);
+void zone_reachability_note_contact(zone_reachability_t *reachability, time_ns now);
 
 /** @brief Notes that a ping sent to another zone at `sent_at` had no response in time. */
-void zone_reachability_note_timeout(zone_reachability_t *reach, time_ns sent_at);
+void zone_reachability_note_timeout(zone_reachability_t *reachability, time_ns sent_at);
 
 /** @return true if the last contact is so old that a pooler of another zone should be pinged. */
-bool zone_reachability_needs_ping(const zone_reachability_t *reach, time_ns now);
+bool zone_reachability_needs_ping(const zone_reachability_t *reachability, time_ns now);
 
 /** @brief Decides again.
  * @return true if the decision has changed. */
-bool zone_reachability_evaluate(zone_reachability_t *reach,
+bool zone_reachability_evaluate(zone_reachability_t *reachability,
                                 const zone_reachability_inputs_t *inputs, time_ns now);
 
 #endif
