--- a/src/pooler/control/mirrors.c
+++ b/src/pooler/control/mirrors.c
@@ -9,17 +9,18 @@
 
 /* Time-out of the open request. */
 static time_ns
-request_timeout(const mirror_requests_t *requests, const mirror_inputs_t *view)
+request_timeout(const mirror_requests_t *requests, const mirror_inputs_t *inputs)
 {
     time_ns wait = requests->acknowledged ? MIRROR_ANSWER_TIMEOUT_NS : MIRROR_ACK_TIMEOUT_NS;
-    return view->starts ? wait
-                        : MIN(wait, (time_ns)((double)view->bound * MIRROR_CHANGE_TIMEOUT_PART));
+    return inputs->starts
+               ? wait
+               : MIN(wait, (time_ns)((double)inputs->bound * MIRROR_CHANGE_TIMEOUT_PART));
 }
 
 static bool
-has_tried_enough(const mirror_requests_t *requests, const mirror_inputs_t *view, time_ns now)
+has_tried_enough(const mirror_requests_t *requests, const mirror_inputs_t *inputs, time_ns now)
 {
-    if (!view->starts) {
+    if (!inputs->starts) {
         return requests->sent > 0;
     }
     return requests->sent >= MIRROR_REQUESTS_MIN &&
@@ -27,20 +28,20 @@
 }
 
 mirror_step_t
-mirror_next_step(const mirror_requests_t *requests, const mirror_inputs_t *view, time_ns now)
+mirror_next_step(const mirror_requests_t *requests, const mirror_inputs_t *inputs, time_ns now)
 {
-    if (view->reads_store) {
+    if (inputs->reads_store) {
         return MIRROR_STEP_STORE;
     }
-    if (requests->sent_at != 0 && now < requests->sent_at + request_timeout(requests, view)) {
+    if (requests->sent_at != 0 && now < requests->sent_at + request_timeout(requests, inputs)) {
         return MIRROR_STEP_WAIT;
     }
-    if (view->mirrors == 0) {
-        bool told_soon = view->starts && view->may_learn_mirrors &&
-                         now < view->missing_since + MIRROR_NAMES_WAIT_NS;
-        return told_soon ? MIRROR_STEP_WAIT : MIRROR_STEP_STORE;
+    if (inputs->mirrors == 0) {
+        bool list_expected = inputs->starts && inputs->may_learn_mirrors &&
+                             now < inputs->missing_since + MIRROR_NAMES_WAIT_NS;
+        return list_expected ? MIRROR_STEP_WAIT : MIRROR_STEP_STORE;
     }
-    if (has_tried_enough(requests, view, now)) {
+    if (has_tried_enough(requests, inputs, now)) {
         return MIRROR_STEP_STORE;
     }
     bool rests = requests->failed_at != 0 && now < requests->failed_at + MIRROR_RETRY_NS;
--- a/src/pooler/control/mirrors.h
+++ b/src/pooler/control/mirrors.h
@@ -95,7 +95,7 @@
 } mirror_step_t;
 
 /** @return what to do now. An open request that has timed out counts as failed. */
-mirror_step_t mirror_next_step(const mirror_requests_t *requests, const mirror_inputs_t *view,
+mirror_step_t mirror_next_step(const mirror_requests_t *requests, const mirror_inputs_t *inputs,
                                time_ns now);
 
 /** @brief A pooler from which mirrors may be chosen. */
--- a/tests/pooler/test_mirrors.c
+++ b/tests/pooler/test_mirrors.c
@@ -213,7 +213,7 @@
     for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
         g_autoptr(GArray) fleet = make_fleet(sizes[i]);
         g_autoptr(GPtrArray) mirrors = choose(fleet);
-        g_autoptr(GHashTable) asked = g_hash_table_new(g_str_hash, g_str_equal);
+        g_autoptr(GHashTable) request_counts = g_hash_table_new(g_str_hash, g_str_equal);
         unsigned readers = 0;
         guint most = 0;
         for (guint j = 0; j < fleet->len; j++) {
@@ -227,8 +227,8 @@
             }
             const char *address =
                 mirrors_at(mirrors, member->zone, member->address, g_str_hash(member->address), 0);
-            guint before = GPOINTER_TO_UINT(g_hash_table_lookup(asked, address));
-            g_hash_table_insert(asked, (gpointer)address, GUINT_TO_POINTER(before + 1));
+            guint before = GPOINTER_TO_UINT(g_hash_table_lookup(request_counts, address));
+            g_hash_table_insert(request_counts, (gpointer)address, GUINT_TO_POINTER(before + 1));
             most = MAX(most, before + 1);
         }
         g_assert_cmpuint(readers, <=, ZONES + sizes[i] / POOLERS_PER_MIRROR);
