--- a/src/pooler/rate/admission.c
+++ b/src/pooler/rate/admission.c
@@ -9,9 +9,9 @@
  * had the coordinator's next reply to its heartbeat, which may allow it to count again. */
 #define DECLINED_NS (250 * NANOSECONDS_PER_MILLISECOND)
 
-/* Longest time for which a home that refused is not asked again, also if it returned a longer wait.
- * That wait leaves out tokens whose times were returned to other refused clients, not all of which
- * retry. */
+/* Longest time for which a home that refused gets no further request, also if it returned a longer
+ * wait. That wait leaves out tokens whose times were returned to other refused clients, not all of
+ * which retry. */
 #define EMPTY_NS (10 * NANOSECONDS_PER_MILLISECOND)
 
 /* Retry time for a client if no home could decide on its operation: the time until the first home
@@ -29,7 +29,7 @@
 typedef struct home {
     link_t *link; /* NULL: this pooler */
     bool same_zone;
-    time_ns empty_until[SHARE_PRIORITIES];   /* not asked before then: it refused this priority */
+    time_ns empty_until[SHARE_PRIORITIES];   /* no request before then: it refused this priority */
     time_ns next_token_at[SHARE_PRIORITIES]; /* when it may have a token, by its last refusal */
     time_ns declined_until;                  /* avoided until then: it declined */
 } home_t;
@@ -121,8 +121,8 @@
     return slow || now < home->declined_until;
 }
 
-/* True if the home is not asked once another home has refused the operation: it probably won't
- * answer or will decline, and waiting for it would only delay the refusal. */
+/* True if no token is requested from the home once another home has refused the operation: it
+ * probably won't answer or will decline, and waiting for it would only delay the refusal. */
 static bool
 is_skipped_at_limit(const home_t *home, time_ns now)
 {
@@ -149,7 +149,8 @@
 }
 
 /* When the first home that refused has a token again; 0 if none refused. The result may be in the
- * past: the home that refused this operation may have a token by now, after other homes were asked.
+ * past: the home that refused this operation may have a token by now, after the requests to other
+ * homes.
  */
 static time_ns
 first_token(const struct session *session, const homes_t *homes, time_ns now)
@@ -173,9 +174,9 @@
     bool at_limit = first_token(session, homes, now) != 0;
     for (unsigned i = 0; i < homes->count; i++) {
         const home_t *home = &homes->homes[i];
-        bool asked = (session->request.homes_requested & (1U << i)) != 0;
+        bool requested = (session->request.homes_requested & (1U << i)) != 0;
         bool skipped = at_limit && is_skipped_at_limit(home, now);
-        if (asked || skipped || is_empty(session, home, now)) {
+        if (requested || skipped || is_empty(session, home, now)) {
             continue;
         }
         if (best < 0 || cost_of(home, now) < cost_of(&homes->homes[best], now)) {
--- a/src/pooler/rate/home_health.h
+++ b/src/pooler/rate/home_health.h
@@ -44,7 +44,8 @@
 /** @return true if other homes are preferred because of time-outs, not only of a slow answer. */
 bool home_health_is_unresponsive(const home_health_t *health, time_ns now);
 
-/** @return the hedge delay: how long to wait for an answer before another home is asked as well. */
+/** @return the hedge delay: how long to wait for an answer before a token is requested from another
+ * home as well. */
 time_ns home_health_hedge_delay(const home_health_t *health);
 
 /** Time-out of a token request: several round trips to another zone (4 ms each), for a machine that
--- a/tests/pooler/test_access.c
+++ b/tests/pooler/test_access.c
@@ -349,8 +349,9 @@
         .address = g_strdup(OWN_ADDRESS), .weight = 1, .same_zone = true, .self = true};
     for (unsigned i = 0; others[i] != NULL; i++) {
         roster_member_t *member = &roster->members[i + 1];
-        *member = (roster_member_t){
-            .address = g_strdup(others[i]), .weight = 1, .same_zone = i == 0}; /* asked first */
+        *member = (roster_member_t){.address = g_strdup(others[i]),
+                                    .weight = 1,
+                                    .same_zone = i == 0}; /* receives the first request */
         g_assert_true(parse_address(others[i], &member->socket_address));
     }
     fixture->roster = roster;
@@ -495,8 +496,8 @@
     }
 }
 
-/* A home that accepts connections and never answers does not delay operations: another home is
- * asked, and once that has no token left, the refusal comes without delay. */
+/* A home that accepts connections and never answers does not delay operations: a token of another
+ * home is requested instead, and once that has no token left, the refusal comes without delay. */
 static void
 test_unresponsive_home(struct fixture *fixture, gconstpointer unused)
 {
@@ -628,9 +629,9 @@
     }
 }
 
-/* If the preferred home takes 300 ms for each token, another home is asked as well after the hedge
- * delay, and the operation proceeds with the first answer. The token that comes late is lost and
- * counted, and the slow home is avoided for a while. */
+/* If the preferred home takes 300 ms for each token, a token is requested from another home as well
+ * after the hedge delay, and the operation proceeds with the first answer. The token that comes
+ * late is lost and counted, and the slow home is avoided for a while. */
 static void
 test_slow_home(struct fixture *fixture, gconstpointer unused)
 {
--- a/tests/pooler/test_rate.c
+++ b/tests/pooler/test_rate.c
@@ -167,16 +167,16 @@
 test_unresponsive_home_is_avoided(void)
 {
     home_health_t health = {0};
-    unsigned asked = 0;
+    unsigned requests = 0;
     time_ns now = SECOND;
     for (; now < 11 * SECOND; now += MS) {
         if (!home_health_is_avoided(&health, now)) {
-            asked++;
+            requests++;
             home_health_note_timeout(&health, now + HOME_TIMEOUT_NS);
         }
     }
-    g_assert_cmpuint(asked, >=, 4);
-    g_assert_cmpuint(asked, <=, 7); /* 40 with a constant 250 ms between them */
+    g_assert_cmpuint(requests, >=, 4);
+    g_assert_cmpuint(requests, <=, 7); /* 40 with a constant 250 ms between them */
     g_assert_true(home_health_is_unresponsive(&health, now));
     g_assert_true(home_health_message_received(&health));
     g_assert_false(home_health_is_avoided(&health, now));
