--- a/src/pooler/databases/server_answer.c
+++ b/src/pooler/databases/server_answer.c
@@ -167,7 +167,7 @@
         group->latency_ms += LATENCY_WEIGHT * (latency - group->latency_ms);
         slowness = server->session == NULL
                        ? 0
-                       : baseline_times_update(&group->worker->usual, &group->baseline,
+                       : baseline_times_update(&group->worker->general_baseline, &group->baseline,
                                                &database->recent, kind_of(server), latency, now);
     }
     server->wrote = server->wrote || (server->writes && server->code == ANSWER_NONE);
--- a/src/pooler/worker/worker_internal.h
+++ b/src/pooler/worker/worker_internal.h
@@ -307,11 +307,12 @@
     bool has_tenants;             /* clients are identified by keys */
     time_ns transaction_idle;     /* an open transaction that is idle for longer is rolled back */
     GHashTable *groups;           /* service -> struct group */
-    baseline_times_t usual; /* baseline statement times of lightly loaded databases, all groups */
-    GHashTable *links;      /* address as text -> link_t */
-    GHashTable *homes;      /* tenant, interned -> homes of its limit, as last requested */
-    GPtrArray *callers;     /* caller_t */
-    int forward_listener;   /* -1: none */
+    baseline_times_t
+        general_baseline; /* baseline statement times of lightly loaded databases, all groups */
+    GHashTable *links;    /* address as text -> link_t */
+    GHashTable *homes;    /* tenant, interned -> homes of its limit, as last requested */
+    GPtrArray *callers;   /* caller_t */
+    int forward_listener; /* -1: none */
     struct event *forward_acceptable;
     GQueue sessions;
     GPtrArray *ended;         /* sessions to free after the callback */
