--- a/src/pooler/control/control_fleet.c
+++ b/src/pooler/control/control_fleet.c
@@ -355,17 +355,17 @@
 }
 
 static roster_member_state_t
-standing_of(struct control *control, const contacts_t *contacts, fleet_member_t *member,
-            time_ns now)
+member_state(struct control *control, const contacts_t *contacts, fleet_member_t *member,
+             time_ns now)
 {
     const struct pooler_peer *pooler = g_hash_table_lookup(contacts->known, member->address);
-    roster_member_state_t standing = {.away = member->gone,
-                                      .away_since = settled_since(control, member, now)};
+    roster_member_state_t state = {.away = member->gone,
+                                   .away_since = settled_since(control, member, now)};
     if (pooler != NULL) {
-        standing.confirmed = pooler->fleet_reported;
-        standing.confirmed_as_of = pooler->fleet_reported_as_of;
+        state.confirmed = pooler->fleet_reported;
+        state.confirmed_as_of = pooler->fleet_reported_as_of;
     }
-    return standing;
+    return state;
 }
 
 /* True if no other member still counts the shares that this member has taken over: all of them have
@@ -380,9 +380,9 @@
     g_hash_table_iter_init(&iterator, fleet_members(control->fleet));
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         fleet_member_t *member = value;
-        const roster_member_state_t standing = standing_of(control, contacts, member, now);
+        const roster_member_state_t state = member_state(control, contacts, member, now);
         if (is_listed(member) &&
-            !roster_member_is_up_to_date(&standing, version, entering->row_stored_at, now)) {
+            !roster_member_is_up_to_date(&state, version, entering->row_stored_at, now)) {
             return false;
         }
     }
--- a/src/pooler/rate/roster.h
+++ b/src/pooler/rate/roster.h
@@ -71,7 +71,7 @@
  * roster: before that, the member's process could be restarted and read an earlier roster from the
  * row. A member that is away has stopped counting after ROSTER_ENTERING_NS.
  *  @param written_at a time by which the row had the roster; 0: not yet. */
-bool roster_member_is_up_to_date(const roster_member_state_t *standing, uint64_t version,
+bool roster_member_is_up_to_date(const roster_member_state_t *state, uint64_t version,
                                  time_ns written_at, time_ns now);
 
 /** @brief A pooler to which shares are assigned. */
