--- a/src/pooler/control/control_relay.c
+++ b/src/pooler/control/control_relay.c
@@ -414,7 +414,7 @@
 
 /* Fills in the versions known here also for tables whose rows were too large to offer; a
  * coordinator that is missing those rows reads them at the store. Without this, the coordinator
- * would keep reporting incomplete rows to this pooler, and the pooler would list the whole table at
+ * would keep reporting incomplete rows to this pooler, and the pooler would list the full table at
  * the store each time. */
 static void
 confirm_unoffered(const struct control *control, time_ns now, struct pooler_relay *relay)
--- a/src/pooler/control/failover_change.c
+++ b/src/pooler/control/failover_change.c
@@ -107,8 +107,8 @@
     }
 }
 
-/* True if a replica that may lead has the primary's whole log. The primary is stepped down only
- * then, as it stops replicating when it steps down. */
+/* True if a replica that may lead has received all of the primary's log. The primary is stepped
+ * down only then, as it stops replicating when it steps down. */
 static bool
 replica_caught_up(const struct failover *failover, const struct failover_member *primary)
 {
--- a/src/pooler/routing/router_internal.h
+++ b/src/pooler/routing/router_internal.h
@@ -30,7 +30,7 @@
     double server_cost;
     struct database *to_open; /* NULL: none */
     double open_cost;
-    time_ns defer_until; /* when a replica will be fresh enough; 0: none is worth waiting for */
+    time_ns defer_until; /* when a replica will be fresh enough; 0: waiting is not useful */
     double defer_cost;
     bool check; /* a leadership check is required first */
 };
--- a/tests/pooler/test_fleet.c
+++ b/tests/pooler/test_fleet.c
@@ -570,9 +570,9 @@
     }
 }
 
-/* A replica that has drained and left can't be asked to stop receiving the log of the old primary.
- * It must not delay the change of primary when the primary and the coordinator are lost some
- * heartbeats later, although records of vanished databases are kept for sixteen heartbeats. */
+/* A replica that has drained and left can't be ordered to stop receiving the log of the old
+ * primary. It must not delay the change of primary when the primary and the coordinator are lost
+ * some heartbeats later, although records of vanished databases are kept for sixteen heartbeats. */
 static void
 test_lost_primary_after_a_replica_left(struct fixture *fixture, gconstpointer unused)
 {
--- a/tests/pooler/test_relay.c
+++ b/tests/pooler/test_relay.c
@@ -124,8 +124,8 @@
     g_assert_cmpuint(control_relay_versions(fixture->to).configuration, ==, 9);
 }
 
-/* A large row is left out, and the receiver is told to read that table at the store, and only that
- * table. A receiver that the store does not answer gets the row nevertheless. */
+/* A large row is left out, and the reply makes the receiver read that table at the store, and only
+ * that table. A receiver that the store does not answer gets the row nevertheless. */
 static void
 test_large_row(fixture_t *fixture, gconstpointer unused)
 {
@@ -182,7 +182,7 @@
 }
 
 /* Rows for all poolers share the link with permits. They are sent at the rate of their share, and a
- * receiver that has waited too long is told to read the store. */
+ * receiver that has waited too long gets a reply that makes it read the store. */
 static void
 test_link(fixture_t *fixture, gconstpointer unused)
 {
