--- a/src/pooler/control/control_member.c
+++ b/src/pooler/control/control_member.c
@@ -230,7 +230,7 @@
                      order->service, group_phase_name(order->phase), order->primary);
 }
 
-/* True if the order is the first one known of its group and opens it, which is not worth a log
+/* True if the order is the first one known of its group and opens it, which gets no log
  * line. */
 static bool
 take_order(struct control *control, const struct pooler_group_order *order)
