--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -1,18 +1,18 @@
 #!/usr/bin/env python3
-"""Switches off the pooler's mechanisms one by one, and tells what each is worth on the users' bench.
+"""Disables the pooler's mechanisms one at a time, and reports the effect of each on the score of the users' benchmark.
 
 Use:  tools/ablate.py --bench PROGRAM --scratch DIR --site FILE [--site FILE]... [--seed N]... [--only NAME]...
           [--jobs N] [--save FILE]
       tools/ablate.py --load FILE
       tools/ablate.py --check
 
-The product has no switches for this: each mechanism is a replacement of source text, made in a scratch
-checkout of HEAD (a git worktree below DIR, left there with its journal of plays). The days with trouble of each
-site are played with and without it, on the same seeds, with processor time off. The table tells for each site by
-how much the mean worth changes when the mechanism is off: what is negative was worth having. A rule that breaks
-without it is named: such a mechanism is no matter of worth.
+The product has no switches for this: each mechanism is disabled by a replacement of source text in a scratch
+checkout of HEAD (a git worktree below DIR, left there with its journal of runs). The days with faults of each site
+are run with and without it, with the same seeds, without processor time. The table shows for each site the change
+of the mean score ("worth") without the mechanism: negative if the mechanism improves it. Rules that are violated
+without it are named: such a mechanism is needed whatever its effect on the score.
 
---check holds that each text to be replaced stands in the sources exactly once.
+--check verifies that each text to be replaced is in the sources exactly once.
 """
 
 import argparse
@@ -27,7 +27,7 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 
-# Name, file, text as it stands, text with the mechanism off.
+# Name, file, source text, text with the mechanism disabled.
 MECHANISMS = [
     ("owners and forwarding", "src/pooler/control/fleet.c", "return room_of(max_connections) / shares >= DIRECT_MIN;",
      "return shares > 0 || room_of(max_connections) >= DIRECT_MIN;"),
@@ -98,7 +98,7 @@
 
 
 def count_texts(root):
-    """How often each mechanism's text stands in its file, by name."""
+    """The number of occurrences of each mechanism's text in its file, by name."""
     return {name: (root / path).read_text(encoding="utf-8").count(old) for name, path, old, _ in MECHANISMS}
 
 
@@ -106,7 +106,7 @@
     """Prints the mechanisms whose text is not unique. True if there are none."""
     wrong = {name: count for name, count in count_texts(ROOT).items() if count != 1}
     for name, count in wrong.items():
-        print(f"{name}: its text stands {count} times")
+        print(f"{name}: its text occurs {count} times")
     return not wrong
 
 
@@ -128,7 +128,7 @@
 
 
 def play_checkout(options, folder):
-    """Rows of all plays in one checkout, each with its site, day, seed and figures."""
+    """Rows of all runs in one checkout, each with its site, day, seed and figures."""
     built = subprocess.run([options.bench, "build"], cwd=folder, capture_output=True, text=True)
     if built.returncode != 0:
         raise RuntimeError(f"{folder} can't be built:\n{built.stdout[-2000:]}{built.stderr[-2000:]}")
@@ -141,7 +141,7 @@
 
 
 def changes_of(base, without):
-    """Per site: mean change of worth, least and most, and the rules broken."""
+    """Per site: mean, least and largest change of worth, and the violated rules."""
     result = {}
     for site in dict.fromkeys(row["site"] for row in base):
         pairs = [(a, b) for a, b in zip(base, without) if a["site"] == site]
@@ -153,7 +153,7 @@
 
 
 def print_table(results):
-    """A row a mechanism, a column a site."""
+    """Prints a table: a row for each mechanism, a column for each site."""
     sites = list(next(iter(results.values())))
     print("| off | " + " | ".join(sites) + " |")
     print("|---|" + "---|" * len(sites))
@@ -167,7 +167,7 @@
 
 
 def run(options):
-    """Plays the base, then each mechanism off."""
+    """Runs the base, then the variants without each mechanism."""
     base = play_checkout(options, make_checkout(options.scratch, "ablate-base"))
     results = {}
     for index, mechanism in enumerate(MECHANISMS):
--- a/tools/cluster.sh
+++ b/tools/cluster.sh
@@ -12,8 +12,8 @@
 CLUSTER_PLATFORM_PORT=
 CLUSTER_DATABASES=()
 CLUSTER_DAEMONS=()
-# Name to process id of what was started and not waited for. In memory: a lost working directory must not
-# leave processes behind.
+# Maps the name of each started process that was not waited for to its id. Kept in memory, so that the loss of
+# the working directory leaves no processes behind.
 declare -A CLUSTER_PIDS=()
 
 cluster_fail() {
@@ -31,7 +31,7 @@
     trap 'exit 143' TERM
 }
 
-# Ends the processes and removes the working directory; CLUSTER_KEEP=1 keeps it for a look at the logs.
+# Ends the processes and removes the working directory; CLUSTER_KEEP=1 keeps it with the logs.
 cluster_end() {
     local status=$?
     trap - EXIT
@@ -44,7 +44,7 @@
     exit "$status"
 }
 
-# cluster_free_ports N: prints N ports that nobody listens on, outside the range of outgoing connections.
+# cluster_free_ports N: prints N ports without a listener, outside the range of outgoing connections.
 cluster_free_ports() {
     python3 - "$1" "$CLUSTER_FIRST_PORT" "$CLUSTER_LAST_PORT" <<'PYTHON'
 import random
@@ -64,12 +64,12 @@
 PYTHON
 }
 
-# cluster_start NAME COMMAND...: starts a process in the background; its output goes to log/NAME. Not in
-# a subshell: its children could not be told from other processes later.
+# cluster_start NAME COMMAND...: starts a process in the background; its output goes to log/NAME. Must not run in
+# a subshell, whose children could not be identified later.
 cluster_start() {
     local name=$1
     shift
-    [ "$BASHPID" = "$$" ] || cluster_fail "$name would be started in a subshell"
+    [ "$BASHPID" = "$$" ] || cluster_fail "$name must not be started in a subshell"
     "$@" >>"$CLUSTER_DIRECTORY/log/$name" 2>&1 </dev/null &
     CLUSTER_PIDS[$name]=$!
 }
@@ -86,7 +86,7 @@
 # cluster_signal NAME SIGNAL
 cluster_signal() {
     local pid
-    pid=$(cluster_pid "$1") || cluster_fail "$1 does not run"
+    pid=$(cluster_pid "$1") || cluster_fail "$1 is not running"
     kill -s "$2" "$pid"
 }
 
@@ -99,7 +99,7 @@
     return "$status"
 }
 
-# cluster_kill NAME: SIGKILL, and waits until it is gone.
+# cluster_kill NAME: sends SIGKILL and waits until the process has ended.
 cluster_kill() {
     cluster_signal "$1" KILL
     cluster_wait "$1" 2>/dev/null || true
@@ -149,7 +149,7 @@
     chmod 600 "$CLUSTER_DIRECTORY/token-keys"
 }
 
-# cluster_edit_configuration FILTER: changes the reduced configuration by a jq filter, before the start.
+# cluster_edit_configuration FILTER: applies a jq filter to the reduced configuration, before the start.
 cluster_edit_configuration() {
     jq "$1" "$CLUSTER_DIRECTORY/configuration.json" >"$CLUSTER_DIRECTORY/configuration.tmp"
     mv "$CLUSTER_DIRECTORY/configuration.tmp" "$CLUSTER_DIRECTORY/configuration.json"
@@ -174,7 +174,7 @@
         --table-url "http://127.0.0.1:$CLUSTER_PLATFORM_PORT" "$CLUSTER_DIRECTORY/configuration.json"
 }
 
-# Settings by which a daemon finds its configuration: the published one, or without a platform the file.
+# Settings of a daemon's source of configuration: the published one, or without a platform the file.
 cluster_configuration_settings() {
     if [ -n "$CLUSTER_PLATFORM_PORT" ]; then
         printf '%s\n' "platform.table_endpoint=http://127.0.0.1:$CLUSTER_PLATFORM_PORT" \
@@ -184,7 +184,7 @@
     fi
 }
 
-# cluster_await_port NAME PORT: until the process listens there.
+# cluster_await_port NAME PORT: waits until the process listens there.
 cluster_await_port() {
     local tenths
     for ((tenths = 0; tenths < 100; tenths++)); do
@@ -248,7 +248,7 @@
     CLUSTER_PEERS=$peers
 }
 
-# cluster_daemon_port INDEX 0|1|2: callers' port, admin port or peers' port.
+# cluster_daemon_port INDEX 0|1|2: client port, admin port or peer port.
 cluster_daemon_port() {
     echo "${CLUSTER_DAEMON_PORTS[$(($1 * 3 + $2))]}"
 }
@@ -290,7 +290,7 @@
     done
 }
 
-# cluster_await_daemon INDEX: until it serves a read.
+# cluster_await_daemon INDEX: waits until it serves a read.
 cluster_await_daemon() {
     local name="daemon-$(($1 + 1))" tenant
     cluster_await_port "$name" "$(cluster_daemon_port "$1" 0)"
@@ -348,7 +348,7 @@
     "$CLUSTER_BUILD/src/ctl/swiftctl" "$@" --admin "http://127.0.0.1:$(cluster_daemon_port "$index" 1)"
 }
 
-# cluster_fetch_traces DIRECTORY: what each daemon that answers recorded of the group, as NAME.trace.
+# cluster_fetch_traces DIRECTORY: fetches the group's trace of each daemon that responds, as NAME.trace.
 cluster_fetch_traces() {
     local index name
     mkdir -p "$1"
@@ -359,7 +359,7 @@
     done
 }
 
-# cluster_violations: what the living databases counted against callers, summed: "over_limit lower_term".
+# cluster_violations: sums of the violations that the running databases counted: "over_limit lower_term".
 cluster_violations() {
     local index
     for index in "${!CLUSTER_DATABASES[@]}"; do
@@ -400,7 +400,7 @@
     cluster_header Swiftworks-Served-By | tr ';' '\n' | sed -n "s/^ *$1=//p"
 }
 
-# cluster_sql_until_done ...: as cluster_sql, again and again until it is done, for at most 20 s.
+# cluster_sql_until_done ...: repeats cluster_sql until it succeeds, for at most 20 s.
 cluster_sql_until_done() {
     local tenths outcome=none
     for ((tenths = 0; tenths < 200; tenths++)); do
@@ -412,7 +412,7 @@
     return 1
 }
 
-# cluster_primary TENANT: the name of the database that served a write just now.
+# cluster_primary TENANT: sends a write and prints the name of the database that served it.
 cluster_primary() {
     local body='{"sql":"INSERT INTO cluster_probe (id) VALUES ($1)","parameters":["probe"],"access":"write"}'
     local table='{"sql":"CREATE TABLE IF NOT EXISTS cluster_probe (id TEXT)","access":"write"}'
@@ -432,7 +432,7 @@
         --summary "$CLUSTER_DIRECTORY/$name.json" "$@"
 }
 
-# cluster_await_load NAME: until it ends by itself; a load that fails fails the run.
+# cluster_await_load NAME: waits until the load ends; if it failed, the run fails.
 cluster_await_load() {
     if ! cluster_wait "$1"; then
         cluster_show_log "$1"
@@ -440,8 +440,8 @@
     fi
 }
 
-# cluster_check LOAD...: judges the loads' histories and the databases; the verdict goes to check.json.
-# Returns 0 if every promise held.
+# cluster_check LOAD...: checks the loads' histories and the databases; the report goes to check.json.
+# Returns 0 if every guarantee held.
 cluster_check() {
     local load verdict=0
     local -a histories=()
@@ -456,10 +456,10 @@
     return "$verdict"
 }
 
-# Promises: a line each, and a count of the broken ones.
+# Number of violated guarantees. Each guarantee is reported on a line of its own.
 CLUSTER_BROKEN=0
 
-# promise TEXT COMMAND...: kept if the command succeeds.
+# promise TEXT COMMAND...: reports a guarantee as kept if the command succeeds.
 promise() {
     local text=$1
     shift
@@ -471,7 +471,7 @@
     fi
 }
 
-# conclude: the last line; ends the run with an error if a promise broke.
+# conclude: prints the last line; ends the run with an error if a guarantee was violated.
 conclude() {
     if [ "$CLUSTER_BROKEN" -ne 0 ]; then
         printf '%d promises broke.\n' "$CLUSTER_BROKEN"
@@ -480,7 +480,7 @@
     printf 'All promises were kept.\n'
 }
 
-# cluster_reset: ends the processes and forgets their files, for another deployment in the same shell.
+# cluster_reset: ends the processes and removes their files, for another deployment in the same shell.
 cluster_reset() {
     cluster_stop_all
     rm -rf "${CLUSTER_DIRECTORY:?}"/*
--- a/tools/compare.py
+++ b/tools/compare.py
@@ -1,18 +1,18 @@
 #!/usr/bin/env python3
-"""Compares two checkouts of this repository on the users' bench, in pairs of plays with the same seed.
+"""Compares two checkouts of this repository on the users' benchmark, in pairs of runs with the same seed.
 
 Use:  tools/compare.py --bench PROGRAM --base DIR --with DIR --site FILE [--day NAME]... [--seed N]... \
           [--cpu] [--small] [--jobs N] [--save FILE] [--plot FILE.svg]
       tools/compare.py --load FILE [--plot FILE.svg]
 
-Plays each day of each site in both checkouts. Without --cpu processor time is not counted, and a play mostly
-repeats. The seed 0 stands for the day's own. Without --day, the days with trouble are played: those whose slot
-is not "quiet". Without --with, only the base is played and its figures are shown.
+Runs each day of each site in both checkouts. Without --cpu, processor time is not counted and a run is mostly
+repeatable. The seed 0 means the day's own seed. Without --day, the days with faults are run: those whose slot
+is not "quiet". Without --with, only the base is run and its figures are printed.
 
-Prints, for each day and for all, the worth of both, and for the worth, each part of it and each price the median
-difference, its range, and a sign test: the probability that this many differences of one sign come by chance
-alone. Differences are "with" minus "base"; a price counts as it is taken from the worth. Each checkout's
-snapshots, as the bench names the sources it played, are printed last.
+Prints, for each day and for all, the score ("worth") of both, and for the score, each part of it and each deduction
+("price") the median difference, its range, and a sign test: the probability that this many differences have one sign
+by chance. Differences are "with" minus "base"; a price counts as it is subtracted from the worth. The snapshots of
+each checkout, by which the benchmark names the sources it ran, are printed last.
 """
 
 import argparse
@@ -27,9 +27,9 @@
 import tempfile
 import tomllib
 
-# Seconds that a play may take: the largest site takes three minutes on a free machine.
+# Time-out of a run in seconds: the largest site takes three minutes on an idle machine.
 PLAY_SECONDS = 900
-# Differences below this are shown as none: the last digit that the bench prints is a thousand times larger.
+# Smaller differences count as zero: the last digit that the benchmark prints is a thousand times larger.
 EPSILON = 1e-6
 
 
@@ -40,7 +40,7 @@
 
 
 def command_of(bench, site, day, seed, cpu, report, small=False):
-    """The bench's command line for one play."""
+    """The benchmark's command line for one run."""
     command = [bench, "run", site, day, "--report", report]
     if small:
         command += ["--small"]
@@ -52,7 +52,7 @@
 
 
 def figures_of(report):
-    """Worth, parts and prices of a bench report, as name to value, and the names of broken rules."""
+    """Worth, parts and prices of a benchmark report, as name to value, and the names of violated rules."""
     figures = {"worth": report["G"]}
     for name, weight, value in report["parts"]:
         figures[name] = weight * value
@@ -62,7 +62,7 @@
 
 
 def play(bench, checkout, site, day, seed, cpu, small=False):
-    """Plays one day in a checkout. The result names its figures, broken rules and snapshot."""
+    """Runs one day in a checkout. The result contains its figures, violated rules and snapshot."""
     with tempfile.TemporaryDirectory() as folder:
         path = os.path.join(folder, "report.json")
         command = command_of(bench, os.path.abspath(site), day, seed, cpu, path, small)
@@ -76,7 +76,7 @@
 
 
 def play_all(options):
-    """Plays everything that the options name. Each row: site, day, seed, base and, if compared, with."""
+    """Runs all that the options select. Each row: site, day, seed, base and, if compared, with."""
     checkouts = {"base": options.base}
     if options.changed:
         checkouts["with"] = options.changed
@@ -98,7 +98,7 @@
 
 
 def sign_test(differences):
-    """Two-sided probability of a split of signs this uneven if both were as likely. Zeros are left out."""
+    """Two-sided probability of at least this uneven a split of signs if both are equally likely. Zeros are left out."""
     up = sum(1 for difference in differences if difference > EPSILON)
     down = sum(1 for difference in differences if difference < -EPSILON)
     n = up + down
@@ -114,7 +114,7 @@
 
 
 def print_worths(rows):
-    """A line a day: mean worth of each side over its seeds, and rules broken."""
+    """Prints a line for each day: mean worth of each side over its seeds, and the violated rules."""
     print(f"{'site':24} {'day':12} {'plays':>5} {'base':>7} {'with':>7} {'change':>7}  least..most")
     for site, day in dict.fromkeys((row["site"], row["day"]) for row in rows):
         print_day([row for row in rows if (row["site"], row["day"]) == (site, day)], site, day)
@@ -135,7 +135,7 @@
 
 
 def print_parts(rows):
-    """A line a figure whose difference is not always zero."""
+    """Prints a line for each figure whose difference is not always zero."""
     print(f"\n{'figure':56} {'median':>8} {'least':>8} {'most':>8} {'sign p':>7}")
     for name in rows[0]["base"]["figures"]:
         changes = differences_of(rows, name)
@@ -145,7 +145,7 @@
 
 
 def print_snapshots(rows):
-    """The sources that were played, as the bench names each play."""
+    """Prints the snapshots of the sources, as the benchmark names them for each run."""
     for side in ("base", "with"):
         names = [row[side]["snapshot"] for row in rows if side in row]
         if names:
@@ -153,7 +153,7 @@
 
 
 def plot(rows, path):
-    """Writes an SVG: for each pair a line from the worth of base (left) to that of with (right)."""
+    """Writes an SVG plot: for each pair a line from the worth of base (left) to that of with (right)."""
     width, height, margin = 320, 400, 30
 
     def place(row, side):
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # The hut franchise at reduced size on loopback: a session writes through one daemon and reads its write
 # through another from a replica; then the primary is killed under load. Prints each step and a summary;
-# exits non-zero if a promise broke.
+# exits non-zero if a guarantee was violated.
 # Usage: tools/demo.sh [BUILD_DIRECTORY]   CLUSTER_KEEP=1 keeps logs and histories.
 set -euo pipefail
 
@@ -69,7 +69,7 @@
     promise "the recorded outcome is told" [ "$(jq -r .outcome "$CLUSTER_DIRECTORY/body")" = 'done' ]
 }
 
-# Reads the stay of step 2 once; the session must see it whoever serves it.
+# Reads the stay of step 2 once; the session must see it, whichever database serves the read.
 read_own_write() {
     cluster_sql 1 "$TENANT" "$2" "Swiftworks-Session: $1" >/dev/null
     show_answer read
--- a/tools/explain.py
+++ b/tools/explain.py
@@ -3,10 +3,10 @@
 
 Use:  tools/explain.py REQUEST-ID [FILE...]        (standard input without files)
 
-Prints what the logs tell of the request, with the stages of an operation that was late as a whole,
-then what its pooler, and the coordinator, said of its group and of the databases in the seconds
-around it, merged by time. Lines are JSON objects as the pooler
-writes them; a field "machine" is shown if a collector adds it. Exit code 1: no line names the request.
+Prints the request's log lines, with the stages of an operation that took too long, and then the lines of its
+pooler and of the coordinator about its group and the databases in the seconds around it, ordered by time. Lines
+are JSON objects as the pooler writes them; a field "machine" is shown if a log collector adds it. Exit code 1: no
+line names the request.
 """
 
 import argparse
@@ -14,7 +14,7 @@
 import json
 import sys
 
-# Parts whose lines tell why a request could not be served.
+# Parts of the log whose lines may explain why a request could not be served.
 CAUSES = ("failover", "lease", "member", "database", "control", "coordinator", "store")
 
 # Seconds before and after the request that are shown.
@@ -23,7 +23,7 @@
 
 
 def read_lines(files):
-    """All log lines as dicts, oldest first; what is no JSON object is passed over."""
+    """All log lines as dicts, oldest first; lines that are no JSON object are ignored."""
     lines = []
     with fileinput.input(files) as source:
         for text in source:
@@ -38,14 +38,14 @@
 
 
 def describe(line):
-    """One line of output: when, where, what, and the inputs that were logged."""
+    """One line of output: time, place, message, and the logged inputs."""
     known = ("time", "steady", "level", "message", "part", "machine")
     inputs = " ".join(f"{key}={value}" for key, value in line.items() if key not in known)
     return f"{line.get('time', 0):.3f} {line.get('machine', '-')} {line['part']}: {line['message']} {inputs}"
 
 
 def describe_stages(line):
-    """Where the time of a late operation went: a line for each stage, the longest first."""
+    """The stages of a late operation: a line for each, the longest first."""
     stages = [part.rsplit(" ", 1) for part in line.get("stages_ms", "").split(", ") if part]
     total = sum(float(spent) for _, spent in stages) or 1.0
     longest = sorted(stages, key=lambda stage: -float(stage[1]))
@@ -54,7 +54,7 @@
 
 
 def matters(line, request):
-    """Whether a line may tell the cause: same time, and no other group's."""
+    """Whether a line may explain the cause: at the same time, and not about another group."""
     near = request["time"] - BEFORE <= line["time"] <= request["time"] + AFTER
     other_group = line.get("service", request.get("service")) != request.get("service")
     return near and line["part"] in CAUSES and not other_group
--- a/tools/line_client.py
+++ b/tools/line_client.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Speaks the pooler's line wire: asks some things in one session, or puts a small load on it.
+"""A client of the pooler's line protocol: runs statements in one session, or generates a small load.
 
 Use:  tools/line_client.py PORT DATABASE KEY TEXT [TEXT]...
       tools/line_client.py PORT DATABASE KEY --rate N --seconds S TEXT
 
-Prints each answer's rows and its last line, with the request's id, which tools/explain.py takes. With --rate, TEXT is
-asked N times a second in one session, and the answers are counted by kind. Exits with 1 if an answer is missing.
+Prints each answer's rows and its last line, with the request's id for tools/explain.py. With --rate, TEXT is sent N
+times a second in one session, and the answers are counted by kind. Exits with 1 if an answer is missing.
 """
 
 import argparse
@@ -19,7 +19,7 @@
 
 
 class Session:
-    """One session at a pooler."""
+    """One session with a pooler."""
 
     def __init__(self, port, database, key):
         self.socket = socket.create_connection(("127.0.0.1", port), PATIENCE_S)
@@ -32,7 +32,7 @@
         self.socket.sendall((line + "\r\n").encode())
 
     def read_line(self):
-        """The next message; empty if the connection is over."""
+        """The next message; empty at the end of the connection."""
         return self.lines.readline().rstrip("\r\n")
 
     def ask(self, text):
@@ -51,7 +51,7 @@
 
 
 def ask_all(session, texts):
-    """Asks one after the other. False if an answer is missing."""
+    """Runs the statements one after the other. False if an answer is missing."""
     complete = True
     for text in texts:
         name, rows, last = session.ask(text)
@@ -61,7 +61,7 @@
 
 
 def load(session, text, rate, seconds):
-    """Asks at a rate, and counts the answers by kind."""
+    """Sends the statement at a rate, and counts the answers by kind."""
     kinds = collections.Counter()
     start = time.monotonic()
     for number in range(int(rate * seconds)):
--- a/tools/pair_days.py
+++ b/tools/pair_days.py
@@ -1,13 +1,13 @@
 #!/usr/bin/env python3
-"""Plays days that nobody has written on the users' bench: each kind of trouble of a site together with each other.
+"""Runs generated days on the users' benchmark: each kind of fault of a site combined with each other kind.
 
 Use:  tools/pair_days.py --bench PROGRAM --site FILE [--seed N] [--count N] [--jobs N] [--full] [--keep DIR]
 
-A day is the site's first day with trouble, its plan and faults replaced by two entries of the site's list of
-troubles, the second beginning soon after the first. Pairs come
-in an order of their own for each seed, so that days of several seeds cover all. Small twins are played unless --full
-is given, processor time off. Prints each day's worth and share served, broken rules first; the day's file is kept
-in DIR, as FILE of `fleetbench run SITE FILE`. The exit code is 1 if any rule broke.
+A day is the site's first day with faults, with its plan and faults replaced by two entries of the site's list of
+faults, the second starting soon after the first. The order of the pairs depends on the seed, so that several seeds
+cover all. The small variants of the sites are run unless --full is given, without processor time. Prints each day's
+score ("worth") and share served, violated rules first. The day's file is kept in DIR, as FILE of
+`fleetbench run SITE FILE`. The exit code is 1 if any rule was violated.
 """
 
 import argparse
@@ -23,9 +23,9 @@
 import tempfile
 import tomllib
 
-# What operators plan stands under `plan` of a day, all else under `faults`.
+# Planned operations are under `plan` of a day, all other entries under `faults`.
 PLANNED = {"add_nodes", "big_config", "config_change", "config_storm", "hup", "release", "revoke", "roll_term"}
-# Seconds from the start of traffic between which the first trouble begins, and from it to the second.
+# Bounds, in seconds, of the time from the start of traffic to the first fault, and from there to the second.
 FIRST_AT = (2.0, 14.0)
 SECOND_AFTER = (0.0, 5.0)
 PLAY_SECONDS = 900
@@ -43,7 +43,7 @@
 
 
 def day_of(base, pair, draw):
-    """The text of a day with both troubles."""
+    """The text of a day with both faults."""
     first = draw.uniform(*FIRST_AT)
     times = (first, first + draw.uniform(*SECOND_AFTER))
     lists = {"plan": [], "faults": []}
@@ -57,14 +57,14 @@
 
 
 def pairs_of(troubles, draw):
-    """All pairs of troubles, in an order of the seed."""
+    """All pairs of faults, in an order that depends on the seed."""
     pairs = list(itertools.combinations(troubles, 2))
     draw.shuffle(pairs)
     return pairs
 
 
 def play(bench, site, file, seed, full):
-    """One play: worth, share served, broken rules."""
+    """One run: worth, share served, violated rules."""
     with tempfile.NamedTemporaryFile(suffix=".json") as report:
         command = [bench, "run", site, str(file), "--seed", str(seed), "--no-cpu", "--report", report.name]
         done = subprocess.run(command + ([] if full else ["--small"]), capture_output=True, text=True,
--- a/tools/record-traces.sh
+++ b/tools/record-traces.sh
@@ -27,7 +27,7 @@
     cluster_start_daemons "$DAEMONS"
 }
 
-# find_event KIND [TERM]: the index of the first daemon that tells of such an event.
+# find_event KIND [TERM]: the index of the first daemon that lists such an event.
 find_event() {
     local index
     for ((index = 0; index < DAEMONS; index++)); do
@@ -44,7 +44,7 @@
     return 1
 }
 
-# await_event KIND [TERM]: as find_event, until there is one.
+# await_event KIND [TERM]: waits until find_event finds one.
 await_event() {
     local turn
     for ((turn = 0; turn < AWAIT_TURNS; turn++)); do
@@ -72,8 +72,9 @@
     sleep 1
 }
 
-# Two databases stand still, the second one before the loss of the first is noticed, so that the attempt to replace the primary has no majority; its coordinator
-# is stopped in the middle of it. Then one database goes on, and another daemon coordinates.
+# Two databases are paused, the second one before the loss of the first is detected, so that the attempt to replace the
+# primary has no majority. Its coordinator is paused during the attempt. Then one database resumes, and another daemon
+# coordinates.
 record_paused_coordinator() {
     local primary replica name
     primary=$(cluster_primary "$TENANT")
@@ -96,9 +97,9 @@
     sleep 1
 }
 
-# Answers of the database get lost after it has committed: of a write without a key, of one with a key,
-# of a transaction's commit. The caller asks again for what became of the keyed ones; a transaction that
-# was never committed has its key closed.
+# The database's answers are lost after it has committed: to a write without a key, to one with a key, and to a
+# transaction's commit. The client resolves the outcome of the keyed ones; the key of a transaction that was never
+# committed gets closed.
 record_lost_answers() {
     local primary id insert='{"sql":"INSERT INTO cluster_probe (id) VALUES ($1)","parameters":["lost"],"access":"write"}'
     primary=$(cluster_primary "$UNKEYED_TENANT")
@@ -124,7 +125,7 @@
         "http://127.0.0.1:$(cluster_daemon_port 0 0)/v1/tenants/$UNKEYED_TENANT/$1"
 }
 
-# lose_answer DATABASE MATCH: its next answer to such a statement does not come, and the connection ends.
+# lose_answer DATABASE MATCH: the next answer to such a statement is lost, and the connection is closed.
 lose_answer() {
     cluster_fault "$1" "name=close_after&count=1&match=$2"
 }
--- a/tools/setup.sh
+++ b/tools/setup.sh
@@ -40,7 +40,7 @@
         as_root=(sudo)
     fi
     printf 'setup: installing %s\n' "$*"
-    # The package lists may be old: a failed update is only a warning, a failed install is an error.
+    # The package lists may still suffice: a failed update is only a warning, a failed install is an error.
     "${as_root[@]}" apt-get update -qq </dev/null ||
         printf 'setup: apt-get update failed; trying with the present package lists\n' >&2
     "${as_root[@]}" env DEBIAN_FRONTEND=noninteractive \
--- a/tools/try.sh
+++ b/tools/try.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# A small deployment to try things on, at fixed ports, until Ctrl-C: the stand-in platform with a
+# A small deployment for manual trials, at fixed ports, until Ctrl-C: the stand-in platform with a
 # published configuration, three stand-in databases of one group of the hut franchise, and three
 # daemons. README.md and docs/OPERATIONS.md show calls against it.
 # Usage: tools/try.sh [BUILD_DIRECTORY]   CLUSTER_KEEP=1 keeps the logs.
@@ -35,7 +35,7 @@
         --base 0 --message 'the first one' "$CLUSTER_DIRECTORY/configuration.json"
 }
 
-# Gives the daemons the fixed ports in place of free ones.
+# Assigns fixed ports to the daemons instead of free ones.
 fix_daemon_ports() {
     local index
     CLUSTER_DAEMON_PORTS=()
@@ -60,7 +60,7 @@
     done
 }
 
-# True once a primary is known: the first term of a new group takes a moment.
+# True once a primary is known, which takes a moment in a new group.
 has_primary() {
     cluster_ctl 0 explain "$TENANT" --access write --output json 2>/dev/null |
         jq -e '.reason == "primary_write"' >/dev/null
--- a/tools/tsan_rcu.h
+++ b/tools/tsan_rcu.h
@@ -1,6 +1,6 @@
 /* Included before every file of builds for ThreadSanitizer (b_sanitize=thread). liburcu 0.13 orders
- * memory by fences, which ThreadSanitizer does not see: here publication, dereference and the end
- * of read-side sections are told to it. What the code does stays the same. */
+ * memory by fences, which ThreadSanitizer does not see. These wrappers annotate publication,
+ * dereference and the end of read-side sections for it, without a change of behaviour. */
 #ifndef SW_TOOLS_TSAN_RCU_H
 #define SW_TOOLS_TSAN_RCU_H
 
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <urcu-bp.h>
 
-/* Stands for the order that a grace period makes. */
+/* The synchronisation variable that represents the order established by a grace period. */
 __attribute__((weak)) char tsan_rcu_grace_period;
 
 #undef rcu_dereference
@@ -29,7 +29,7 @@
     __tsan_acquire(&tsan_rcu_grace_period);
 }
 
-/* A callback that runs after the grace period, with what it stands for. */
+/* A callback that runs after the grace period, and the original callback that it wraps. */
 struct tsan_rcu_callback {
     struct rcu_head head;
     struct rcu_head *original;
